--- /dev/null
+++ b/internal/lbwire/link_golden_test.go
@@ -0,0 +1,113 @@
+package lbwire
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"gorseledge/internal/rundown"
+)
+
+// testdata/input.hex is a stream of the simulator's frames, one a line, and testdata/output.hex holds what revision
+// 5fa7498 answered, one reply a line. They are fixed for good: there is no flag that rewrites them. The simulator goes by
+// these bytes, and the decisions in them have to stay as they are.
+
+// goldenFrames returns the frames of a file under testdata.
+func goldenFrames(t *testing.T, name string) [][]byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var frames [][]byte
+	for line := range strings.Lines(string(text)) {
+		frame, err := hex.DecodeString(strings.TrimSuffix(line, "\n"))
+		if err != nil {
+			t.Fatalf("%s, line %d: %v", name, len(frames)+1, err)
+		}
+		frames = append(frames, frame)
+	}
+	return frames
+}
+
+// codes returns the codes of the fixed-size records that follow a frame's head, sorted, each once.
+func codes(frames [][]byte, headLength, recordLength int) []byte {
+	var all []byte
+	for _, frame := range frames {
+		count := int(be.Uint32(frame[headLength-4:]))
+		for i := range count {
+			all = append(all, frame[headLength+i*recordLength])
+		}
+	}
+	slices.Sort(all)
+	return slices.Compact(all)
+}
+
+// endings returns the outcomes with which the stream's connects end.
+func endings(frames [][]byte) map[uint16]bool {
+	found := map[uint16]bool{}
+	for _, frame := range frames {
+		for i := range int(be.Uint32(frame[12:])) {
+			if record := frame[16+i*48:]; record[0] == 7 {
+				found[be.Uint16(record[13:])] = true
+			}
+		}
+	}
+	return found
+}
+
+func TestGoldenStreamHasEveryKindOfRecord(t *testing.T) {
+	input, output := goldenFrames(t, "input.hex"), goldenFrames(t, "output.hex")
+	if got, want := codes(input, 16, 48), []byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}; !bytes.Equal(got, want) {
+		t.Errorf("events %v, want %v", got, want)
+	}
+	if got, want := codes(output, 8, 16), []byte{1, 2, 3, 5, 6, 8, 9, 11, 13}; !bytes.Equal(got, want) {
+		t.Errorf("actions %v, want %v", got, want)
+	}
+	found := endings(input)
+	for _, code := range []uint16{0, 5, 11, 104, 110, 111, 114, 125, 999} {
+		if !found[code] {
+			t.Errorf("no connect ends with outcome %d", code)
+		}
+	}
+}
+
+func TestServeAnswersGoldenStream(t *testing.T) {
+	input, want := goldenFrames(t, "input.hex"), goldenFrames(t, "output.hex")
+	var output bytes.Buffer
+	if err := Serve(bytes.NewReader(bytes.Join(input, nil)), &output); err != nil {
+		t.Fatal(err)
+	}
+	for i, reply := range want {
+		if got := output.Next(len(reply)); !bytes.Equal(got, reply) {
+			t.Fatalf("reply %d to %x:\n%x\nwant:\n%x", i, input[i], got, reply)
+		}
+	}
+	if output.Len() > 0 {
+		t.Errorf("%d bytes more than the golden replies", output.Len())
+	}
+}
+
+// The settings in the stream's first frame have every key, and all of them are read.
+func TestGoldenSettingsAreRead(t *testing.T) {
+	first := goldenFrames(t, "input.hex")[0]
+	from, length := be.Uint32(first[16+11:]), be.Uint32(first[16+15:])
+	tail := first[16+48*be.Uint32(first[12:]):]
+	settings, rest, err := rundown.Read(tail[from:from+length], be.Uint64(first[16+3:]))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if settings.Seed != 18446744073709551615 || settings.Nodes != 2 || settings.Self != 1 || settings.MaxConnects != 3 ||
+		settings.RetryAdvice != 2 || !settings.Peers || !settings.Probes || !settings.Reports || !settings.Subscribe ||
+		len(settings.Types) != 3 || !slices.Equal(settings.Quotas, []float64{6, 4}) {
+		t.Errorf("read %+v", settings)
+	}
+	if !slices.Equal(rest.Fields, []string{"x1", "x0"}) || !slices.Equal(rest.Zones, []string{"a", "b"}) ||
+		!slices.Equal(rest.Tenants, []string{"acme", "beta"}) || !rest.PassThrough || !rest.TellsDelay || !rest.TellsLoad {
+		t.Errorf("read %+v", rest)
+	}
+}
