--- /dev/null
+++ b/internal/node/reasons_golden_test.go
@@ -0,0 +1,40 @@
+package node
+
+import "testing"
+
+// The codes stand in the log's "ended" lines and in docs/oncall.md, as revision 5fa7498 has them. They are fixed for good.
+func TestReasonCodesAreFixed(t *testing.T) {
+	for code, reason := range map[string]Reason{
+		"served":        Served,
+		"sent-away":     SentAway,
+		"host-ended":    HostEnded,
+		"host-reset":    HostReset,
+		"host-silent":   HostSilent,
+		"host-odd":      HostOdd,
+		"client-ended":  ClientEnded,
+		"client-reset":  ClientReset,
+		"client-left":   ClientLeft,
+		"client-odd":    ClientOdd,
+		"moved":         Moved,
+		"moved-leaving": MovedLeaving,
+		"rejected":      Rejected,
+		"aborted":       Aborted,
+		"bad-line":      BadLine,
+		"no-timeout":    NoTimeout,
+		"same-id":       SameID,
+		"unknown-type":  UnknownType,
+		"unknown-host":  UnknownHost,
+		"not-carried":   NotCarried,
+		"no-sockets":    NoSockets,
+		"no-line":       NoLine,
+		"checked":       Checked,
+		"handed-over":   HandedOver,
+		"leaving":       Leaving,
+	} {
+		t.Run(code, func(t *testing.T) {
+			if string(reason) != code {
+				t.Errorf("the code is %q, want %q", reason, code)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/sockets/sockets_golden_test.go
@@ -0,0 +1,115 @@
+package sockets
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"gorseledge/internal/node"
+)
+
+// The files under testdata are of revision 5fa7498. They are fixed for good: there is no flag that rewrites them.
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// One line for each client's connection that ended, with the fields and their order that docs/oncall.md names.
+func TestLogLinesKeepTheirForm(t *testing.T) {
+	want := strings.SplitAfter(strings.TrimSuffix(string(readGolden(t, "log.jsonl")), "\n"), "\n")
+	cases := []struct {
+		name   string
+		effect node.Effect
+	}{
+		{"ended", node.Done{Record: node.Record{Reason: node.Served, Type: "chat", Host: "s-5be2a07c", Connects: 2,
+			Lasted: 61.25, Setup: 0.125, Up: 4097, Down: 18446744073709551615}}},
+		{"ended, times rounded to milliseconds", node.Done{Record: node.Record{Reason: node.ClientReset, Type: "feed",
+			Host: "s-77d10e42", Connects: 1, Lasted: 7.0006, Setup: 0.0625, Up: 1, Down: 2}}},
+		{"ended before its first line", node.Done{Record: node.Record{Reason: node.NoLine, Lasted: 2}}},
+		{"note", node.Note{Line: "base list of 6 servers, was 0"}},
+	}
+	if len(want) != len(cases) {
+		t.Fatalf("%d golden lines for %d cases", len(want), len(cases))
+	}
+	for i, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			var written bytes.Buffer
+			d := &door{log: zerolog.New(&written)}
+			if !d.perform(c.effect) {
+				t.Error("taken for the last effect")
+			}
+			if got := strings.TrimSuffix(written.String(), "\n"); got != strings.TrimSuffix(want[i], "\n") {
+				t.Errorf("logged %s, want %s", got, want[i])
+			}
+		})
+	}
+}
+
+// A config has every key that is read, under the name that the deployment's files use.
+func TestConfigKeysAreFixed(t *testing.T) {
+	for _, name := range []string{"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN_ADDR", "LB_FLEET"} {
+		t.Setenv(name, "127.0.0.9:9")
+	}
+	path := filepath.Join("testdata", "config.json")
+	got, err := ReadConfig(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Config{Name: "n7", Listen: "127.0.0.1:5000", Discovery: "127.0.0.1:8500", Admin: "127.0.0.1:5001",
+		PeerAddr: "127.0.0.1:5002", Peers: []string{"127.0.0.1:5002", "127.0.0.1:5003"}, Seed: "ab12",
+		Fleet: "/etc/gorseledge/fleet.toml", path: path,
+		Known:    json.RawMessage(`{"index":41,"snapshot":true,"endpoints":[{"name":"s-1"}]}`),
+		Settings: json.RawMessage(`{"siblings":3,"zones":["a"]}`)}
+	want.Limits.Cores, want.Limits.MemoryMB, want.Limits.Sockets = 1.5, 256, 640
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+	for i := range reflect.TypeFor[Config]().NumField() {
+		if reflect.ValueOf(got).Field(i).IsZero() {
+			t.Errorf("the golden config sets no %s", reflect.TypeFor[Config]().Field(i).Name)
+		}
+	}
+	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, "config.json")))
+	decoder.DisallowUnknownFields()
+	var strict Config
+	if err := decoder.Decode(&strict); err != nil {
+		t.Error(err)
+	}
+	again, err := json.Marshal(strict)
+	if err != nil || string(again)+"\n" != string(readGolden(t, "config.json")) {
+		t.Errorf("%v, encoded again:\n%s", err, again)
+	}
+}
+
+// The environment stands in for what the config lacks.
+func TestConfigVariablesAreFixed(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte("{}"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	t.Setenv("LB_NAME", "n7")
+	t.Setenv("LB_LISTEN", "127.0.0.1:5000")
+	t.Setenv("LB_DISCOVERY", "127.0.0.1:8500")
+	t.Setenv("LB_ADMIN_ADDR", "127.0.0.1:5001")
+	t.Setenv("LB_FLEET", "/etc/gorseledge/fleet.toml")
+	got, err := ReadConfig(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Config{Name: "n7", Listen: "127.0.0.1:5000", Discovery: "127.0.0.1:8500", Admin: "127.0.0.1:5001",
+		Fleet: "/etc/gorseledge/fleet.toml", path: path}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+}
