--- /dev/null
+++ b/internal/node/legacy_golden_test.go
@@ -0,0 +1,130 @@
+package node
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"gorseledge/internal/rundown"
+)
+
+// testdata/inherited.json is the state that a process of revision 5fa7498 hands over, and testdata/handed-on.json what a
+// process of that revision hands on after it has taken this and nothing else. Both are fixed for good: there is no
+// flag that rewrites them.
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return bytes.TrimSuffix(text, []byte("\n"))
+}
+
+// inheritingNode starts a node with the golden state.
+func inheritingNode(t *testing.T) *Node {
+	t.Helper()
+	var state Legacy
+	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, "inherited.json")))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&state); err != nil {
+		t.Fatal(err)
+	}
+	return startedNode(t, &state)
+}
+
+// startedNode starts a node at a fixed time with a predecessor's state, or nil for none.
+func startedNode(t *testing.T, state *Legacy) *Node {
+	t.Helper()
+	const nodeSettings = `{"family_info":{"mode":"end","message_aim_us":[50000,50000],"tenant_quota_connections":[50,60]},
+		"limits":{"dial_timeout_us":250000,"max_connects":8,"max_retry_after_us":2000000,"probes":true,"retry_after":true},
+		"invariants":{"cold_from":0.25,"cold_us":8000000,"fall_multiple":4,"fall_us":1000000},
+		"parties":[{"name":"acme"},{"name":"beta"}],"zones":["a","b"],"siblings":2,"me":1,"service_types":[
+		{"name":"chat","effect":"repeatable","group":"all","give_up_us":2000000,"setup_target_us":300000},
+		{"name":"feed","effect":"once","group":"all","give_up_us":2000000,"setup_target_us":300000}]}`
+	settings, rest, err := rundown.Read([]byte(nodeSettings), 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return New(1700000100, Start{Rundown: settings, Door: rest, Sockets: 900, Toll: 20, Shut: true, Left: state})
+}
+
+// handedOver returns the node's answer to a successor that claims its state, as JSON.
+func handedOver(t *testing.T, n *Node) []byte {
+	t.Helper()
+	for _, effect := range n.Apply(1700000100, Asked{What: Claim}) {
+		if answer, ok := effect.(Answer); ok {
+			text, err := json.Marshal(answer.Legacy)
+			if err != nil {
+				t.Fatal(err)
+			}
+			return text
+		}
+	}
+	t.Fatal("no answer")
+	return nil
+}
+
+func TestInheritedStateIsHandedOn(t *testing.T) {
+	got, want := handedOver(t, inheritingNode(t)), readGolden(t, "handed-on.json")
+	if !bytes.Equal(got, want) {
+		t.Errorf("handed on:\n%s\nwant:\n%s", got, want)
+	}
+}
+
+// Each kind of news, as it crosses from another process, does at a successor what it did at revision 5fa7498.
+func TestGoldenNewsIsTaken(t *testing.T) {
+	for _, c := range []struct{ name, news, before, after string }{
+		{"host taken out", `{"Out":"s-77d10e42"}`, `"DisabledByHand":["s-5be2a07c"]`,
+			`"DisabledByHand":["s-5be2a07c","s-77d10e42"]`},
+		{"host put back", `{"Back":"s-5be2a07c"}`, `,"DisabledByHand":["s-5be2a07c"]`, ``},
+		{"connection that began", `{"Sits":{"ID":"a1b2c3","Key":5,"Host":"s-77d10e42","Load":0.5}}`,
+			`{"ID":"a1b2c3","Key":18446744073709551615,"Host":"s-5be2a07c","Load":0.28125}`,
+			`{"ID":"a1b2c3","Key":5,"Host":"s-77d10e42","Load":0.5}`},
+		{"connection that ended", `{"Over":"a1b2c3"}`,
+			`[{"ID":"a1b2c3","Key":18446744073709551615,"Host":"s-5be2a07c","Load":0.28125}]`, `null`},
+		{"descriptors", `{"Held":77}`, `"Held":349`, `"Held":105`},
+		{"revision", `{"Revision":{"epoch":6,"revision":1,"settings":{"nodes":4}}}`, `"Revision":{"epoch":5,`,
+			`"Revision":{"epoch":6,"revision":1,"settings":{"nodes":4}}`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			n := inheritingNode(t)
+			if before := handedOver(t, n); !strings.Contains(string(before), c.before) {
+				t.Fatalf("no %s before, in %s", c.before, before)
+			}
+			var news News
+			if err := json.Unmarshal([]byte(c.news), &news); err != nil {
+				t.Fatal(err)
+			}
+			n.Apply(1700000100, Told{news})
+			after := string(handedOver(t, n))
+			if !strings.Contains(after, c.after) || strings.Contains(after, c.before) {
+				t.Errorf("%s and no %s expected, in %s", c.after, c.before, after)
+			}
+		})
+	}
+}
+
+// The golden connection is adopted with everything that crosses beside its descriptors.
+func TestGoldenConnectionIsAdopted(t *testing.T) {
+	var parcel Parcel
+	if err := json.Unmarshal(readGolden(t, "connection.json"), &parcel); err != nil {
+		t.Fatal(err)
+	}
+	n := startedNode(t, nil)
+	n.Apply(1700000100, Adopted{Conn: 1001, Parcel: &parcel})
+	if len(n.flows) != 1 || n.flows[0] == nil {
+		t.Fatal("not adopted")
+	}
+	f := n.flows[0]
+	got := fmt.Sprint(f.opening.ID, " ", f.opening.Type, " ", n.hosts[f.on].name, " ", f.load, " ", f.setup, " ", f.waits,
+		" ", f.client.since, " ", f.client.passed, " ", f.host.passed)
+	const want = "1 chat s-77d10e42 0.40625 0.125 [1.7000000995e+09 1.70000009975e+09] 1.7000000335e+09 4099 4097"
+	if got != want {
+		t.Errorf("adopted %s, want %s", got, want)
+	}
+}
