--- a/internal/configfeed/feedstore/log_golden_test.go
+++ b/internal/configfeed/feedstore/log_golden_test.go
@@ -15,8 +15,8 @@
 )
 
 // The files in testdata/golden were written by the build of revision 5fa7498, which is in service: the log directory of
-// a server, and what it holds. They are fixed for good: later versions open
-// logs that this one wrote, and it opens theirs after a rollback. There is no way to rewrite them on purpose.
+// a server, and what it holds. They are fixed for good: later versions open logs that this one wrote, and it opens theirs
+// after a rollback. There is no way to rewrite them on purpose.
 const (
 	goldenDirectory = "testdata/golden"
 	goldenLog       = "log" // the directory of a server
--- /dev/null
+++ b/internal/livesettings/livesettings_golden_test.go
@@ -0,0 +1,200 @@
+package livesettings
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"gorseledge/internal/configfeed"
+	"gorseledge/internal/node/live"
+)
+
+// The files in testdata/golden were written by the build of revision 5fa7498, which is in service, or are read by it as
+// the tests say. They are fixed for good: documents outlive versions, and entries and settings go between versions.
+// There is no way to rewrite them on purpose.
+const goldenDirectory = "testdata/golden"
+
+// requireGolden fails unless got is byte for byte the content of a golden file.
+func requireGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	want := readGolden(t, name)
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(goldenDirectory, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// requireEveryFieldSet fails for each field, element or map value that is zero, at any depth. Without it, a field that
+// is left out of the encoded form when empty could change its name unnoticed.
+func requireEveryFieldSet(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is zero", path)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		requireEveryFieldSet(t, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			requireEveryFieldSet(t, path+"."+v.Type().Field(i).Name, v.Field(i))
+		}
+	case reflect.Slice, reflect.Array:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", path)
+		}
+		for i := range v.Len() {
+			requireEveryFieldSet(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			requireEveryFieldSet(t, fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key))
+		}
+	}
+}
+
+func pointer[T any](value T) *T { return &value }
+
+// goldenSettings returns what every_key.toml says.
+func goldenSettings() Settings {
+	return Settings{
+		RetryAdvice: pointer(12.5),
+		AskWithin:   pointer(8.0),
+		Nodes:       pointer(860),
+		Discovery:   pointer("127.0.0.1:8500"),
+		MaxConnects: pointer(2),
+		Sockets:     pointer(4096),
+		SlowStart: live.SlowStart{From: pointer(0.125), For: pointer(30.0), FallMultiple: pointer(3.0),
+			FallFor: pointer(1.5)},
+		Tenants: map[string]live.Tenant{
+			"red":           {Connections: pointer(20000)},
+			"green.b <&> ñ": {Connections: pointer(1000000000)},
+		},
+		Types: map[string]live.ServiceType{
+			"chat":       {SetupTarget: pointer(0.5), MessageTarget: pointer(0.25)},
+			"feed watch": {SetupTarget: pointer(600.0), MessageTarget: pointer(0.0625)},
+		},
+		Hosts: map[string]live.Host{
+			"s-5be2a07c": {DisabledUntil: pointer(1764650000.5), Weight: pointer(0.5)},
+			"s.2":        {DisabledUntil: pointer(4102444800.0), Weight: pointer(1e6)},
+		},
+	}
+}
+
+func encode(t *testing.T, value any) []byte {
+	t.Helper()
+	text, err := json.MarshalIndent(value, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
+
+func decode(t *testing.T, name string, into any) {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, name)))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A document with every key becomes the golden entries, and these the golden settings.
+func TestDocumentWithEveryKeyMatchesGoldenFiles(t *testing.T) {
+	entries, err := Parse("every_key.toml", readGolden(t, "every_key.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireGolden(t, "entries.json", encode(t, entries))
+	for _, k := range keys {
+		count := 0
+		for _, entry := range entries {
+			if _, matches := k.match(entry.Key); matches {
+				count++
+			}
+		}
+		if count == 0 {
+			t.Errorf("the document has no %s", k.pattern)
+		}
+	}
+
+	var decodedEntries []configfeed.Entry
+	decode(t, "entries.json", &decodedEntries)
+	requireGolden(t, "entries.json", encode(t, decodedEntries))
+	settings, err := Decode(decodedEntries)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := goldenSettings(); !reflect.DeepEqual(settings, want) {
+		t.Errorf("got %s, want %s", encode(t, settings), encode(t, want))
+	}
+	requireEveryFieldSet(t, "settings", reflect.ValueOf(settings))
+	requireGolden(t, "settings.json", encode(t, settings))
+
+	var decodedSettings Settings
+	decode(t, "settings.json", &decodedSettings)
+	if !reflect.DeepEqual(decodedSettings, settings) {
+		t.Errorf("got %s, want %s", encode(t, decodedSettings), encode(t, settings))
+	}
+	requireGolden(t, "settings.json", encode(t, decodedSettings))
+}
+
+// A revision goes from a process to the one that takes over from it.
+func TestRevisionMatchesGoldenFile(t *testing.T) {
+	state := json.RawMessage(`{"version":{"epoch":2,"revision":17},"entries":[{"key":"nodes","value":"860"}],"digest":"10311620094392125544"}`)
+	revision := live.Revision{Epoch: 2, Number: 17, Settings: goldenSettings(), State: state}
+	requireEveryFieldSet(t, "revision", reflect.ValueOf(revision))
+	encoded, err := json.Marshal(revision)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireGolden(t, "revision.json", encoded)
+
+	var decoded live.Revision
+	decode(t, "revision.json", &decoded)
+	if !reflect.DeepEqual(decoded, revision) {
+		t.Errorf("got %+v, want %+v", decoded, revision)
+	}
+	again, err := json.Marshal(decoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireGolden(t, "revision.json", again)
+}
+
+// The keys, the units and the ranges are those that documents rely on. A new key gets a line of its own.
+func TestKeysMatchGoldenFile(t *testing.T) {
+	var text bytes.Buffer
+	for _, k := range keys {
+		fmt.Fprintf(&text, "%s unit=%q low=%s high=%s whole=%t number=%t text=%t\n", k.pattern, k.unit, plain(k.low),
+			plain(k.high), k.whole, k.setNumber != nil, k.setText != nil)
+	}
+	requireGolden(t, "keys.txt", text.Bytes())
+}
+
+// Keys that only a start takes, and those that a start knows by another name, are told from unknown ones.
+func TestKeysThatAreNotLiveMatchGoldenFile(t *testing.T) {
+	var text bytes.Buffer
+	for _, key := range []string{"name", "listen", "admin_addr", "peer_addr", "peers", "seed", "fleet", "known", "settings",
+		"limits.cores", "limits.memory_mb", "limits.dial_timeout_us", "limits.peers", "limits.probes", "limits.retry_after",
+		"family_info", "granularity_us", "membership_mode", "parties", "reporting", "me", "zones",
+		"service_types.chat.name", "service_types.chat.effect", "service_types.chat.group",
+		"service_types.chat.give_up_us", "service_types.chat.memory_span_us", "siblings", "limits.max_retry_after_us",
+		"invariants.ask_within_us", "invariants.cold_from", "invariants.cold_us", "invariants.fall_multiple",
+		"invariants.fall_us", "service_types.chat.setup_target_us", "zones.east", "none", "limits.none", "limits", "hosts"} {
+		fmt.Fprintf(&text, "%s: %s\n", key, whyNotLive(key))
+	}
+	requireGolden(t, "not_live.txt", text.Bytes())
+}
