--- /dev/null
+++ b/internal/fleet/fleet_golden_test.go
@@ -0,0 +1,265 @@
+package fleet
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+	"github.com/rs/zerolog"
+	"google.golang.org/protobuf/proto"
+
+	"gorseledge/internal/configfeed"
+	"gorseledge/internal/fleet/view"
+	"gorseledge/internal/membership"
+	"gorseledge/internal/membership/wire"
+	"gorseledge/internal/node/live"
+	"gorseledge/internal/peers"
+)
+
+// The files under testdata were written by the version in service (5fa7498). They are fixed for good: nodes of that
+// version run beside newer ones, and fleet files are the operators', so nothing rewrites them, and a test that fails here
+// means a broken wire format or a fleet file that is read otherwise.
+
+const (
+	goldenKey    = "00112233445566778899aabbccddeeff"
+	goldenOldKey = "ffeeddccbbaa99887766554433221100"
+)
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+// checkNoZero checks that no exported field of a value is zero, at any depth, so that a field that is no longer read from
+// a golden file is noticed.
+func checkNoZero(t *testing.T, path string, value reflect.Value) {
+	t.Helper()
+	if value.IsZero() || value.Kind() == reflect.Slice && value.Len() == 0 || value.Kind() == reflect.Map && value.Len() == 0 {
+		t.Errorf("%s is zero", path)
+		return
+	}
+	switch value.Kind() {
+	case reflect.Pointer:
+		checkNoZero(t, path, value.Elem())
+	case reflect.Slice:
+		for i := range value.Len() {
+			checkNoZero(t, fmt.Sprintf("%s[%d]", path, i), value.Index(i))
+		}
+	case reflect.Map:
+		for _, key := range value.MapKeys() {
+			checkNoZero(t, fmt.Sprintf("%s[%v]", path, key), value.MapIndex(key))
+		}
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.IsExported() && field.Tag.Get("json") != "-" {
+				checkNoZero(t, path+"."+field.Name, value.Field(i))
+			}
+		}
+	}
+}
+
+func goldenBytes(t *testing.T, text string) []byte {
+	t.Helper()
+	out, err := hex.DecodeString(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
+
+func goldenMessage() *wire.Message {
+	return &wire.Message{Kind: wire.Message_PING, From: "node-a", Start: 1700000000000001, Seq: 42, About: "node-b",
+		At: "127.0.0.1:7000", Hash: 0x0123456789abcdef, Again: true, Updates: []*wire.Update{{Name: "node-b",
+			Start: 1700000000000002, Incarnation: 7, State: 1, Address: "127.0.0.2:7000", Zone: "zone-b", Build: "5fa7498", Ready: true,
+			Bad: []uint32{0xdeadbeef}, By: "node-c"}}}
+}
+
+// goldenWords are loads of hosts: what is over the largest one is told as it, and fractions are rounded up.
+func goldenWords() []peers.Word {
+	return []peers.Word{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.51}, {Host: 7, Load: 9}}
+}
+
+func loadMessage() *wire.Message {
+	return &wire.Message{Kind: wire.Message_WORDS, From: "node-a", Start: 1700000000000001, Words: peers.Append(nil, goldenWords())}
+}
+
+// A datagram is a version byte and a sealed message. The count is that of the sender's datagrams: a file holds a sender's
+// first and the next one its second.
+func TestGoldenDatagrams(t *testing.T) {
+	current, old := goldenBytes(t, goldenKey), goldenBytes(t, goldenOldKey)
+	sender := newSeal(Config{Fleet: "lima", keys: [][]byte{current, old}})
+	receiver := newSeal(Config{Fleet: "lima", keys: [][]byte{old, current}})
+	for _, c := range []struct {
+		name    string
+		message *wire.Message
+	}{{"datagram-1-ping.bin", goldenMessage()}, {"datagram-2-load.bin", loadMessage()}} {
+		t.Run(c.name, func(t *testing.T) {
+			text, err := sender.close(c.message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkGolden(t, c.name, text)
+			got, why := receiver.open(readGolden(t, c.name))
+			if why != taken || !proto.Equal(got, c.message) {
+				t.Errorf("opened %v (%q), want %v", got, why, c.message)
+			}
+			if _, why := receiver.open(readGolden(t, c.name)); why != playBack {
+				t.Errorf("opened again: %q", why)
+			}
+		})
+	}
+}
+
+// The names of what is not taken stand on the second address's page.
+func TestGoldenRefusals(t *testing.T) {
+	want := []string{"", "garbage", "another version", "another fleet", "no right MAC", "seen before", "too many senders"}
+	for i, got := range []refusal{taken, garbage, otherWay, stranger, unproven, playBack, forgotten} {
+		if string(got) != want[i] {
+			t.Errorf("%q, want %q", got, want[i])
+		}
+	}
+}
+
+// A node takes a load report of the version in service, and shows on its page what came.
+func TestGoldenLoadReportIsHeard(t *testing.T) {
+	file, err := Parse("fleet.toml", readGolden(t, "fleet.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var heard []peers.Word
+	part := New(file, view.Options{Name: "node-b", Log: zerolog.Nop(), Words: func(words []peers.Word) { heard = words }})
+	part.hear(readGolden(t, "datagram-2-load.bin"), netip.AddrPort{})
+	want := []peers.Word{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.515625}, {Host: 7, Load: 3.984375}}
+	if !reflect.DeepEqual(heard, want) {
+		t.Errorf("heard %v, want %v", heard, want)
+	}
+	traffic := []view.Traffic{{Kind: "words", ReceivedMessages: 1, ReceivedBytes: len(readGolden(t, "datagram-2-load.bin"))}}
+	if got := part.View().Traffic; !reflect.DeepEqual(got, traffic) {
+		t.Errorf("traffic %+v, want %+v", got, traffic)
+	}
+}
+
+// The names of the kinds of messages stand on the second address's page.
+func TestGoldenTrafficKinds(t *testing.T) {
+	var counts traffic
+	for kind := range messageKinds {
+		counts.sent(wire.Message_Kind(kind), 100)
+	}
+	var got []string
+	for _, c := range counts.all() {
+		got = append(got, c.Kind)
+	}
+	if want := []string{"none", "ping", "ack", "ping_req", "nack", "state", "join", "words"}; !reflect.DeepEqual(got, want) {
+		t.Errorf("%v, want %v", got, want)
+	}
+}
+
+// Introductions name as many members in each message as fit.
+func TestGoldenIntroductions(t *testing.T) {
+	var all []membership.Member
+	for i := range 5 {
+		all = append(all, membership.Member{Name: fmt.Sprintf("node-%c", 'a'+i), Start: 1700000000000001 + uint64(i),
+			Incarnation: uint32(1 + i), State: membership.Suspect, Address: fmt.Sprintf("127.0.0.%d:7000", 1+i),
+			Zone: fmt.Sprintf("zone-%c", 'a'+i), Build: "5fa7498", Ready: true})
+	}
+	sender := newSeal(Config{Fleet: "lima", keys: [][]byte{goldenBytes(t, goldenKey)}})
+	var out bytes.Buffer
+	for _, message := range introductions(all, 1700000000000009) {
+		text, err := sender.close(message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "%x\n", text)
+	}
+	checkGolden(t, "introductions.txt", out.Bytes())
+}
+
+func goldenConfig(t *testing.T) Config {
+	t.Helper()
+	return Config{Fleet: "lima", Address: "127.0.0.1:7000", Join: []string{"127.0.0.2:7000", "127.0.0.1:7000"}, Key: goldenKey,
+		OldKey: goldenOldKey, Zone: "zone-a", Period: 0.5,
+		Via:    map[string]string{"127.0.0.2:7000": "127.0.0.9:1234", "127.0.1.1:7100": "127.0.0.9:1235"},
+		Region: "west",
+		Control: []ControlServer{{Name: "c1", Address: "127.0.1.1:7100", Region: "west"},
+			{Name: "c2", Address: "127.0.1.2:7100", Region: "east"}},
+		keys: [][]byte{goldenBytes(t, goldenKey), goldenBytes(t, goldenOldKey)}}
+}
+
+// A fleet file with every key is read to these values, and they are written to the same bytes.
+func TestGoldenFleetFile(t *testing.T) {
+	want := goldenConfig(t)
+	written, err := toml.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "fleet.toml", written)
+	got, err := Read(filepath.Join("testdata", "fleet.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read\n%+v\nwant\n%+v", got, want)
+	}
+	checkNoZero(t, "Config", reflect.ValueOf(got))
+	if written, err = toml.Marshal(got); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "fleet.toml", written)
+	servers := []configfeed.ServerAddress{{Name: "c1", Address: "127.0.1.1:7100", Region: "west"},
+		{Name: "c2", Address: "127.0.1.2:7100", Region: "east"}}
+	if !reflect.DeepEqual(got.servers(), servers) {
+		t.Errorf("control servers %+v, want %+v", got.servers(), servers)
+	}
+}
+
+// The period of a fleet file that names none.
+func TestGoldenFleetFileDefaults(t *testing.T) {
+	got, err := Parse("fleet.toml", []byte("fleet = \"lima\"\naddress = \"127.0.0.1:7000\"\njoin = [\"127.0.0.2:7000\"]\nkey = \""+
+		goldenKey+"\"\n"))
+	want := Config{Fleet: "lima", Address: "127.0.0.1:7000", Join: []string{"127.0.0.2:7000"}, Key: goldenKey, Period: 1,
+		keys: [][]byte{goldenBytes(t, goldenKey)}}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read\n%+v\nwant\n%+v\n(%v)", got, want, err)
+	}
+}
+
+// A revision as a process hands it to the one that takes its place: the successor's part in the fleet goes on from it.
+func TestGoldenRevisionOfAPredecessor(t *testing.T) {
+	entries := []configfeed.Entry{{Key: "limits.sockets", Value: "900"}, {Key: "nodes", Value: "30"}}
+	state := configfeed.State{Version: configfeed.Version{Epoch: 2, Revision: 41}, Entries: entries, Digest: 0xf6014f494c73b015}
+	revision, err := revisionOf(state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	written, err := json.Marshal(revision)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "revision.json", written)
+	var inherited live.Revision
+	if err := json.Unmarshal(readGolden(t, "revision.json"), &inherited); err != nil {
+		t.Fatal(err)
+	}
+	part := newConfiguration(goldenConfig(t), view.Options{Successor: true, InForce: inherited}, func() float64 { return 1700000000.5 })
+	if !reflect.DeepEqual(part.state, state) || part.since != 1700000000.5 || part.follows() {
+		t.Errorf("state %+v, want %+v; since %v, follows %v", part.state, state, part.since, part.follows())
+	}
+}
