--- /dev/null
+++ b/internal/emulator/members/members_golden_test.go
@@ -0,0 +1,38 @@
+package members
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"gorseledge/internal/figures"
+)
+
+// The files under testdata were written by the version in service (5fa7498). They are fixed for good: committed figures have these costs and units, so nothing
+// rewrites them, and a test that fails here means that a name or a form has changed.
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+func TestGoldenFigures(t *testing.T) {
+	table := &figures.Table{Provenance: figures.Provenance{Command: "gorselab members", Revision: "5fa7498",
+		Date: "2026-12-02 05:07 UTC", Cores: 8, Machine: "alone", Repeats: 1}}
+	table.Rows = append(table.Rows, Rest{CPU: 0.5, Memory: 2048, Messages: 3.5, Bytes: 400.25}.Figures(1, 50)...)
+	table.Rows = append(table.Rows, Measure{Seed: 7, Suspected: 1.5, First: 2.5, Last: 3.5, Known: 1, FalseSuspicions: 8, FalseDeaths: 9,
+		Bytes: 10}.Figures(50)...)
+	checkGolden(t, "figures.csv", table.CSV())
+}
--- /dev/null
+++ b/internal/scale/scale_golden_test.go
@@ -0,0 +1,245 @@
+package scale
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/pelletier/go-toml/v2"
+
+	"gorseledge/internal/configfeed"
+	"gorseledge/internal/fleet"
+	"gorseledge/internal/fleet/view"
+)
+
+// The files under testdata were written by the version in service (5fa7498). They are fixed for good: committed figures and scripts have these names, so nothing
+// rewrites them, and a test that fails here means that a name or a form has changed.
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+// checkNoZero checks that no exported field of a value is zero, at any depth, so that a field that is no longer read from
+// a golden file is noticed.
+func checkNoZero(t *testing.T, path string, value reflect.Value) {
+	t.Helper()
+	if value.IsZero() || value.Kind() == reflect.Slice && value.Len() == 0 || value.Kind() == reflect.Map && value.Len() == 0 {
+		t.Errorf("%s is zero", path)
+		return
+	}
+	switch value.Kind() {
+	case reflect.Pointer:
+		checkNoZero(t, path, value.Elem())
+	case reflect.Slice:
+		for i := range value.Len() {
+			checkNoZero(t, fmt.Sprintf("%s[%d]", path, i), value.Index(i))
+		}
+	case reflect.Map:
+		for _, key := range value.MapKeys() {
+			checkNoZero(t, fmt.Sprintf("%s[%v]", path, key), value.MapIndex(key))
+		}
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.IsExported() && field.Tag.Get("json") != "-" {
+				checkNoZero(t, path+"."+field.Name, value.Field(i))
+			}
+		}
+	}
+}
+
+// goldenRows have each kind, and each cost that a column of the printed table shows.
+func goldenRows() []Row {
+	rows := []Row{{100, Real, 16, "rest", "cpu", "cores", 0.0025}, {100, Virtual, 100, "rest", "sent_messages.all", "1/s", 1.5},
+		{100, Server, 5, "rest", "memory", "B", 2.5e7}, {100, Hollow, 84, "rest", "suspicions", "1/s", 0.125}}
+	for i, c := range nodeColumns {
+		rows = append(rows, Row{200, Hollow, 184, "rest", c.cost, "1", 1 + 0.5*float64(i)})
+	}
+	for i, c := range fleetColumns {
+		rows = append(rows, Row{200, Fleet, 200, "kill", c.cost, "s", 2 + 0.25*float64(i)})
+	}
+	return rows
+}
+
+func TestGoldenTables(t *testing.T) {
+	provenance := []string{"command: gorselab scale test, seed 1", "beside it: nothing"}
+	rows := goldenRows()
+	checkGolden(t, "scale.csv", CSV(provenance, rows))
+	gotProvenance, got, err := ReadCSV(bytes.NewReader(readGolden(t, "scale.csv")))
+	if err != nil || !slices.Equal(gotProvenance, provenance) || !slices.Equal(got, rows) {
+		t.Errorf("read %v, %v, %v", gotProvenance, got, err)
+	}
+	checkNoZero(t, "rows", reflect.ValueOf(got))
+	checkGolden(t, "scale.csv", CSV(gotProvenance, got))
+	var printed bytes.Buffer
+	if err := WriteTable(&printed, got); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "printed.txt", printed.Bytes())
+}
+
+// The committed tables of scale runs are written as they were read.
+func TestGoldenCommittedTables(t *testing.T) {
+	paths, err := filepath.Glob("../../docs/capacity/scale-*.csv")
+	if err != nil || len(paths) != 4 {
+		t.Fatalf("%v, %v", paths, err)
+	}
+	for _, path := range paths {
+		t.Run(filepath.Base(path), func(t *testing.T) {
+			text, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			provenance, rows, err := ReadCSV(bytes.NewReader(text))
+			if err != nil || len(rows) == 0 {
+				t.Fatalf("%d rows, %v", len(rows), err)
+			}
+			if !bytes.Equal(CSV(provenance, rows), text) {
+				t.Error("written otherwise than it was read")
+			}
+		})
+	}
+}
+
+// The kinds of nodes, events and what goes on during a change, as tables and scripts name them.
+func TestGoldenNames(t *testing.T) {
+	for _, c := range []struct{ got, want any }{
+		{[]Kind{Real, Hollow, Virtual, Server, Fleet}, []Kind{"real", "hollow", "virtual", "server", "fleet"}},
+		{[]ActionKind{KillOne, RestartSome, KillRack, KillZone, Change, CutRegion},
+			[]ActionKind{"kill", "restart", "rack", "zone", "change", "region"}},
+		{[]During{DuringNothing, DuringRestart, DuringServerFault, DuringServerStart, DuringRegionCut},
+			[]During{"", "restart", "server-fault", "server-start", "region-cut"}},
+		{[]requestKind{requestPlan, requestStart, requestKill, requestLeave, requestCut, requestWatch, requestMembers, requestReturn,
+			requestChange, requestReport, requestCheck}, []requestKind{"plan", "start", "kill", "leave", "cut", "watch", "members", "return",
+			"change", "report", "check"}},
+	} {
+		if !reflect.DeepEqual(c.got, c.want) {
+			t.Errorf("%v, want %v", c.got, c.want)
+		}
+	}
+}
+
+// goldenScript has every key, and values other than the defaults.
+func goldenScript() *Script {
+	return &Script{Name: "golden", Sizes: []int{50, 100}, Real: 8, PerProcess: 50, ZonesOf: []int{2, 2}, Rack: 10, Period: 0.5,
+		Introduce: true, Settle: 60, AtRest: true, Quiet: 30, Rest: 10, Pause: 5, Agree: 40, Control: []int{2, 1}, Force: 4, ChangeTime: 3,
+		Hosts: 2, Flows: 20, Tolerance: 0.25, CPU: 0.5, Memory: 32, Bandwidth: 7.5, TotalMemory: 4000, TotalMinutes: 5, Virtual: true,
+		Events: []Action{{Kind: KillOne, For: 10, Window: 20}, {Kind: RestartSome, Part: 0.125, Window: 21},
+			{Kind: KillRack, For: 11, Window: 22}, {Kind: KillZone, For: 12, Window: 23}, {Kind: CutRegion, For: 13, Window: 24},
+			{Kind: Change, Window: 25}, {Kind: Change, During: DuringRestart, Part: 0.25, Window: 26},
+			{Kind: Change, During: DuringServerFault, Window: 27}, {Kind: Change, During: DuringServerStart, Window: 28},
+			{Kind: Change, During: DuringRegionCut, For: 14, Window: 29}}}
+}
+
+func TestGoldenScript(t *testing.T) {
+	want := goldenScript()
+	written, err := toml.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "script.toml", written)
+	got, err := ReadFile(filepath.Join("testdata", "script.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read\n%+v\nwant\n%+v", got, want)
+	}
+	events := got.Events
+	got.Events = []Action{{Kind: events[0].Kind, During: events[6].During, Part: events[6].Part, For: events[0].For, Window: events[0].Window}}
+	checkNoZero(t, "Script", reflect.ValueOf(got)) // no one event has all keys
+}
+
+// A script that says only what it must has these values.
+func TestGoldenScriptDefaults(t *testing.T) {
+	s, err := Read("script.toml", []byte("sizes = [50]\n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	written, err := toml.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "script-defaults.toml", written)
+}
+
+// goldenRequest has every field; no run sends such a request.
+func goldenRequest() request {
+	return request{Kind: requestStart, Names: []string{"n1"}, Regions: map[string]int{"127.0.0.1:7000": 1}, Digests: true,
+		Nodes: []hollowNode{{Name: "n1", Region: 1, Seed: 2, Build: "5fa7498", Settled: 3, Fleet: fleet.Config{Fleet: "lima",
+			Address: "127.0.0.1:7000", Join: []string{"127.0.0.2:7000"}, Key: "00112233445566778899aabbccddeeff", OldKey: "ffeeddccbbaa99887766554433221100",
+			Zone: "a", Period: 0.5, Via: map[string]string{"127.0.0.2:7000": "127.0.0.9:1234"}, Region: "west",
+			Control: []fleet.ControlServer{{Name: "c1", Address: "127.0.1.1:7100", Region: "west"}}}}},
+		Members: []memberFacts{goldenFacts()}, Version: configfeed.Version{Epoch: 2, Revision: 41}, CutRegions: []int{1, 2},
+		Expected: []expectation{{Region: 1, Names: []string{"n1", "n2"}}}}
+}
+
+func goldenFacts() memberFacts {
+	return memberFacts{Name: "n1", Start: 1700000000000001, Incarnation: 7, Address: "127.0.0.1:7000", Zone: "a", Build: "5fa7498", Ready: true}
+}
+
+// goldenReply has every field; no process sends such a reply.
+func goldenReply() reply {
+	times := hdrhistogram.New(1, 1000, 1)
+	times.RecordValue(5)
+	return reply{Error: "n1 runs already", Members: []memberFacts{goldenFacts()}, Wrong: 4, First: "n1 of n2", Report: &report{Nodes: 3,
+		Traffic: []view.Traffic{{Kind: "ping", SentMessages: 7, SentBytes: 630, ReceivedMessages: 8, ReceivedBytes: 720}},
+		Living:  map[int]spread{1: {Least: 2, Most: 3}}, News: 6, Digests: map[uint64]int{0x0123456789abcdef: 9},
+		Seen: seen{Gone: times.Export(), Back: times.Export(), Suspicions: 11}, InForce: times.Export()}}
+}
+
+// checkLine checks that a value encodes to a file, and that the file decodes to the value and encodes to itself.
+func checkLine[T any](t *testing.T, name string, value T) T {
+	t.Helper()
+	written, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, name, written)
+	var got T
+	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, name)))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&got); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, value) {
+		t.Errorf("decoded\n%+v\nwant\n%+v", got, value)
+	}
+	if written, err = json.Marshal(got); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, name, written)
+	return got
+}
+
+// What a run and its hollow processes say to each other.
+func TestGoldenProtocol(t *testing.T) {
+	checkNoZero(t, "request", reflect.ValueOf(checkLine(t, "request.json", goldenRequest())))
+	got := checkLine(t, "reply.json", goldenReply())
+	got.Report.InForce, got.Report.Seen.Gone, got.Report.Seen.Back = nil, nil, nil // a histogram has many empty counts
+	facts, seen := got.Report, got.Report.Seen
+	if facts.Nodes == 0 || facts.News == 0 || seen.Suspicions == 0 {
+		t.Errorf("a zero in %+v", facts)
+	}
+	checkNoZero(t, "traffic", reflect.ValueOf(facts.Traffic))
+	checkNoZero(t, "living", reflect.ValueOf(facts.Living))
+	checkNoZero(t, "digests", reflect.ValueOf(facts.Digests))
+	checkNoZero(t, "members", reflect.ValueOf(got.Members))
+}
