--- /dev/null
+++ b/internal/emulator/emulator_golden_test.go
@@ -0,0 +1,141 @@
+package emulator
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// The files under testdata were written by the version in service (5fa7498). They are fixed for good: scripts have these keys, so nothing
+// rewrites them, and a test that fails here means that a name or a form has changed.
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+// checkNoZero checks that no exported field of a value is zero, at any depth, so that a field that is no longer read from
+// a golden file is noticed.
+func checkNoZero(t *testing.T, path string, value reflect.Value) {
+	t.Helper()
+	if value.IsZero() || value.Kind() == reflect.Slice && value.Len() == 0 || value.Kind() == reflect.Map && value.Len() == 0 {
+		t.Errorf("%s is zero", path)
+		return
+	}
+	switch value.Kind() {
+	case reflect.Pointer:
+		checkNoZero(t, path, value.Elem())
+	case reflect.Slice:
+		for i := range value.Len() {
+			checkNoZero(t, fmt.Sprintf("%s[%d]", path, i), value.Index(i))
+		}
+	case reflect.Map:
+		for _, key := range value.MapKeys() {
+			checkNoZero(t, fmt.Sprintf("%s[%v]", path, key), value.MapIndex(key))
+		}
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.IsExported() && field.Tag.Get("json") != "-" {
+				checkNoZero(t, path+"."+field.Name, value.Field(i))
+			}
+		}
+	}
+}
+
+// goldenScenario has every key, and values other than the defaults.
+func goldenScenario() Scenario {
+	traffic := Traffic{Name: "upload", Effect: "referenced", Span: 1.5, Rate: 2.5, Lives: 3.5, Load: 0.125, Target: 0.25, Timeout: 4.5,
+		Message: 0.75, Value: 5, Group: 6, Retries: 7, Backoff: 0.5, Heeds: 0.375}
+	s := Scenario{Name: "golden", Lasts: 100, Settle: 10, Drawn: 3, Any: true,
+		Fleet: Fleet{Nodes: 4, Hosts: 5, Zones: 6, Capacity: 7.5, Uneven: 0.5, ColdFrom: 0.25, ColdFor: 9, Roster: 1.5, Calls: 15, Store: 150,
+			CPU: 0.125, Sockets: 64},
+		Network: Network{Near: 0.125, Far: 0.25, Jitter: 0.5, Bandwidth: 1000, Pieces: 0.75},
+		Rules: Rules{Grace: 1.5, Answer: 0.25, FallMultiple: 5, FallFor: 2, MaxConnects: 3, RetryAfter: 4, AskWithin: 20, DialTimeout: 0.5,
+			Pushed: true},
+		Traffic: []Traffic{traffic}}
+	for _, effect := range []string{"repeatable", "once-only"} {
+		traffic.Name, traffic.Effect = effect, effect
+		s.Traffic = append(s.Traffic, traffic)
+	}
+	for i, kind := range Kinds() {
+		s.Faults = append(s.Faults, Fault{At: float64(1 + i), Kind: kind, Host: 1, Node: 2, Zone: 3, Count: 4, For: 5.5, By: 0.75})
+	}
+	return s
+}
+
+func TestGoldenScenario(t *testing.T) {
+	want := goldenScenario()
+	written, err := toml.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "scenario.toml", written)
+	got, err := ReadFile(filepath.Join("testdata", "scenario.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read\n%+v\nwant\n%+v", got, want)
+	}
+	checkNoZero(t, "Scenario", reflect.ValueOf(got))
+	if written, err = toml.Marshal(got); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "scenario.toml", written)
+}
+
+// A script that says nothing has these values.
+func TestGoldenScenarioDefaults(t *testing.T) {
+	s, err := Read("scenario.toml", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	written, err := toml.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "scenario-defaults.toml", written)
+}
+
+func TestGoldenFaultKinds(t *testing.T) {
+	want := []string{"crash", "dial_late", "drain", "drop", "errs", "grow", "hand", "leave", "node_kill", "node_restart", "release",
+		"roster_down", "roster_late", "roster_move", "roster_reset", "roster_silent", "roster_slow", "shrink", "slow", "stall", "store_slow",
+		"upgrade", "vanish", "zone_loss"}
+	if got := Kinds(); !slices.Equal(got, want) {
+		t.Errorf("%v, want %v", got, want)
+	}
+}
+
+// The scripts for this package that docs/scenarios holds.
+func TestGoldenScenariosOfTheDocs(t *testing.T) {
+	for _, name := range []string{"drawn", "lists", "overlap"} {
+		t.Run(name, func(t *testing.T) {
+			s, err := ReadFile(filepath.Join("../../docs/scenarios", name+".toml"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			written, err := toml.Marshal(s)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkGolden(t, "docs-"+name+".toml", written)
+		})
+	}
+}
--- /dev/null
+++ b/internal/rig/rig_golden_test.go
@@ -0,0 +1,237 @@
+package rig
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"gorseledge/internal/configfeed"
+)
+
+// The files under testdata were written by the version in service (5fa7498). They are fixed for good: scripts have these keys, and kept histories and results these fields, so nothing
+// rewrites them, and a test that fails here means that a name or a form has changed.
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+// checkNoZero checks that no exported field of a value is zero, at any depth, so that a field that is no longer read from
+// a golden file is noticed.
+func checkNoZero(t *testing.T, path string, value reflect.Value) {
+	t.Helper()
+	if value.IsZero() || value.Kind() == reflect.Slice && value.Len() == 0 || value.Kind() == reflect.Map && value.Len() == 0 {
+		t.Errorf("%s is zero", path)
+		return
+	}
+	switch value.Kind() {
+	case reflect.Pointer:
+		checkNoZero(t, path, value.Elem())
+	case reflect.Slice:
+		for i := range value.Len() {
+			checkNoZero(t, fmt.Sprintf("%s[%d]", path, i), value.Index(i))
+		}
+	case reflect.Map:
+		for _, key := range value.MapKeys() {
+			checkNoZero(t, fmt.Sprintf("%s[%v]", path, key), value.MapIndex(key))
+		}
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.IsExported() && field.Tag.Get("json") != "-" {
+				checkNoZero(t, path+"."+field.Name, value.Field(i))
+			}
+		}
+	}
+}
+
+// goldenScript has every key, and values other than the defaults.
+func goldenScript() *Script {
+	s := &Script{Name: "golden", Lasts: 100, Settle: 30, Nodes: 6, Zones: 3, Period: 0.5, Hosts: 7, Flows: 8.5, Drawn: 9, Liveness: 15,
+		Kinds: []string{"stop", "kill"}, Control: 5, Applies: 0.75, InForce: 4, DrawnControl: 2}
+	for i, kind := range goldenFaultKinds {
+		f := Fault{At: float64(1 + i), Kind: kind, Nodes: []int{1, 2}, To: []int{}, For: 2.5, By: 0.25}
+		if faultKinds[kind].onLink {
+			f.To, f.Both = []int{3}, true
+		}
+		s.Faults = append(s.Faults, f)
+	}
+	for i, kind := range goldenControlKinds {
+		s.ControlFaults = append(s.ControlFaults, ControlFault{At: float64(1 + i), Kind: kind, Servers: []int{1, 2}, To: []int{3},
+			Nodes: []int{4}, Region: "west", For: 3.5})
+	}
+	return s
+}
+
+var (
+	goldenFaultKinds = []string{"cut", "delay", "garbage", "kill", "loss", "repeat", "replay", "restart", "rollback", "slow", "stop", "tear",
+		"upgrade", "wipe"}
+	goldenControlKinds = []string{"cut", "cut_nodes", "kill", "region", "restart", "rollback", "stop", "wipe"}
+)
+
+func sortedKinds[T any](kinds map[string]T) (names []string) {
+	for name := range kinds {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+func TestGoldenFaultKinds(t *testing.T) {
+	if got := sortedKinds(faultKinds); !slices.Equal(got, goldenFaultKinds) {
+		t.Errorf("%v, want %v", got, goldenFaultKinds)
+	}
+	if got := sortedKinds(controlKinds); !slices.Equal(got, goldenControlKinds) {
+		t.Errorf("%v, want %v", got, goldenControlKinds)
+	}
+}
+
+func TestGoldenScript(t *testing.T) {
+	want := goldenScript()
+	written, err := toml.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "script.toml", written)
+	got, err := ReadFile(filepath.Join("testdata", "script.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read\n%+v\nwant\n%+v", got, want)
+	}
+	got.Faults = got.Faults[:1] // the first is one of links, which alone have all keys
+	checkNoZero(t, "Script", reflect.ValueOf(got))
+}
+
+// A script that says nothing has these values.
+func TestGoldenScriptDefaults(t *testing.T) {
+	s, err := Read("script.toml", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	written, err := toml.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "script-defaults.toml", written)
+}
+
+// The scripts for this package that docs/scenarios holds.
+func TestGoldenScriptsOfTheDocs(t *testing.T) {
+	var paths []string
+	for _, pattern := range []string{"processes-*.toml", "control-*.toml"} {
+		found, err := filepath.Glob(filepath.Join("../../docs/scenarios", pattern))
+		if err != nil {
+			t.Fatal(err)
+		}
+		paths = append(paths, found...)
+	}
+	if len(paths) != 10 {
+		t.Errorf("%d scripts, want 10", len(paths))
+	}
+	for _, path := range paths {
+		t.Run(filepath.Base(path), func(t *testing.T) {
+			s, err := ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			written, err := toml.Marshal(s)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkGolden(t, "docs-"+filepath.Base(path), written)
+		})
+	}
+}
+
+// goldenEvent has every field; no run writes such an event.
+func goldenEvent() Event {
+	return Event{At: 1.5, What: eventFlow, Node: 2, Fault: &Fault{At: 3.5, Kind: faultCut, Nodes: []int{4}, To: []int{5}, Both: true, For: 6.5,
+		By: 0.25}, Member: "n1", State: memberSuspect, Answer: "up", Count: 7, Ended: "cut", Began: 8.5, Part: 0.125, Note: "a note",
+		Control: &ControlEvent{Server: 9, ID: "p1", Outcome: "accepted", Version: configfeed.Version{Epoch: 2, Revision: 41},
+			Digest: "00000000000000ff", Marks: []string{"p1", "p2"}, Fault: &ControlFault{At: 10.5, Kind: faultRegion, Servers: []int{1},
+				To: []int{2}, Nodes: []int{3}, Region: "west", For: 11.5}}}
+}
+
+// checkJSON checks that a value encodes to a file, and that the file decodes to the value and encodes to itself.
+func checkJSON[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	written, err := json.MarshalIndent(value, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, name, append(written, '\n'))
+	var got T
+	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, name)))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&got); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, value) {
+		t.Errorf("decoded\n%+v\nwant\n%+v", got, value)
+	}
+	checkNoZero(t, name, reflect.ValueOf(got))
+	if written, err = json.MarshalIndent(got, "", "  "); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, name, append(written, '\n'))
+}
+
+// A history is one event a line, as it is kept and judged again.
+func TestGoldenHistory(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "history.jsonl")
+	h, err := newHistory(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.add(goldenEvent())
+	h.add(Event{At: 0.5})
+	if err := h.close(true); err != nil {
+		t.Fatal(err)
+	}
+	written, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "history.jsonl", written)
+	checkJSON(t, "event.json", goldenEvent())
+}
+
+// A result as it is kept.
+func TestGoldenResult(t *testing.T) {
+	event := goldenEvent()
+	checkJSON(t, "result.json", &Result{Seed: 1, Faults: []Fault{*event.Fault}, ControlFaults: []ControlFault{*event.Control.Fault},
+		Events: []Event{event}, Breaks: []Break{{Rule: "no blameless member is held for dead", At: 1.5, Text: "n1 holds n2 for dead"}}, Calls: 2,
+		Answers: map[string]int{"up": 3, "busy": 4}, Met: 5.5, Agreed: 6.5, Changes: map[string]int{"accepted": 7}, InForce: []float64{8.5, 9.5},
+		Deaths: []Death{{Node: 1, First: 10.5, Last: 11.5, Known: 12}}, Nodes: 13})
+}
+
+// The words of events and states in histories.
+func TestGoldenWords(t *testing.T) {
+	got := []string{eventStart, eventExit, eventFault, eventOver, eventMember, eventFlow, eventAgree, eventBudget,
+		eventServerStart, eventServerExit, eventServerDied, eventControlFault, eventControlOver, eventApply, eventConfig, eventEpoch, eventAwait, eventInForce, eventLate,
+		eventMarks, outcomeUnknown, markPrefix, markSuffix, memberAlive, memberSuspect, memberDead, memberLeft}
+	var out bytes.Buffer
+	for _, word := range got {
+		fmt.Fprintln(&out, word)
+	}
+	checkGolden(t, "words.txt", out.Bytes())
+}
