--- /dev/null
+++ b/cmd/gorselab/gorselab_golden_test.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+
+	"gorseledge/internal/emulator/members"
+	"gorseledge/internal/rig"
+)
+
+// The files under testdata were written by the version in service (5fa7498). They are fixed for good: scripts of operators
+// call the commands and read the tables, so nothing rewrites them, and a test that fails here means that a name or a form
+// has changed.
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+// The subcommands with their flags and the types of those. The program's own name is left out.
+func TestGoldenCommands(t *testing.T) {
+	var out bytes.Buffer
+	var write func(c *cobra.Command, names []string)
+	write = func(c *cobra.Command, names []string) {
+		for _, sub := range c.Commands() {
+			path := append(names, sub.Name())
+			fmt.Fprintln(&out, strings.Join(path, " "))
+			sub.LocalNonPersistentFlags().VisitAll(func(f *pflag.Flag) {
+				fmt.Fprintf(&out, "\t--%s %s\n", f.Name, f.Value.Type())
+			})
+			write(sub, path)
+		}
+	}
+	write(rootCommand(), nil)
+	checkGolden(t, "commands.txt", out.Bytes())
+}
+
+func TestGoldenExitCodes(t *testing.T) {
+	if exitBroken != 1 || exitFailed != 2 {
+		t.Errorf("exits %d and %d, want 1 and 2", exitBroken, exitFailed)
+	}
+}
+
+func goldenResult(seed uint64) *rig.Result {
+	times := float64(seed)
+	return &rig.Result{Seed: seed, Nodes: 9, Faults: []rig.Fault{{Kind: "stop"}}, ControlFaults: []rig.ControlFault{{Kind: "cut"}},
+		Events: []rig.Event{{What: "member", State: "suspect"}, {What: "member", State: "dead"}, {What: "member", State: "left"},
+			{What: "flow", State: "dead"}},
+		Breaks: []rig.Break{{Rule: "a rule", At: 1.5, Text: "was broken"}}, Calls: 20, Answers: map[string]int{"up": 18, "busy": 2},
+		Met: 2.5 * times, Agreed: 3.5 * times, Changes: map[string]int{"accepted": 4, "answer lost": 1}, InForce: []float64{0.25, 0.5 * times},
+		Deaths: []rig.Death{{Node: 1, First: 4.5, Last: 5.5 * times, Known: 8}}}
+}
+
+// What the command fleet prints of one run, and of several.
+func TestGoldenReports(t *testing.T) {
+	var one, several bytes.Buffer
+	report(&one, goldenResult(1), true)
+	checkGolden(t, "fleet.txt", one.Bytes())
+	summary(&several, []*rig.Result{goldenResult(1), goldenResult(2), goldenResult(3)})
+	checkGolden(t, "fleets.txt", several.Bytes())
+}
+
+// A row of the command members.
+func TestGoldenMembersRow(t *testing.T) {
+	found := []members.Measure{{Seed: 1, Suspected: 1.5, First: 2.5, Last: 3.5, Known: 0.5, FalseSuspicions: 8, FalseDeaths: 9, Bytes: 100},
+		{Seed: 2, Suspected: 2.5, First: 3.5, Last: 4.5, Known: 1, FalseSuspicions: 10, FalseDeaths: 11, Bytes: 200}}
+	var out bytes.Buffer
+	for _, plain := range []bool{false, true} {
+		writeRow(&out, members.Options{Nodes: 50, Plain: plain}, found)
+	}
+	checkGolden(t, "members.txt", out.Bytes())
+}
--- a/internal/emulator/emulator_golden_test.go
+++ b/internal/emulator/emulator_golden_test.go
@@ -139,3 +139,9 @@
 		})
 	}
 }
+
+// The settings that the emulator gives to its nodes, in the form of a node's document.
+func TestGoldenNodeSettings(t *testing.T) {
+	w := &World{script: goldenScenario()}
+	checkGolden(t, "settings.json", w.tellSettings())
+}
--- a/internal/rig/rig_golden_test.go
+++ b/internal/rig/rig_golden_test.go
@@ -235,3 +235,13 @@
 	}
 	checkGolden(t, "words.txt", out.Bytes())
 }
+
+// The config file that the rig writes for a node, which has no list of known hosts.
+func TestGoldenNodeConfig(t *testing.T) {
+	n := &node{i: 3, client: "127.0.1.4:7001", admin: "127.0.1.4:7002", fleet: "127.0.1.4:7003"}
+	written, err := json.Marshal(config(n, "127.0.0.1:7004", "fleet.toml", 0x0123456789abcdef, 5))
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "node-config.json", written)
+}
