--- a/internal/node/legacy.go
+++ b/internal/node/legacy.go
@@ -17,35 +17,36 @@
 
 // Sitting is an open connection of the node's other process.
 type Sitting struct {
-	ID   string
-	Key  uint64
-	Host string
-	Load float64
+	ID   string  `json:"ID"`
+	Key  uint64  `json:"Key"`
+	Host string  `json:"Host"`
+	Load float64 `json:"Load"`
 	at   int
 }
 
 // Legacy is what a process leaves to the one that takes its place, its elder's included.
 type Legacy struct {
-	Index  int64
-	Heard  bool          // discovery has told a list
-	Hosts  []roster.Host // all that were ever listed, as they were told last
-	Module placement.Legacy
-	Sits   []Sitting
-	Spent  map[uint64]uint64 // client keys by the hash of an ended flow's id
-	Held   int               // descriptors
+	Index  int64             `json:"Index"`
+	Heard  bool              `json:"Heard"` // discovery has told a list
+	Hosts  []roster.Host     `json:"Hosts"` // all that were ever listed, as they were told last
+	Module placement.Legacy  `json:"Module"`
+	Sits   []Sitting         `json:"Sits"`
+	Spent  map[uint64]uint64 `json:"Spent"` // client keys by the hash of an ended flow's id
+	Held   int               `json:"Held"`  // descriptors
 
-	Revision       *live.Revision `json:",omitempty"` // of the live settings; nil for none
-	DisabledByHand []string       `json:",omitempty"` // hosts, where there is a revision: the module's are those of both
+	Revision       *live.Revision `json:"Revision,omitempty"`       // of the live settings; nil for none
+	DisabledByHand []string       `json:"DisabledByHand,omitempty"` // hosts, where there is a revision: the module's are those of both
 }
 
 // News is what one process tells the other while there are two. One field is set.
 type News struct {
-	Out, Back string   `json:",omitempty"` // a host by hand
-	Sits      *Sitting `json:",omitempty"` // a flow became a connection
-	Over      string   `json:",omitempty"` // id of a connection that is no more
-	Held      int      `json:",omitempty"` // descriptors
+	Out  string   `json:"Out,omitempty"`  // a host by hand
+	Back string   `json:"Back,omitempty"` // a host by hand
+	Sits *Sitting `json:"Sits,omitempty"` // a flow became a connection
+	Over string   `json:"Over,omitempty"` // id of a connection that is no more
+	Held int      `json:"Held,omitempty"` // descriptors
 
-	Revision *live.Revision `json:",omitempty"` // of the live settings, in force
+	Revision *live.Revision `json:"Revision,omitempty"` // of the live settings, in force
 }
 
 // legacy gives all that goes over.
--- a/internal/node/lift.go
+++ b/internal/node/lift.go
@@ -13,14 +13,16 @@
 
 // Parcel is an open connection as it goes over to the heir, beside its two descriptors.
 type Parcel struct {
-	First      string // the client's first line
-	Host       string
-	Up, Down   []byte // read from the client and from the host, and not yet passed on: less than a line
-	Waits      []float64
-	Load       float64
-	Setup      float64
-	Since      float64
-	Sent, Back uint64 // bytes passed on to the host and to the client
+	First string    `json:"First"` // the client's first line
+	Host  string    `json:"Host"`
+	Up    []byte    `json:"Up"`   // read from the client and from the host, and not yet passed on: less than a line
+	Down  []byte    `json:"Down"` // read from the client and from the host, and not yet passed on: less than a line
+	Waits []float64 `json:"Waits"`
+	Load  float64   `json:"Load"`
+	Setup float64   `json:"Setup"`
+	Since float64   `json:"Since"`
+	Sent  uint64    `json:"Sent"` // bytes passed on to the host and to the client
+	Back  uint64    `json:"Back"` // bytes passed on to the host and to the client
 }
 
 // lift begins to hand an open connection to the heir: nothing more is read of it, and what is read goes out first.
--- a/placement/legacy.go
+++ b/placement/legacy.go
@@ -7,24 +7,35 @@
 
 // Standing is what a balancer has learned of one server and leaves to its successor. Times are the clock's.
 type Standing struct {
-	Ceiling                         float64 // 0 for none
-	CutAt, ToldAt, DrainAt, Load    float64
-	JamAt, FullAt                   float64
-	Bad, Good, Hold, ProbeAt, Least float64
-	Aside, ByHand                   bool
-	HandAt, Wanted                  float64
-	Answers                         int
-	Round                           float64
+	Ceiling float64 `json:"Ceiling"` // 0 for none
+	CutAt   float64 `json:"CutAt"`
+	ToldAt  float64 `json:"ToldAt"`
+	DrainAt float64 `json:"DrainAt"`
+	Load    float64 `json:"Load"`
+	JamAt   float64 `json:"JamAt"`
+	FullAt  float64 `json:"FullAt"`
+	Bad     float64 `json:"Bad"`
+	Good    float64 `json:"Good"`
+	Hold    float64 `json:"Hold"`
+	ProbeAt float64 `json:"ProbeAt"`
+	Least   float64 `json:"Least"`
+	Aside   bool    `json:"Aside"`
+	ByHand  bool    `json:"ByHand"`
+	HandAt  float64 `json:"HandAt"`
+	Wanted  float64 `json:"Wanted"`
+	Answers int     `json:"Answers"`
+	Round   float64 `json:"Round"`
 }
 
 // Legacy is what a balancer leaves to its successor beside the list: nothing in it names a flow.
 type Legacy struct {
-	Servers      []Standing // by the door's index
-	Typical      []float64
-	Loads        map[uint64]float64 // by client key
-	Gate, GateAt float64            // 0 for an open gate
-	Least        float64
-	Strain       float64
+	Servers []Standing         `json:"Servers"` // by the door's index
+	Typical []float64          `json:"Typical"`
+	Loads   map[uint64]float64 `json:"Loads"`  // by client key
+	Gate    float64            `json:"Gate"`   // 0 for an open gate
+	GateAt  float64            `json:"GateAt"` // 0 for an open gate
+	Least   float64            `json:"Least"`
+	Strain  float64            `json:"Strain"`
 }
 
 func finite(x float64) float64 {
