--- a/cmd/gorseledge/closing_test.go
+++ b/cmd/gorseledge/closing_test.go
@@ -123,7 +123,7 @@
 	}()
 	s.logged(`"reason":"no-sockets"`)
 	next := discovery(t)
-	next.Tell(roster.List{Index: 7, Whole: true, Hosts: []roster.Host{
+	next.Tell(roster.List{Index: 7, Complete: true, Hosts: []roster.Host{
 		{Name: "s-00000064", Address: s.hosts[0].Addr().String(), Status: "DRAINING"},
 		{Name: "s-00000065", Address: s.hosts[1].Addr().String(), Status: "SERVING"}}})
 	s.roster.Close() // the old one is down, and only then the node is told of the new one
--- a/cmd/gorseledge/main.go
+++ b/cmd/gorseledge/main.go
@@ -65,7 +65,7 @@
 
 // exitOf gives the exit code of a program that could not start or go on: 2 for settings that cannot be taken.
 func exitOf(err error) int {
-	if wrong := (*rundown.Wrong)(nil); errors.As(err, &wrong) {
+	if wrong := (*rundown.KeyError)(nil); errors.As(err, &wrong) {
 		return 2
 	}
 	return 1
@@ -87,7 +87,7 @@
 	}
 	log = log.With().Str("node", config.Name).Logger()
 	runtime.GOMAXPROCS(max(int(math.Ceil(config.Limits.Cores)), 1))
-	asked := sockets.Signals{Leave: leave, Reload: reload}
+	asked := sockets.Signals{Shutdown: leave, Reload: reload}
 	if err := sockets.Run(context.Background(), config, log, asked); err != nil {
 		log.Error().Err(err).Msg("failed")
 		return exitOf(err)
--- a/cmd/gorseledge/main_test.go
+++ b/cmd/gorseledge/main_test.go
@@ -95,7 +95,7 @@
 func (s *stage) begin(mode string, hosts, sockets int) {
 	t := s.T
 	s.log, s.roster, s.sockets = &lockedBuffer{}, discovery(t), sockets
-	list := roster.List{Index: 1, Whole: true}
+	list := roster.List{Index: 1, Complete: true}
 	for i := range hosts {
 		s.hosts = append(s.hosts, listen(t))
 		list.Hosts = append(list.Hosts, roster.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: s.hosts[i].Addr().String(),
--- a/cmd/gorseledge/upgrade_test.go
+++ b/cmd/gorseledge/upgrade_test.go
@@ -235,7 +235,7 @@
 // What may go wrong at a hand-over: whatever it is, clients are served, by the new process or by the old one.
 func TestUpgradeGoesWrong(t *testing.T) {
 	stand := func(t *testing.T, s *stage, do func(c net.Conn)) { // in the old process's place
-		ln, err := handover.Offer(handover.Path(s.dir, s.address))
+		ln, err := handover.Listen(handover.Path(s.dir, s.address))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -25,16 +25,16 @@
 )
 
 // Ask puts a question to the node; false if the context ended before it answered.
-type Ask func(ctx context.Context, q node.Asked) (node.Answer, bool)
+type Ask func(ctx context.Context, q node.Query) (node.Reply, bool)
 
 // Handler answers the calls. members gives what is known of the fleet; nil for a node on its own.
 func Handler(ask Ask, members func() view.View) http.Handler {
 	mux := http.NewServeMux()
-	put := func(pattern string, what node.Question, write func(w http.ResponseWriter, a node.Answer)) {
+	put := func(pattern string, what node.Question, write func(w http.ResponseWriter, a node.Reply)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
 			defer cancel()
-			a, ok := ask(ctx, node.Asked{What: what, Host: r.PathValue("id")})
+			a, ok := ask(ctx, node.Query{Question: what, Host: r.PathValue("id")})
 			if !ok {
 				http.Error(w, "the node has not answered in time", http.StatusServiceUnavailable)
 				return
@@ -42,13 +42,13 @@
 			write(w, a)
 		})
 	}
-	yes := func(no int, why string) func(http.ResponseWriter, node.Answer) {
-		return func(w http.ResponseWriter, a node.Answer) {
-			if !a.Yes {
+	yes := func(no int, why string) func(http.ResponseWriter, node.Reply) {
+		return func(w http.ResponseWriter, a node.Reply) {
+			if !a.OK {
 				http.Error(w, why, no)
 				return
 			}
-			if a.StillOut {
+			if a.StillDisabled {
 				fmt.Fprintln(w, "yes, and the live settings still disable it")
 				return
 			}
@@ -56,7 +56,7 @@
 		}
 	}
 	put("GET /-/ready", node.IsReady, yes(http.StatusServiceUnavailable, "not ready"))
-	put("GET /-/metrics", node.HowMany, func(w http.ResponseWriter, a node.Answer) {
+	put("GET /-/metrics", node.GetFigures, func(w http.ResponseWriter, a node.Reply) {
 		write(w, a.Figures)
 		if members == nil {
 			return
@@ -73,8 +73,8 @@
 	if members != nil && members().Config != nil {
 		mux.HandleFunc("GET /-/config", func(w http.ResponseWriter, r *http.Request) { writeJSON(w, members().Config) })
 	}
-	put("PUT /-/hosts/{id}/disable", node.TakeOut, yes(http.StatusNotFound, "no such host"))
-	put("PUT /-/hosts/{id}/enable", node.PutBack, yes(http.StatusNotFound, "no such host"))
+	put("PUT /-/hosts/{id}/disable", node.DisableHost, yes(http.StatusNotFound, "no such host"))
+	put("PUT /-/hosts/{id}/enable", node.EnableHost, yes(http.StatusNotFound, "no such host"))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p := r.URL.Path; path.Clean("/"+p) != p { // guards against a redirect, which is neither yes nor no
 			http.NotFound(w, r)
@@ -115,7 +115,7 @@
 	count("dispatches", f.Dispatched)
 	gauge(&text, "concurrent", f.Open)
 	gauge(&text, "targets", f.Listed)
-	gauge(&text, "targets_disabled", f.Avoided)
+	gauge(&text, "targets_disabled", f.Unavailable)
 	io.WriteString(w, text.String())
 }
 
--- a/internal/admin/admin_golden_test.go
+++ b/internal/admin/admin_golden_test.go
@@ -30,11 +30,11 @@
 
 func goldenFigures() node.Figures {
 	return node.Figures{
-		Types: []node.Tally{
-			{Type: "chat", Established: 812, Rejected: 3, Aborted: 1, Left: 9},
-			{Type: "a:b|c\r\nd", Established: 14, Rejected: 5, Aborted: 2, Left: 4},
+		Types: []node.FlowCounts{
+			{Type: "chat", Established: 812, Rejected: 3, Aborted: 1, ClientLeft: 9},
+			{Type: "a:b|c\r\nd", Established: 14, Rejected: 5, Aborted: 2, ClientLeft: 4},
 		},
-		Taken: 900, Dispatched: 830, Waiting: 6, Open: 15, Listed: 11, Avoided: 7,
+		Accepted: 900, Dispatched: 830, Waiting: 6, Open: 15, Listed: 11, Unavailable: 7,
 	}
 }
 
@@ -102,14 +102,14 @@
 }
 
 // respond puts one call to a node that gives the answer, or none in time.
-func respond(t *testing.T, method, path string, answer *node.Answer, members func() view.View) (*httptest.ResponseRecorder,
-	node.Asked) {
+func respond(t *testing.T, method, path string, answer *node.Reply, members func() view.View) (*httptest.ResponseRecorder,
+	node.Query) {
 	t.Helper()
-	var asked node.Asked
-	ask := func(_ context.Context, question node.Asked) (node.Answer, bool) {
+	var asked node.Query
+	ask := func(_ context.Context, question node.Query) (node.Reply, bool) {
 		asked = question
 		if answer == nil {
-			return node.Answer{}, false
+			return node.Reply{}, false
 		}
 		return *answer, true
 	}
@@ -129,7 +129,7 @@
 		{"/-/config", "config.json", "application/json", goldenView},
 	} {
 		t.Run(c.golden, func(t *testing.T) {
-			got, _ := respond(t, http.MethodGet, c.path, &node.Answer{Yes: true, Figures: goldenFigures()}, c.members)
+			got, _ := respond(t, http.MethodGet, c.path, &node.Reply{OK: true, Figures: goldenFigures()}, c.members)
 			if got.Code != 200 || got.Header().Get("Content-Type") != c.contentType {
 				t.Errorf("status %d, type %q; want 200 and %q", got.Code, got.Header().Get("Content-Type"), c.contentType)
 			}
@@ -169,33 +169,33 @@
 }
 
 func TestCallsKeepTheirAnswers(t *testing.T) {
-	yes, no, stillOut := &node.Answer{Yes: true}, &node.Answer{}, &node.Answer{Yes: true, StillOut: true}
+	yes, no, stillOut := &node.Reply{OK: true}, &node.Reply{}, &node.Reply{OK: true, StillDisabled: true}
 	for _, c := range []struct {
 		name, method, path string
-		answer             *node.Answer // nil for none in time
-		asked              node.Asked
+		answer             *node.Reply // nil for none in time
+		asked              node.Query
 		code               int
 		body               string
 	}{
-		{"ready", "GET", "/-/ready", yes, node.Asked{What: node.IsReady}, 200, "yes\n"},
-		{"not ready", "GET", "/-/ready", no, node.Asked{What: node.IsReady}, 503, "not ready\n"},
-		{"no answer in time", "GET", "/-/ready", nil, node.Asked{What: node.IsReady}, 503,
+		{"ready", "GET", "/-/ready", yes, node.Query{Question: node.IsReady}, 200, "yes\n"},
+		{"not ready", "GET", "/-/ready", no, node.Query{Question: node.IsReady}, 503, "not ready\n"},
+		{"no answer in time", "GET", "/-/ready", nil, node.Query{Question: node.IsReady}, 503,
 			"the node has not answered in time\n"},
-		{"host taken out", "PUT", "/-/hosts/s-1/disable", yes, node.Asked{What: node.TakeOut, Host: "s-1"}, 200, "yes\n"},
-		{"unknown host taken out", "PUT", "/-/hosts/s-2/disable", no, node.Asked{What: node.TakeOut, Host: "s-2"}, 404,
+		{"host taken out", "PUT", "/-/hosts/s-1/disable", yes, node.Query{Question: node.DisableHost, Host: "s-1"}, 200, "yes\n"},
+		{"unknown host taken out", "PUT", "/-/hosts/s-2/disable", no, node.Query{Question: node.DisableHost, Host: "s-2"}, 404,
 			"no such host\n"},
-		{"host put back", "PUT", "/-/hosts/s-1/enable", yes, node.Asked{What: node.PutBack, Host: "s-1"}, 200, "yes\n"},
+		{"host put back", "PUT", "/-/hosts/s-1/enable", yes, node.Query{Question: node.EnableHost, Host: "s-1"}, 200, "yes\n"},
 		{"host put back that the settings disable", "PUT", "/-/hosts/s-1/enable", stillOut,
-			node.Asked{What: node.PutBack, Host: "s-1"}, 200, "yes, and the live settings still disable it\n"},
-		{"unknown host put back", "PUT", "/-/hosts/s-2/enable", no, node.Asked{What: node.PutBack, Host: "s-2"}, 404,
+			node.Query{Question: node.EnableHost, Host: "s-1"}, 200, "yes, and the live settings still disable it\n"},
+		{"unknown host put back", "PUT", "/-/hosts/s-2/enable", no, node.Query{Question: node.EnableHost, Host: "s-2"}, 404,
 			"no such host\n"},
-		{"figures without an answer in time", "GET", "/-/metrics", nil, node.Asked{What: node.HowMany}, 503,
+		{"figures without an answer in time", "GET", "/-/metrics", nil, node.Query{Question: node.GetFigures}, 503,
 			"the node has not answered in time\n"},
-		{"no members of a node on its own", "GET", "/-/members", yes, node.Asked{}, 404, "404 page not found\n"},
-		{"no configuration of a node on its own", "GET", "/-/config", yes, node.Asked{}, 404, "404 page not found\n"},
-		{"unknown page", "GET", "/-/other", yes, node.Asked{}, 404, "404 page not found\n"},
-		{"path that is not clean", "GET", "/-//ready", yes, node.Asked{}, 404, "404 page not found\n"},
-		{"wrong method", "POST", "/-/ready", yes, node.Asked{}, 405, "Method Not Allowed\n"},
+		{"no members of a node on its own", "GET", "/-/members", yes, node.Query{}, 404, "404 page not found\n"},
+		{"no configuration of a node on its own", "GET", "/-/config", yes, node.Query{}, 404, "404 page not found\n"},
+		{"unknown page", "GET", "/-/other", yes, node.Query{}, 404, "404 page not found\n"},
+		{"path that is not clean", "GET", "/-//ready", yes, node.Query{}, 404, "404 page not found\n"},
+		{"wrong method", "POST", "/-/ready", yes, node.Query{}, 405, "Method Not Allowed\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, asked := respond(t, c.method, c.path, c.answer, nil)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -74,12 +74,12 @@
 
 // Each call, right or wrong, has the status code of the field, one answer, and then the end.
 func TestCalls(t *testing.T) {
-	var asked []node.Asked
-	address := open(t, 8, func(_ context.Context, q node.Asked) (node.Answer, bool) {
+	var asked []node.Query
+	address := open(t, 8, func(_ context.Context, q node.Query) (node.Reply, bool) {
 		asked = append(asked, q)
-		return node.Answer{Yes: q.Host != "s-2", Figures: node.Figures{
-			Types: []node.Tally{{Type: "chat", Established: 812, Rejected: 3, Aborted: 1, Left: 9}, {Type: "a:b|c\nd"}},
-			Taken: 900, Dispatched: 830, Open: 14, Listed: 11, Avoided: 2}}, true
+		return node.Reply{OK: q.Host != "s-2", Figures: node.Figures{
+			Types:    []node.FlowCounts{{Type: "chat", Established: 812, Rejected: 3, Aborted: 1, ClientLeft: 9}, {Type: "a:b|c\nd"}},
+			Accepted: 900, Dispatched: 830, Open: 14, Listed: 11, Unavailable: 2}}, true
 	})
 	const host = " HTTP/1.1\r\nHost: x\r\n"
 	figures := "lb.success.chat:812|c\nlb.overload.chat:3|c\nlb.error.chat:1|c\nlb.success.a_b_c_d:0|c\nlb.overload.a_b_c_d:0|c\n" +
@@ -87,17 +87,17 @@
 	for _, c := range []struct {
 		name, text string
 		code       int
-		asks       []node.Asked
+		asks       []node.Query
 		body       string
 	}{
-		{"ready", "GET /-/ready" + host + "\r\n", 200, []node.Asked{{What: node.IsReady}}, "yes\n"},
-		{"figures", "GET /-/metrics" + host + "\r\n", 200, []node.Asked{{What: node.HowMany}}, figures},
-		{"out", "PUT /-/hosts/s-1/disable" + host + "\r\n", 200, []node.Asked{{What: node.TakeOut, Host: "s-1"}}, ""},
+		{"ready", "GET /-/ready" + host + "\r\n", 200, []node.Query{{Question: node.IsReady}}, "yes\n"},
+		{"figures", "GET /-/metrics" + host + "\r\n", 200, []node.Query{{Question: node.GetFigures}}, figures},
+		{"out", "PUT /-/hosts/s-1/disable" + host + "\r\n", 200, []node.Query{{Question: node.DisableHost, Host: "s-1"}}, ""},
 		{"out, with a small body", "PUT /-/hosts/s-1/disable" + host + "Content-Length: 2\r\n\r\n{}", 200,
-			[]node.Asked{{What: node.TakeOut, Host: "s-1"}}, ""},
-		{"back", "PUT /-/hosts/s-1/enable" + host + "\r\n", 200, []node.Asked{{What: node.PutBack, Host: "s-1"}}, ""},
-		{"an escaped id", "PUT /-/hosts/s%2d1%2Fx/enable" + host + "\r\n", 200, []node.Asked{{What: node.PutBack, Host: "s-1/x"}}, ""},
-		{"an unknown host", "PUT /-/hosts/s-2/disable" + host + "\r\n", 404, []node.Asked{{What: node.TakeOut, Host: "s-2"}}, ""},
+			[]node.Query{{Question: node.DisableHost, Host: "s-1"}}, ""},
+		{"back", "PUT /-/hosts/s-1/enable" + host + "\r\n", 200, []node.Query{{Question: node.EnableHost, Host: "s-1"}}, ""},
+		{"an escaped id", "PUT /-/hosts/s%2d1%2Fx/enable" + host + "\r\n", 200, []node.Query{{Question: node.EnableHost, Host: "s-1/x"}}, ""},
+		{"an unknown host", "PUT /-/hosts/s-2/disable" + host + "\r\n", 404, []node.Query{{Question: node.DisableHost, Host: "s-2"}}, ""},
 		{"an id that does not decode", "PUT /-/hosts/s-%zz/disable" + host + "\r\n", 400, nil, ""},
 		{"no id", "PUT /-/hosts//disable" + host + "\r\n", 404, nil, ""},
 		{"an id of dots", "PUT /-/hosts/%2e%2e/disable" + host + "\r\n", 404, nil, ""},
@@ -126,9 +126,9 @@
 
 // A node whose loop hangs is told of as such, in time.
 func TestNoAnswer(t *testing.T) {
-	address := open(t, 4, func(ctx context.Context, _ node.Asked) (node.Answer, bool) {
+	address := open(t, 4, func(ctx context.Context, _ node.Query) (node.Reply, bool) {
 		<-ctx.Done()
-		return node.Answer{}, false
+		return node.Reply{}, false
 	})
 	began := time.Now()
 	res, _ := speak(t, address, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -140,9 +140,9 @@
 // Callers who say nothing, or half a call, keep nobody out, and are ended by themselves.
 func TestSilentCallers(t *testing.T) {
 	var asked atomic.Int32
-	address := open(t, 16, func(context.Context, node.Asked) (node.Answer, bool) {
+	address := open(t, 16, func(context.Context, node.Query) (node.Reply, bool) {
 		asked.Add(1)
-		return node.Answer{Yes: true}, true
+		return node.Reply{OK: true}, true
 	})
 	for i := range 200 {
 		c := dial(t, address)
@@ -167,10 +167,10 @@
 // A complete call is not ended for others, however many come: they wait.
 func TestCompleteCallStays(t *testing.T) {
 	asked, free := make(chan bool, 8), make(chan bool)
-	address := open(t, 2, func(context.Context, node.Asked) (node.Answer, bool) {
+	address := open(t, 2, func(context.Context, node.Query) (node.Reply, bool) {
 		asked <- true
 		<-free
-		return node.Answer{Yes: true}, true
+		return node.Reply{OK: true}, true
 	})
 	codes := make(chan string, 3)
 	for range cap(codes) {
--- a/internal/admin/config_test.go
+++ b/internal/admin/config_test.go
@@ -17,7 +17,7 @@
 	if v != nil {
 		members = func() view.View { return *v }
 	}
-	ask := func(context.Context, node.Asked) (node.Answer, bool) { return node.Answer{Yes: true}, true }
+	ask := func(context.Context, node.Query) (node.Reply, bool) { return node.Reply{OK: true}, true }
 	answer := httptest.NewRecorder()
 	Handler(ask, members).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
 	return answer.Code, answer.Body.String()
--- a/internal/admin/members_test.go
+++ b/internal/admin/members_test.go
@@ -13,7 +13,7 @@
 
 // The figures tell a member's messages and bytes by kind and direction, as counts.
 func TestMetricsTellTrafficByKind(t *testing.T) {
-	handler := Handler(func(context.Context, node.Asked) (node.Answer, bool) { return node.Answer{}, true }, func() view.View {
+	handler := Handler(func(context.Context, node.Query) (node.Reply, bool) { return node.Reply{}, true }, func() view.View {
 		return view.View{Traffic: []view.Traffic{{Kind: "ping", SentMessages: 3, SentBytes: 270, ReceivedMessages: 2, ReceivedBytes: 180}}}
 	})
 	answer := httptest.NewRecorder()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -80,7 +80,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		list, err := roster.Read(text)
+		list, err := roster.Parse(text)
 		if err != nil { // where the watch broke in the middle of a line, that is why
 			return cmp.Or(lines.Err(), fmt.Errorf("a list that does not parse: %w", err))
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -85,7 +85,7 @@
 				})
 				told, began, signs := "", time.Now(), 0
 				err := client.Watch(t.Context(), 40, func(bool) { signs++ }, func(l roster.List) {
-					told += fmt.Sprint(l.Index, " ", l.Whole, " ")
+					told += fmt.Sprint(l.Index, " ", l.Complete, " ")
 					for _, h := range l.Hosts {
 						told += h.Name + " " + h.Status + ", "
 					}
--- a/internal/discovery/roster/roster_test.go
+++ b/internal/discovery/roster/roster_test.go
@@ -7,7 +7,7 @@
 
 func TestRead(t *testing.T) {
 	host := Host{Name: "s-5be2a07c", Address: "10.1.0.18:5000", Zone: "a", Group: 3, Status: "SERVING",
-		Weight: 1.5, Since: 7}
+		Weight: 1.5, StartedAtMS: 7}
 	for _, c := range []struct {
 		name, text string
 		want       List
@@ -23,7 +23,7 @@
 		{"cut off", `{"index":41`, List{}, true},
 		{"nothing", ``, List{}, true},
 	} {
-		got, err := Read([]byte(c.text))
+		got, err := Parse([]byte(c.text))
 		if (err != nil) != c.fails || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: got %+v and %v", c.name, got, err)
 		}
@@ -33,7 +33,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"index":41,"snapshot":true,"endpoints":[{"name":"a","since_ms":1e300,"group":-1}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l, err := Read(text)
+		l, err := Parse(text)
 		for _, h := range l.Hosts {
 			if h.Name == "" || err != nil {
 				t.Fatalf("%q: %+v, %v", text, l, err)
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -43,7 +43,7 @@
 
 func (w *World) entry(h *host, status string) roster.Host {
 	return roster.Host{Name: h.name, Address: h.name, Zone: zoneName(h.zone), Status: status, Weight: h.capacity,
-		Since: 1e3 * since(w.base, h.since)}
+		StartedAtMS: 1e3 * since(w.base, h.since)}
 }
 
 func since(base, at float64) float64 {
@@ -119,7 +119,7 @@
 func (d *discovery) beat(s standing) {
 	d.w.After(heartbeat, func() {
 		if !d.down && s.stands() {
-			s.n.give(node.Spoke{})
+			s.n.give(node.WatchAlive{})
 			d.beat(s)
 		}
 	})
@@ -127,7 +127,7 @@
 
 // whole is the list as discovery has it.
 func (d *discovery) whole() roster.List {
-	l := roster.List{Index: d.index, Whole: true}
+	l := roster.List{Index: d.index, Complete: true}
 	at := map[string]int{}
 	for _, c := range d.changes {
 		i, seen := at[c.host.Name]
@@ -283,7 +283,7 @@
 			if n.running && n.core == core {
 				h := &n.hearing
 				*h = hearing{movedAt: d.w.Now, calledAt: d.w.Now, bootAt: h.bootAt, numbered: h.numbered}
-				n.give(node.Relocated{})
+				n.give(node.DiscoveryMoved{})
 			}
 		})
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -137,8 +137,8 @@
 }
 
 func (s *short) Apply(now float64, in node.Input) []node.Effect {
-	if w, ok := in.(node.Wrote); ok && w.Conn == s.conn && w.N == s.n+len("BUSY\r\n") {
-		in = node.Wrote{Conn: w.Conn, N: s.n}
+	if w, ok := in.(node.WriteDone); ok && w.Conn == s.conn && w.N == s.n+len("BUSY\r\n") {
+		in = node.WriteDone{Conn: w.Conn, N: s.n}
 	}
 	return s.Core.Apply(now, in)
 }
@@ -166,7 +166,7 @@
 			}
 			return []node.Effect{node.Write{Conn: in.Conn, Data: line}}
 		}
-	case node.Wrote:
+	case node.WriteDone:
 		if d.lines[in.Conn] != nil {
 			return nil
 		}
@@ -179,7 +179,7 @@
 		case node.Write:
 			if address := d.to[e.Conn]; address != "" && bytes.HasPrefix(e.Data, []byte("OPEN ")) && e.Conn%16 == 0 {
 				d.lines[e.Conn+second] = bytes.Clone(e.Data)
-				out = append(out, node.Dial{Conn: e.Conn + second, Address: address, Within: 1})
+				out = append(out, node.Dial{Conn: e.Conn + second, Address: address, Timeout: 1})
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 		name, rule string
 		faults     string
 		wrap       func(Core) Core
-		tune       func(r *placement.Rundown)
+		tune       func(r *placement.Settings)
 	}{
 		{"nobody is heard", OneAnswer, "", func(c Core) Core { return &mute{c} }, nil},
 		{"two answers", OneAnswer, "", func(c Core) Core { return &twice{c} }, nil},
@@ -205,7 +205,7 @@
 		{"a once-only flow sent twice", NoTwice, "", func(c Core) Core {
 			return &double{c, map[node.Conn]string{}, map[node.Conn][]byte{}}
 		}, nil},
-		{"cold hosts taken for warm", Cold, hot, nil, func(r *placement.Rundown) { r.ColdFor = 0 }},
+		{"cold hosts taken for warm", Cold, hot, nil, func(r *placement.Settings) { r.SlowStartTime = 0 }},
 		{"a client's going is not seen", Gone, "[[fault]]\nat = 5\nkind = \"leave\"\nby = 1\nfor = 15\n" +
 			"[[fault]]\nat = 5\nkind = \"errs\"\nhost = 1\nby = 1\nfor = 15\n[[fault]]\nat = 5\nkind = \"stall\"\nhost = 2\nfor = 15\n",
 			func(c Core) Core { return &clingy{c} }, nil},
@@ -234,7 +234,7 @@
 type clingy struct{ Core }
 
 func (c *clingy) Apply(now float64, in node.Input) []node.Effect {
-	if got, ok := in.(node.Got); ok && got.Conn%2 == 1 && got.End != node.Open {
+	if got, ok := in.(node.ReadDone); ok && got.Conn%2 == 1 && got.End != node.Open {
 		return nil
 	}
 	return c.Core.Apply(now, in)
@@ -244,7 +244,7 @@
 type deaf struct{ Core }
 
 func (d *deaf) Apply(now float64, in node.Input) []node.Effect {
-	if l, ok := in.(node.Listed); ok {
+	if l, ok := in.(node.ListReceived); ok {
 		l.List.Hosts = append(l.List.Hosts[:0:0], l.List.Hosts...)
 		for i := range l.List.Hosts {
 			l.List.Hosts[i].Status = "SERVING"
@@ -298,8 +298,8 @@
 type careless struct{ Core }
 
 func (c *careless) Apply(now float64, in node.Input) []node.Effect {
-	if q, ok := in.(node.Asked); ok && q.What == node.TakeOut {
-		return []node.Effect{node.Answer{Yes: true}}
+	if q, ok := in.(node.Query); ok && q.Question == node.DisableHost {
+		return []node.Effect{node.Reply{OK: true}}
 	}
 	return c.Core.Apply(now, in)
 }
--- a/internal/emulator/floors_test.go
+++ b/internal/emulator/floors_test.go
@@ -19,7 +19,7 @@
 	if b.began == 0 {
 		b.began = now
 	}
-	if _, listed := in.(node.Listed); listed && b.told == 0 {
+	if _, listed := in.(node.ListReceived); listed && b.told == 0 {
 		b.told = now
 	}
 	return b.Core.Apply(now, in)
@@ -107,11 +107,11 @@
 `
 	for _, c := range []struct {
 		name  string
-		tune  func(r *placement.Rundown)
+		tune  func(r *placement.Settings)
 		holds bool
 	}{
 		{"as it is", nil, true},
-		{"nothing is placed", func(r *placement.Rundown) { r.MaxConnects = 0 }, false},
+		{"nothing is placed", func(r *placement.Settings) { r.MaxAttempts = 0 }, false},
 	} {
 		s := script(t, calm+faults)
 		w := newWorld(s, 3, Options{Tune: c.tune})
--- a/internal/emulator/station.go
+++ b/internal/emulator/station.go
@@ -65,7 +65,7 @@
 			return
 		}
 		in := make()
-		if l, ok := in.(node.Listed); ok {
+		if l, ok := in.(node.ListReceived); ok {
 			n.learned(l.List)
 		}
 		for _, e := range n.core.Apply(n.w.base+n.w.Now, in) {
@@ -77,7 +77,7 @@
 // learned notes since when the node knows that a host takes nothing new.
 func (n *station) learned(l roster.List) {
 	for _, h := range l.Hosts {
-		n.starts[h.Name] = h.Since
+		n.starts[h.Name] = h.StartedAtMS
 		if h.Status == "SERVING" {
 			delete(n.told, h.Name)
 		} else if _, known := n.told[h.Name]; !known {
@@ -100,10 +100,10 @@
 		if !failed {
 			p.s.send(e.Data)
 		}
-		n.give(node.Wrote{Conn: e.Conn, N: size, Failed: failed})
+		n.give(node.WriteDone{Conn: e.Conn, N: size, Failed: failed})
 	case node.Dial:
 		n.dial(e)
-	case node.Shut:
+	case node.CloseWrite:
 		n.conns[e.Conn].s.finish()
 	case node.Close:
 		p := n.conns[e.Conn]
@@ -120,36 +120,36 @@
 	case node.Watch:
 		n.calls.begin(e.Beside)
 		n.w.discovery.call(n, n.calls.newest(), e.Index)
-	case node.Unwatch:
+	case node.StopWatch:
 		n.calls.end()
 		n.hearing.ended(false)
-	case node.Timer:
+	case node.SetTimer:
 		n.timer++
 		turn, core := n.timer, n.core
 		n.w.At(e.At-n.w.base, func() {
 			if turn == n.timer && core == n.core {
-				n.give(node.Tick{})
+				n.give(node.TimerFired{})
 			}
 		})
-	case node.Note:
+	case node.WriteLog:
 		n.w.trace("%s %s", n.name, e.Line)
-	case node.Done:
+	case node.LogConnection:
 		n.w.trace("%s ended %s %s", n.name, e.Record.Reason, e.Record.Host)
 	case node.Exit:
 		n.stop()
 		n.parted()
-	case node.Halt:
+	case node.StopReading:
 		p := n.conns[e.Conn]
-		got := node.Got{Conn: p.id, N: p.s.read(p.into)}
+		got := node.ReadDone{Conn: p.id, N: p.s.read(p.into)}
 		p.into = nil
 		n.give(got)
-	case node.Pass:
+	case node.SendConnection:
 		n.pass(e)
-	case node.Own:
+	case node.BindHostConnection:
 		n.own(e)
-	case node.Tell:
-		n.tell(e.News)
-	case node.Ready:
+	case node.UpdatePeerProcess:
+		n.tell(e.Update)
+	case node.OpenListener:
 		n.takes()
 	}
 }
@@ -159,7 +159,7 @@
 	if p.into == nil || p.s == nil || len(p.s.in) == 0 && p.s.end == going {
 		return
 	}
-	got := node.Got{Conn: p.id, N: p.s.read(p.into)}
+	got := node.ReadDone{Conn: p.id, N: p.s.read(p.into)}
 	if len(p.s.in) == 0 {
 		got.End = [...]node.End{node.Open, node.Ended, node.Broken}[p.s.end]
 	}
@@ -204,15 +204,15 @@
 	}
 	switch {
 	case h == nil || h.vanished:
-		fail(e.Within)
+		fail(e.Timeout)
 		return
 	case !h.running:
 		fail(2 * n.w.net.delay(n.machine, h.machine))
 		return
 	}
 	took := 2*n.w.net.delay(n.machine, h.machine) + n.w.net.late
-	if took > e.Within {
-		fail(e.Within)
+	if took > e.Timeout {
+		fail(e.Timeout)
 		return
 	}
 	n.w.After(took, func() {
--- a/internal/emulator/told_test.go
+++ b/internal/emulator/told_test.go
@@ -11,7 +11,7 @@
 type patient struct{ Core }
 
 func (p *patient) Apply(now float64, in node.Input) []node.Effect {
-	out := append([]node.Effect(nil), p.Core.Apply(now, node.Spoke{})...)
+	out := append([]node.Effect(nil), p.Core.Apply(now, node.WatchAlive{})...)
 	return append(out, p.Core.Apply(now, in)...)
 }
 
@@ -20,9 +20,9 @@
 
 func (s *sulking) Apply(now float64, in node.Input) []node.Effect {
 	switch in.(type) {
-	case node.Unlisted:
-		in = node.Spoke{}
-	case node.Tick:
+	case node.WatchFailed:
+		in = node.WatchAlive{}
+	case node.TimerFired:
 		return (&patient{s.Core}).Apply(now, in)
 	}
 	return s.Core.Apply(now, in)
@@ -32,8 +32,8 @@
 type settled struct{ Core }
 
 func (s *settled) Apply(now float64, in node.Input) []node.Effect {
-	if _, moved := in.(node.Relocated); moved {
-		in = node.Spoke{}
+	if _, moved := in.(node.DiscoveryMoved); moved {
+		in = node.WatchAlive{}
 	}
 	return (&sulking{s.Core}).Apply(now, in)
 }
@@ -41,7 +41,7 @@
 // behind takes each list only after all that came to it within a second.
 type behind struct {
 	Core
-	lists []node.Listed
+	lists []node.ListReceived
 	since []float64
 }
 
@@ -50,9 +50,9 @@
 		out = append(out, b.Core.Apply(now, b.lists[0])...)
 		b.lists, b.since = b.lists[1:], b.since[1:]
 	}
-	if l, ok := in.(node.Listed); ok && !l.List.Whole {
+	if l, ok := in.(node.ListReceived); ok && !l.List.Complete {
 		b.lists, b.since = append(b.lists, l), append(b.since, now)
-		in = node.Spoke{}
+		in = node.WatchAlive{}
 	}
 	return append(out, b.Core.Apply(now, in)...)
 }
@@ -61,14 +61,14 @@
 type headlong struct {
 	Core
 	dials map[node.Conn]bool
-	lists []node.Listed
+	lists []node.ListReceived
 }
 
 func (h *headlong) Apply(now float64, in node.Input) (out []node.Effect) {
 	switch in := in.(type) {
 	case node.Dialed:
 		delete(h.dials, in.Conn)
-	case node.Listed:
+	case node.ListReceived:
 		if len(h.dials) > 0 {
 			h.lists = append(h.lists, in)
 			return nil
@@ -90,11 +90,11 @@
 type forgetful struct{ Core }
 
 func (f *forgetful) Apply(now float64, in node.Input) []node.Effect {
-	if i, ok := in.(node.Inherited); ok {
-		for k := range i.Legacy.Hosts {
-			i.Legacy.Hosts[k].Status = "SERVING"
+	if i, ok := in.(node.HandoverReceived); ok {
+		for k := range i.State.Hosts {
+			i.State.Hosts[k].Status = "SERVING"
 		}
-		i.Legacy.Index++ // as if it were newer than what it has
+		i.State.Index++ // as if it were newer than what it has
 	}
 	return f.Core.Apply(now, in)
 }
@@ -106,7 +106,7 @@
 }
 
 func (l *tardy) Apply(now float64, in node.Input) []node.Effect {
-	if _, ended := in.(node.Unlisted); ended {
+	if _, ended := in.(node.WatchFailed); ended {
 		l.until = now + 12
 	}
 	if l.until > 0 && now >= l.until { // what it would have asked then
--- a/internal/emulator/twin.go
+++ b/internal/emulator/twin.go
@@ -14,9 +14,9 @@
 )
 
 // ask puts a question to a core as the second address does, and gives the answer that comes with its effects.
-func (n *station) ask(q node.Asked) (a node.Answer) {
+func (n *station) ask(q node.Query) (a node.Reply) {
 	for _, e := range n.core.Apply(n.w.base+n.w.Now, q) {
-		if got, ok := e.(node.Answer); ok {
+		if got, ok := e.(node.Reply); ok {
 			a = got
 			continue
 		}
@@ -29,11 +29,11 @@
 // held to it, whatever discovery tells.
 func (w *World) byHand(h *host, out bool) {
 	for _, n := range w.processes() {
-		q := node.Asked{What: node.PutBack, Host: h.name}
+		q := node.Query{Question: node.EnableHost, Host: h.name}
 		if out {
-			q.What = node.TakeOut
+			q.Question = node.DisableHost
 		}
-		if a := n.ask(q); !a.Yes {
+		if a := n.ask(q); !a.OK {
 			continue
 		}
 		if _, was := n.out[h.name]; out && !was {
@@ -89,22 +89,22 @@
 	if !old.running || old.vanished || old.leaving || old.elder != nil || old.heir != nil {
 		return // one upgrade at a time
 	}
-	r, d, err := rundown.Read(w.settings, fork(w.seed, old.name+" anew", int(w.Now*1e3)).Uint64())
+	r, d, err := rundown.Parse(w.settings, fork(w.seed, old.name+" anew", int(w.Now*1e3)).Uint64())
 	if err != nil {
 		panic(err) // the settings are made here
 	}
-	r.Self = old.index
+	r.NodeNumber = old.index
 	heir := &station{machine: newMachine(old.name, old.zone), w: w, index: old.index, last: old.last, freeAt: w.Now, running: true,
 		conns: map[node.Conn]*port{}, told: maps.Clone(old.told), out: maps.Clone(old.out), starts: maps.Clone(old.starts), elder: old, hearing: hearing{bootAt: w.Now, calledAt: w.Now, numbered: old.hearing.numbered},
 		adopted: map[node.Conn]*port{}}
-	left := crossed(old.ask(node.Asked{What: node.Claim}).Legacy)
+	left := crossed(old.ask(node.Query{Question: node.ClaimHandover}).Handover)
 	old.heir = heir
-	heir.core = node.New(w.base+w.Now, node.Start{Rundown: r, Door: d, Sockets: w.script.Fleet.Sockets, Shut: true, Left: left})
+	heir.core = node.New(w.base+w.Now, node.Start{Settings: r, Listener: d, MaxDescriptors: w.script.Fleet.Sockets, NotListening: true, Handover: left})
 	if w.options.Wrong != nil {
 		heir.core = w.options.Wrong(heir.core)
 	}
 	w.trace("%s: a new process", old.name)
-	heir.give(node.Tick{})
+	heir.give(node.TimerFired{})
 	w.After(lastCall+1, func() {
 		switch {
 		case heir.given && old.running: // it holds some connections to the end
@@ -127,11 +127,11 @@
 		if !old.running || !n.running {
 			return
 		}
-		left := crossed(old.ask(node.Asked{What: node.Take}).Legacy)
+		left := crossed(old.ask(node.Query{Question: node.TakeOver}).Handover)
 		n.given, n.w.nodes[n.index] = true, n
 		n.out = maps.Clone(old.out)
-		n.give(node.Inherited{Legacy: left})
-		n.give(node.Opened{})
+		n.give(node.HandoverReceived{State: left})
+		n.give(node.ListenerOpened{})
 		n.w.After(handDelay, func() {
 			if old.running && n.running {
 				old.leaving = true
@@ -142,13 +142,13 @@
 }
 
 // pass moves an open connection to the heir: its bytes under way come there.
-func (n *station) pass(e node.Pass) {
+func (n *station) pass(e node.SendConnection) {
 	heir, c, h := n.heir, n.conns[e.Conn], n.conns[e.Host]
 	if heir == nil || !heir.running {
-		n.give(node.Passed{Conn: e.Conn})
+		n.give(node.ConnectionSent{Conn: e.Conn})
 		return
 	}
-	parcel := crossed(e.Parcel)
+	parcel := crossed(e.Transfer)
 	heir.last += 2
 	client := &port{station: heir, id: heir.last, s: c.s}
 	host := &port{station: heir, host: h.host, s: h.s, flow: h.flow, counted: true}
@@ -161,20 +161,20 @@
 	}
 	c.s, h.s, c.passed, h.passed = nil, nil, true, true
 	heir.conns[client.id] = client
-	heir.give(node.Adopted{Conn: client.id, Parcel: parcel})
-	n.give(node.Passed{Conn: e.Conn, OK: true})
+	heir.give(node.ConnectionReceived{Conn: client.id, Transfer: parcel})
+	n.give(node.ConnectionSent{Conn: e.Conn, OK: true})
 }
 
 // own gives the host's side of an adopted connection its number.
-func (n *station) own(e node.Own) {
-	p := n.adopted[e.With]
-	delete(n.adopted, e.With)
+func (n *station) own(e node.BindHostConnection) {
+	p := n.adopted[e.Client]
+	delete(n.adopted, e.Client)
 	p.id = e.Conn
 	n.conns[e.Conn] = p
 }
 
 // tell brings news to the node's other processes.
-func (n *station) tell(news node.News) {
+func (n *station) tell(news node.HandoverUpdate) {
 	news = crossed(news)
 	for _, other := range []*station{n.elder, n.heir} {
 		if other == nil || !other.running {
@@ -182,7 +182,7 @@
 		}
 		n.w.After(handDelay, func() {
 			if other.running {
-				other.give(node.Told{News: news})
+				other.give(node.PeerProcessChanged{Update: news})
 			}
 		})
 	}
@@ -191,11 +191,11 @@
 // parted tells the other process that this one is no more.
 func (n *station) parted() {
 	if n.heir != nil && n.heir.running {
-		n.heir.give(node.ElderGone{})
+		n.heir.give(node.PredecessorGone{})
 		n.heir.elder = nil
 	}
 	if n.elder != nil && n.elder.running {
-		n.elder.give(node.HeirGone{})
+		n.elder.give(node.SuccessorGone{})
 		n.elder.heir = nil
 	}
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -28,10 +28,10 @@
 
 // Options are what a play may differ in beside its script and seed.
 type Options struct {
-	Trace   io.Writer                  // every line of the trace; nil for none
-	Permute bool                       // events of one instant in an order drawn from the seed
-	Wrong   func(c Core) Core          // wraps each core, to show that a checker fires
-	Tune    func(r *placement.Rundown) // what an experiment changes in the module's rundown
+	Trace   io.Writer                   // every line of the trace; nil for none
+	Permute bool                        // events of one instant in an order drawn from the seed
+	Wrong   func(c Core) Core           // wraps each core, to show that a checker fires
+	Tune    func(r *placement.Settings) // what an experiment changes in the module's rundown
 }
 
 // Result is what came of a play. Times are seconds.
@@ -158,11 +158,11 @@
 
 // boot starts a node's process anew, with the list as it stands at discovery.
 func (w *World) boot(n *station) {
-	r, d, err := rundown.Read(w.settings, fork(w.seed, n.name, int(w.Now*1e3)).Uint64())
+	r, d, err := rundown.Parse(w.settings, fork(w.seed, n.name, int(w.Now*1e3)).Uint64())
 	if err != nil {
 		panic(err) // the settings are made here
 	}
-	r.Self = n.index
+	r.NodeNumber = n.index
 	if w.options.Tune != nil {
 		w.options.Tune(&r)
 	}
@@ -174,18 +174,18 @@
 	n.last, n.timer, n.freeAt = n.last|1, n.timer+1, w.Now
 	n.calls.end()
 	known := w.discovery.whole()
-	n.core = node.New(w.base+w.Now, node.Start{Rundown: r, Door: d, Known: known, Sockets: w.script.Fleet.Sockets})
+	n.core = node.New(w.base+w.Now, node.Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: w.script.Fleet.Sockets})
 	if w.options.Wrong != nil {
 		n.core = w.options.Wrong(n.core)
 	}
 	n.learned(known)
-	n.give(node.Tick{})
+	n.give(node.TimerFired{})
 }
 
-var leave node.Input = node.Leave{}
+var leave node.Input = node.Shutdown{}
 
-func listed(l roster.List) node.Input        { return node.Listed{List: l} }
-func unlisted(why string) node.Input         { return node.Unlisted{Why: why} }
+func listed(l roster.List) node.Input        { return node.ListReceived{List: l} }
+func unlisted(why string) node.Input         { return node.WatchFailed{Reason: why} }
 func (w *World) flowOf(id string) *flow      { return w.byID[id] }
 func (w *World) hostAt(address string) *host { return w.byName[address] }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -52,7 +52,7 @@
 // New gives a node's part of a fleet by its file.
 func New(c Config, o view.Options) *Fleet {
 	began := time.Now()
-	f := &Fleet{config: c, options: o, log: o.Log, began: began, base: float64(began.UnixNano()) / 1e9, settled: o.Settled,
+	f := &Fleet{config: c, options: o, log: o.Log, began: began, base: float64(began.UnixNano()) / 1e9, settled: o.ConfiguredNodes,
 		seal: newSeal(c), refused: map[refusal]int{}, wake: make(chan struct{}, 1)}
 	f.core = membership.New(f.now(), membership.Config{
 		Self: membership.Member{Name: o.Name, Start: uint64(began.UnixMicro()), Address: c.Address, Zone: c.Zone, Build: o.Build},
@@ -188,8 +188,8 @@
 	}
 	f.mu.Unlock()
 	if why == taken && m.Kind == wire.Message_WORDS {
-		if words := peers.Read(m.Words); len(words) > 0 && f.options.Words != nil {
-			f.options.Words(words)
+		if words := peers.Parse(m.Words); len(words) > 0 && f.options.GossipReceived != nil {
+			f.options.GossipReceived(words)
 		}
 		return
 	}
@@ -247,9 +247,9 @@
 	f.socket.Send([][]byte{text}, at)
 }
 
-// Say tells every other member that lives what this node was told of hosts' loads. What is lost is lost: the
+// SendGossip tells every other member that lives what this node was told of hosts' loads. What is lost is lost: the
 // others learn the same by their own probes, later.
-func (f *Fleet) Say(words []peers.Word) {
+func (f *Fleet) SendGossip(words []peers.HostLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	self, all := f.core.Self(), f.core.All()
@@ -270,8 +270,8 @@
 	changed := n != f.told
 	f.told = n
 	f.mu.Unlock()
-	if changed && f.options.Nodes != nil {
-		f.options.Nodes(n)
+	if changed && f.options.NodesChanged != nil {
+		f.options.NodesChanged(n)
 	}
 }
 
@@ -282,8 +282,8 @@
 	f.mu.Unlock()
 }
 
-// Hold hands membership to another process of this node, or takes it back.
-func (f *Fleet) Hold(held bool) {
+// SetHandedOver hands membership to another process of this node, or takes it back.
+func (f *Fleet) SetHandedOver(held bool) {
 	f.mu.Lock()
 	f.held = held
 	if held {
@@ -315,7 +315,7 @@
 func (f *Fleet) settle(r live.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settled = f.options.Settled
+	f.settled = f.options.ConfiguredNodes
 	if nodes := r.Settings.Nodes; nodes != nil {
 		f.settled = *nodes
 	}
--- a/internal/fleet/fleet_golden_test.go
+++ b/internal/fleet/fleet_golden_test.go
@@ -93,8 +93,8 @@
 }
 
 // goldenWords are loads of hosts: what is over the largest one is told as it, and fractions are rounded up.
-func goldenWords() []peers.Word {
-	return []peers.Word{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.51}, {Host: 7, Load: 9}}
+func goldenWords() []peers.HostLoad {
+	return []peers.HostLoad{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.51}, {Host: 7, Load: 9}}
 }
 
 func loadMessage() *wire.Message {
@@ -144,10 +144,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var heard []peers.Word
-	part := New(file, view.Options{Name: "node-b", Log: zerolog.Nop(), Words: func(words []peers.Word) { heard = words }})
+	var heard []peers.HostLoad
+	part := New(file, view.Options{Name: "node-b", Log: zerolog.Nop(), GossipReceived: func(words []peers.HostLoad) { heard = words }})
 	part.hear(readGolden(t, "datagram-2-load.bin"), netip.AddrPort{})
-	want := []peers.Word{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.515625}, {Host: 7, Load: 3.984375}}
+	want := []peers.HostLoad{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.515625}, {Host: 7, Load: 3.984375}}
 	if !reflect.DeepEqual(heard, want) {
 		t.Errorf("heard %v, want %v", heard, want)
 	}
--- a/internal/fleet/traffic_test.go
+++ b/internal/fleet/traffic_test.go
@@ -47,7 +47,7 @@
 	for i, own := range addresses {
 		c := Config{Fleet: "lima", Address: own, Join: addresses, Period: period, keys: [][]byte{[]byte("one key of sixteen")},
 			Key: fmt.Sprintf("%x", "one key of sixteen")}
-		f := New(c, view.Options{Name: fmt.Sprintf("n%d", i), Seed: uint64(i), Settled: nodes, Log: zerolog.Nop()})
+		f := New(c, view.Options{Name: fmt.Sprintf("n%d", i), Seed: uint64(i), ConfiguredNodes: nodes, Log: zerolog.Nop()})
 		if prepare != nil {
 			prepare(i, f)
 		}
@@ -84,8 +84,8 @@
 	eventually(t, "both know each other and have probed", func() bool {
 		return nodes[0].Living() == 2 && nodes[1].Living() == 2 && sum(nodes[0].Traffic()).SentMessages > 20
 	})
-	nodes[0].Hold(true) // sends nothing from here on
-	nodes[1].Hold(true)
+	nodes[0].SetHandedOver(true) // sends nothing from here on
+	nodes[1].SetHandedOver(true)
 	a, b := nodes[0].View().Traffic, nodes[1].View().Traffic
 	byKind := map[string]view.Traffic{}
 	for _, k := range b {
--- a/internal/fleet/view/options.go
+++ b/internal/fleet/view/options.go
@@ -11,14 +11,14 @@
 
 // Options are what a node's part in a fleet is made of, beside the fleet file.
 type Options struct {
-	Name    string // the node's
-	Build   string // revision of the program
-	Seed    uint64
-	Settled int // number of nodes of which the node's settings speak
-	Log     zerolog.Logger
+	Name            string // the node's
+	Build           string // revision of the program
+	Seed            uint64
+	ConfiguredNodes int // number of nodes of which the node's settings speak
+	Log             zerolog.Logger
 
-	Nodes func(n int)              // is told the number of nodes to reckon with, whenever it changes
-	Words func(words []peers.Word) // is told what other members say of hosts
+	NodesChanged   func(n int)                  // is told the number of nodes to reckon with, whenever it changes
+	GossipReceived func(words []peers.HostLoad) // is told what other members say of hosts
 
 	// Install puts a revision of the live settings in force, and returns once it is or cannot be. It gives the keys
 	// that have no effect at this node. Nil for a node that takes none.
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -11,13 +11,13 @@
 
 // Part is a node's part in a fleet.
 type Part interface {
-	Run(ctx context.Context) error // until the context ends, or the node has left the fleet
-	Ready(ready bool)              // the node takes clients
-	Hold(held bool)                // another process of the node has the part, or this one has it back
-	Leave()                        // the node goes
-	Say(words []peers.Word)        // to every other member that lives
-	Follow()                       // the configuration from here on: no predecessor does it any more
-	InForce(r live.Revision)       // a revision of the live settings is in force
+	Run(ctx context.Context) error     // until the context ends, or the node has left the fleet
+	Ready(ready bool)                  // the node takes clients
+	SetHandedOver(held bool)           // another process of the node has the part, or this one has it back
+	Leave()                            // the node goes
+	SendGossip(words []peers.HostLoad) // to every other member that lives
+	Follow()                           // the configuration from here on: no predecessor does it any more
+	InForce(r live.Revision)           // a revision of the live settings is in force
 	View() View
 }
 
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -30,8 +30,8 @@
 
 // What a message may ask for.
 const (
-	Claim = "claim" // what is known and the listening socket
-	Take  = "take"  // the clients, and what is known by now
+	RequestState   = "claim" // what is known and the listening socket
+	RequestClients = "take"  // the clients, and what is known by now
 )
 
 // Busy says that the elder hands over to another already, or has no clients to give yet.
@@ -42,12 +42,12 @@
 
 // Message is one line.
 type Message struct {
-	Version int          `json:"version"`
-	Ask     string       `json:"ask,omitempty"`
-	No      string       `json:"no,omitempty"` // why it is refused
-	Legacy  *node.Legacy `json:"legacy,omitempty"`
-	News    *node.News   `json:"news,omitempty"`
-	Parcel  *node.Parcel `json:"parcel,omitempty"` // comes with two sockets, the client's first
+	Version  int                      `json:"version"`
+	Ask      string                   `json:"ask,omitempty"`
+	Refusal  string                   `json:"no,omitempty"` // why it is refused
+	State    *node.HandoverState      `json:"legacy,omitempty"`
+	Update   *node.HandoverUpdate     `json:"news,omitempty"`
+	Transfer *node.ConnectionTransfer `json:"parcel,omitempty"` // comes with two sockets, the client's first
 }
 
 // Path is where the process that serves an address is found.
@@ -68,8 +68,8 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)), func() { dir.Close() }, nil
 }
 
-// Offer listens for an heir, in place of whoever did so before.
-func Offer(path string) (*net.UnixListener, error) {
+// Listen listens for an heir, in place of whoever did so before.
+func Listen(path string) (*net.UnixListener, error) {
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	short, done, err := reach(fresh)
 	if err != nil {
@@ -101,8 +101,8 @@
 	passed []int // descriptors that came
 }
 
-// Reach finds the process that serves; there may be none.
-func Reach(ctx context.Context, path string) (*Link, error) {
+// Dial finds the process that serves; there may be none.
+func Dial(ctx context.Context, path string) (*Link, error) {
 	short, done, err := reach(path)
 	if err != nil {
 		return nil, err
@@ -113,11 +113,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return Join(conn.(*net.UnixConn))
+	return NewLink(conn.(*net.UnixConn))
 }
 
-// Join makes a link of a connection, if its far side belongs to the same user.
-func Join(conn *net.UnixConn) (*Link, error) {
+// NewLink makes a link of a connection, if its far side belongs to the same user.
+func NewLink(conn *net.UnixConn) (*Link, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		conn.Close()
@@ -144,8 +144,8 @@
 // Close ends the link.
 func (l *Link) Close() { l.conn.Close() }
 
-// Within bounds what is received from now on; zero lifts the bound.
-func (l *Link) Within(d time.Duration) {
+// SetReadTimeout bounds what is received from now on; zero lifts the bound.
+func (l *Link) SetReadTimeout(d time.Duration) {
 	if d == 0 {
 		l.conn.SetReadDeadline(time.Time{})
 		return
@@ -201,8 +201,8 @@
 	return err
 }
 
-// Pass sends sockets, at most two; they come with the message that follows.
-func (l *Link) Pass(all ...syscall.Conn) error {
+// SendSockets sends sockets, at most two; they come with the message that follows.
+func (l *Link) SendSockets(all ...syscall.Conn) error {
 	return l.pass(nil, all)
 }
 
@@ -271,8 +271,8 @@
 	return tcp, nil
 }
 
-// Drop closes what came and was not taken.
-func (l *Link) Drop() {
+// CloseReceived closes what came and was not taken.
+func (l *Link) CloseReceived() {
 	for _, fd := range l.passed {
 		syscall.Close(fd)
 	}
--- a/internal/handover/handover_golden_test.go
+++ b/internal/handover/handover_golden_test.go
@@ -43,21 +43,21 @@
 
 func goldenSettings() live.Settings {
 	return live.Settings{
-		RetryAdvice: pointer(2.5),
-		AskWithin:   pointer(7.25),
-		Nodes:       pointer(3),
-		Discovery:   pointer("127.0.0.1:8500"),
-		MaxConnects: pointer(4),
-		Sockets:     pointer(640),
-		SlowStart: live.SlowStart{From: pointer(0.125), For: pointer(30.5), FallMultiple: pointer(1.75),
-			FallFor: pointer(6.5)},
+		MaxRetryAfter:  pointer(2.5),
+		PollInterval:   pointer(7.25),
+		Nodes:          pointer(3),
+		Discovery:      pointer("127.0.0.1:8500"),
+		MaxAttempts:    pointer(4),
+		MaxDescriptors: pointer(640),
+		SlowStart: live.SlowStart{Share: pointer(0.125), Duration: pointer(30.5), OverloadMultiple: pointer(1.75),
+			OverloadWindow: pointer(6.5)},
 		Tenants: map[string]live.Tenant{
 			"acme": {Connections: pointer(120)},
 			"beta": {Connections: pointer(80)},
 		},
 		Types: map[string]live.ServiceType{
-			"chat": {SetupTarget: pointer(0.75), MessageTarget: pointer(0.0625)},
-			"feed": {SetupTarget: pointer(1.5), MessageTarget: pointer(0.1875)},
+			"chat": {SetupObjective: pointer(0.75), MessageObjective: pointer(0.0625)},
+			"feed": {SetupObjective: pointer(1.5), MessageObjective: pointer(0.1875)},
 		},
 		Hosts: map[string]live.Host{
 			"s-5be2a07c": {DisabledUntil: pointer(1700000300.5), Weight: pointer(2.25)},
@@ -75,57 +75,57 @@
 	}
 }
 
-func goldenStandings() []placement.Standing {
-	return []placement.Standing{
+func goldenStandings() []placement.ServerState {
+	return []placement.ServerState{
 		{
-			Ceiling: 12.5, CutAt: 1700000001.5, ToldAt: 1700000002.25, DrainAt: 1700000003.75, Load: 0.625,
-			JamAt: 1700000004.5, FullAt: 1700000005.5, Bad: 1.25, Good: 90.5, Hold: 4.5, ProbeAt: 1700000006.5,
-			Least: 0.00390625, Aside: true, ByHand: true, HandAt: 1700000007.5, Wanted: 1700000008.5, Answers: 2,
-			Round: 0.375,
+			LoadThreshold: 12.5, LoweredAt: 1700000001.5, ReportedAt: 1700000002.25, DrainingAt: 1700000003.75, Load: 0.625,
+			OverloadedAt: 1700000004.5, RejectedAt: 1700000005.5, Failures: 1.25, Successes: 90.5, EjectionTime: 4.5, NextCheckAt: 1700000006.5,
+			ShortestCheck: 0.00390625, Ejected: true, Disabled: true, DisabledAt: 1700000007.5, EnterFrom: 1700000008.5, ChecksPassed: 2,
+			RoundingDraw: 0.375,
 		},
 		{
-			Ceiling: 13.5, CutAt: 1700000011.5, ToldAt: 1700000012.25, DrainAt: 1700000013.75, Load: 0.6875,
-			JamAt: 1700000014.5, FullAt: 1700000015.5, Bad: 2.25, Good: 91.5, Hold: 5.5, ProbeAt: 1700000016.5,
-			Least: 0.0078125, Aside: true, ByHand: true, HandAt: 1700000017.5, Wanted: 1700000018.5, Answers: 3,
-			Round: 0.4375,
+			LoadThreshold: 13.5, LoweredAt: 1700000011.5, ReportedAt: 1700000012.25, DrainingAt: 1700000013.75, Load: 0.6875,
+			OverloadedAt: 1700000014.5, RejectedAt: 1700000015.5, Failures: 2.25, Successes: 91.5, EjectionTime: 5.5, NextCheckAt: 1700000016.5,
+			ShortestCheck: 0.0078125, Ejected: true, Disabled: true, DisabledAt: 1700000017.5, EnterFrom: 1700000018.5, ChecksPassed: 3,
+			RoundingDraw: 0.4375,
 		},
 	}
 }
 
-func goldenSitting() node.Sitting {
-	return node.Sitting{ID: "a1b2c3", Key: 18446744073709551615, Host: "s-5be2a07c", Load: 0.28125}
+func goldenSitting() node.InheritedConnection {
+	return node.InheritedConnection{ID: "a1b2c3", ClientKey: 18446744073709551615, Host: "s-5be2a07c", Load: 0.28125}
 }
 
-func goldenLegacy() *node.Legacy {
-	return &node.Legacy{
-		Index: 9007199254740993,
-		Heard: true,
+func goldenLegacy() *node.HandoverState {
+	return &node.HandoverState{
+		Index:        9007199254740993,
+		ListReceived: true,
 		Hosts: []roster.Host{
 			{Name: "s-5be2a07c", Address: "10.1.0.18:5000", Zone: "a", Group: 3, Status: "SERVING", Weight: 1.5,
-				Since: 1700000000123},
+				StartedAtMS: 1700000000123},
 			{Name: "s-77d10e42", Address: "10.1.0.19:5000", Zone: "b", Group: 4, Status: "DRAINING", Weight: 2.5,
-				Since: 1700000000456},
+				StartedAtMS: 1700000000456},
 		},
-		Module: placement.Legacy{
-			Servers: goldenStandings(),
-			Typical: []float64{0.015625, 0.03125},
-			Loads:   map[uint64]float64{7: 0.5, 18446744073709551614: 0.75},
-			Gate:    8.5, GateAt: 1700000021.5, Least: 0.001953125, Strain: 0.3125,
+		Module: placement.HandoverState{
+			Servers:          goldenStandings(),
+			UsualLoads:       []float64{0.015625, 0.03125},
+			ClientLoads:      map[uint64]float64{7: 0.5, 18446744073709551614: 0.75},
+			ConcurrencyLimit: 8.5, LimitLoweredAt: 1700000021.5, ShortestCheck: 0.001953125, OverloadLevel: 0.3125,
 		},
-		Sits: []node.Sitting{goldenSitting(),
-			{ID: "d4e5 <&>", Key: 9, Host: "s-77d10e42", Load: 0.34375}},
-		Spent:          map[uint64]uint64{11: 12, 18446744073709551613: 18446744073709551612},
-		Held:           321,
+		Connections: []node.InheritedConnection{goldenSitting(),
+			{ID: "d4e5 <&>", ClientKey: 9, Host: "s-77d10e42", Load: 0.34375}},
+		EndedFlows:     map[uint64]uint64{11: 12, 18446744073709551613: 18446744073709551612},
+		Descriptors:    321,
 		Revision:       goldenRevision(),
 		DisabledByHand: []string{"s-5be2a07c", "s-77d10e42"},
 	}
 }
 
-func goldenParcel() *node.Parcel {
-	return &node.Parcel{
-		First: "OPEN 1 a1 c=chat,d=900\r\n", Host: "s-5be2a07c", Up: []byte("M\x00 1"), Down: []byte("\xff\xfe R"),
-		Waits: []float64{1700000031.5, 1700000032.5}, Load: 0.40625, Setup: 0.125, Since: 1700000033.5, Sent: 4097,
-		Back: 18446744073709551611,
+func goldenParcel() *node.ConnectionTransfer {
+	return &node.ConnectionTransfer{
+		OpeningLine: "OPEN 1 a1 c=chat,d=900\r\n", Host: "s-5be2a07c", FromClient: []byte("M\x00 1"), FromHost: []byte("\xff\xfe R"),
+		SentAt: []float64{1700000031.5, 1700000032.5}, Load: 0.40625, Setup: 0.125, AcceptedAt: 1700000033.5, BytesToHost: 4097,
+		BytesToClient: 18446744073709551611,
 	}
 }
 
@@ -133,17 +133,17 @@
 func goldenMessages() []goldenMessage {
 	sitting := goldenSitting()
 	return []goldenMessage{
-		{"claim", Message{Version: 1, Ask: Claim}},
-		{"take", Message{Version: 1, Ask: Take}},
-		{"refusal", Message{Version: 1, No: Busy}},
-		{"state", Message{Version: 1, Legacy: goldenLegacy()}},
-		{"news of a host taken out by hand", Message{Version: 1, News: &node.News{Out: "s-5be2a07c"}}},
-		{"news of a host put back by hand", Message{Version: 1, News: &node.News{Back: "s-77d10e42"}}},
-		{"news of a connection", Message{Version: 1, News: &node.News{Sits: &sitting}}},
-		{"news of a connection's end", Message{Version: 1, News: &node.News{Over: "a1b2c3"}}},
-		{"news of descriptors", Message{Version: 1, News: &node.News{Held: 77}}},
-		{"news of a revision", Message{Version: 1, News: &node.News{Revision: goldenRevision()}}},
-		{"connection", Message{Version: 1, Parcel: goldenParcel()}},
+		{"claim", Message{Version: 1, Ask: RequestState}},
+		{"take", Message{Version: 1, Ask: RequestClients}},
+		{"refusal", Message{Version: 1, Refusal: Busy}},
+		{"state", Message{Version: 1, State: goldenLegacy()}},
+		{"news of a host taken out by hand", Message{Version: 1, Update: &node.HandoverUpdate{DisabledHost: "s-5be2a07c"}}},
+		{"news of a host put back by hand", Message{Version: 1, Update: &node.HandoverUpdate{EnabledHost: "s-77d10e42"}}},
+		{"news of a connection", Message{Version: 1, Update: &node.HandoverUpdate{Established: &sitting}}},
+		{"news of a connection's end", Message{Version: 1, Update: &node.HandoverUpdate{EndedFlow: "a1b2c3"}}},
+		{"news of descriptors", Message{Version: 1, Update: &node.HandoverUpdate{Descriptors: 77}}},
+		{"news of a revision", Message{Version: 1, Update: &node.HandoverUpdate{Revision: goldenRevision()}}},
+		{"connection", Message{Version: 1, Transfer: goldenParcel()}},
 	}
 }
 
@@ -151,24 +151,24 @@
 // left out, and which are written although they are empty.
 func goldenSparseMessages() []goldenMessage {
 	return []goldenMessage{
-		{"empty state", Message{Version: 1, Legacy: &node.Legacy{}}},
-		{"state with empty entries", Message{Version: 1, Legacy: &node.Legacy{
-			Hosts:    []roster.Host{{}},
-			Module:   placement.Legacy{Servers: []placement.Standing{{}}, Loads: map[uint64]float64{}},
-			Sits:     []node.Sitting{{}},
-			Spent:    map[uint64]uint64{},
-			Revision: &live.Revision{},
+		{"empty state", Message{Version: 1, State: &node.HandoverState{}}},
+		{"state with empty entries", Message{Version: 1, State: &node.HandoverState{
+			Hosts:       []roster.Host{{}},
+			Module:      placement.HandoverState{Servers: []placement.ServerState{{}}, ClientLoads: map[uint64]float64{}},
+			Connections: []node.InheritedConnection{{}},
+			EndedFlows:  map[uint64]uint64{},
+			Revision:    &live.Revision{},
 		}}},
-		{"empty news", Message{Version: 1, News: &node.News{}}},
-		{"news of an empty connection", Message{Version: 1, News: &node.News{Sits: &node.Sitting{}}}},
-		{"news of an empty revision", Message{Version: 1, News: &node.News{Revision: &live.Revision{}}}},
-		{"news of settings with empty entries", Message{Version: 1, News: &node.News{Revision: &live.Revision{
+		{"empty news", Message{Version: 1, Update: &node.HandoverUpdate{}}},
+		{"news of an empty connection", Message{Version: 1, Update: &node.HandoverUpdate{Established: &node.InheritedConnection{}}}},
+		{"news of an empty revision", Message{Version: 1, Update: &node.HandoverUpdate{Revision: &live.Revision{}}}},
+		{"news of settings with empty entries", Message{Version: 1, Update: &node.HandoverUpdate{Revision: &live.Revision{
 			Epoch: 1, Number: 2, Settings: live.Settings{
 				Tenants: map[string]live.Tenant{"acme": {}},
 				Types:   map[string]live.ServiceType{"chat": {}},
 				Hosts:   map[string]live.Host{"s-5be2a07c": {}},
 			}}}}},
-		{"empty connection", Message{Version: 1, Parcel: &node.Parcel{}}},
+		{"empty connection", Message{Version: 1, Transfer: &node.ConnectionTransfer{}}},
 	}
 }
 
@@ -179,7 +179,7 @@
 }
 
 // alternatives are the types of which a message sets some fields only.
-var alternatives = []reflect.Type{reflect.TypeFor[Message](), reflect.TypeFor[node.News]()}
+var alternatives = []reflect.Type{reflect.TypeFor[Message](), reflect.TypeFor[node.HandoverUpdate]()}
 
 func isAlternative(kind reflect.Type) bool {
 	for _, alternative := range alternatives {
@@ -349,10 +349,10 @@
 func TestPassWritesAnEmptyLine(t *testing.T) {
 	receiver, sender := joined(t, Path(t.TempDir(), "127.0.0.1:5000"))
 	listener, near, far := tcp(t)
-	if err := sender.Pass(listener); err != nil {
+	if err := sender.SendSockets(listener); err != nil {
 		t.Fatal(err)
 	}
-	if err := sender.Pass(near, far); err != nil {
+	if err := sender.SendSockets(near, far); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []int{1, 3} {
@@ -362,7 +362,7 @@
 			t.Errorf("%q with %d descriptors, %v; want %q with %d", got[:n], len(receiver.passed), err, "\n", want)
 		}
 	}
-	receiver.Drop()
+	receiver.CloseReceived()
 }
 
 func TestSocketPathIsFixed(t *testing.T) {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,7 +19,7 @@
 // joined gives the two ends of a link, made by way of a path.
 func joined(t *testing.T, path string) (elder, heir *Link) {
 	t.Helper()
-	ln, err := Offer(path)
+	ln, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,19 +29,19 @@
 
 func meet(t *testing.T, ln *net.UnixListener, path string) (elder, heir *Link) {
 	t.Helper()
-	heir, err := Reach(t.Context(), path)
+	heir, err := Dial(t.Context(), path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn, err := ln.AcceptUnix()
 	if err == nil {
-		elder, err = Join(conn)
+		elder, err = NewLink(conn)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, l := range []*Link{elder, heir} {
-		l.Within(20 * time.Second)
+		l.SetReadTimeout(20 * time.Second)
 		t.Cleanup(l.Close)
 	}
 	return elder, heir
@@ -75,41 +75,43 @@
 		elder, heir := joined(t, path)
 		ln, near, far := tcp(t)
 		_, host, box := tcp(t)
-		if err := heir.Send(Message{Ask: Claim}); err != nil {
+		if err := heir.Send(Message{Ask: RequestState}); err != nil {
 			t.Fatal(err)
 		}
-		if m, err := elder.Receive(); err != nil || m.Ask != Claim {
+		if m, err := elder.Receive(); err != nil || m.Ask != RequestState {
 			t.Fatalf("%+v, %v", m, err)
 		}
 		// All is sent before anything is received: what belongs together has to come together all the same.
-		big := &node.Legacy{Index: 7, Spent: map[uint64]uint64{}}
+		big := &node.HandoverState{Index: 7, EndedFlows: map[uint64]uint64{}}
 		for i := range uint64(4000) {
-			big.Spent[i] = ^i
+			big.EndedFlows[i] = ^i
 		}
 		for _, step := range []func() error{
-			func() error { return elder.Pass(ln) },
-			func() error { return elder.Send(Message{Legacy: big}) },
-			func() error { return elder.Send(Message{News: &node.News{Out: "s-1"}}) },
-			func() error { return elder.Pass(near, host) },
-			func() error { return elder.Send(Message{Parcel: &node.Parcel{Host: "s-2", Up: []byte("M\x00 1")}}) },
+			func() error { return elder.SendSockets(ln) },
+			func() error { return elder.Send(Message{State: big}) },
+			func() error { return elder.Send(Message{Update: &node.HandoverUpdate{DisabledHost: "s-1"}}) },
+			func() error { return elder.SendSockets(near, host) },
+			func() error {
+				return elder.Send(Message{Transfer: &node.ConnectionTransfer{Host: "s-2", FromClient: []byte("M\x00 1")}})
+			},
 		} {
 			if err := step(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		m, err := heir.Receive()
-		if err != nil || m.Legacy == nil || m.Legacy.Index != 7 || len(m.Legacy.Spent) != 4000 {
-			t.Fatalf("%v, %v", m.Legacy, err)
+		if err != nil || m.State == nil || m.State.Index != 7 || len(m.State.EndedFlows) != 4000 {
+			t.Fatalf("%v, %v", m.State, err)
 		}
 		door, err := heir.Listener()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer door.Close()
-		if m, err = heir.Receive(); err != nil || m.News == nil || m.News.Out != "s-1" {
+		if m, err = heir.Receive(); err != nil || m.Update == nil || m.Update.DisabledHost != "s-1" {
 			t.Fatalf("%+v, %v", m, err)
 		}
-		if m, err = heir.Receive(); err != nil || string(m.Parcel.Up) != "M\x00 1" {
+		if m, err = heir.Receive(); err != nil || string(m.Transfer.FromClient) != "M\x00 1" {
 			t.Fatalf("%+v, %v", m, err)
 		}
 		client, err := heir.Conn()
@@ -164,11 +166,11 @@
 		elder.Close()
 	}
 	elder, heir := joined(t, Path(t.TempDir(), "a:1"))
-	elder.Within(time.Millisecond) // nothing comes: that is no hang
+	elder.SetReadTimeout(time.Millisecond) // nothing comes: that is no hang
 	if _, err := elder.Receive(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error(err)
 	}
-	if err := heir.Send(Message{Parcel: &node.Parcel{First: strings.Repeat("x", longest)}}); err == nil {
+	if err := heir.Send(Message{Transfer: &node.ConnectionTransfer{OpeningLine: strings.Repeat("x", longest)}}); err == nil {
 		t.Error("a message without bound was sent")
 	}
 }
@@ -176,17 +178,17 @@
 // Who offers last is found; a socket that a killed process left is nobody; a path that cannot be is an error.
 func TestOffer(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:5000")
-	if _, err := Reach(t.Context(), path); !errors.Is(err, os.ErrNotExist) {
+	if _, err := Dial(t.Context(), path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("nobody: %v", err)
 	}
-	first, err := Offer(path)
+	first, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", info.Mode(), err)
 	}
-	second, err := Offer(path)
+	second, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,17 +196,17 @@
 	first.Close()
 	meet(t, second, path)
 	second.Close()
-	if _, err := Reach(t.Context(), path); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := Dial(t.Context(), path); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a stale socket: %v", err)
 	}
-	third, err := Offer(path) // which is in nobody's way
+	third, err := Listen(path) // which is in nobody's way
 	if err != nil {
 		t.Fatal(err)
 	}
 	meet(t, third, path)
 	third.Close()
 	for _, dir := range []string{filepath.Join(t.TempDir(), "none"), "/proc", fmt.Sprint(path, "/x")} {
-		if ln, err := Offer(Path(dir, "a:1")); err == nil {
+		if ln, err := Listen(Path(dir, "a:1")); err == nil {
 			ln.Close()
 			t.Errorf("%s: offered", dir)
 		}
--- a/internal/lbwire/link.go
+++ b/internal/lbwire/link.go
@@ -31,14 +31,14 @@
 	evEnded, evFirst, evList, evWake, evHello, evStop   = 7, 8, 9, 10, 11, 12
 )
 
-var outcomes = map[uint16]placement.Outcome{0: placement.Served, 5: placement.Errored, 11: placement.Full,
-	110: placement.Unanswered, 111: placement.Unreached, 104: placement.Broken, 125: placement.CalledOff,
-	114: placement.NeverSent}
+var outcomes = map[uint16]placement.Outcome{0: placement.Served, 5: placement.Failed, 11: placement.Rejected,
+	110: placement.TimedOut, 111: placement.ConnectFailed, 104: placement.ConnectionLost, 125: placement.Canceled,
+	114: placement.NotSent}
 
 var listKinds = map[byte]placement.ListKind{0: placement.ListCached, 1: placement.ListChanges,
 	2: placement.ListFull, 4: placement.ListFailed}
 
-var states = map[byte]placement.State{0: placement.Gone, 1: placement.Ready, 2: placement.Draining}
+var states = map[byte]placement.EndpointState{0: placement.Removed, 1: placement.Ready, 2: placement.Draining}
 
 // instance is one balancer with the small indices its flows and servers go by.
 type instance struct {
@@ -50,7 +50,7 @@
 	touched []int // flows that may have ended in this batch
 	servers map[uint32]int
 	hostIDs []uint32
-	words   []peers.Word // for the other instances, in this batch
+	words   []peers.HostLoad // for the other instances, in this batch
 }
 
 func (in *instance) server(id uint32) int {
@@ -86,7 +86,7 @@
 
 func (in *instance) sweep() {
 	for _, at := range in.touched {
-		if in.b.Idle(at) {
+		if in.b.Release(at) {
 			delete(in.flows, in.flowIDs[at])
 			in.free = append(in.free, at)
 		}
@@ -177,11 +177,11 @@
 	if o, ok := outcomes[code]; ok {
 		return o
 	}
-	return placement.Broken // an outcome not known may have run
+	return placement.ConnectionLost // an outcome not known may have run
 }
 
-func (in *instance) report(rec []byte) placement.Report {
-	r := placement.Report{Load: -1}
+func (in *instance) report(rec []byte) placement.LoadReport {
+	r := placement.LoadReport{Load: -1}
 	for i := range min(int(rec[0]), len(in.fields), 4) {
 		if in.fields[i] == "x0" {
 			r.Load = f32(rec[1+4*i:])
@@ -193,9 +193,9 @@
 func arrival(rec []byte) placement.Arrival {
 	opts := rec[37]
 	a := placement.Arrival{Type: int(be.Uint16(rec[7:])), Tenant: int(be.Uint32(rec[9:])),
-		Key:  be.Uint64(rec[13:]),
-		Left: float64(be.Uint32(rec[21:])) * micro, Group: be.Uint64(rec[29:]), MidFlow: opts&8 != 0,
-		Back: opts&16 != 0}
+		ClientKey: be.Uint64(rec[13:]),
+		Timeout:   float64(be.Uint32(rec[21:])) * micro, GroupKey: be.Uint64(rec[29:]), MidFlow: opts&8 != 0,
+		Returning: opts&16 != 0}
 	if opts&1 != 0 {
 		a.Load = float64(be.Uint32(rec[25:])) * micro
 	}
@@ -210,14 +210,14 @@
 		if err != nil {
 			return err
 		}
-		r, door, err := rundown.Read(text, be.Uint64(rec[3:]))
+		r, door, err := rundown.Parse(text, be.Uint64(rec[3:]))
 		if err != nil {
 			return err
 		}
-		if r.Self < 0 {
-			r.Self = int(no)
+		if r.NodeNumber < 0 {
+			r.NodeNumber = int(no)
 		}
-		l.nodes[no] = &instance{b: placement.New(r), fields: door.Fields, flows: map[uint32]int{},
+		l.nodes[no] = &instance{b: placement.New(r), fields: door.ReportFields, flows: map[uint32]int{},
 			servers: map[uint32]int{}}
 		l.order = append(l.order, no)
 		return nil
@@ -240,40 +240,40 @@
 	case evFlow:
 		if _, twice := in.flows[id]; !twice {
 			in.newFlow(id)
-			in.b.Flow(now, in.flow(id), arrival(rec))
+			in.b.AddFlow(now, in.flow(id), arrival(rec))
 		}
 	case evCarried:
 		if _, twice := in.flows[id]; !twice {
 			in.newFlow(id)
-			in.b.Carried(now, in.flow(id), arrival(rec), in.server(be.Uint32(rec[38:])))
+			in.b.RestoreFlow(now, in.flow(id), arrival(rec), in.server(be.Uint32(rec[38:])))
 		}
 	case evFirst:
 		in.b.Established(in.flow(id), int(be.Uint16(rec[7:])))
 	case evEnded:
-		in.b.Ended(now, in.flow(id), int(be.Uint16(rec[7:])), outcome(be.Uint16(rec[13:])), rec[19] != 0)
+		in.b.AttemptEnded(now, in.flow(id), int(be.Uint16(rec[7:])), outcome(be.Uint16(rec[13:])), rec[19] != 0)
 	case evLeft:
-		in.b.Left(in.flow(id))
+		in.b.ClientLeft(in.flow(id))
 	case evNote:
 		level := f32(rec[14:])
 		switch rec[7] {
 		case 1:
-			in.b.LoadNote(in.flow(id), level*micro)
+			in.b.ReportLoad(in.flow(id), level*micro)
 		case 2:
-			in.b.DelayNote(now, in.flow(id), level*1e-3)
+			in.b.ReportDelay(now, in.flow(id), level*1e-3)
 		}
 	case evPeer:
 		text, err := piece(rec[5:], tail, 1)
 		if err != nil {
 			return err
 		}
-		for _, w := range peers.Read(text) {
+		for _, w := range peers.Parse(text) {
 			if at, known := in.servers[w.Host]; known {
-				in.b.Told(now, at, w.Load)
+				in.b.GossipReceived(now, at, w.Load)
 			}
 		}
 	case evProbed:
 		if at, ok := in.servers[be.Uint32(rec[9:])]; ok {
-			in.b.Probed(now, at, outcome(be.Uint16(rec[3:])), in.report(rec[13:]))
+			in.b.HealthChecked(now, at, outcome(be.Uint16(rec[3:])), in.report(rec[13:]))
 		}
 	case evWake:
 		in.b.Woken(now)
@@ -286,18 +286,18 @@
 		if err != nil {
 			return err
 		}
-		items := make([]placement.Listing, 0, len(text)/entryLen)
+		items := make([]placement.Endpoint, 0, len(text)/entryLen)
 		for ; len(text) > 0; text = text[entryLen:] {
 			state, ok := states[text[6]]
 			if !ok {
 				return fmt.Errorf("unknown server state %d", text[6])
 			}
 			host := be.Uint32(text[16:])
-			items = append(items, placement.Listing{Server: in.server(host), ID: host, State: state,
-				Since: float64(be.Uint64(text[7:])) * micro, Zone: int(be.Uint16(text[4:])),
+			items = append(items, placement.Endpoint{Server: in.server(host), ID: host, State: state,
+				StartedAt: float64(be.Uint64(text[7:])) * micro, Zone: int(be.Uint16(text[4:])),
 				Cell: int(be.Uint16(text[20:])), Size: math.Max(f32(text), 0)})
 		}
-		in.b.List(now, kind, items)
+		in.b.UpdateEndpoints(now, kind, items)
 	}
 	return nil
 }
@@ -309,50 +309,50 @@
 func (l *link) act(no uint16, in *instance, d placement.Decision) {
 	var rec [actionLen]byte
 	be.PutUint16(rec[1:], no)
-	switch d.Do {
+	switch d.Action {
 	case placement.Connect:
 		rec[0] = 1
 		be.PutUint32(rec[3:], in.flowIDs[d.Flow])
 		be.PutUint32(rec[7:], in.hostIDs[d.Server])
-		be.PutUint32(rec[11:], us(d.Within))
+		be.PutUint32(rec[11:], us(d.Seconds))
 	case placement.Reject:
 		rec[0] = 2
 		be.PutUint32(rec[3:], in.flowIDs[d.Flow])
-		if d.Within > 0 {
-			be.PutUint32(rec[7:], us(d.Within))
+		if d.Seconds > 0 {
+			be.PutUint32(rec[7:], us(d.Seconds))
 		}
 	case placement.Abort:
 		rec[0] = 3
 		be.PutUint32(rec[3:], in.flowIDs[d.Flow])
 	case placement.Wake:
 		rec[0] = 5
-		be.PutUint32(rec[3:], us(d.Within))
-	case placement.Probe:
+		be.PutUint32(rec[3:], us(d.Seconds))
+	case placement.CheckHealth:
 		rec[0] = 6
 		be.PutUint32(rec[3:], in.hostIDs[d.Server])
 	case placement.Log:
 		rec[0] = 9
 		be.PutUint32(rec[3:], uint32(len(l.tail)))
-		be.PutUint32(rec[7:], uint32(len(d.Line)))
-		l.tail = append(l.tail, d.Line...)
-	case placement.Follow:
+		be.PutUint32(rec[7:], uint32(len(d.Message)))
+		l.tail = append(l.tail, d.Message...)
+	case placement.WatchEndpoints:
 		rec[0], rec[3] = 11, 1
-	case placement.Tell:
-		in.words = append(in.words, peers.Word{Host: in.hostIDs[d.Server], Load: d.Load})
+	case placement.GossipLoad:
+		in.words = append(in.words, peers.HostLoad{Host: in.hostIDs[d.Server], Load: d.Load})
 		return
-	case placement.Move:
+	case placement.Migrate:
 		rec[0] = 13
 		be.PutUint32(rec[3:], in.flowIDs[d.Flow])
 	}
 	l.acts = append(l.acts, rec[:]...)
-	if d.Do == placement.Reject || d.Do == placement.Abort {
+	if d.Action == placement.Reject || d.Action == placement.Abort {
 		in.touched = append(in.touched, d.Flow)
 	}
 }
 
 // tell sends the words of this batch to every other instance, in as few messages as they take.
 func (l *link) tell(no uint16, in *instance) {
-	for ; len(in.words) > 0; in.words = in.words[min(len(in.words), peers.Most):] {
+	for ; len(in.words) > 0; in.words = in.words[min(len(in.words), peers.MaxLoads):] {
 		var rec [actionLen]byte
 		rec[0] = 8
 		be.PutUint16(rec[1:], no)
--- a/internal/lbwire/link_golden_test.go
+++ b/internal/lbwire/link_golden_test.go
@@ -143,17 +143,17 @@
 	first := goldenFrames(t, "input.hex")[0]
 	from, length := be.Uint32(first[16+11:]), be.Uint32(first[16+15:])
 	tail := first[16+48*be.Uint32(first[12:]):]
-	settings, rest, err := rundown.Read(tail[from:from+length], be.Uint64(first[16+3:]))
+	settings, rest, err := rundown.Parse(tail[from:from+length], be.Uint64(first[16+3:]))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if settings.Seed != 18446744073709551615 || settings.Nodes != 2 || settings.Self != 1 || settings.MaxConnects != 3 ||
-		settings.RetryAdvice != 2 || !settings.Peers || !settings.Probes || !settings.Reports || !settings.Subscribe ||
-		len(settings.Types) != 3 || !slices.Equal(settings.Quotas, []float64{6, 4}) {
+	if settings.Seed != 18446744073709551615 || settings.Nodes != 2 || settings.NodeNumber != 1 || settings.MaxAttempts != 3 ||
+		settings.MaxRetryAfter != 2 || !settings.LoadGossip || !settings.HealthChecks || !settings.LoadReports || !settings.WatchEndpoints ||
+		len(settings.ServiceTypes) != 3 || !slices.Equal(settings.Quotas, []float64{6, 4}) {
 		t.Errorf("read %+v", settings)
 	}
-	if !slices.Equal(rest.Fields, []string{"x1", "x0"}) || !slices.Equal(rest.Zones, []string{"a", "b"}) ||
-		!slices.Equal(rest.Tenants, []string{"acme", "beta"}) || !rest.PassThrough || !rest.TellsDelay || !rest.TellsLoad {
+	if !slices.Equal(rest.ReportFields, []string{"x1", "x0"}) || !slices.Equal(rest.Zones, []string{"a", "b"}) ||
+		!slices.Equal(rest.Tenants, []string{"acme", "beta"}) || !rest.PassThrough || !rest.ReportsDelay || !rest.ReportsLoad {
 		t.Errorf("read %+v", rest)
 	}
 }
--- a/internal/livesettings/keys.go
+++ b/internal/livesettings/keys.go
@@ -55,36 +55,36 @@
 // keys are all keys of the document.
 var keys = []key{
 	{pattern: "retry_advice_s", unit: "s", high: MaxRetryAdvice,
-		setNumber: func(s *Settings, _ string, x float64) { s.RetryAdvice = &x }},
+		setNumber: func(s *Settings, _ string, x float64) { s.MaxRetryAfter = &x }},
 	{pattern: "ask_within_s", unit: "s", low: MinAskWithin, high: MaxAskWithin,
-		setNumber: func(s *Settings, _ string, x float64) { s.AskWithin = &x }},
+		setNumber: func(s *Settings, _ string, x float64) { s.PollInterval = &x }},
 	{pattern: "nodes", unit: "nodes", low: MinNodes, high: MaxNodes, whole: true,
 		setNumber: func(s *Settings, _ string, x float64) { s.Nodes = count(x) }},
 	{pattern: "discovery",
 		setText: func(s *Settings, text string) { s.Discovery = &text }},
 	{pattern: "limits.max_connects", unit: "connects", low: MinMaxConnects, high: MaxMaxConnects, whole: true,
-		setNumber: func(s *Settings, _ string, x float64) { s.MaxConnects = count(x) }},
+		setNumber: func(s *Settings, _ string, x float64) { s.MaxAttempts = count(x) }},
 	{pattern: "limits.sockets", unit: "descriptors", low: MinSockets, high: MaxSockets, whole: true,
-		setNumber: func(s *Settings, _ string, x float64) { s.Sockets = count(x) }},
+		setNumber: func(s *Settings, _ string, x float64) { s.MaxDescriptors = count(x) }},
 	{pattern: "slow_start.from", unit: "share", low: MinSlowStartFrom, high: MaxSlowStartFrom,
-		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.From = &x }},
+		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.Share = &x }},
 	{pattern: "slow_start.for_s", unit: "s", low: MinSlowStartFor, high: MaxSlowStartFor,
-		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.For = &x }},
+		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.Duration = &x }},
 	{pattern: "slow_start.fall_multiple", unit: "times", low: MinFallMultiple, high: MaxFallMultiple,
-		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.FallMultiple = &x }},
+		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.OverloadMultiple = &x }},
 	{pattern: "slow_start.fall_for_s", unit: "s", low: MinFallFor, high: MaxFallFor,
-		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.FallFor = &x }},
+		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.OverloadWindow = &x }},
 	{pattern: "tenants.*.connections", unit: "connections", high: MaxConnections, whole: true,
 		setNumber: func(s *Settings, name string, x float64) {
 			change(&s.Tenants, name, func(t *live.Tenant) { t.Connections = count(x) })
 		}},
 	{pattern: "service_types.*.setup_target_s", unit: "s", low: MinSetupTarget, high: MaxSetupTarget,
 		setNumber: func(s *Settings, name string, x float64) {
-			change(&s.Types, name, func(t *live.ServiceType) { t.SetupTarget = &x })
+			change(&s.Types, name, func(t *live.ServiceType) { t.SetupObjective = &x })
 		}},
 	{pattern: "service_types.*.message_target_s", unit: "s", low: MinMessageTarget, high: MaxMessageTarget,
 		setNumber: func(s *Settings, name string, x float64) {
-			change(&s.Types, name, func(t *live.ServiceType) { t.MessageTarget = &x })
+			change(&s.Types, name, func(t *live.ServiceType) { t.MessageObjective = &x })
 		}},
 	{pattern: "hosts.*.disabled_until_s", unit: "Unix s", high: MaxDisabledUntil,
 		setNumber: func(s *Settings, name string, x float64) {
--- a/internal/livesettings/livesettings_golden_test.go
+++ b/internal/livesettings/livesettings_golden_test.go
@@ -70,21 +70,21 @@
 // goldenSettings returns what every_key.toml says.
 func goldenSettings() Settings {
 	return Settings{
-		RetryAdvice: pointer(12.5),
-		AskWithin:   pointer(8.0),
-		Nodes:       pointer(860),
-		Discovery:   pointer("127.0.0.1:8500"),
-		MaxConnects: pointer(2),
-		Sockets:     pointer(4096),
-		SlowStart: live.SlowStart{From: pointer(0.125), For: pointer(30.0), FallMultiple: pointer(3.0),
-			FallFor: pointer(1.5)},
+		MaxRetryAfter:  pointer(12.5),
+		PollInterval:   pointer(8.0),
+		Nodes:          pointer(860),
+		Discovery:      pointer("127.0.0.1:8500"),
+		MaxAttempts:    pointer(2),
+		MaxDescriptors: pointer(4096),
+		SlowStart: live.SlowStart{Share: pointer(0.125), Duration: pointer(30.0), OverloadMultiple: pointer(3.0),
+			OverloadWindow: pointer(1.5)},
 		Tenants: map[string]live.Tenant{
 			"red":           {Connections: pointer(20000)},
 			"green.b <&> ñ": {Connections: pointer(1000000000)},
 		},
 		Types: map[string]live.ServiceType{
-			"chat":       {SetupTarget: pointer(0.5), MessageTarget: pointer(0.25)},
-			"feed watch": {SetupTarget: pointer(600.0), MessageTarget: pointer(0.0625)},
+			"chat":       {SetupObjective: pointer(0.5), MessageObjective: pointer(0.25)},
+			"feed watch": {SetupObjective: pointer(600.0), MessageObjective: pointer(0.0625)},
 		},
 		Hosts: map[string]live.Host{
 			"s-5be2a07c": {DisabledUntil: pointer(1764650000.5), Weight: pointer(0.5)},
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -125,7 +125,7 @@
 			return
 		}
 		c.shut = true
-		n.ask(Shut{c.id})
+		n.ask(CloseWrite{c.id})
 		n.rest(c)
 		if !n.halfOpen(c) {
 			n.wait(c, lingering)
--- a/internal/node/connect.go
+++ b/internal/node/connect.go
@@ -14,7 +14,7 @@
 	f.try++
 	f.on, f.out, f.sent, f.sentAt = at, true, false, n.now
 	if !n.affords() {
-		n.connectOver(f, placement.NeverSent)
+		n.connectOver(f, placement.NotSent)
 		return
 	}
 	f.host = n.dial(server, at, f.opening.Within(f.first, within), within, f.client.id)
@@ -24,9 +24,9 @@
 // words that a host may answer with, and what each says of the connect.
 var answers = map[line.Word]placement.Outcome{
 	line.Bye:  placement.Served,
-	line.Move: placement.CalledOff,
-	line.Err:  placement.Errored,
-	line.Busy: placement.Full,
+	line.Move: placement.Canceled,
+	line.Err:  placement.Failed,
+	line.Busy: placement.Rejected,
 }
 
 // outcome of a connect that a host answered with something other than its receipt; what is not known may have
@@ -35,7 +35,7 @@
 	if how, ok := answers[word]; ok {
 		return how
 	}
-	return placement.Errored
+	return placement.Failed
 }
 
 // broken is the outcome of a connect that broke, ended or was never answered: whether it may have run turns
@@ -43,11 +43,11 @@
 func broken(sent, silent bool) placement.Outcome {
 	switch {
 	case !sent:
-		return placement.Unreached
+		return placement.ConnectFailed
 	case silent:
-		return placement.Unanswered
+		return placement.TimedOut
 	}
-	return placement.Broken
+	return placement.ConnectionLost
 }
 
 // connectOver tells the module how a connect ended that did not become a connection.
@@ -57,15 +57,15 @@
 	}
 	f.out = false
 	if f.carried {
-		n.module.Ended(n.now, f.id, f.try, how, true)
+		n.module.AttemptEnded(n.now, f.id, f.try, how, true)
 		if how.NeverRan() {
-			n.answer(f.client, line.BusyLine(0), NotCarried)
+			n.answer(f.client, line.BusyLine(0), NotRestored)
 		} else {
-			n.answer(f.client, []byte(line.ErrLine), NotCarried)
+			n.answer(f.client, []byte(line.ErrLine), NotRestored)
 		}
 		return
 	}
-	n.module.Ended(n.now, f.id, f.try, how, how == placement.Served)
+	n.module.AttemptEnded(n.now, f.id, f.try, how, how == placement.Served)
 	n.touched = append(n.touched, f.id)
 	if how == placement.Served { // it ran to its end before it was up: nothing of it can be passed on
 		n.answer(f.client, []byte(line.ErrLine), Served)
@@ -84,7 +84,7 @@
 		c.calm()
 		f.established, f.setup = true, n.now-f.client.since
 		n.settled(&n.figures.Types[f.kind].Established)
-		n.tellHeir(News{Sits: n.sitting(f)})
+		n.tellHeir(HandoverUpdate{Established: n.sitting(f)})
 		if !f.carried {
 			n.module.Established(f.id, f.try)
 		}
@@ -113,12 +113,12 @@
 // word. Guards against the delay of a jammed host, told to all its connections at once, being taken for a
 // load of next to nothing: the host that served nobody looked empty.
 func (n *Node) note(f *flow, x float64) {
-	if n.door.TellsDelay && (!n.door.TellsLoad || x < leastLoad && f.load >= x || x < leastLoad/2) {
-		n.module.DelayNote(n.now, f.id, x*1e3)
+	if n.door.ReportsDelay && (!n.door.ReportsLoad || x < leastLoad && f.load >= x || x < leastLoad/2) {
+		n.module.ReportDelay(n.now, f.id, x*1e3)
 		return
 	}
 	f.load = x
-	n.module.LoadNote(f.id, x)
+	n.module.ReportLoad(f.id, x)
 }
 
 // lineBack measures how long a message took.
@@ -127,7 +127,7 @@
 		return
 	}
 	if delay, known := n.took(f.waits[0]); known {
-		n.module.DelayNote(n.now, f.id, delay)
+		n.module.ReportDelay(n.now, f.id, delay)
 	}
 	f.waits = append(f.waits[:0], f.waits[1:]...)
 	if f.last != line.Other || f.host.finish != Open {
@@ -158,9 +158,9 @@
 		case !own:
 			n.broke(c)
 		case c.role == probe:
-			n.probed(c, placement.NeverSent, untold)
+			n.probed(c, placement.NotSent, untold)
 		default: // guards against sound hosts being set aside when the node itself runs out
-			n.connectOver(c.flow, placement.NeverSent)
+			n.connectOver(c.flow, placement.NotSent)
 		}
 		return
 	}
@@ -208,13 +208,13 @@
 	case f.last == line.Bye:
 		n.finished(f, Ended, Served, placement.Served)
 	case f.last == line.Move:
-		n.finished(f, Ended, SentAway, placement.CalledOff)
+		n.finished(f, Ended, SentAway, placement.Canceled)
 	case f.client.reason == ClientEnded:
-		n.finished(f, Ended, ClientEnded, placement.CalledOff)
+		n.finished(f, Ended, ClientEnded, placement.Canceled)
 	default:
 		// Guards against a stream that ends in good order being taken for a jam, for which others were moved
 		// off: a host that sheds, or dies, breaks what it drops.
-		n.finished(f, Ended, HostEnded, placement.CalledOff)
+		n.finished(f, Ended, HostEnded, placement.Canceled)
 	}
 }
 
@@ -229,7 +229,7 @@
 // left takes a client that does not wait for its answer.
 func (n *Node) left(f *flow) {
 	n.quit(f)
-	n.settled(&n.figures.Types[f.kind].Left)
+	n.settled(&n.figures.Types[f.kind].ClientLeft)
 	f.client.reason = ClientLeft
 	n.close(f.client, false)
 }
@@ -237,11 +237,11 @@
 // quit calls off what goes on for a flow that is not established.
 func (n *Node) quit(f *flow) {
 	n.gone(f)
-	n.module.Left(f.id)
+	n.module.ClientLeft(f.id)
 	if f.out {
 		f.out = false
 		n.close(f.host, false)
-		n.module.Ended(n.now, f.id, f.try, placement.CalledOff, true)
+		n.module.AttemptEnded(n.now, f.id, f.try, placement.Canceled, true)
 	}
 	n.touched = append(n.touched, f.id)
 }
@@ -262,12 +262,12 @@
 		c.reason = ClientReset
 		n.close(f.host, true)
 		n.close(c, false)
-		n.finished(f, Broken, ClientReset, placement.CalledOff)
+		n.finished(f, Broken, ClientReset, placement.Canceled)
 	case !f.established:
 		n.connectOver(f, broken(f.sent, false))
 	default:
 		n.close(c, false)
-		n.finished(f, Broken, HostReset, placement.Broken)
+		n.finished(f, Broken, HostReset, placement.ConnectionLost)
 	}
 }
 
@@ -300,16 +300,16 @@
 	f := c.flow
 	switch {
 	case c.role == probe:
-		n.probed(c, placement.Errored, untold)
+		n.probed(c, placement.Failed, untold)
 	case f == nil:
 		n.answer(c, []byte(line.ErrLine), ClientOdd)
 	case c.role == server && !f.established:
-		n.connectOver(f, placement.Errored)
+		n.connectOver(f, placement.Failed)
 	case c.role == server:
 		n.close(c, true)
-		n.finished(f, Ended, HostOdd, placement.Broken)
+		n.finished(f, Ended, HostOdd, placement.ConnectionLost)
 	default:
 		n.close(f.host, true)
-		n.finished(f, Ended, ClientOdd, placement.CalledOff)
+		n.finished(f, Ended, ClientOdd, placement.Canceled)
 	}
 }
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -29,106 +29,106 @@
 	Accepted struct{ Conn Conn }
 	// Dialed is the result of a Dial.
 	Dialed struct {
-		Conn Conn
-		Err  error
-		Own  bool // the node's own lack of something, which says nothing of the host
+		Conn         Conn
+		Err          error
+		LocalFailure bool // the node's own lack of something, which says nothing of the host
 	}
-	// Got is the result of a Read: N bytes stand in its buffer, and what came after them.
-	Got struct {
+	// ReadDone is the result of a Read: N bytes stand in its buffer, and what came after them.
+	ReadDone struct {
 		Conn Conn
 		N    int
 		End  End
 	}
-	// Wrote is the result of a Write: N bytes are with the system.
-	Wrote struct {
+	// WriteDone is the result of a Write: N bytes are with the system.
+	WriteDone struct {
 		Conn   Conn
 		N      int
 		Failed bool
 	}
-	// Departed says that a client has ended its sending, or broke its connection, behind what is read of it so far.
-	Departed struct{ Conn Conn }
+	// ClientGone says that a client has ended its sending, or broke its connection, behind what is read of it so far.
+	ClientGone struct{ Conn Conn }
 	// Closed says that a connection's descriptor is free again.
 	Closed struct{ Conn Conn }
-	// Listed is what discovery told.
-	Listed struct{ List roster.List }
-	// Spoke is a sign of life of the watch: its answer has begun, or some of it came, if only an empty line; Within a
+	// ListReceived is what discovery told.
+	ListReceived struct{ List roster.List }
+	// WatchAlive is a sign of life of the watch: its answer has begun, or some of it came, if only an empty line; Within a
 	// line, if that has not ended yet.
-	Spoke struct{ Within bool }
-	// Unlisted says that the watch has failed or ended.
-	Unlisted struct{ Why string }
-	// Relocated says that discovery is at another address now, and the old one about to go.
-	Relocated struct{}
-	// Tick comes when a Timer is due; it may come at any time.
-	Tick struct{}
-	// Leave asks the node to go.
-	Leave struct{}
-	// Opened says that the door is open.
-	Opened struct{}
-	// Inherited is what the elder leaves when it gives the clients over.
-	Inherited struct{ Legacy *Legacy }
-	// Told is news of the node's other process.
-	Told struct{ News News }
-	// Siblings is how many nodes share the hosts now, this one included.
-	Siblings struct{ Nodes int }
-	// Reconfigured is a revision of the live settings, answered by Configured in the same Apply.
-	Reconfigured struct{ Revision live.Revision }
-	// Heard is what another node said.
-	Heard struct{ Words []peers.Word }
-	// Adopted is an open connection of the elder's, under the number of a client's; its host's is asked for by Own.
-	Adopted struct {
-		Conn   Conn
-		Parcel *Parcel
+	WatchAlive struct{ MidLine bool }
+	// WatchFailed says that the watch has failed or ended.
+	WatchFailed struct{ Reason string }
+	// DiscoveryMoved says that discovery is at another address now, and the old one about to go.
+	DiscoveryMoved struct{}
+	// TimerFired comes when a Timer is due; it may come at any time.
+	TimerFired struct{}
+	// Shutdown asks the node to go.
+	Shutdown struct{}
+	// ListenerOpened says that the door is open.
+	ListenerOpened struct{}
+	// HandoverReceived is what the elder leaves when it gives the clients over.
+	HandoverReceived struct{ State *HandoverState }
+	// PeerProcessChanged is news of the node's other process.
+	PeerProcessChanged struct{ Update HandoverUpdate }
+	// NodesChanged is how many nodes share the hosts now, this one included.
+	NodesChanged struct{ Nodes int }
+	// SettingsReceived is a revision of the live settings, answered by Configured in the same Apply.
+	SettingsReceived struct{ Revision live.Revision }
+	// GossipReceived is what another node said.
+	GossipReceived struct{ Loads []peers.HostLoad }
+	// ConnectionReceived is an open connection of the elder's, under the number of a client's; its host's is asked for by Own.
+	ConnectionReceived struct {
+		Conn     Conn
+		Transfer *ConnectionTransfer
 	}
-	// Passed is the result of a Pass.
-	Passed struct {
+	// ConnectionSent is the result of a Pass.
+	ConnectionSent struct {
 		Conn Conn
 		OK   bool
 	}
-	// HeirGone and ElderGone say that it is no more.
-	HeirGone  struct{}
-	ElderGone struct{}
-	// Asked is a question of the second address or of an heir, answered by Answer in the same Apply.
-	Asked struct {
-		What Question
-		Host string // by name, where one is meant
+	// SuccessorGone and ElderGone say that it is no more.
+	SuccessorGone   struct{}
+	PredecessorGone struct{}
+	// Query is a question of the second address or of an heir, answered by Answer in the same Apply.
+	Query struct {
+		Question Question
+		Host     string // by name, where one is meant
 	}
 )
 
-func (Accepted) input()     {}
-func (Dialed) input()       {}
-func (Got) input()          {}
-func (Wrote) input()        {}
-func (Closed) input()       {}
-func (Departed) input()     {}
-func (Listed) input()       {}
-func (Spoke) input()        {}
-func (Unlisted) input()     {}
-func (Relocated) input()    {}
-func (Tick) input()         {}
-func (Leave) input()        {}
-func (Asked) input()        {}
-func (Opened) input()       {}
-func (Inherited) input()    {}
-func (Told) input()         {}
-func (Heard) input()        {}
-func (Siblings) input()     {}
-func (Reconfigured) input() {}
-func (Adopted) input()      {}
-func (Passed) input()       {}
-func (HeirGone) input()     {}
-func (ElderGone) input()    {}
+func (Accepted) input()           {}
+func (Dialed) input()             {}
+func (ReadDone) input()           {}
+func (WriteDone) input()          {}
+func (Closed) input()             {}
+func (ClientGone) input()         {}
+func (ListReceived) input()       {}
+func (WatchAlive) input()         {}
+func (WatchFailed) input()        {}
+func (DiscoveryMoved) input()     {}
+func (TimerFired) input()         {}
+func (Shutdown) input()           {}
+func (Query) input()              {}
+func (ListenerOpened) input()     {}
+func (HandoverReceived) input()   {}
+func (PeerProcessChanged) input() {}
+func (GossipReceived) input()     {}
+func (NodesChanged) input()       {}
+func (SettingsReceived) input()   {}
+func (ConnectionReceived) input() {}
+func (ConnectionSent) input()     {}
+func (SuccessorGone) input()      {}
+func (PredecessorGone) input()    {}
 
 // Question is what the second address or an heir may ask.
 type Question uint8
 
 // The questions.
 const (
-	IsReady Question = iota // may clients be sent here?
-	HowMany                 // the figures
-	TakeOut                 // the host takes nothing new from now on
-	PutBack                 // it does again, if list and module allow it
-	Claim                   // what goes over to an heir; it is told what changes from then on
-	Take                    // the same again: the heir takes the clients from now on
+	IsReady       Question = iota // may clients be sent here?
+	GetFigures                    // the figures
+	DisableHost                   // the host takes nothing new from now on
+	EnableHost                    // it does again, if list and module allow it
+	ClaimHandover                 // what goes over to an heir; it is told what changes from then on
+	TakeOver                      // the same again: the heir takes the clients from now on
 )
 
 // Effect is one thing that the core asks for.
@@ -142,7 +142,7 @@
 	Dial struct {
 		Conn    Conn
 		Address string
-		Within  float64
+		Timeout float64
 		For     Conn
 	}
 	// Read fills some of Into, answered by Got.
@@ -155,8 +155,8 @@
 		Conn Conn
 		Data []byte
 	}
-	// Shut ends the sending on a connection.
-	Shut struct{ Conn Conn }
+	// CloseWrite ends the sending on a connection.
+	CloseWrite struct{ Conn Conn }
 	// Close ends a connection, answered by Closed; Reset breaks it off.
 	Close struct {
 		Conn  Conn
@@ -168,80 +168,80 @@
 		Index  int64
 		Beside bool
 	}
-	// Unwatch ends the watch.
-	Unwatch struct{}
-	// Timer asks for a Tick at a time.
-	Timer struct{ At float64 }
-	// Note is a line of the log.
-	Note struct{ Line string }
-	// Done is the log line of a client's connection that ended.
-	Done struct{ Record Record }
+	// StopWatch ends the watch.
+	StopWatch struct{}
+	// SetTimer asks for a Tick at a time.
+	SetTimer struct{ At float64 }
+	// WriteLog is a line of the log.
+	WriteLog struct{ Line string }
+	// LogConnection is the log line of a client's connection that ended.
+	LogConnection struct{ Record Record }
 	// Exit says that nothing is left to do.
 	Exit struct{}
-	// Answer is the answer to what was Asked: no for a node that is not ready or a host that is not known.
-	Answer struct {
-		Yes      bool
-		StillOut bool    // of PutBack: the live settings disable the host
-		Figures  Figures // of HowMany
-		Legacy   *Legacy // of Claim and Take
+	// Reply is the answer to what was Asked: no for a node that is not ready or a host that is not known.
+	Reply struct {
+		OK            bool
+		StillDisabled bool           // of PutBack: the live settings disable the host
+		Figures       Figures        // of HowMany
+		Handover      *HandoverState // of Claim and Take
 	}
-	// Halt ends the read under way with what it has, if anything.
-	Halt struct{ Conn Conn }
-	// Pass sends a client's connection and its host's to the heir, answered by Passed.
-	Pass struct {
+	// StopReading ends the read under way with what it has, if anything.
+	StopReading struct{ Conn Conn }
+	// SendConnection sends a client's connection and its host's to the heir, answered by Passed.
+	SendConnection struct {
 		Conn, Host Conn
-		Parcel     *Parcel
+		Transfer   *ConnectionTransfer
 	}
-	// Own gives the host's connection that was adopted with a client's its number.
-	Own struct{ Conn, With Conn }
-	// Ready says, once, that clients could be served if the door were open.
-	Ready struct{}
-	// Tell is news for the node's other process, if there is one.
-	Tell struct{ News News }
-	// Say is for all other nodes.
-	Say struct{ Words []peers.Word }
-	// Configured answers Reconfigured: the revision is in force, or Err says why none of it is. What it says of Ignored
+	// BindHostConnection gives the host's connection that was adopted with a client's its number.
+	BindHostConnection struct{ Conn, Client Conn }
+	// OpenListener says, once, that clients could be served if the door were open.
+	OpenListener struct{}
+	// UpdatePeerProcess is news for the node's other process, if there is one.
+	UpdatePeerProcess struct{ Update HandoverUpdate }
+	// SendGossip is for all other nodes.
+	SendGossip struct{ Loads []peers.HostLoad }
+	// SettingsApplied answers Reconfigured: the revision is in force, or Err says why none of it is. What it says of Ignored
 	// keys has no effect here.
-	Configured struct {
+	SettingsApplied struct {
 		Ignored []string
 		Err     error
 	}
-	// Relocate says that discovery is at another address, by the live settings; the empty one stands for the start's.
+	// MoveDiscovery says that discovery is at another address, by the live settings; the empty one stands for the start's.
 	// A Watch follows.
-	Relocate struct{ Address string }
-	// Shutter ends the accepting of clients, once those who wait are let in.
-	Shutter struct{}
+	MoveDiscovery struct{ Address string }
+	// CloseListener ends the accepting of clients, once those who wait are let in.
+	CloseListener struct{}
 )
 
-func (Dial) effect()       {}
-func (Read) effect()       {}
-func (Write) effect()      {}
-func (Shut) effect()       {}
-func (Close) effect()      {}
-func (Watch) effect()      {}
-func (Unwatch) effect()    {}
-func (Timer) effect()      {}
-func (Note) effect()       {}
-func (Done) effect()       {}
-func (Exit) effect()       {}
-func (Halt) effect()       {}
-func (Pass) effect()       {}
-func (Own) effect()        {}
-func (Ready) effect()      {}
-func (Tell) effect()       {}
-func (Say) effect()        {}
-func (Shutter) effect()    {}
-func (Answer) effect()     {}
-func (Configured) effect() {}
-func (Relocate) effect()   {}
+func (Dial) effect()               {}
+func (Read) effect()               {}
+func (Write) effect()              {}
+func (CloseWrite) effect()         {}
+func (Close) effect()              {}
+func (Watch) effect()              {}
+func (StopWatch) effect()          {}
+func (SetTimer) effect()           {}
+func (WriteLog) effect()           {}
+func (LogConnection) effect()      {}
+func (Exit) effect()               {}
+func (StopReading) effect()        {}
+func (SendConnection) effect()     {}
+func (BindHostConnection) effect() {}
+func (OpenListener) effect()       {}
+func (UpdatePeerProcess) effect()  {}
+func (SendGossip) effect()         {}
+func (CloseListener) effect()      {}
+func (Reply) effect()              {}
+func (SettingsApplied) effect()    {}
+func (MoveDiscovery) effect()      {}
 
 // Record is what the log keeps of a client's connection.
 type Record struct {
-	Reason   Reason
-	Type     string
-	Host     string
-	Connects int
-	Lasted   float64 // seconds since it was accepted
-	Setup    float64 // seconds from the first line until it was established, 0 if it never was
-	Up, Down uint64  // bytes from the client and to it
+	Reason                         Reason
+	Type                           string
+	Host                           string
+	Attempts                       int
+	Duration                       float64 // seconds since it was accepted
+	Setup                          float64 // seconds from the first line until it was established, 0 if it never was
+	BytesFromClient, BytesToClient uint64  // bytes from the client and to it
 }
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -2,27 +2,27 @@
 
 import "gorseledge/internal/line"
 
-// Tally counts one service type's flows by how they were answered, since the start of the process.
-type Tally struct {
+// FlowCounts counts one service type's flows by how they were answered, since the start of the process.
+type FlowCounts struct {
 	Type                           string
 	Established, Rejected, Aborted int
-	Left                           int // the client did not wait for its answer
+	ClientLeft                     int // the client did not wait for its answer
 }
 
 // Figures are what the node tells of itself.
 type Figures struct {
-	Types      []Tally // in the order of the settings
-	Taken      int     // flows, from their first line on
-	Dispatched int     // first lines written to hosts, to the last byte
-	Waiting    int     // flows that wait for their answer
-	Open       int     // flows that wait or are established
-	Listed     int     // hosts in the list
-	Avoided    int     // hosts in the list that take no new flows now
+	Types       []FlowCounts // in the order of the settings
+	Accepted    int          // flows, from their first line on
+	Dispatched  int          // first lines written to hosts, to the last byte
+	Waiting     int          // flows that wait for their answer
+	Open        int          // flows that wait or are established
+	Listed      int          // hosts in the list
+	Unavailable int          // hosts in the list that take no new flows now
 }
 
 // taken counts a flow: its first line is whole, of a known service type and under an id of its own.
 func (n *Node) taken() {
-	n.figures.Taken++
+	n.figures.Accepted++
 	n.figures.Waiting++
 	n.figures.Open++
 }
@@ -47,7 +47,7 @@
 		f.over = true
 		n.figures.Open--
 		if f.established {
-			n.tellHeir(News{Over: f.opening.ID})
+			n.tellHeir(HandoverUpdate{EndedFlow: f.opening.ID})
 		}
 	}
 }
@@ -65,7 +65,7 @@
 // tell gives the figures as they stand.
 func (n *Node) tell() Figures {
 	f := n.figures
-	f.Types = append([]Tally(nil), f.Types...)
-	f.Listed, f.Avoided = n.module.Avoided(n.now)
+	f.Types = append([]FlowCounts(nil), f.Types...)
+	f.Listed, f.Unavailable = n.module.Unavailable(n.now)
 	return f
 }
--- a/internal/node/figures_test.go
+++ b/internal/node/figures_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-func (w *world) asks(q Question, host string) Answer {
+func (w *world) asks(q Question, host string) Reply {
 	w.Helper()
-	w.answer = Answer{Figures: Figures{Taken: -1}}
-	w.do(Asked{q, host})
-	if w.answer.Figures.Taken < 0 {
+	w.answer = Reply{Figures: Figures{Accepted: -1}}
+	w.do(Query{q, host})
+	if w.answer.Figures.Accepted < 0 {
 		w.Fatal("no answer")
 	}
 	return w.answer
@@ -22,7 +22,7 @@
 	f := w.n.tell()
 	sum := f.Waiting
 	for _, t := range f.Types {
-		sum += t.Established + t.Rejected + t.Aborted + t.Left
+		sum += t.Established + t.Rejected + t.Aborted + t.ClientLeft
 	}
 	open, waiting := 0, 0
 	for _, g := range w.n.flows {
@@ -33,8 +33,8 @@
 			}
 		}
 	}
-	if f.Taken != sum || f.Open != open || f.Waiting != waiting {
-		w.Fatalf("taken %d, answered, left and waiting %d; open %d, counted %d; waiting %d, counted %d", f.Taken, sum, open,
+	if f.Accepted != sum || f.Open != open || f.Waiting != waiting {
+		w.Fatalf("taken %d, answered, left and waiting %d; open %d, counted %d; waiting %d, counted %d", f.Accepted, sum, open,
 			f.Open, waiting, f.Waiting)
 	}
 	return f
@@ -75,7 +75,7 @@
 			h := w.dials[0]
 			w.stalled[h] = true
 			w.dialed(h)
-			w.do(Wrote{h, 5, true})
+			w.do(WriteDone{h, 5, true})
 			w.say(h, "", Broken)
 		}, none, 0, 1},
 		{"the answer overtakes the word that its line is out", func(w *world) {
@@ -111,14 +111,14 @@
 			w := newWorld(t, "proxy", 3, 100)
 			c.do(w)
 			f := w.balanced()
-			var sum Tally
+			var sum FlowCounts
 			for _, t := range f.Types {
 				sum.Established += t.Established
 				sum.Rejected += t.Rejected
 				sum.Aborted += t.Aborted
-				sum.Left += t.Left
+				sum.ClientLeft += t.ClientLeft
 			}
-			if got := fmt.Sprint(sum.Established, sum.Rejected, sum.Aborted, sum.Left); got != c.tally ||
+			if got := fmt.Sprint(sum.Established, sum.Rejected, sum.Aborted, sum.ClientLeft); got != c.tally ||
 				f.Dispatched != c.dispatched || f.Open != c.open || len(f.Types) != 3 {
 				t.Errorf("%s, %d dispatched, %d open; wanted %s, %d, %d", got, f.Dispatched, f.Open, c.tally, c.dispatched, c.open)
 			}
@@ -165,9 +165,9 @@
 			w.held = w.held[:0]
 		case 7:
 			w.now += 0.3 * chance.Float64()
-			w.do(Tick{})
+			w.do(TimerFired{})
 		case 8:
-			w.asks([]Question{TakeOut, PutBack}[chance.IntN(2)], fmt.Sprintf("s-%08x", 100+chance.IntN(4)))
+			w.asks([]Question{DisableHost, EnableHost}[chance.IntN(2)], fmt.Sprintf("s-%08x", 100+chance.IntN(4)))
 		}
 		w.balanced()
 	}
@@ -180,7 +180,7 @@
 		chance := rand.New(rand.NewPCG(seed, 1))
 		shuffle(w, chance, 120)
 		if seed%3 == 0 {
-			w.do(Leave{})
+			w.do(Shutdown{})
 			shuffle(w, chance, 40)
 		}
 		w.pass(12)
@@ -193,7 +193,7 @@
 // A host taken out by hand gets nothing more from the answer on; a name that was never listed leaves no trace.
 func TestHosts(t *testing.T) {
 	w := newWorld(t, "pass", 2, 100)
-	if a := w.asks(TakeOut, "s-00000065"); !a.Yes {
+	if a := w.asks(DisableHost, "s-00000065"); !a.OK {
 		t.Fatal("a listed host is not known")
 	}
 	for range 30 {
@@ -203,25 +203,25 @@
 		}
 		w.say(c, "", Ended)
 	}
-	if f := w.asks(HowMany, "").Figures; f.Listed != 2 || f.Avoided != 1 {
-		t.Errorf("%d listed, %d avoided", f.Listed, f.Avoided)
+	if f := w.asks(GetFigures, "").Figures; f.Listed != 2 || f.Unavailable != 1 {
+		t.Errorf("%d listed, %d avoided", f.Listed, f.Unavailable)
 	}
 	for i := range 50 {
-		if w.asks(TakeOut, fmt.Sprint("s-none", i)).Yes || w.asks(PutBack, fmt.Sprint("s-none", i)).Yes {
+		if w.asks(DisableHost, fmt.Sprint("s-none", i)).OK || w.asks(EnableHost, fmt.Sprint("s-none", i)).OK {
 			t.Fatal("a host never listed is known")
 		}
 	}
 	if len(w.n.hosts) != 2 || len(w.n.byName) != 2 {
 		t.Errorf("%d hosts kept", len(w.n.hosts))
 	}
-	w.do(Listed{hostList(1)}) // one that has left the list is known all the same
-	if !w.asks(PutBack, "s-00000065").Yes {
+	w.do(ListReceived{hostList(1)}) // one that has left the list is known all the same
+	if !w.asks(EnableHost, "s-00000065").OK {
 		t.Error("a host that was listed is not known")
 	}
-	if !w.asks(IsReady, "").Yes {
+	if !w.asks(IsReady, "").OK {
 		t.Error("not ready")
 	}
-	if w.do(Leave{}); w.asks(IsReady, "").Yes {
+	if w.do(Shutdown{}); w.asks(IsReady, "").OK {
 		t.Error("ready though it leaves")
 	}
 }
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -87,7 +87,7 @@
 	case !n.affords():
 		n.turnAway(c, kind, NoSockets)
 	case n.leaving && !n.door.PassThrough || n.late():
-		n.turnAway(c, kind, Leaving)
+		n.turnAway(c, kind, ShuttingDown)
 	default:
 		n.begin(c, &flow{client: c, kind: kind, try: -1, opening: o, first: append([]byte(nil), text...)})
 	}
@@ -113,11 +113,11 @@
 	n.place(f)
 	a := n.arrival(f)
 	if f.opening.At == "" {
-		n.module.Flow(n.now, f.id, a)
+		n.module.AddFlow(n.now, f.id, a)
 		return
 	}
 	f.carried = true
-	n.module.Carried(n.now, f.id, a, at)
+	n.module.RestoreFlow(n.now, f.id, a, at)
 	n.connect(f, at, f.opening.Timeout)
 }
 
@@ -138,10 +138,10 @@
 	if !known {
 		tenant = len(n.door.Tenants) // a member without a share
 	}
-	a := placement.Arrival{Type: f.kind, Tenant: tenant, Key: f.opening.Key, Group: f.opening.Group,
-		Left: f.opening.Timeout, Load: f.opening.Load, MidFlow: f.opening.MidFlow, Back: f.opening.Back}
+	a := placement.Arrival{Type: f.kind, Tenant: tenant, ClientKey: f.opening.Key, GroupKey: f.opening.Group,
+		Timeout: f.opening.Timeout, Load: f.opening.Load, MidFlow: f.opening.MidFlow, Returning: f.opening.Back}
 	if s := n.ids.sits[f.opening.ID]; s != nil {
-		a.On = 1 + s.at
+		a.HeldBy = 1 + s.at
 		n.leaves(s.ID)
 	}
 	return a
@@ -179,7 +179,7 @@
 func (n *Node) finished(f *flow, end End, why Reason, how placement.Outcome) {
 	n.gone(f)
 	f.out = false
-	n.module.Ended(n.now, f.id, f.try, how, true)
+	n.module.AttemptEnded(n.now, f.id, f.try, how, true)
 	n.touched = append(n.touched, f.id)
 	c := f.client
 	if c.reason == "" {
@@ -195,12 +195,12 @@
 
 // record writes the log line of a client's connection.
 func (n *Node) record(c *conn) {
-	r := Record{Reason: c.reason, Lasted: n.now - c.since, Down: c.passed}
+	r := Record{Reason: c.reason, Duration: n.now - c.since, BytesToClient: c.passed}
 	if f := c.flow; f != nil {
-		r.Type, r.Connects, r.Setup = n.door.Types[f.kind], f.try+1, f.setup
+		r.Type, r.Attempts, r.Setup = n.door.ServiceTypes[f.kind], f.try+1, f.setup
 		if f.host != nil {
-			r.Host, r.Up = n.hosts[f.on].name, f.host.passed
+			r.Host, r.BytesFromClient = n.hosts[f.on].name, f.host.passed
 		}
 	}
-	n.ask(Done{r})
+	n.ask(LogConnection{r})
 }
--- a/internal/node/hand.go
+++ b/internal/node/hand.go
@@ -3,24 +3,24 @@
 import "fmt"
 
 // asked carries out what the second address asks for; the answer says that it is done.
-func (n *Node) asked(q Asked) {
-	a := Answer{Yes: true}
-	switch q.What {
+func (n *Node) asked(q Query) {
+	a := Reply{OK: true}
+	switch q.Question {
 	case IsReady:
-		a.Yes = n.isReady()
-	case HowMany:
+		a.OK = n.isReady()
+	case GetFigures:
 		a.Figures = n.tell()
-	case TakeOut, PutBack:
-		if a.Yes = n.byHand(q.Host, q.What == TakeOut); n.shut {
+	case DisableHost, EnableHost:
+		if a.OK = n.byHand(q.Host, q.Question == DisableHost); n.shut {
 			n.calls = append(n.calls, q)
 		}
-		a.StillOut = q.What == PutBack && n.overridden(q.Host)
-	case Claim:
+		a.StillDisabled = q.Question == EnableHost && n.overridden(q.Host)
+	case ClaimHandover:
 		n.paired, n.heldTold = true, 0
-		a.Legacy = n.legacy()
-	case Take:
+		a.Handover = n.legacy()
+	case TakeOver:
 		n.give()
-		a.Legacy = n.legacy()
+		a.Handover = n.legacy()
 	}
 	n.ask(a)
 }
@@ -32,11 +32,11 @@
 	if known && n.hosts[at].disabledByHand != out {
 		n.hosts[at].disabledByHand = out
 		n.applyDisabled(at)
-		n.ask(Note{fmt.Sprintf("host %s by hand: %s", name, map[bool]string{true: "out", false: "back"}[out])})
+		n.ask(WriteLog{fmt.Sprintf("host %s by hand: %s", name, map[bool]string{true: "out", false: "back"}[out])})
 		if out {
-			n.ask(Tell{News{Out: name}})
+			n.ask(UpdatePeerProcess{HandoverUpdate{DisabledHost: name}})
 		} else {
-			n.ask(Tell{News{Back: name}})
+			n.ask(UpdatePeerProcess{HandoverUpdate{EnabledHost: name}})
 		}
 	}
 	return known
--- a/internal/node/ids.go
+++ b/internal/node/ids.go
@@ -11,13 +11,13 @@
 // ids knows the flows by the id of their first line, which is new with every connection.
 type ids struct {
 	open map[string]*flow
-	sits map[string]*Sitting // connections of the node's other process
+	sits map[string]*InheritedConnection // connections of the node's other process
 	// Client keys by the hash of an ended flow's id; half of them outlive each turn.
 	spent, older map[uint64]uint64
 }
 
 func newIDs() ids {
-	return ids{open: map[string]*flow{}, sits: map[string]*Sitting{}, spent: map[uint64]uint64{}}
+	return ids{open: map[string]*flow{}, sits: map[string]*InheritedConnection{}, spent: map[uint64]uint64{}}
 }
 
 // stray tells whether a first line has the id of another client's flow. Guards against errors at every host
@@ -28,7 +28,7 @@
 		return !o.MidFlow || o.Key != f.opening.Key
 	}
 	if there := s.sits[o.ID]; there != nil {
-		return !o.MidFlow || o.Key != there.Key
+		return !o.MidFlow || o.Key != there.ClientKey
 	}
 	id := line.Hash([]byte(o.ID))
 	key, ended := s.spent[id]
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -22,7 +22,7 @@
 }
 
 // stay is for how long a leaving node still answers what it took.
-func (n *Node) stay() float64 { return min(n.door.Longest, longestStay) + lastMargin }
+func (n *Node) stay() float64 { return min(n.door.MaxConnectTimeout, longestStay) + lastMargin }
 
 // late tells whether it is too late for a leaving node to begin a flow.
 func (n *Node) late() bool { return n.leaving && n.now >= n.leaveAt+n.stay()-lastWords }
@@ -46,17 +46,17 @@
 		switch {
 		case f == nil || f.over || f.lifting: // guards against a move of what is about to go over
 		case f.established && !n.door.PassThrough:
-			n.move(f, MovedLeaving, placement.CalledOff)
+			n.move(f, MigratedAtShutdown, placement.Canceled)
 		case !f.established && n.late():
 			n.quit(f)
-			n.answer(f.client, []byte(line.ErrLine), Leaving)
+			n.answer(f.client, []byte(line.ErrLine), ShuttingDown)
 		case f.established:
 			held = true
 		}
 	}
 	for _, id := range n.idlers {
 		if c := n.conns[id]; c != nil && c.idle && c.finish == Open && n.late() {
-			n.dismiss(c, Leaving)
+			n.dismiss(c, ShuttingDown)
 		}
 	}
 	end := stay
@@ -65,7 +65,7 @@
 	}
 	if !n.shuttered && n.now >= n.leaveAt+stillComing {
 		n.shuttered = true
-		n.ask(Shutter{})
+		n.ask(CloseListener{})
 	}
 	done := n.alone() && (n.given || n.now >= n.leaveAt+stillComing)
 	if !n.exited && (n.now >= n.leaveAt+end || done) {
--- a/internal/node/legacy.go
+++ b/internal/node/legacy.go
@@ -15,98 +15,98 @@
 	sitsFor     = 10.0 // that connections of an elder that is gone have to come again
 )
 
-// Sitting is an open connection of the node's other process.
-type Sitting struct {
-	ID   string  `json:"ID"`
-	Key  uint64  `json:"Key"`
-	Host string  `json:"Host"`
-	Load float64 `json:"Load"`
-	at   int
-}
-
-// Legacy is what a process leaves to the one that takes its place, its elder's included.
-type Legacy struct {
-	Index  int64             `json:"Index"`
-	Heard  bool              `json:"Heard"` // discovery has told a list
-	Hosts  []roster.Host     `json:"Hosts"` // all that were ever listed, as they were told last
-	Module placement.Legacy  `json:"Module"`
-	Sits   []Sitting         `json:"Sits"`
-	Spent  map[uint64]uint64 `json:"Spent"` // client keys by the hash of an ended flow's id
-	Held   int               `json:"Held"`  // descriptors
+// InheritedConnection is an open connection of the node's other process.
+type InheritedConnection struct {
+	ID        string  `json:"ID"`
+	ClientKey uint64  `json:"Key"`
+	Host      string  `json:"Host"`
+	Load      float64 `json:"Load"`
+	at        int
+}
+
+// HandoverState is what a process leaves to the one that takes its place, its elder's included.
+type HandoverState struct {
+	Index        int64                   `json:"Index"`
+	ListReceived bool                    `json:"Heard"` // discovery has told a list
+	Hosts        []roster.Host           `json:"Hosts"` // all that were ever listed, as they were told last
+	Module       placement.HandoverState `json:"Module"`
+	Connections  []InheritedConnection   `json:"Sits"`
+	EndedFlows   map[uint64]uint64       `json:"Spent"` // client keys by the hash of an ended flow's id
+	Descriptors  int                     `json:"Held"`  // descriptors
 
 	Revision       *live.Revision `json:"Revision,omitempty"`       // of the live settings; nil for none
 	DisabledByHand []string       `json:"DisabledByHand,omitempty"` // hosts, where there is a revision: the module's are those of both
 }
 
-// News is what one process tells the other while there are two. One field is set.
-type News struct {
-	Out  string   `json:"Out,omitempty"`  // a host by hand
-	Back string   `json:"Back,omitempty"` // a host by hand
-	Sits *Sitting `json:"Sits,omitempty"` // a flow became a connection
-	Over string   `json:"Over,omitempty"` // id of a connection that is no more
-	Held int      `json:"Held,omitempty"` // descriptors
+// HandoverUpdate is what one process tells the other while there are two. One field is set.
+type HandoverUpdate struct {
+	DisabledHost string               `json:"Out,omitempty"`  // a host by hand
+	EnabledHost  string               `json:"Back,omitempty"` // a host by hand
+	Established  *InheritedConnection `json:"Sits,omitempty"` // a flow became a connection
+	EndedFlow    string               `json:"Over,omitempty"` // id of a connection that is no more
+	Descriptors  int                  `json:"Held,omitempty"` // descriptors
 
 	Revision *live.Revision `json:"Revision,omitempty"` // of the live settings, in force
 }
 
 // legacy gives all that goes over.
-func (n *Node) legacy() *Legacy {
-	l := &Legacy{Index: n.index, Heard: n.heard, Module: n.module.Legacy(), Spent: n.ids.ended(),
-		Held: n.used() + n.lent}
+func (n *Node) legacy() *HandoverState {
+	l := &HandoverState{Index: n.index, ListReceived: n.heard, Module: n.module.HandoverState(), EndedFlows: n.ids.ended(),
+		Descriptors: n.used() + n.lent}
 	for _, h := range n.hosts {
 		l.Hosts = append(l.Hosts, h.told)
 	}
 	for _, f := range n.flows {
 		if f != nil && f.established && !f.over {
-			l.Sits = append(l.Sits, *n.sitting(f))
+			l.Connections = append(l.Connections, *n.sitting(f))
 		}
 	}
 	for _, s := range n.ids.sits {
-		l.Sits = append(l.Sits, *s)
+		l.Connections = append(l.Connections, *s)
 	}
 	n.handoverSettings(l)
 	return l
 }
 
-func (n *Node) sitting(f *flow) *Sitting {
-	return &Sitting{ID: f.opening.ID, Key: f.opening.Key, Host: n.hosts[f.on].name, Load: cmp.Or(f.load, f.opening.Load)}
+func (n *Node) sitting(f *flow) *InheritedConnection {
+	return &InheritedConnection{ID: f.opening.ID, ClientKey: f.opening.Key, Host: n.hosts[f.on].name, Load: cmp.Or(f.load, f.opening.Load)}
 }
 
 // inherit takes what the elder has left; a second time, in place of the first.
-func (n *Node) inherit(l *Legacy) {
+func (n *Node) inherit(l *HandoverState) {
 	places := make([]int, len(l.Hosts))
 	for i, h := range l.Hosts {
 		places[i] = n.host(h.Name)
 	}
-	if l.Heard && (!n.heard || l.Index >= n.index) {
+	if l.ListReceived && (!n.heard || l.Index >= n.index) {
 		n.heard, n.misses = true, 0
-		n.list(placement.ListFull, roster.List{Index: l.Index, Whole: true, Hosts: l.Hosts})
+		n.list(placement.ListFull, roster.List{Index: l.Index, Complete: true, Hosts: l.Hosts})
 	}
-	mine := n.module.Legacy().Servers
+	mine := n.module.HandoverState().Servers
 	for i, s := range l.Module.Servers {
 		if i < len(places) {
-			mine = append(mine, make([]placement.Standing, max(places[i]+1-len(mine), 0))...)
+			mine = append(mine, make([]placement.ServerState, max(places[i]+1-len(mine), 0))...)
 			mine[places[i]] = s
 		}
 	}
 	l.Module.Servers = mine
-	n.module.Inherit(l.Module)
+	n.module.Restore(l.Module)
 	n.inheritSettings(l, places)
-	n.ids.spent, n.ids.older = map[uint64]uint64{}, l.Spent
+	n.ids.spent, n.ids.older = map[uint64]uint64{}, l.EndedFlows
 	for _, id := range n.ids.sitting() {
 		n.leaves(id)
 	}
-	for i := range l.Sits {
-		n.sits(&l.Sits[i])
+	for i := range l.Connections {
+		n.sits(&l.Connections[i])
 	}
-	n.lent = l.Held + n.toll
+	n.lent = l.Descriptors + n.toll
 	for _, q := range n.calls { // guards against a call that crossed with what the elder says here
-		n.byHand(q.Host, q.What == TakeOut)
+		n.byHand(q.Host, q.Question == DisableHost)
 	}
 }
 
 // sits takes a connection that the elder holds.
-func (n *Node) sits(s *Sitting) {
+func (n *Node) sits(s *InheritedConnection) {
 	at, known := n.byName[s.Host]
 	if !known || len(n.ids.sits) >= mostSpent {
 		return
@@ -114,39 +114,39 @@
 	n.leaves(s.ID)
 	s.at = at
 	n.ids.sits[s.ID] = s
-	n.module.Elsewhere(at, 1, s.Load)
+	n.module.AddPeerLoad(at, 1, s.Load)
 }
 
 // leaves takes the end of a connection that the elder holds, or its coming here.
 func (n *Node) leaves(id string) {
 	if s := n.ids.sits[id]; s != nil {
 		delete(n.ids.sits, id)
-		n.module.Elsewhere(s.at, -1, -s.Load)
+		n.module.AddPeerLoad(s.at, -1, -s.Load)
 	}
 }
 
 // toldBy takes news of the node's other process.
-func (n *Node) toldBy(news News) {
+func (n *Node) toldBy(news HandoverUpdate) {
 	switch {
-	case news.Out != "":
-		n.byHand(news.Out, true)
-	case news.Back != "":
-		n.byHand(news.Back, false)
+	case news.DisabledHost != "":
+		n.byHand(news.DisabledHost, true)
+	case news.EnabledHost != "":
+		n.byHand(news.EnabledHost, false)
 	case news.Revision != nil:
 		if _, err := n.putInForce(*news.Revision); err != nil {
-			n.ask(Note{fmt.Sprintf("the other process's revision %d.%d not in force: %v", news.Revision.Epoch,
+			n.ask(WriteLog{fmt.Sprintf("the other process's revision %d.%d not in force: %v", news.Revision.Epoch,
 				news.Revision.Number, err)})
 		}
 	case n.given: // an heir's own connections are none of its elder's business
-	case news.Sits != nil:
-		n.sits(news.Sits)
-	case news.Over != "":
-		if s := n.ids.sits[news.Over]; s != nil {
-			n.ids.remember(s.ID, s.Key)
+	case news.Established != nil:
+		n.sits(news.Established)
+	case news.EndedFlow != "":
+		if s := n.ids.sits[news.EndedFlow]; s != nil {
+			n.ids.remember(s.ID, s.ClientKey)
 			n.leaves(s.ID)
 		}
-	case news.Held > 0:
-		n.lent = news.Held + n.toll
+	case news.Descriptors > 0:
+		n.lent = news.Descriptors + n.toll
 	}
 }
 
@@ -155,8 +155,8 @@
 func (n *Node) give() {
 	n.given = true
 	n.limit = min(n.limit, n.used()+n.lent+spareFew+1+flightSpare)
-	n.module.Give(true)
-	n.ask(Note{fmt.Sprintf("an heir takes the clients: %d descriptors held", n.used())})
+	n.module.SetHandedOver(true)
+	n.ask(WriteLog{fmt.Sprintf("an heir takes the clients: %d descriptors held", n.used())})
 	for _, f := range n.flows {
 		if f != nil {
 			n.lift(f)
@@ -175,14 +175,14 @@
 			n.unlift(f)
 		}
 	}
-	n.module.Give(false)
-	n.ask(Note{"the heir is gone"})
+	n.module.SetHandedOver(false)
+	n.ask(WriteLog{"the heir is gone"})
 }
 
 // elderGone is the end of the other process: what it held comes again soon, or never.
 func (n *Node) elderGone() {
 	n.lent, n.forgetAt = 0, n.now+sitsFor
-	n.ask(Note{fmt.Sprintf("the elder is gone, %d connections may come again", len(n.ids.sits))})
+	n.ask(WriteLog{fmt.Sprintf("the elder is gone, %d connections may come again", len(n.ids.sits))})
 }
 
 // forget drops what did not come.
@@ -196,9 +196,9 @@
 }
 
 // tellHeir tells an heir what changed of the connections here.
-func (n *Node) tellHeir(news News) {
+func (n *Node) tellHeir(news HandoverUpdate) {
 	if n.paired {
-		n.ask(Tell{news})
+		n.ask(UpdatePeerProcess{news})
 	}
 }
 
@@ -206,7 +206,7 @@
 func (n *Node) tellHeld() {
 	if held := n.used() + n.lent; n.paired && held != n.heldTold && held > 0 {
 		n.heldTold = held
-		n.ask(Tell{News{Held: held}})
+		n.ask(UpdatePeerProcess{HandoverUpdate{Descriptors: held}})
 	}
 }
 
--- a/internal/node/legacy_golden_test.go
+++ b/internal/node/legacy_golden_test.go
@@ -28,7 +28,7 @@
 // inheritingNode starts a node with the golden state.
 func inheritingNode(t *testing.T) *Node {
 	t.Helper()
-	var state Legacy
+	var state HandoverState
 	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, "inherited.json")))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&state); err != nil {
@@ -38,7 +38,7 @@
 }
 
 // startedNode starts a node at a fixed time with a predecessor's state, or nil for none.
-func startedNode(t *testing.T, state *Legacy) *Node {
+func startedNode(t *testing.T, state *HandoverState) *Node {
 	t.Helper()
 	const nodeSettings = `{"family_info":{"mode":"end","message_aim_us":[50000,50000],"tenant_quota_connections":[50,60]},
 		"limits":{"dial_timeout_us":250000,"max_connects":8,"max_retry_after_us":2000000,"probes":true,"retry_after":true},
@@ -46,19 +46,19 @@
 		"parties":[{"name":"acme"},{"name":"beta"}],"zones":["a","b"],"siblings":2,"me":1,"service_types":[
 		{"name":"chat","effect":"repeatable","group":"all","give_up_us":2000000,"setup_target_us":300000},
 		{"name":"feed","effect":"once","group":"all","give_up_us":2000000,"setup_target_us":300000}]}`
-	settings, rest, err := rundown.Read([]byte(nodeSettings), 7)
+	settings, rest, err := rundown.Parse([]byte(nodeSettings), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New(1700000100, Start{Rundown: settings, Door: rest, Sockets: 900, Toll: 20, Shut: true, Left: state})
+	return New(1700000100, Start{Settings: settings, Listener: rest, MaxDescriptors: 900, DescriptorOverhead: 20, NotListening: true, Handover: state})
 }
 
 // handedOver returns the node's answer to a successor that claims its state, as JSON.
 func handedOver(t *testing.T, n *Node) []byte {
 	t.Helper()
-	for _, effect := range n.Apply(1700000100, Asked{What: Claim}) {
-		if answer, ok := effect.(Answer); ok {
-			text, err := json.Marshal(answer.Legacy)
+	for _, effect := range n.Apply(1700000100, Query{Question: ClaimHandover}) {
+		if answer, ok := effect.(Reply); ok {
+			text, err := json.Marshal(answer.Handover)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -96,11 +96,11 @@
 			if before := handedOver(t, n); !strings.Contains(string(before), c.before) {
 				t.Fatalf("no %s before, in %s", c.before, before)
 			}
-			var news News
+			var news HandoverUpdate
 			if err := json.Unmarshal([]byte(c.news), &news); err != nil {
 				t.Fatal(err)
 			}
-			n.Apply(1700000100, Told{news})
+			n.Apply(1700000100, PeerProcessChanged{news})
 			after := string(handedOver(t, n))
 			if !strings.Contains(after, c.after) || strings.Contains(after, c.before) {
 				t.Errorf("%s and no %s expected, in %s", c.after, c.before, after)
@@ -111,12 +111,12 @@
 
 // The golden connection is adopted with everything that crosses beside its descriptors.
 func TestGoldenConnectionIsAdopted(t *testing.T) {
-	var parcel Parcel
+	var parcel ConnectionTransfer
 	if err := json.Unmarshal(readGolden(t, "connection.json"), &parcel); err != nil {
 		t.Fatal(err)
 	}
 	n := startedNode(t, nil)
-	n.Apply(1700000100, Adopted{Conn: 1001, Parcel: &parcel})
+	n.Apply(1700000100, ConnectionReceived{Conn: 1001, Transfer: &parcel})
 	if len(n.flows) != 1 || n.flows[0] == nil {
 		t.Fatal("not adopted")
 	}
--- a/internal/node/legacy_test.go
+++ b/internal/node/legacy_test.go
@@ -14,14 +14,14 @@
 // heir makes a process that takes over from w; what goes over crosses as JSON.
 func (w *world) heir(mode string) *world {
 	w.Helper()
-	r, d, err := rundown.Read(fmt.Appendf(nil, settings, mode), 8)
+	r, d, err := rundown.Parse(fmt.Appendf(nil, settingsJSON, mode), 8)
 	if err != nil {
 		w.Fatal(err)
 	}
 	h := newWorld(w.T, mode, 0, 100)
 	h.now, h.accepts, h.watches = w.now, 1001, nil
-	h.n = New(h.now, Start{Rundown: r, Door: d, Sockets: w.n.sockets, Toll: 20, Shut: true, Left: crossed(w, w.asks(Claim, "").Legacy)})
-	h.do(Tick{})
+	h.n = New(h.now, Start{Settings: r, Listener: d, MaxDescriptors: w.n.sockets, DescriptorOverhead: 20, NotListening: true, Handover: crossed(w, w.asks(ClaimHandover, "").Handover)})
+	h.do(TimerFired{})
 	return h
 }
 
@@ -40,8 +40,8 @@
 // take has an heir take the clients.
 func (w *world) takenBy(h *world) {
 	w.Helper()
-	h.do(Inherited{crossed(w, w.asks(Take, "").Legacy)})
-	h.do(Opened{})
+	h.do(HandoverReceived{crossed(w, w.asks(TakeOver, "").Handover)})
+	h.do(ListenerOpened{})
 }
 
 // carry brings what was passed and told from w to h, or back where it is lost; names gives each connection's
@@ -57,13 +57,13 @@
 		if !lost {
 			h.accepts += 2
 			h.how[h.n.dialed+2] = ""
-			h.do(Adopted{h.accepts, crossed(w, p.Parcel)})
+			h.do(ConnectionReceived{h.accepts, crossed(w, p.Transfer)})
 			names[p.Conn], names[p.Host] = h.accepts, h.owned.Conn
 		}
-		w.do(Passed{p.Conn, !lost})
+		w.do(ConnectionSent{p.Conn, !lost})
 	}
 	for ; len(w.news) > 0; w.news = w.news[1:] {
-		h.do(Told{crossed(w, w.news[0])})
+		h.do(PeerProcessChanged{crossed(w, w.news[0])})
 	}
 	return names
 }
@@ -103,7 +103,7 @@
 			t.Errorf("%s: the client got %.80q, wanted %.80q", c.name, got, want)
 		}
 		w.balanced()
-		if f := h.balanced(); f.Open != 1 || f.Taken != 0 {
+		if f := h.balanced(); f.Open != 1 || f.Accepted != 0 {
 			t.Errorf("%s: the heir tells of %+v", c.name, f)
 		}
 		h.say(names[client], "", Ended)
@@ -144,7 +144,7 @@
 		if !c.stays {
 			continue
 		}
-		w.do(HeirGone{}) // and the heir with it: the elder takes clients again
+		w.do(SuccessorGone{}) // and the heir with it: the elder takes clients again
 		before := len(w.dials)
 		if w.come("b2 c=chat,t=acme,d=2000"); len(w.dials) == before {
 			t.Errorf("%s: the elder places nobody", c.name)
@@ -179,7 +179,7 @@
 	if names := w.carry(h, false); len(names) != 2 || h.n.balance() != 1 {
 		t.Fatalf("passed %v", names)
 	}
-	w.do(Leave{})
+	w.do(Shutdown{})
 	if !w.exited {
 		t.Error("nothing is left, and it stays")
 	}
@@ -194,7 +194,7 @@
 		client, host := w.established("a1 c=chat,t=acme,d=2000")
 		w.stalled[client] = true
 		w.say(host, "M 1\r\n", Open)
-		w.asks(TakeOut, "s-00000066")
+		w.asks(DisableHost, "s-00000066")
 		h = w.heir("pass")
 		w.takenBy(h)
 		w.carry(h, false)
@@ -206,29 +206,29 @@
 		do   func(t *testing.T, w, h *world, client Conn)
 	}{
 		{"ready at once, from the elder's list", func(t *testing.T, w, h *world, _ Conn) {
-			if !h.asks(IsReady, "").Yes || h.ready != 1 || len(h.watches) > 1 || len(h.watches) == 1 && h.watches[0] != 6 {
+			if !h.asks(IsReady, "").OK || h.ready != 1 || len(h.watches) > 1 || len(h.watches) == 1 && h.watches[0] != 6 {
 				t.Errorf("ready said %d times, watches %v", h.ready, h.watches)
 			}
 		}},
 		{"hosts out stay out", func(t *testing.T, w, h *world, _ Conn) {
-			if f := h.asks(HowMany, "").Figures; f.Listed != 3 || f.Avoided != 1 {
-				t.Errorf("%d listed, %d avoided", f.Listed, f.Avoided)
+			if f := h.asks(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 1 {
+				t.Errorf("%d listed, %d avoided", f.Listed, f.Unavailable)
 			}
 		}},
 		{"a call at the heir reaches the elder", func(t *testing.T, w, h *world, _ Conn) {
-			h.asks(PutBack, "s-00000066")
-			h.asks(TakeOut, "s-00000065")
+			h.asks(EnableHost, "s-00000066")
+			h.asks(DisableHost, "s-00000065")
 			h.carry(w, false)
-			if a, b := w.n.tell().Avoided, h.n.tell().Avoided; a != 1 || b != 1 || len(w.news) == 0 {
+			if a, b := w.n.tell().Unavailable, h.n.tell().Unavailable; a != 1 || b != 1 || len(w.news) == 0 {
 				t.Errorf("%d and %d avoided, %v", a, b, w.news)
 			}
 		}},
 		{"a call at the elder reaches the heir, and comes to rest", func(t *testing.T, w, h *world, _ Conn) {
-			w.asks(TakeOut, "s-00000065")
+			w.asks(DisableHost, "s-00000065")
 			w.carry(h, false)
 			h.carry(w, false)
 			w.carry(h, false)
-			if a, b := w.n.tell().Avoided, h.n.tell().Avoided; a != 2 || b != 2 || len(w.news)+len(h.news) != 0 {
+			if a, b := w.n.tell().Unavailable, h.n.tell().Unavailable; a != 2 || b != 2 || len(w.news)+len(h.news) != 0 {
 				t.Errorf("%d and %d avoided, %v %v", a, b, w.news, h.news)
 			}
 		}},
@@ -255,12 +255,12 @@
 			if h.n.lent != w.n.used()+20+flightSpare || w.n.used() < 2 {
 				t.Errorf("%d lent, %d held", h.n.lent, w.n.used())
 			}
-			if h.do(ElderGone{}); h.n.lent != 0 {
+			if h.do(PredecessorGone{}); h.n.lent != 0 {
 				t.Errorf("%d lent by nobody", h.n.lent)
 			}
 		}},
 		{"connections that did not come are forgotten in time", func(t *testing.T, w, h *world, _ Conn) {
-			h.do(ElderGone{})
+			h.do(PredecessorGone{})
 			if h.pass(sitsFor / 2); len(h.n.ids.sits) != 1 {
 				t.Error("forgotten too soon")
 			}
@@ -281,16 +281,16 @@
 			}
 		}},
 		{"a third process learns all of both", func(t *testing.T, w, h *world, client Conn) {
-			h.asks(TakeOut, "s-00000064")
+			h.asks(DisableHost, "s-00000064")
 			third := h.heir("pass")
 			h.takenBy(third)
 			h.carry(third, false)
-			if third.n.tell().Avoided != 2 || third.n.ids.sits[strings.Fields(id(client))[1]] == nil {
+			if third.n.tell().Unavailable != 2 || third.n.ids.sits[strings.Fields(id(client))[1]] == nil {
 				t.Errorf("%+v, %v", third.n.tell(), third.n.ids.sits)
 			}
 		}},
 		{"an heir that is gone gives the clients back", func(t *testing.T, w, h *world, _ Conn) {
-			if w.do(HeirGone{}); w.n.limit != 100 || w.n.given {
+			if w.do(SuccessorGone{}); w.n.limit != 100 || w.n.given {
 				t.Errorf("limit %d, given %v", w.n.limit, w.n.given)
 			}
 		}},
@@ -306,10 +306,10 @@
 func TestCallsCross(t *testing.T) {
 	w := newWorld(t, "pass", 3, 100)
 	h := w.heir("pass")
-	late := w.asks(Take, "").Legacy // said before the call below
-	h.asks(TakeOut, "s-00000065")
-	h.do(Inherited{crossed(w, late)})
-	if h.n.tell().Avoided != 1 {
+	late := w.asks(TakeOver, "").Handover // said before the call below
+	h.asks(DisableHost, "s-00000065")
+	h.do(HandoverReceived{crossed(w, late)})
+	if h.n.tell().Unavailable != 1 {
 		t.Error("put back by what the elder had said before")
 	}
 }
@@ -319,13 +319,13 @@
 	w := newWorld(t, "pass", 0, 100)
 	w.n.heard = false
 	h := w.heir("pass")
-	if h.ready != 0 || h.asks(IsReady, "").Yes {
+	if h.ready != 0 || h.asks(IsReady, "").OK {
 		t.Fatal("ready without a list")
 	}
-	if h.do(Listed{hostList(2)}); h.ready != 1 || h.asks(IsReady, "").Yes {
+	if h.do(ListReceived{hostList(2)}); h.ready != 1 || h.asks(IsReady, "").OK {
 		t.Fatal("could not serve, or was ready before its door was open")
 	}
-	if h.do(Opened{}); !h.asks(IsReady, "").Yes {
+	if h.do(ListenerOpened{}); !h.asks(IsReady, "").OK {
 		t.Fatal("not ready")
 	}
 }
@@ -333,12 +333,12 @@
 // Both together never send a cold host more than the one would have: the elder has no part of it any more.
 func TestColdBudgetIsShared(t *testing.T) {
 	w := newWorld(t, "pass", 0, 1000)
-	w.do(Listed{roster.List{Index: 9, Whole: true, Hosts: []roster.Host{{Name: "s-00000064", Address: "h0", Status: "SERVING",
-		Since: (w.now - 1) * 1e3}}}})
-	w.n.module.ColdFor, w.n.module.ColdFrom, w.n.module.FallFor, w.n.module.FallMultiple = 100, 0.1, 1000, 2
-	w.n.module.Began = 0 // a window before this one at the least; its heir begins within it
+	w.do(ListReceived{roster.List{Index: 9, Complete: true, Hosts: []roster.Host{{Name: "s-00000064", Address: "h0", Status: "SERVING",
+		StartedAtMS: (w.now - 1) * 1e3}}}})
+	w.n.module.SlowStartTime, w.n.module.SlowStartShare, w.n.module.OverloadWindow, w.n.module.OverloadMultiple = 100, 0.1, 1000, 2
+	w.n.module.StartedAt = 0 // a window before this one at the least; its heir begins within it
 	h := w.heir("pass")
-	h.n.module.ColdFor, h.n.module.ColdFrom, h.n.module.FallFor, h.n.module.FallMultiple = 100, 0.1, 1000, 2
+	h.n.module.SlowStartTime, h.n.module.SlowStartShare, h.n.module.OverloadWindow, h.n.module.OverloadMultiple = 100, 0.1, 1000, 2
 	for range 40 {
 		w.come("a1 c=chat,d=900")
 	}
@@ -368,16 +368,16 @@
 			shuffle(h, chance, 4)
 			h.carry(w, false)
 		}
-		w.do(Leave{})
+		w.do(Shutdown{})
 		for range 5 {
 			w.pass(0.5)
 			w.carry(h, false)
 			h.now = w.now
-			h.do(Tick{})
+			h.do(TimerFired{})
 			w.balanced()
 			h.balanced()
 		}
-		h.do(ElderGone{})
+		h.do(PredecessorGone{})
 	}
 }
 
@@ -391,7 +391,7 @@
 	w.say(host, "M 2\r\n", Open)
 	h := w.heir("proxy")
 	w.takenBy(h)
-	w.do(Leave{})
+	w.do(Shutdown{})
 	names := w.carry(h, false)
 	if len(names) != 2 || strings.Contains(w.said[client], "MOVE") || w.exited {
 		t.Fatalf("passed %v, told %q, exited %v", names, w.said[client], w.exited)
--- a/internal/node/lift.go
+++ b/internal/node/lift.go
@@ -11,18 +11,18 @@
 	liftWithin  = 0.5 // for what was read to go out; a far side that takes nothing keeps its connection here
 )
 
-// Parcel is an open connection as it goes over to the heir, beside its two descriptors.
-type Parcel struct {
-	First string    `json:"First"` // the client's first line
-	Host  string    `json:"Host"`
-	Up    []byte    `json:"Up"`   // read from the client and from the host, and not yet passed on: less than a line
-	Down  []byte    `json:"Down"` // read from the client and from the host, and not yet passed on: less than a line
-	Waits []float64 `json:"Waits"`
-	Load  float64   `json:"Load"`
-	Setup float64   `json:"Setup"`
-	Since float64   `json:"Since"`
-	Sent  uint64    `json:"Sent"` // bytes passed on to the host and to the client
-	Back  uint64    `json:"Back"` // bytes passed on to the host and to the client
+// ConnectionTransfer is an open connection as it goes over to the heir, beside its two descriptors.
+type ConnectionTransfer struct {
+	OpeningLine   string    `json:"First"` // the client's first line
+	Host          string    `json:"Host"`
+	FromClient    []byte    `json:"Up"`   // read from the client and from the host, and not yet passed on: less than a line
+	FromHost      []byte    `json:"Down"` // read from the client and from the host, and not yet passed on: less than a line
+	SentAt        []float64 `json:"Waits"`
+	Load          float64   `json:"Load"`
+	Setup         float64   `json:"Setup"`
+	AcceptedAt    float64   `json:"Since"`
+	BytesToHost   uint64    `json:"Sent"` // bytes passed on to the host and to the client
+	BytesToClient uint64    `json:"Back"` // bytes passed on to the host and to the client
 }
 
 // lift begins to hand an open connection to the heir: nothing more is read of it, and what is read goes out first.
@@ -34,7 +34,7 @@
 	n.lifts = append(n.lifts, f)
 	for _, c := range []*conn{f.client, f.host} {
 		if c.reading {
-			n.ask(Halt{c.id})
+			n.ask(StopReading{c.id})
 		}
 	}
 }
@@ -64,9 +64,9 @@
 			n.passing++
 			c.calm()
 			h.calm()
-			n.ask(Pass{c.id, h.id, &Parcel{First: string(f.first), Host: n.hosts[f.on].name, Up: c.in.Append(nil, 0, c.in.Len()),
-				Down: h.in.Append(nil, 0, h.in.Len()), Waits: f.waits, Load: f.load, Setup: f.setup, Since: c.since,
-				Sent: h.passed, Back: c.passed}})
+			n.ask(SendConnection{c.id, h.id, &ConnectionTransfer{OpeningLine: string(f.first), Host: n.hosts[f.on].name, FromClient: c.in.Append(nil, 0, c.in.Len()),
+				FromHost: h.in.Append(nil, 0, h.in.Len()), SentAt: f.waits, Load: f.load, Setup: f.setup, AcceptedAt: c.since,
+				BytesToHost: h.passed, BytesToClient: c.passed}})
 		}
 		left = append(left, f)
 	}
@@ -96,7 +96,7 @@
 	f.lifting = false
 	n.figures.Open--
 	f.over, f.out = true, false
-	n.module.Ended(n.now, f.id, f.try, placement.CalledOff, true)
+	n.module.AttemptEnded(n.now, f.id, f.try, placement.Canceled, true)
 	n.touched = append(n.touched, f.id)
 	c.reason = HandedOver
 	n.close(f.host, false)
@@ -104,34 +104,34 @@
 }
 
 // adopt goes on with an open connection of the elder's.
-func (n *Node) adopt(id Conn, p *Parcel) {
+func (n *Node) adopt(id Conn, p *ConnectionTransfer) {
 	c := n.newConn(id, client)
-	c.up, c.heard, c.since, c.passed = true, true, p.Since, p.Back
+	c.up, c.heard, c.since, c.passed = true, true, p.AcceptedAt, p.BytesToClient
 	n.dialed += 2
 	h := n.newConn(n.dialed, server)
-	h.up, h.host, h.passed = true, n.host(p.Host), p.Sent
-	n.ask(Own{Conn: h.id, With: id})
+	h.up, h.host, h.passed = true, n.host(p.Host), p.BytesToHost
+	n.ask(BindHostConnection{Conn: h.id, Client: id})
 	n.lent = max(n.lent-2, 0)
-	o, err := line.ParseOpening([]byte(p.First))
+	o, err := line.ParseOpening([]byte(p.OpeningLine))
 	kind, known := n.types[o.Type]
-	if err != nil || !known || len(p.Up) > ringSize || len(p.Down) > ringSize { // the settings changed with the version
+	if err != nil || !known || len(p.FromClient) > ringSize || len(p.FromHost) > ringSize { // the settings changed with the version
 		c.reason = UnknownType
 		n.close(h, true)
 		n.close(c, true)
 		return
 	}
-	f := &flow{client: c, host: h, kind: kind, opening: o, first: []byte(p.First), on: h.host, out: true, sent: true,
-		established: true, setup: p.Setup, load: p.Load, waits: p.Waits}
+	f := &flow{client: c, host: h, kind: kind, opening: o, first: []byte(p.OpeningLine), on: h.host, out: true, sent: true,
+		established: true, setup: p.Setup, load: p.Load, waits: p.SentAt}
 	c.flow, h.flow = f, f
-	c.in, h.in = filled(p.Up), filled(p.Down)
+	c.in, h.in = filled(p.FromClient), filled(p.FromHost)
 	n.place(f)
 	n.figures.Open++
 	a := n.arrival(f)
-	n.module.Carried(n.now, f.id, a, f.on)
+	n.module.RestoreFlow(n.now, f.id, a, f.on)
 	if f.load > 0 {
-		n.module.LoadNote(f.id, f.load)
+		n.module.ReportLoad(f.id, f.load)
 	}
-	n.tellHeir(News{Sits: n.sitting(f)})
+	n.tellHeir(HandoverUpdate{Established: n.sitting(f)})
 	if len(f.waits) > 0 {
 		n.wait(h, max(f.waits[0]+quietAfter-n.now, 0))
 	}
--- a/internal/node/live/live.go
+++ b/internal/node/live/live.go
@@ -6,24 +6,24 @@
 
 // Settings replace figures of a node's start. What is nil or missing stands as the start has it. Times are seconds.
 type Settings struct {
-	RetryAdvice *float64               `json:"retry_advice_s,omitempty"` // longest retry time that a client is told
-	AskWithin   *float64               `json:"ask_within_s,omitempty"`   // the host list is asked for within this time
-	Nodes       *int                   `json:"nodes,omitempty"`          // nodes that share the hosts
-	Discovery   *string                `json:"discovery,omitempty"`      // address of discovery
-	MaxConnects *int                   `json:"max_connects,omitempty"`   // connects for one flow
-	Sockets     *int                   `json:"sockets,omitempty"`        // descriptors of the node
-	SlowStart   SlowStart              `json:"slow_start,omitzero"`
-	Tenants     map[string]Tenant      `json:"tenants,omitempty"`       // by name
-	Types       map[string]ServiceType `json:"service_types,omitempty"` // by name
-	Hosts       map[string]Host        `json:"hosts,omitempty"`         // by id
+	MaxRetryAfter  *float64               `json:"retry_advice_s,omitempty"` // longest retry time that a client is told
+	PollInterval   *float64               `json:"ask_within_s,omitempty"`   // the host list is asked for within this time
+	Nodes          *int                   `json:"nodes,omitempty"`          // nodes that share the hosts
+	Discovery      *string                `json:"discovery,omitempty"`      // address of discovery
+	MaxAttempts    *int                   `json:"max_connects,omitempty"`   // connects for one flow
+	MaxDescriptors *int                   `json:"sockets,omitempty"`        // descriptors of the node
+	SlowStart      SlowStart              `json:"slow_start,omitzero"`
+	Tenants        map[string]Tenant      `json:"tenants,omitempty"`       // by name
+	Types          map[string]ServiceType `json:"service_types,omitempty"` // by name
+	Hosts          map[string]Host        `json:"hosts,omitempty"`         // by id
 }
 
 // SlowStart says how much a host bears that has just started.
 type SlowStart struct {
-	From         *float64 `json:"from,omitempty"`          // share of its capacity at its start
-	For          *float64 `json:"for_s,omitempty"`         // it bears all after this time
-	FallMultiple *float64 `json:"fall_multiple,omitempty"` // it falls over at this multiple of what it bears
-	FallFor      *float64 `json:"fall_for_s,omitempty"`    // for this time
+	Share            *float64 `json:"from,omitempty"`          // share of its capacity at its start
+	Duration         *float64 `json:"for_s,omitempty"`         // it bears all after this time
+	OverloadMultiple *float64 `json:"fall_multiple,omitempty"` // it falls over at this multiple of what it bears
+	OverloadWindow   *float64 `json:"fall_for_s,omitempty"`    // for this time
 }
 
 // Tenant is one tenant's share.
@@ -33,8 +33,8 @@
 
 // ServiceType holds the targets of one service type.
 type ServiceType struct {
-	SetupTarget   *float64 `json:"setup_target_s,omitempty"`
-	MessageTarget *float64 `json:"message_target_s,omitempty"`
+	SetupObjective   *float64 `json:"setup_target_s,omitempty"`
+	MessageObjective *float64 `json:"message_target_s,omitempty"`
 }
 
 // Host overrides what discovery lists of one host.
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -10,8 +10,8 @@
 )
 
 // states of a host; one that is not known here gets nothing new.
-var states = map[string]placement.State{"SERVING": placement.Ready, "DRAINING": placement.Draining,
-	"DELETED": placement.Gone}
+var states = map[string]placement.EndpointState{"SERVING": placement.Ready, "DRAINING": placement.Draining,
+	"DELETED": placement.Removed}
 
 // number gives the id that a name stands for: all nodes and the simulator order the base list by it.
 func number(name string) uint32 {
@@ -39,7 +39,7 @@
 	n.heard, n.misses = true, 0
 	n.watch.spoke(n.now, false)
 	kind := placement.ListChanges
-	if l.Whole {
+	if l.Complete {
 		kind = placement.ListFull
 	}
 	n.list(kind, l)
@@ -52,7 +52,7 @@
 			n.hosts[at].told.Status = "DELETED"
 		}
 	}
-	items := make([]placement.Listing, 0, len(l.Hosts))
+	items := make([]placement.Endpoint, 0, len(l.Hosts))
 	for _, h := range l.Hosts {
 		at := n.host(h.Name)
 		if h.Address != "" {
@@ -68,10 +68,10 @@
 		if !ok {
 			zone = -1
 		}
-		items = append(items, placement.Listing{Server: at, ID: number(h.Name), State: state,
-			Since: max(h.Since, 0) / 1e3, Zone: zone, Cell: int(h.Group), Size: n.weightOf(h.Name, h.Weight)})
+		items = append(items, placement.Endpoint{Server: at, ID: number(h.Name), State: state,
+			StartedAt: max(h.StartedAtMS, 0) / 1e3, Zone: zone, Cell: int(h.Group), Size: n.weightOf(h.Name, h.Weight)})
 	}
-	n.module.List(n.now, kind, items)
+	n.module.UpdateEndpoints(n.now, kind, items)
 	if !n.live.revision.IsZero() {
 		for _, it := range items {
 			n.applyDisabled(it.Server)
@@ -89,7 +89,7 @@
 			continue
 		}
 		if h := &n.hosts[f.on]; states[h.told.Status] != placement.Ready || h.overridden {
-			n.connectOver(f, placement.NeverSent)
+			n.connectOver(f, placement.NotSent)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,13 +14,13 @@
 
 // Start is what a node is told before its first input.
 type Start struct {
-	Rundown placement.Rundown
-	Door    rundown.Door
-	Known   roster.List // the list as this node last had it; it may be old
-	Sockets int         // descriptors that its connections may take
-	Toll    int         // descriptors that a process takes beside its connections
-	Shut    bool        // the door is not open yet: Ready asks for it, and Opened says that it is
-	Left    *Legacy     // what an elder has left; nil for none
+	Settings           placement.Settings
+	Listener           rundown.ListenerSettings
+	CachedList         roster.List    // the list as this node last had it; it may be old
+	MaxDescriptors     int            // descriptors that its connections may take
+	DescriptorOverhead int            // descriptors that a process takes beside its connections
+	NotListening       bool           // the door is not open yet: Ready asks for it, and Opened says that it is
+	Handover           *HandoverState // what an elder has left; nil for none
 
 	// AwaitSettings is for how long the listener stays closed at the most until a first revision of the live settings
 	// comes, in seconds; zero where none is to come.
@@ -39,7 +39,7 @@
 // Node is the whole state of a real node.
 type Node struct {
 	module   *placement.Balancer
-	door     rundown.Door
+	door     rundown.ListenerSettings
 	probes   string // what a probe says
 	mayProbe bool
 	now      float64
@@ -86,7 +86,7 @@
 	heldTold int
 	lifts    []*flow // that go over to the heir
 	passing  int     // of these are on their way
-	calls    []Asked // hosts by hand, called here while the elder still has the clients
+	calls    []Query // hosts by hand, called here while the elder still has the clients
 	forgetAt float64 // when what an elder held will not come any more
 
 	leaving   bool
@@ -105,29 +105,29 @@
 
 // New gives a node at its start; the first Apply is due at once.
 func New(now float64, s Start) *Node {
-	if s.Door.Pushed { // lists are pushed to the machine's own agent: what that has counts at once
-		s.Rundown.AskWithin = agentWithin
+	if s.Listener.ListPushed { // lists are pushed to the machine's own agent: what that has counts at once
+		s.Settings.PollInterval = agentWithin
 	}
 	// Guards against a referenced flow that is sent again within its memory span and arrives past it.
-	s.Rundown.DialWithin = s.Door.DialTimeout
-	s.Rundown.Began = now
-	s.Rundown.Subscribe = true // on sockets the list always comes by a watch
+	s.Settings.DialTimeout = s.Listener.DialTimeout
+	s.Settings.StartedAt = now
+	s.Settings.WatchEndpoints = true // on sockets the list always comes by a watch
 	// A host sends a line back at once, also when its work piles up. Guards against hosts taken for jammed
 	// that are not: where reports tell the load itself, the time of a probe adds nothing but noise.
-	s.Rundown.Timed = !s.Rundown.Reports && !s.Door.TellsDelay
-	n := &Node{module: placement.New(s.Rundown), door: s.Door, now: now, conns: map[Conn]*conn{},
-		ids: newIDs(), limit: s.Sockets, byName: map[string]int{}, byNumber: map[uint32]int{},
-		probes: probeWords(s.Rundown.Reports), mayProbe: s.Rundown.Probes,
-		types: places(s.Door.Types), tenants: places(s.Door.Tenants), zones: places(s.Door.Zones),
-		shut: s.Shut || s.AwaitSettings > 0, succeeds: s.Shut, sockets: s.Sockets, toll: s.Toll + flightSpare, wakeAt: math.Inf(1), timerAt: math.Inf(1),
-		tick: s.Rundown.Tick, watch: watch{fresh: now}}
+	s.Settings.TimeHealthChecks = !s.Settings.LoadReports && !s.Listener.ReportsDelay
+	n := &Node{module: placement.New(s.Settings), door: s.Listener, now: now, conns: map[Conn]*conn{},
+		ids: newIDs(), limit: s.MaxDescriptors, byName: map[string]int{}, byNumber: map[uint32]int{},
+		probes: probeWords(s.Settings.LoadReports), mayProbe: s.Settings.HealthChecks,
+		types: places(s.Listener.ServiceTypes), tenants: places(s.Listener.Tenants), zones: places(s.Listener.Zones),
+		shut: s.NotListening || s.AwaitSettings > 0, succeeds: s.NotListening, sockets: s.MaxDescriptors, toll: s.DescriptorOverhead + flightSpare, wakeAt: math.Inf(1), timerAt: math.Inf(1),
+		tick: s.Settings.Tick, watch: watch{fresh: now}}
 	n.live = newLiveSettings(now, s)
-	for _, name := range s.Door.Types {
-		n.figures.Types = append(n.figures.Types, Tally{Type: name})
+	for _, name := range s.Listener.ServiceTypes {
+		n.figures.Types = append(n.figures.Types, FlowCounts{Type: name})
 	}
-	n.list(placement.ListCached, s.Known)
-	if s.Left != nil {
-		n.inherit(s.Left)
+	n.list(placement.ListCached, s.CachedList)
+	if s.Handover != nil {
+		n.inherit(s.Handover)
 		n.watch = watch{fresh: now} // nothing can be asked for yet
 	}
 	return n
@@ -156,13 +156,13 @@
 	if n.shut && !n.able && n.mayOpen() {
 		n.able = true
 		n.noteUnawaited()
-		n.ask(Ready{})
+		n.ask(OpenListener{})
 	}
 	n.liftOn()
 	n.tellHeld()
 	if at := n.nextDue(); at != n.timerAt && !math.IsInf(at, 1) {
 		n.timerAt = at
-		n.ask(Timer{at})
+		n.ask(SetTimer{at})
 	}
 	return n.out
 }
@@ -172,7 +172,7 @@
 // against a node that was held up blaming its hosts for it.
 func (n *Node) lateness(in Input) {
 	late := max(n.now-n.timerAt-n.tick, 0)
-	if _, rang := in.(Tick); rang || late > n.lag {
+	if _, rang := in.(TimerFired); rang || late > n.lag {
 		n.lag = late
 	}
 }
@@ -194,104 +194,104 @@
 		}
 	case Dialed:
 		if c := n.conns[in.Conn]; c != nil {
-			n.dialedUp(c, in.Err, in.Own)
+			n.dialedUp(c, in.Err, in.LocalFailure)
 		}
-	case Got:
+	case ReadDone:
 		if c := n.conns[in.Conn]; c != nil {
 			n.got(c, in.N, in.End)
 		}
-	case Wrote:
+	case WriteDone:
 		if c := n.conns[in.Conn]; c != nil {
 			n.wrote(c, in.N, in.Failed)
 		}
-	case Departed:
+	case ClientGone:
 		if c := n.conns[in.Conn]; c != nil {
 			n.departed(c)
 		}
 	case Closed:
 		n.descriptors--
 		n.closing--
-	case Listed:
+	case ListReceived:
 		n.listed(in.List)
-	case Spoke:
-		n.watch.spoke(n.now, in.Within)
-	case Unlisted:
-		n.unlisted(placement.ListFailed, in.Why)
-	case Relocated:
+	case WatchAlive:
+		n.watch.spoke(n.now, in.MidLine)
+	case WatchFailed:
+		n.unlisted(placement.ListFailed, in.Reason)
+	case DiscoveryMoved:
 		n.relocated()
-	case Leave:
+	case Shutdown:
 		n.leave()
-	case Asked:
+	case Query:
 		n.asked(in)
-	case Opened:
+	case ListenerOpened:
 		n.shut = false
-	case Inherited:
-		n.inherit(in.Legacy)
-	case Told:
-		n.toldBy(in.News)
-	case Siblings:
+	case HandoverReceived:
+		n.inherit(in.State)
+	case PeerProcessChanged:
+		n.toldBy(in.Update)
+	case NodesChanged:
 		n.siblings(in.Nodes)
-	case Reconfigured:
+	case SettingsReceived:
 		n.reconfigured(in.Revision)
-	case Heard:
-		for _, w := range in.Words { // of a host that was never listed here nothing is kept
+	case GossipReceived:
+		for _, w := range in.Loads { // of a host that was never listed here nothing is kept
 			if at, known := n.byNumber[w.Host]; known {
-				n.module.Told(n.now, at, w.Load)
+				n.module.GossipReceived(n.now, at, w.Load)
 			}
 		}
-	case Adopted:
-		n.adopt(in.Conn, in.Parcel)
-	case Passed:
+	case ConnectionReceived:
+		n.adopt(in.Conn, in.Transfer)
+	case ConnectionSent:
 		if c := n.conns[in.Conn]; c != nil {
 			n.passed(c, in.OK)
 		}
-	case HeirGone:
+	case SuccessorGone:
 		n.heirGone()
-	case ElderGone:
+	case PredecessorGone:
 		n.elderGone()
-	case Tick:
+	case TimerFired:
 		n.timerAt = math.Inf(1)
 	}
 }
 
 // pull carries out what the module decides until it has nothing more to say.
 func (n *Node) pull() {
-	var words []peers.Word
+	var words []peers.HostLoad
 	for {
 		d, ok := n.module.Next(n.now)
 		if !ok {
 			break
 		}
-		switch d.Do {
+		switch d.Action {
 		case placement.Connect:
-			n.connect(n.flows[d.Flow], d.Server, d.Within)
+			n.connect(n.flows[d.Flow], d.Server, d.Seconds)
 		case placement.Reject:
-			n.reject(n.flows[d.Flow], d.Within)
+			n.reject(n.flows[d.Flow], d.Seconds)
 		case placement.Abort:
 			n.abort(n.flows[d.Flow])
-		case placement.Move:
-			n.move(n.flows[d.Flow], Moved, placement.CalledOff)
-		case placement.Probe:
+		case placement.Migrate:
+			n.move(n.flows[d.Flow], Migrated, placement.Canceled)
+		case placement.CheckHealth:
 			n.probe(d.Server)
-		case placement.Tell:
-			words = append(words, peers.Word{Host: number(n.hosts[d.Server].name), Load: d.Load})
-		case placement.Follow:
+		case placement.GossipLoad:
+			words = append(words, peers.HostLoad{Host: number(n.hosts[d.Server].name), Load: d.Load})
+		case placement.WatchEndpoints:
 			n.follow()
 		case placement.Wake:
-			n.wakeAt = min(n.wakeAt, n.now+d.Within)
+			n.wakeAt = min(n.wakeAt, n.now+d.Seconds)
 		case placement.Log:
-			n.ask(Note{d.Line})
+			n.ask(WriteLog{d.Message})
 		}
 	}
 	if len(words) > 0 {
-		n.ask(Say{words})
+		n.ask(SendGossip{words})
 	}
 }
 
 // sweep frees the indices of flows for which nothing more can come.
 func (n *Node) sweep() {
 	for _, id := range n.touched {
-		if f := n.flows[id]; f != nil && n.module.Idle(id) {
+		if f := n.flows[id]; f != nil && n.module.Release(id) {
 			n.ids.end(f)
 			n.flows[id] = nil
 			n.free = append(n.free, id)
@@ -300,8 +300,8 @@
 	n.touched = n.touched[:0]
 }
 
-// Held tells what the node still holds; nothing, once all its clients are gone.
-func (n *Node) Held() (flows, conns, descriptors int) {
+// Usage tells what the node still holds; nothing, once all its clients are gone.
+func (n *Node) Usage() (flows, conns, descriptors int) {
 	for _, f := range n.flows {
 		if f != nil {
 			flows++
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,7 +15,7 @@
 	"gorseledge/internal/rundown"
 )
 
-const settings = `{"family_info":{"mode":"%s","message_aim_us":[50000,50000,50000]},"granularity_us":4000,
+const settingsJSON = `{"family_info":{"mode":"%s","message_aim_us":[50000,50000,50000]},"granularity_us":4000,
 	"limits":{"dial_timeout_us":250000,"max_connects":3,"max_retry_after_us":2000000,"probes":true,"retry_after":true},
 	"parties":[{"name":"acme"}],"zones":["a","b"],"siblings":1,"service_types":[
 	{"name":"chat","effect":"repeatable","group":"all","give_up_us":2000000,"setup_target_us":300000},
@@ -39,40 +39,40 @@
 	unwatches int
 	besides   int           // calls made beside another
 	stalled   map[Conn]bool // writes to these are not taken
-	held      []Wrote
+	held      []WriteDone
 	accepts   Conn
 	exited    bool
-	answer    Answer
-	news      []News
+	answer    Reply
+	news      []HandoverUpdate
 	ready     int
-	passes    []Pass
-	owned     Own
-	words     []peers.Word
+	passes    []SendConnection
+	owned     BindHostConnection
+	words     []peers.HostLoad
 
-	configured []Configured
+	configured []SettingsApplied
 	relocated  []string
 }
 
 func newWorld(t *testing.T, mode string, hosts, sockets int) *world {
-	return newWorldOf(t, settings, mode, hosts, sockets)
+	return newWorldOf(t, settingsJSON, mode, hosts, sockets)
 }
 
-func newWorldOf(t *testing.T, settings, mode string, hosts, sockets int) *world {
-	r, d, err := rundown.Read(fmt.Appendf(nil, settings, mode), 7)
+func newWorldOf(t *testing.T, settingsText, mode string, hosts, sockets int) *world {
+	r, d, err := rundown.Parse(fmt.Appendf(nil, settingsText, mode), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := &world{T: t, now: 1e9, reads: map[Conn][]byte{}, said: map[Conn]string{}, how: map[Conn]string{},
 		address: map[Conn]string{}, stalled: map[Conn]bool{}, accepts: 1}
-	w.n = New(w.now, Start{Rundown: r, Door: d, Known: roster.List{Index: 5, Whole: true}, Sockets: sockets})
-	w.do(Tick{})
-	w.do(Listed{hostList(hosts)})
+	w.n = New(w.now, Start{Settings: r, Listener: d, CachedList: roster.List{Index: 5, Complete: true}, MaxDescriptors: sockets})
+	w.do(TimerFired{})
+	w.do(ListReceived{hostList(hosts)})
 	return w
 }
 
 // hostList lists hosts whose ids rise with their place.
 func hostList(hosts int) roster.List {
-	l := roster.List{Index: 6, Whole: true}
+	l := roster.List{Index: 6, Complete: true}
 	for i := range hosts {
 		l.Hosts = append(l.Hosts, roster.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: fmt.Sprint("h", i),
 			Zone:   "a",
@@ -96,11 +96,11 @@
 					w.Fatalf("wrote %q to a connection that is %s", e.Data, h)
 				}
 				if w.stalled[e.Conn] {
-					w.held = append(w.held, Wrote{e.Conn, len(e.Data), false})
+					w.held = append(w.held, WriteDone{e.Conn, len(e.Data), false})
 					continue
 				}
 				w.said[e.Conn] += string(e.Data)
-				todo = append(todo, Wrote{e.Conn, len(e.Data), false})
+				todo = append(todo, WriteDone{e.Conn, len(e.Data), false})
 			case Dial:
 				if c := w.n.conns[e.Conn]; c != nil && c.role == probe {
 					w.probes = append(w.probes, e.Conn)
@@ -109,7 +109,7 @@
 				}
 				w.address[e.Conn] = e.Address
 				w.how[e.Conn] = "dialed"
-			case Shut:
+			case CloseWrite:
 				w.how[e.Conn] = "shut"
 			case Close:
 				if w.how[e.Conn] != "failed" {
@@ -124,33 +124,33 @@
 				if e.Beside {
 					w.besides++
 				}
-			case Unwatch:
+			case StopWatch:
 				w.unwatches++
-			case Done:
+			case LogConnection:
 				w.records = append(w.records, e.Record)
 			case Exit:
 				w.exited = true
-			case Answer:
+			case Reply:
 				w.answer = e
-			case Tell:
-				w.news = append(w.news, e.News)
-			case Ready:
+			case UpdatePeerProcess:
+				w.news = append(w.news, e.Update)
+			case OpenListener:
 				w.ready++
-			case Halt:
+			case StopReading:
 				if w.reads[e.Conn] == nil {
 					w.Fatal("halted a connection that is not read")
 				}
 				delete(w.reads, e.Conn)
-				todo = append(todo, Got{e.Conn, 0, Open})
-			case Pass:
+				todo = append(todo, ReadDone{e.Conn, 0, Open})
+			case SendConnection:
 				w.passes = append(w.passes, e)
-			case Own:
+			case BindHostConnection:
 				w.owned = e
-			case Say:
-				w.words = append(w.words, e.Words...)
-			case Configured:
+			case SendGossip:
+				w.words = append(w.words, e.Loads...)
+			case SettingsApplied:
 				w.configured = append(w.configured, e)
-			case Relocate:
+			case MoveDiscovery:
 				w.relocated = append(w.relocated, e.Address)
 			}
 		}
@@ -171,9 +171,9 @@
 		delete(w.reads, c)
 		n := copy(into, text)
 		if text = text[n:]; text != "" {
-			w.do(Got{c, n, Open})
+			w.do(ReadDone{c, n, Open})
 		} else {
-			w.do(Got{c, n, end})
+			w.do(ReadDone{c, n, end})
 		}
 	}
 }
@@ -229,10 +229,10 @@
 // pass lets time go by, with a tick as often as the core could ask for one.
 // pass lets time go by, in which the watch says something now and then.
 func (w *world) pass(seconds float64) {
-	for end := w.now + seconds; w.now < end; w.do(Tick{}) {
+	for end := w.now + seconds; w.now < end; w.do(TimerFired{}) {
 		w.now += 0.01
 		if !w.mute && w.n.watch.state != unwatched && w.now-w.n.watch.word >= 2 {
-			w.do(Spoke{})
+			w.do(WatchAlive{})
 		}
 	}
 }
@@ -279,15 +279,15 @@
 		{"refused", refuse, true, ""},
 		{"the node itself lacks a descriptor", func(w *world, h Conn) {
 			w.how[h] = "failed"
-			if w.do(Dialed{h, errors.New("too many"), true}); w.n.module.Idle(0) {
+			if w.do(Dialed{h, errors.New("too many"), true}); w.n.module.Release(0) {
 				w.Fatal("the flow is over")
 			}
 		}, true, ""},
-		{"never comes up", func(w *world, h Conn) { w.pass(0.3); w.do(Tick{}); refuse(w, h) }, true, ""},
+		{"never comes up", func(w *world, h Conn) { w.pass(0.3); w.do(TimerFired{}); refuse(w, h) }, true, ""},
 		{"broken before the last byte", func(w *world, h Conn) {
 			w.stalled[h] = true
 			w.up()
-			w.do(Wrote{h, 7, true})
+			w.do(WriteDone{h, 7, true})
 			w.say(h, "", Broken)
 		}, true, ""},
 		{"broken after the last byte", text("", Broken), false, "ERR\r\n"},
@@ -518,7 +518,7 @@
 		{"writes to the client fail", func(w *world, c, h Conn) {
 			w.stalled[c] = true
 			w.say(h, "M 1\r\n", Open)
-			w.do(Wrote{c, 0, true})
+			w.do(WriteDone{c, 0, true})
 			w.pass(failedWait + 0.05)
 		}, "", "", "closed", "reset", ClientReset},
 	}
@@ -565,7 +565,7 @@
 		{"gone", func(w *world, client, _, _, _ Conn) { w.pass(1) }, []Reason{HostSilent, HostSilent}},
 		{"the node was held up", func(w *world, client, host, _, _ Conn) {
 			w.now += 2
-			w.do(Tick{})
+			w.do(TimerFired{})
 			w.say(host, "LOAD 9\r\n", Open)
 			w.pass(0.2)
 		}, nil},
@@ -631,7 +631,7 @@
 		{"a small load before any other", true, true, "LOAD 1431.5\r\n", false},
 	} {
 		w := newWorld(t, "proxy", 1, 100)
-		w.n.door.TellsDelay, w.n.door.TellsLoad = c.delays, c.loads
+		w.n.door.ReportsDelay, w.n.door.ReportsLoad = c.delays, c.loads
 		_, host := w.established(chat)
 		w.say(host, c.notes, Open)
 		w.pass(0.1)
@@ -716,9 +716,9 @@
 		reason Reason
 	}{
 		{"taken up", func(w *world, h Conn) { w.up(); w.say(h, "UP 5\r\n", Open) }, "UP 5\r\n", ""},
-		{"refused", refuse, "BUSY\r\n", NotCarried},
-		{"error", func(w *world, h Conn) { w.up(); w.say(h, "ERR\r\n", Open) }, "ERR\r\n", NotCarried},
-		{"nothing", func(w *world, h Conn) { w.up(); w.pass(2.1) }, "ERR\r\n", NotCarried},
+		{"refused", refuse, "BUSY\r\n", NotRestored},
+		{"error", func(w *world, h Conn) { w.up(); w.say(h, "ERR\r\n", Open) }, "ERR\r\n", NotRestored},
+		{"nothing", func(w *world, h Conn) { w.up(); w.pass(2.1) }, "ERR\r\n", NotRestored},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, "pass", 5, 100)
@@ -752,7 +752,7 @@
 		reason   Reason
 		waitsFor string
 	}{
-		{"proxy", "UP 77\r\nMOVE\r\n", "BUSY\r\n", false, MovedLeaving, "UP 8\r\nMOVE\r\n"},
+		{"proxy", "UP 77\r\nMOVE\r\n", "BUSY\r\n", false, MigratedAtShutdown, "UP 8\r\nMOVE\r\n"},
 		{"pass", "UP 77\r\n", "", true, "", "UP 8\r\n"},
 	} {
 		t.Run(c.mode, func(t *testing.T) {
@@ -760,7 +760,7 @@
 			open, _ := w.established(chat)
 			waiting := w.come(chat)
 			host := w.up()
-			w.do(Leave{})
+			w.do(Shutdown{})
 			w.pass(0.1)
 			late := w.come(chat)
 			w.say(host, "UP 8\r\n", Open)
@@ -804,7 +804,7 @@
 // Discovery that moves is asked again at once, whether or not it was being watched, and only once.
 func TestRelocated(t *testing.T) {
 	w := newWorld(t, "proxy", 3, 100)
-	for _, in := range []Input{Relocated{}, Unlisted{Why: "gone"}, Relocated{}} {
+	for _, in := range []Input{DiscoveryMoved{}, WatchFailed{Reason: "gone"}, DiscoveryMoved{}} {
 		w.do(in)
 	}
 	if want := []int64{5, 6, 6}; !slices.Equal(w.watches, want) {
@@ -867,11 +867,11 @@
 		client := w.come(chat)
 		h := w.dials[0]
 		c.before(w, h)
-		w.do(Departed{client})
+		w.do(ClientGone{client})
 		if w.how[h] != "closed" || w.how[client] != "closed" || len(w.dials) != 1 {
 			t.Errorf("%s: the host's side is %q, the client's %q, after %d dials", c.name, w.how[h], w.how[client], len(w.dials))
 		}
-		w.do(Departed{client}) // seen twice
+		w.do(ClientGone{client}) // seen twice
 		w.pass(5)
 		if got := w.ended(); len(got) != 1 || got[0] != ClientLeft || len(w.dials) != 1 {
 			t.Errorf("%s: reasons %v after %d dials", c.name, got, len(w.dials))
@@ -880,7 +880,7 @@
 	}
 	w := newWorld(t, "proxy", 3, 100)
 	client, host := w.established(chat)
-	if w.do(Departed{client}); w.how[client] != "" || w.how[host] != "" { // its last lines are still to be passed on
+	if w.do(ClientGone{client}); w.how[client] != "" || w.how[host] != "" { // its last lines are still to be passed on
 		t.Error("an established connection was cut off")
 	}
 }
@@ -908,7 +908,7 @@
 	}
 	w = newWorld(t, "pass", 3, 60)
 	w.established(chat) // it is held, so the node stays
-	w.do(Leave{})
+	w.do(Shutdown{})
 	w.pass(w.n.stay() - lastWords - 0.5)
 	c := w.accept()
 	w.pass(0.6)
@@ -941,7 +941,7 @@
 				}
 			}
 			taken += len(into)
-			w.do(Got{from, len(into), Open})
+			w.do(ReadDone{from, len(into), Open})
 		}
 		if taken > ringSize {
 			t.Errorf("%s does not read: %d bytes were taken from the other", c.name, taken)
@@ -962,7 +962,7 @@
 		w.say(c, "PING\r\n", Open)
 		if failed {
 			w.pass(1.95)
-			w.do(Wrote{c, 0, true})
+			w.do(WriteDone{c, 0, true})
 		}
 		if w.pass(lineWait + lingering + 0.1); w.how[c] != "closed" {
 			t.Errorf("its write failed %v: its side is %q", failed, w.how[c])
@@ -1034,13 +1034,13 @@
 		w.say(c, "PING\r\n", Ended)
 		return w.said[c] == "PONG\r\n"
 	}
-	r, d, err := rundown.Read(fmt.Appendf(nil, settings, "pass"), 7)
+	r, d, err := rundown.Parse(fmt.Appendf(nil, settingsJSON, "pass"), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fresh := func(known roster.List) *world {
 		w := newWorld(t, "pass", 0, 100)
-		w.n = New(w.now, Start{Rundown: r, Door: d, Known: known, Sockets: 100})
+		w.n = New(w.now, Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: 100})
 		w.watches = nil
 		w.pass(1)
 		return w
@@ -1049,19 +1049,19 @@
 	if ready(w) || !slices.Equal(w.watches, []int64{6}) {
 		t.Fatalf("ready before discovery has answered, or watches %v", w.watches)
 	}
-	w.do(Unlisted{Why: "503"})
+	w.do(WatchFailed{Reason: "503"})
 	if w.pass(3); ready(w) || len(w.watches) != 2 {
 		t.Fatalf("ready after one failed call, or watches %v", w.watches)
 	}
-	if w.do(Unlisted{Why: "503"}); !ready(w) {
+	if w.do(WatchFailed{Reason: "503"}); !ready(w) {
 		t.Fatal("not ready on the old list though discovery is out")
 	}
 	w = fresh(roster.List{})
-	w.do(Unlisted{Why: "503"})
-	if w.do(Unlisted{Why: "503"}); ready(w) {
+	w.do(WatchFailed{Reason: "503"})
+	if w.do(WatchFailed{Reason: "503"}); ready(w) {
 		t.Fatal("ready without any host")
 	}
-	if w.do(Listed{hostList(2)}); !ready(w) {
+	if w.do(ListReceived{hostList(2)}); !ready(w) {
 		t.Fatal("not ready with a list")
 	}
 }
@@ -1077,22 +1077,22 @@
 		}
 		return w.address[w.dials[before]]
 	}
-	one := func(name, address, status string) Listed {
-		return Listed{roster.List{Index: 9, Hosts: []roster.Host{{Name: name, Address: address, Status: status}}}}
+	one := func(name, address, status string) ListReceived {
+		return ListReceived{roster.List{Index: 9, Hosts: []roster.Host{{Name: name, Address: address, Status: status}}}}
 	}
 	steps := []struct {
 		name string
 		in   Input
 		want string
 	}{
-		{"as listed", Tick{}, "h0"},
+		{"as listed", TimerFired{}, "h0"},
 		{"another address", one("s-00000064", "h9", "SERVING"), "h9"},
 		{"draining", one("s-00000064", "", "DRAINING"), "BUSY"},
 		{"a state that is not known gets nothing", one("s-00000064", "", "RESTING"), "BUSY"},
 		{"back, address not told again", one("s-00000064", "", "SERVING"), "h9"},
 		{"gone", one("s-00000064", "", "DELETED"), "BUSY"},
 		{"no address was ever told", one("s-00000065", "", "SERVING"), "BUSY"},
-		{"not on a whole list", Listed{hostList(0)}, "BUSY"},
+		{"not on a whole list", ListReceived{hostList(0)}, "BUSY"},
 	}
 	for _, s := range steps {
 		if w.do(s.in); where() != s.want {
@@ -1135,7 +1135,7 @@
 			w.up()
 		}
 		dials := len(w.dials)
-		w.do(Listed{change(hostList(2), c.status)})
+		w.do(ListReceived{change(hostList(2), c.status)})
 		if c.stays {
 			if len(w.dials) != dials || w.how[dial] == "closed" {
 				t.Errorf("%s: called back", c.name)
@@ -1188,7 +1188,7 @@
 		probes := 0
 		for range 1200 {
 			w.now += 0.01
-			w.do(Tick{})
+			w.do(TimerFired{})
 			for ; len(w.probes) > 0; w.probes = w.probes[1:] {
 				h := w.probes[0]
 				if at := w.address[h]; at != "h0" || w.how[h] != "dialed" {
@@ -1210,7 +1210,7 @@
 // What a probe of one node tells of a host reaches the flows of another. Guards against hot hosts that a
 // hundred nodes go on filling: each has a host's report once in a minute.
 func TestWordsAmongNodes(t *testing.T) {
-	talking := strings.Replace(settings, `"probes":true,`, `"probes":true,"peers":true,`, 1)
+	talking := strings.Replace(settingsJSON, `"probes":true,`, `"probes":true,"peers":true,`, 1)
 	talking = strings.Replace(talking, `"parties"`, `"reporting":{"source":"on_probe","fields":["x0"]},"parties"`, 1)
 	world := func() *world { return newWorldOf(t, talking, "pass", 2, 100) }
 	one, other := world(), world()
@@ -1231,7 +1231,7 @@
 	if len(one.words) != 1 || one.words[0].Host != 100 || one.words[0].Load != 0.9 {
 		t.Fatalf("said %v", one.words)
 	}
-	other.do(Heard{append(one.words, peers.Word{Host: 7, Load: 3})}) // 7: never listed
+	other.do(GossipReceived{append(one.words, peers.HostLoad{Host: 7, Load: 3})}) // 7: never listed
 	for id := range 4 {
 		other.come(fmt.Sprintf("a%d c=chat,t=acme,d=2000", id))
 	}
@@ -1297,7 +1297,7 @@
 	back := hostList(1)
 	back.Index = 2
 	change := func(index int64, name, address string) roster.List {
-		return roster.List{Index: index, Hosts: []roster.Host{{Name: name, Address: address, Status: "SERVING", Since: -5}}}
+		return roster.List{Index: index, Hosts: []roster.Host{{Name: name, Address: address, Status: "SERVING", StartedAtMS: -5}}}
 	}
 	for _, c := range []struct {
 		name  string
@@ -1306,19 +1306,19 @@
 		index int64  // from which a watch is taken up again
 		to    string // where a flow goes; BUSY for nowhere
 	}{
-		{"an empty whole list: nobody serves", []roster.List{{Index: 8, Whole: true}}, 0, 8, "BUSY"},
+		{"an empty whole list: nobody serves", []roster.List{{Index: 8, Complete: true}}, 0, 8, "BUSY"},
 		{"an empty change changes nothing", []roster.List{hostList(1), {Index: 9}}, 1, 9, "h0"},
 		{"a thousand hosts", []roster.List{thousand}, 1000, 6, "h"},
 		{"one name under two addresses: the last counts", []roster.List{twice}, 1, 6, "h7"},
 		{"a name under a new address, told later", []roster.List{hostList(1), change(7, "s-00000064", "h8")}, 1, 7, "h8"},
 		{"an index that goes back with a whole list: that list counts", []roster.List{thousand, back}, 1, 2, "h0"},
 		{"an index that goes back with a change", []roster.List{hostList(1), change(3, "s-00000064", "h5")}, 1, 3, "h5"},
-		{"a name that is no number", []roster.List{{Index: 6, Whole: true, Hosts: []roster.Host{{Name: "\x00é", Address: "h3",
+		{"a name that is no number", []roster.List{{Index: 6, Complete: true, Hosts: []roster.Host{{Name: "\x00é", Address: "h3",
 			Status: "SERVING"}}}}, 1, 6, "h3"},
 	} {
 		w := newWorld(t, "proxy", 2, 1000)
 		for _, l := range c.lists {
-			w.do(Listed{l})
+			w.do(ListReceived{l})
 		}
 		client := w.come(chat)
 		got := strings.TrimSpace(w.said[client])
@@ -1328,7 +1328,7 @@
 		if !strings.HasPrefix(got, c.to) {
 			t.Errorf("%s: to %q, wanted %q", c.name, got, c.to)
 		}
-		w.do(Unlisted{Why: "the end"})
+		w.do(WatchFailed{Reason: "the end"})
 		w.pass(8)
 		if len(w.watches) == 0 || w.watches[len(w.watches)-1] != c.index {
 			t.Errorf("%s: watches from %v, wanted the last from %d", c.name, w.watches, c.index)
@@ -1347,14 +1347,14 @@
 		w := newWorld(t, "proxy", 1, 100)
 		w.watches = nil
 		w.n.watch.state = unwatched
-		w.do(Unlisted{Why: "the end"})
+		w.do(WatchFailed{Reason: "the end"})
 		for seen := 0; w.now < 1e9+60; w.pass(0.01) {
 			if len(w.watches) > seen {
 				seen = len(w.watches)
 				if c.tells {
-					w.do(Listed{hostList(1)})
+					w.do(ListReceived{hostList(1)})
 				}
-				w.do(Unlisted{Why: "the end"})
+				w.do(WatchFailed{Reason: "the end"})
 			}
 		}
 		if n := len(w.watches); n < 4 || n > c.most {
@@ -1365,10 +1365,10 @@
 
 // A SIGHUP or SIGTERM while the list is lost: a flow that waits still gets its one answer.
 func TestSignalsWhileDiscoveryIsOut(t *testing.T) {
-	for _, in := range []Input{Relocated{}, Leave{}} {
+	for _, in := range []Input{DiscoveryMoved{}, Shutdown{}} {
 		w := newWorld(t, "proxy", 1, 100)
 		c := w.come(chat)
-		w.do(Unlisted{Why: "the end"})
+		w.do(WatchFailed{Reason: "the end"})
 		w.do(in)
 		w.say(w.up(), "UP 5\r\n", Open)
 		if want := "UP 5\r\n"; !strings.HasPrefix(w.said[c], want) {
@@ -1384,8 +1384,8 @@
 		w := newWorld(t, "proxy", hosts, 1000)
 		wakes, at := 0, w.now
 		for end := w.now + 10; ; wakes++ {
-			for _, e := range w.n.Apply(at, Tick{}) {
-				if timer, ok := e.(Timer); ok {
+			for _, e := range w.n.Apply(at, TimerFired{}) {
+				if timer, ok := e.(SetTimer); ok {
 					w.now = timer.At
 				}
 			}
@@ -1404,17 +1404,17 @@
 func BenchmarkIdleSecond(b *testing.B) {
 	for _, hosts := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			r, d, err := rundown.Read(fmt.Appendf(nil, settings, "proxy"), 7)
+			r, d, err := rundown.Parse(fmt.Appendf(nil, settingsJSON, "proxy"), 7)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := 1e9
-			n := New(now, Start{Rundown: r, Door: d, Known: hostList(hosts), Sockets: 1000})
+			n := New(now, Start{Settings: r, Listener: d, CachedList: hostList(hosts), MaxDescriptors: 1000})
 			b.ReportAllocs()
 			for b.Loop() {
 				for range 4 {
 					now += 0.25
-					n.Apply(now, Tick{})
+					n.Apply(now, TimerFired{})
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*hosts), "ns/s/host")
--- a/internal/node/reasons_golden_test.go
+++ b/internal/node/reasons_golden_test.go
@@ -15,8 +15,8 @@
 		"client-reset":  ClientReset,
 		"client-left":   ClientLeft,
 		"client-odd":    ClientOdd,
-		"moved":         Moved,
-		"moved-leaving": MovedLeaving,
+		"moved":         Migrated,
+		"moved-leaving": MigratedAtShutdown,
 		"rejected":      Rejected,
 		"aborted":       Aborted,
 		"bad-line":      BadLine,
@@ -24,12 +24,12 @@
 		"same-id":       SameID,
 		"unknown-type":  UnknownType,
 		"unknown-host":  UnknownHost,
-		"not-carried":   NotCarried,
+		"not-carried":   NotRestored,
 		"no-sockets":    NoSockets,
 		"no-line":       NoLine,
 		"checked":       Checked,
 		"handed-over":   HandedOver,
-		"leaving":       Leaving,
+		"leaving":       ShuttingDown,
 	} {
 		t.Run(code, func(t *testing.T) {
 			if string(reason) != code {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -14,7 +14,7 @@
 // that a revision leaves out goes back.
 type liveSettings struct {
 	revision  live.Revision // in force
-	figures   placement.Figures
+	figures   placement.LiveSettings
 	nodes     int     // by the start
 	siblings  int     // as told last, 0 for never
 	sockets   int     // descriptors that connections may take by the start
@@ -24,7 +24,7 @@
 }
 
 func newLiveSettings(now float64, s Start) liveSettings {
-	l := liveSettings{figures: s.Rundown.Figures(), nodes: s.Rundown.Nodes, sockets: s.Sockets, overhead: s.Toll,
+	l := liveSettings{figures: s.Settings.Live(), nodes: s.Settings.Nodes, sockets: s.MaxDescriptors, overhead: s.DescriptorOverhead,
 		expiry: math.Inf(1)}
 	if s.AwaitSettings > 0 {
 		l.awaitTill = now + s.AwaitSettings
@@ -40,7 +40,7 @@
 // noteUnawaited says where clients are let in although no revision has come in time.
 func (n *Node) noteUnawaited() {
 	if n.live.awaitTill > 0 && n.live.revision.IsZero() {
-		n.ask(Note{"no word of the live settings in time: clients are let in by the start's"})
+		n.ask(WriteLog{"no word of the live settings in time: clients are let in by the start's"})
 	}
 }
 
@@ -50,7 +50,7 @@
 // reconfigured puts a revision in force, or says why not.
 func (n *Node) reconfigured(r live.Revision) {
 	ignored, err := n.putInForce(r)
-	n.ask(Configured{Ignored: ignored, Err: err})
+	n.ask(SettingsApplied{Ignored: ignored, Err: err})
 }
 
 // putInForce takes all of a revision or, with an error, nothing of it. What names a tenant or service type that this
@@ -68,13 +68,13 @@
 		return ignored, nil
 	}
 	n.live.revision = r
-	n.module.Replace(n.figuresBy(r.Settings))
+	n.module.ApplySettings(n.figuresBy(r.Settings))
 	n.shareBy(r.Settings.Nodes, was.Settings.Nodes)
-	n.limitBy(r.Settings.Sockets)
+	n.limitBy(r.Settings.MaxDescriptors)
 	n.weighBy(r.Settings.Hosts, was.Settings.Hosts)
 	n.applyOverrides()
 	n.relocateBy(r.Settings.Discovery, was.Settings.Discovery)
-	n.ask(Tell{News{Revision: &r}})
+	n.ask(UpdatePeerProcess{HandoverUpdate{Revision: &r}})
 	return ignored, nil
 }
 
@@ -82,15 +82,15 @@
 func (n *Node) fits(s live.Settings) error {
 	start := n.live.figures
 	switch {
-	case s.RetryAdvice != nil && *s.RetryAdvice > 0 && start.RetryAdvice <= 0:
+	case s.MaxRetryAfter != nil && *s.MaxRetryAfter > 0 && start.MaxRetryAfter <= 0:
 		return errors.New("retry_advice_s: this node's clients follow no retry time")
-	case s.MaxConnects != nil && *s.MaxConnects > start.MaxConnects:
-		return fmt.Errorf("limits.max_connects: %d is over the start's %d", *s.MaxConnects, start.MaxConnects)
-	case s.Sockets != nil && *s.Sockets > n.live.sockets+n.live.overhead:
-		return fmt.Errorf("limits.sockets: %d is over the start's %d", *s.Sockets, n.live.sockets+n.live.overhead)
+	case s.MaxAttempts != nil && *s.MaxAttempts > start.MaxAttempts:
+		return fmt.Errorf("limits.max_connects: %d is over the start's %d", *s.MaxAttempts, start.MaxAttempts)
+	case s.MaxDescriptors != nil && *s.MaxDescriptors > n.live.sockets+n.live.overhead:
+		return fmt.Errorf("limits.sockets: %d is over the start's %d", *s.MaxDescriptors, n.live.sockets+n.live.overhead)
 	}
 	f := n.figuresBy(s)
-	if s.SlowStart != (live.SlowStart{}) && !(f.ColdFrom > 0 && f.ColdFor > 0 && f.FallMultiple > 0 && f.FallFor > 0) {
+	if s.SlowStart != (live.SlowStart{}) && !(f.SlowStartShare > 0 && f.SlowStartTime > 0 && f.OverloadMultiple > 0 && f.OverloadWindow > 0) {
 		return errors.New("slow_start: this node's start has none, so that all four figures are needed")
 	}
 	return nil
@@ -108,7 +108,7 @@
 			keys = append(keys, "service_types."+name)
 		}
 	}
-	if s.AskWithin != nil && n.door.Pushed {
+	if s.PollInterval != nil && n.door.ListPushed {
 		keys = append(keys, "ask_within_s")
 	}
 	slices.Sort(keys)
@@ -122,22 +122,22 @@
 }
 
 // figuresBy gives the module's figures under the settings.
-func (n *Node) figuresBy(s live.Settings) placement.Figures {
+func (n *Node) figuresBy(s live.Settings) placement.LiveSettings {
 	f := n.live.figures
-	f.Targets, f.Quotas = slices.Clone(f.Targets), slices.Clone(f.Quotas)
-	replace(&f.MaxConnects, s.MaxConnects)
-	replace(&f.RetryAdvice, s.RetryAdvice)
-	if !n.door.Pushed {
-		replace(&f.AskWithin, s.AskWithin)
+	f.Objectives, f.Quotas = slices.Clone(f.Objectives), slices.Clone(f.Quotas)
+	replace(&f.MaxAttempts, s.MaxAttempts)
+	replace(&f.MaxRetryAfter, s.MaxRetryAfter)
+	if !n.door.ListPushed {
+		replace(&f.PollInterval, s.PollInterval)
 	}
-	replace(&f.ColdFrom, s.SlowStart.From)
-	replace(&f.ColdFor, s.SlowStart.For)
-	replace(&f.FallMultiple, s.SlowStart.FallMultiple)
-	replace(&f.FallFor, s.SlowStart.FallFor)
+	replace(&f.SlowStartShare, s.SlowStart.Share)
+	replace(&f.SlowStartTime, s.SlowStart.Duration)
+	replace(&f.OverloadMultiple, s.SlowStart.OverloadMultiple)
+	replace(&f.OverloadWindow, s.SlowStart.OverloadWindow)
 	for name, t := range s.Types {
 		if at, known := n.types[name]; known {
-			replace(&f.Targets[at].Setup, t.SetupTarget)
-			replace(&f.Targets[at].Message, t.MessageTarget)
+			replace(&f.Objectives[at].Setup, t.SetupObjective)
+			replace(&f.Objectives[at].Message, t.MessageObjective)
 		}
 	}
 	for name, t := range s.Tenants {
@@ -156,13 +156,13 @@
 	}
 	count := n.live.nodes
 	replace(&count, nodes)
-	n.module.Siblings(count)
+	n.module.SetNodes(count)
 }
 
 // siblings takes the number of members.
 func (n *Node) siblings(nodes int) {
 	n.live.siblings = nodes
-	n.module.Siblings(nodes)
+	n.module.SetNodes(nodes)
 }
 
 // limitBy takes the limit of descriptors. A successor that has the clients leaves this process no more than it has.
@@ -194,7 +194,7 @@
 	for _, all := range []map[string]live.Host{hosts, were} {
 		for name := range all {
 			if at, known := n.byName[name]; known {
-				n.module.Weigh(at, n.weightOf(name, n.hosts[at].told.Weight))
+				n.module.SetSize(at, n.weightOf(name, n.hosts[at].told.Weight))
 			}
 		}
 	}
@@ -208,7 +208,7 @@
 	if to == from {
 		return
 	}
-	n.ask(Relocate{Address: to})
+	n.ask(MoveDiscovery{Address: to})
 	n.relocated()
 }
 
@@ -252,23 +252,23 @@
 		h.overridden = overridden
 		r := n.live.revision
 		if overridden {
-			n.ask(Note{fmt.Sprintf("host %s disabled until %.0f by revision %d.%d", h.name, n.overriddenTill(h.name),
+			n.ask(WriteLog{fmt.Sprintf("host %s disabled until %.0f by revision %d.%d", h.name, n.overriddenTill(h.name),
 				r.Epoch, r.Number)})
 		} else {
-			n.ask(Note{fmt.Sprintf("host %s no longer disabled by revision %d.%d", h.name, r.Epoch, r.Number)})
+			n.ask(WriteLog{fmt.Sprintf("host %s no longer disabled by revision %d.%d", h.name, r.Epoch, r.Number)})
 		}
 	}
-	return n.module.ByHand(n.now, at, h.disabledByHand || overridden)
+	return n.module.SetDisabled(n.now, at, h.disabledByHand || overridden)
 }
 
 // inheritSettings takes the predecessor's revision and the hosts that it has out, once the module has taken what is
 // known of the hosts. Where the revision does not fit this process, a host that the predecessor had out stays out until
 // an operator puts it back: guards against a window in which it takes flows.
-func (n *Node) inheritSettings(l *Legacy, places []int) {
+func (n *Node) inheritSettings(l *HandoverState, places []int) {
 	var unfit error
 	if l.Revision != nil {
 		if unfit = n.fits(l.Revision.Settings); unfit != nil {
-			n.ask(Note{fmt.Sprintf("the predecessor's revision %d.%d does not fit: %v", l.Revision.Epoch, l.Revision.Number, unfit)})
+			n.ask(WriteLog{fmt.Sprintf("the predecessor's revision %d.%d does not fit: %v", l.Revision.Epoch, l.Revision.Number, unfit)})
 		}
 	}
 	for i, at := range places {
@@ -276,7 +276,7 @@
 		if l.Revision != nil && unfit == nil {
 			h.disabledByHand = slices.Contains(l.DisabledByHand, h.name)
 		} else {
-			h.disabledByHand = i < len(l.Module.Servers) && l.Module.Servers[i].ByHand
+			h.disabledByHand = i < len(l.Module.Servers) && l.Module.Servers[i].Disabled
 		}
 	}
 	if l.Revision != nil && unfit == nil && l.Revision.NewerThan(n.live.revision) {
@@ -287,7 +287,7 @@
 }
 
 // handoverSettings gives what of the settings goes over to a successor.
-func (n *Node) handoverSettings(l *Legacy) {
+func (n *Node) handoverSettings(l *HandoverState) {
 	if n.live.revision.IsZero() {
 		return
 	}
--- a/internal/node/settings_handover_test.go
+++ b/internal/node/settings_handover_test.go
@@ -11,20 +11,20 @@
 // A process that starts without a predecessor opens its listener once it has a first revision, and without one after
 // the time that it is to wait for it.
 func TestListenerAwaitsSettings(t *testing.T) {
-	r, d, err := rundown.Read(fmt.Appendf(nil, settingsWithShares, "pass"), 7)
+	r, d, err := rundown.Parse(fmt.Appendf(nil, settingsWithShares, "pass"), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := func() *world {
 		w := newWorldOf(t, settingsWithShares, "pass", 0, 100)
-		w.n = New(w.now, Start{Rundown: r, Door: d, Sockets: 100, AwaitSettings: 1})
+		w.n = New(w.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, AwaitSettings: 1})
 		w.ready = 0
-		w.do(Tick{})
+		w.do(TimerFired{})
 		return w
 	}
 	w := start()
-	w.do(Listed{hostList(4)})
-	if w.ready != 0 || w.asks(IsReady, "").Yes {
+	w.do(ListReceived{hostList(4)})
+	if w.ready != 0 || w.asks(IsReady, "").OK {
 		t.Error("opens before the settings are known")
 	}
 	if err := w.configure(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil || w.ready != 1 {
@@ -48,21 +48,21 @@
 	if err := w.configure(1, out+"limits.max_connects = 2"); err != nil {
 		t.Fatal(err)
 	}
-	w.asks(TakeOut, "s-00000066")
+	w.asks(DisableHost, "s-00000066")
 	h := w.heir("pass")
-	if h.n.live.revision.Number != 1 || h.n.module.MaxConnects != 2 || h.n.tell().Avoided != 2 {
-		t.Fatalf("%+v, %d connects, %d out", h.n.live.revision, h.n.module.MaxConnects, h.n.tell().Avoided)
+	if h.n.live.revision.Number != 1 || h.n.module.MaxAttempts != 2 || h.n.tell().Unavailable != 2 {
+		t.Fatalf("%+v, %d connects, %d out", h.n.live.revision, h.n.module.MaxAttempts, h.n.tell().Unavailable)
 	}
 	if err := w.configure(2, out+"limits.max_connects = 1"); err != nil { // between claim and take
 		t.Fatal(err)
 	}
 	w.carry(h, false)
-	if h.n.live.revision.Number != 2 || h.n.module.MaxConnects != 1 {
+	if h.n.live.revision.Number != 2 || h.n.module.MaxAttempts != 1 {
 		t.Fatalf("%+v before the clients came", h.n.live.revision)
 	}
 	w.takenBy(h)
-	if h.n.tell().Avoided != 2 || len(h.relocated) != 0 {
-		t.Errorf("%d out", h.n.tell().Avoided)
+	if h.n.tell().Unavailable != 2 || len(h.relocated) != 0 {
+		t.Errorf("%d out", h.n.tell().Unavailable)
 	}
 	for range 40 {
 		h.come(chat)
@@ -75,10 +75,10 @@
 	}
 	h.carry(w, false)
 	w.carry(h, false)
-	if w.n.live.revision.Number != 3 || w.n.tell().Avoided != 1 || h.n.tell().Avoided != 1 || len(h.news)+len(w.news) != 0 {
-		t.Errorf("%d and %d in force, %d and %d out", w.n.live.revision.Number, h.n.live.revision.Number, w.n.tell().Avoided, h.n.tell().Avoided)
+	if w.n.live.revision.Number != 3 || w.n.tell().Unavailable != 1 || h.n.tell().Unavailable != 1 || len(h.news)+len(w.news) != 0 {
+		t.Errorf("%d and %d in force, %d and %d out", w.n.live.revision.Number, h.n.live.revision.Number, w.n.tell().Unavailable, h.n.tell().Unavailable)
 	}
-	if h.asks(PutBack, "s-00000066"); h.n.tell().Avoided != 0 {
+	if h.asks(EnableHost, "s-00000066"); h.n.tell().Unavailable != 0 {
 		t.Error("what was out by hand at the predecessor cannot be put back")
 	}
 }
@@ -89,16 +89,16 @@
 	if err := w.configure(1, "hosts.s-00000065.disabled_until_s = 1000000060\nlimits.max_connects = 2"); err != nil {
 		t.Fatal(err)
 	}
-	left := crossed(w, w.asks(Claim, "").Legacy)
-	fewer := strings.Replace(settings, `"max_connects":3`, `"max_connects":1`, 1)
-	r, d, err := rundown.Read(fmt.Appendf(nil, fewer, "pass"), 8)
+	left := crossed(w, w.asks(ClaimHandover, "").Handover)
+	fewer := strings.Replace(settingsJSON, `"max_connects":3`, `"max_connects":1`, 1)
+	r, d, err := rundown.Parse(fmt.Appendf(nil, fewer, "pass"), 8)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := newWorld(t, "pass", 0, 100)
-	h.n = New(h.now, Start{Rundown: r, Door: d, Sockets: 100, Shut: true, Left: left})
-	h.do(Tick{})
-	if !h.n.live.revision.IsZero() || h.n.module.MaxConnects != 1 || h.n.tell().Avoided != 1 {
-		t.Errorf("%+v, %d connects, %d out", h.n.live.revision, h.n.module.MaxConnects, h.n.tell().Avoided)
+	h.n = New(h.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, NotListening: true, Handover: left})
+	h.do(TimerFired{})
+	if !h.n.live.revision.IsZero() || h.n.module.MaxAttempts != 1 || h.n.tell().Unavailable != 1 {
+		t.Errorf("%+v, %d connects, %d out", h.n.live.revision, h.n.module.MaxAttempts, h.n.tell().Unavailable)
 	}
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -38,7 +38,7 @@
 func (w *world) configure(number uint64, text string) error {
 	w.Helper()
 	answers := len(w.configured)
-	w.do(Reconfigured{revision(w.T, number, text)})
+	w.do(SettingsReceived{revision(w.T, number, text)})
 	if len(w.configured) != answers+1 {
 		w.Fatalf("%d answers to a revision", len(w.configured)-answers)
 	}
@@ -48,7 +48,7 @@
 // busyWithin gives the retry time of a flow that is turned away, in milliseconds.
 func busyWithin(w *world) (ms int) {
 	for i := range 4 {
-		w.asks(TakeOut, fmt.Sprintf("s-%08x", 100+i))
+		w.asks(DisableHost, fmt.Sprintf("s-%08x", 100+i))
 	}
 	fmt.Sscanf(w.said[w.come(chat)], "BUSY %d", &ms)
 	return ms
@@ -88,7 +88,7 @@
 			w.mute = true
 			asked := len(w.watches)
 			for range 20 {
-				w.do(Unlisted{"gone"})
+				w.do(WatchFailed{"gone"})
 				w.pass(0.6)
 			}
 			return len(w.watches) - asked
@@ -108,7 +108,7 @@
 			return len(w.dials) - dials
 		}},
 		{"a message's target", "service_types.mail.message_target_s = 0.01", func(w *world) any {
-			return w.n.module.Types[1].MessageAim
+			return w.n.module.ServiceTypes[1].MessageObjective
 		}},
 		{"a disabled host", "hosts.s-00000065.disabled_until_s = 1000000060", func(w *world) any {
 			for range 40 {
@@ -126,7 +126,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			answeredAfter := func(configure bool) (seconds float64, decided any) {
 				w := newWorldOf(t, settingsWithShares, "pass", 4, 60)
-				w.do(Siblings{0}) // no member is counted
+				w.do(NodesChanged{0}) // no member is counted
 				w.n.live.siblings = 0
 				began := w.now
 				waits := w.come(order)
@@ -163,8 +163,8 @@
 		w.established(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
 	}
 	l := hostList(4)
-	l.Hosts[1].Since = w.now * 1e3
-	w.do(Listed{l})
+	l.Hosts[1].StartedAtMS = w.now * 1e3
+	w.do(ListReceived{l})
 	began := len(w.dials)
 	for i := range 240 {
 		w.established(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
@@ -194,9 +194,9 @@
 		if err == nil || !strings.HasPrefix(err.Error(), c.says) {
 			t.Errorf("%s: %v", c.text, err)
 		}
-		if w.n.live.revision.Number != 1 || w.n.module.MaxConnects != 2 || w.n.module.Nodes != 2 || w.n.tell().Avoided != 0 {
-			t.Errorf("%s: %+v in force, %d connects, %d nodes, %d hosts out", c.text, w.n.live.revision, w.n.module.MaxConnects,
-				w.n.module.Nodes, w.n.tell().Avoided)
+		if w.n.live.revision.Number != 1 || w.n.module.MaxAttempts != 2 || w.n.module.Nodes != 2 || w.n.tell().Unavailable != 0 {
+			t.Errorf("%s: %+v in force, %d connects, %d nodes, %d hosts out", c.text, w.n.live.revision, w.n.module.MaxAttempts,
+				w.n.module.Nodes, w.n.tell().Unavailable)
 		}
 	}
 }
@@ -207,23 +207,23 @@
 	if err := w.configure(5, "limits.max_connects = 2"); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.configure(4, "limits.max_connects = 1"); err == nil || w.n.module.MaxConnects != 2 {
-		t.Errorf("%v, %d connects", err, w.n.module.MaxConnects)
+	if err := w.configure(4, "limits.max_connects = 1"); err == nil || w.n.module.MaxAttempts != 2 {
+		t.Errorf("%v, %d connects", err, w.n.module.MaxAttempts)
 	}
 	told := len(w.news)
 	if err := w.configure(5, "limits.max_connects = 2"); err != nil || len(w.news) != told {
 		t.Errorf("%v, %d words to the other process", err, len(w.news)-told)
 	}
-	w.do(Reconfigured{live.Revision{Epoch: 2, Number: 1}})
-	if w.configured[len(w.configured)-1].Err != nil || w.n.module.MaxConnects != 3 {
-		t.Errorf("a new epoch: %v, %d connects", w.configured[len(w.configured)-1].Err, w.n.module.MaxConnects)
+	w.do(SettingsReceived{live.Revision{Epoch: 2, Number: 1}})
+	if w.configured[len(w.configured)-1].Err != nil || w.n.module.MaxAttempts != 3 {
+		t.Errorf("a new epoch: %v, %d connects", w.configured[len(w.configured)-1].Err, w.n.module.MaxAttempts)
 	}
 }
 
 // A key that a revision leaves out goes back to the start's figure.
 func TestKeysLeftOutGoBack(t *testing.T) {
 	w := newWorldOf(t, settingsWithShares, "pass", 4, 100)
-	start := w.n.module.Rundown.Figures()
+	start := w.n.module.Settings.Live()
 	limit := w.n.limit
 	text := "retry_advice_s = 9\nask_within_s = 9\nnodes = 9\ndiscovery = \"127.0.0.1:9\"\n" +
 		"limits = {max_connects = 2, sockets = 50}\nslow_start = {from = 0.9, for_s = 9, fall_multiple = 9, fall_for_s = 9}\n" +
@@ -232,14 +232,14 @@
 	if err := w.configure(1, text); err != nil {
 		t.Fatal(err)
 	}
-	if f := w.n.module.Rundown.Figures(); fmt.Sprint(f) == fmt.Sprint(start) || w.n.limit != 50 || w.n.module.Nodes != 9 || w.n.tell().Avoided != 1 {
+	if f := w.n.module.Settings.Live(); fmt.Sprint(f) == fmt.Sprint(start) || w.n.limit != 50 || w.n.module.Nodes != 9 || w.n.tell().Unavailable != 1 {
 		t.Fatalf("%+v, %d descriptors", f, w.n.limit)
 	}
 	if err := w.configure(2, ""); err != nil {
 		t.Fatal(err)
 	}
-	if f := w.n.module.Rundown.Figures(); fmt.Sprint(f) != fmt.Sprint(start) || w.n.limit != limit || w.n.module.Nodes != 2 ||
-		w.n.tell().Avoided != 0 || fmt.Sprint(w.relocated) != "[127.0.0.1:9 ]" {
+	if f := w.n.module.Settings.Live(); fmt.Sprint(f) != fmt.Sprint(start) || w.n.limit != limit || w.n.module.Nodes != 2 ||
+		w.n.tell().Unavailable != 0 || fmt.Sprint(w.relocated) != "[127.0.0.1:9 ]" {
 		t.Errorf("%+v, wanted %+v; %d descriptors, %d nodes, discovery at %q", f, start, w.n.limit, w.n.module.Nodes, w.relocated)
 	}
 }
@@ -250,15 +250,15 @@
 	if err := w.configure(1, "tenants.nobody.connections = 1\nservice_types.none.setup_target_s = 1\nlimits.max_connects = 1"); err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprint(w.configured[0].Ignored); got != "[service_types.none tenants.nobody]" || w.n.module.MaxConnects != 1 {
-		t.Errorf("ignored %s, %d connects", got, w.n.module.MaxConnects)
+	if got := fmt.Sprint(w.configured[0].Ignored); got != "[service_types.none tenants.nobody]" || w.n.module.MaxAttempts != 1 {
+		t.Errorf("ignored %s, %d connects", got, w.n.module.MaxAttempts)
 	}
 }
 
 // Members that are counted are the number of nodes, whatever the settings say.
 func TestMembersCountBeforeSetting(t *testing.T) {
 	w := newWorldOf(t, settingsWithShares, "pass", 4, 100)
-	w.do(Siblings{7})
+	w.do(NodesChanged{7})
 	if err := w.configure(1, "nodes = 100"); err != nil || w.n.module.Nodes != 7 {
 		t.Errorf("%v, %d nodes", err, w.n.module.Nodes)
 	}
@@ -315,8 +315,8 @@
 		t.Errorf("asked to be woken at %f, the host comes back at %f", w.n.timerAt, end)
 	}
 	w.now = end
-	w.do(Tick{})
-	if w.n.tell().Avoided != 0 {
+	w.do(TimerFired{})
+	if w.n.tell().Unavailable != 0 {
 		t.Error("still out at its time")
 	}
 	began = len(w.dials)
@@ -347,20 +347,20 @@
 		steps []func(*world)
 		out   int
 	}{
-		{"by hand", []func(*world){byHand(TakeOut)}, 1},
+		{"by hand", []func(*world){byHand(DisableHost)}, 1},
 		{"by settings", []func(*world){set(1, entry)}, 1},
-		{"both", []func(*world){byHand(TakeOut), set(1, entry)}, 1},
-		{"both, back by hand", []func(*world){byHand(TakeOut), set(1, entry), byHand(PutBack)}, 1},
-		{"both, back by settings", []func(*world){byHand(TakeOut), set(1, entry), set(2, "")}, 1},
-		{"both, settings expire", []func(*world){set(1, entry), byHand(TakeOut), later}, 1},
-		{"both, both back", []func(*world){byHand(TakeOut), set(1, entry), byHand(PutBack), set(2, "")}, 0},
-		{"both, back by hand, settings expire", []func(*world){byHand(TakeOut), set(1, entry), byHand(PutBack), later}, 0},
+		{"both", []func(*world){byHand(DisableHost), set(1, entry)}, 1},
+		{"both, back by hand", []func(*world){byHand(DisableHost), set(1, entry), byHand(EnableHost)}, 1},
+		{"both, back by settings", []func(*world){byHand(DisableHost), set(1, entry), set(2, "")}, 1},
+		{"both, settings expire", []func(*world){set(1, entry), byHand(DisableHost), later}, 1},
+		{"both, both back", []func(*world){byHand(DisableHost), set(1, entry), byHand(EnableHost), set(2, "")}, 0},
+		{"both, back by hand, settings expire", []func(*world){byHand(DisableHost), set(1, entry), byHand(EnableHost), later}, 0},
 		{"by settings, put back by hand though not out by hand", []func(*world){set(1, entry), func(w *world) {
-			if a := w.asks(PutBack, name); !a.Yes || !a.StillOut {
+			if a := w.asks(EnableHost, name); !a.OK || !a.StillDisabled {
 				w.Errorf("told %+v", a)
 			}
 		}}, 1},
-		{"by settings, a new list", []func(*world){set(1, entry), func(w *world) { w.do(Listed{hostList(4)}) }}, 1},
+		{"by settings, a new list", []func(*world){set(1, entry), func(w *world) { w.do(ListReceived{hostList(4)}) }}, 1},
 		{"by settings that expired before", []func(*world){set(1, "hosts.s-00000064.disabled_until_s = 999999999")}, 0},
 		{"by settings for longer", []func(*world){set(1, entry), set(2, "hosts.s-00000064.disabled_until_s = 1000000020"), later}, 1},
 	} {
@@ -368,7 +368,7 @@
 		for _, step := range c.steps {
 			step(w)
 		}
-		if got := w.n.tell().Avoided; got != c.out {
+		if got := w.n.tell().Unavailable; got != c.out {
 			t.Errorf("%s: %d out", c.name, got)
 		}
 	}
@@ -381,7 +381,7 @@
 	if err := w.configure(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil {
 		t.Fatal(err)
 	}
-	w.do(Listed{roster.List{Index: 6, Whole: true, Hosts: hostList(3).Hosts}})
+	w.do(ListReceived{roster.List{Index: 6, Complete: true, Hosts: hostList(3).Hosts}})
 	for range 60 {
 		w.come(chat)
 	}
--- a/internal/node/silence.go
+++ b/internal/node/silence.go
@@ -29,16 +29,16 @@
 			n.probe(f.on)
 		}
 	case !quiet:
-		n.move(f, HostSilent, placement.Broken)
+		n.move(f, HostSilent, placement.ConnectionLost)
 	default:
 		moved := 0
 		for _, g := range n.flows {
 			if g != nil && g.on == f.on && g.established && !g.over {
-				n.move(g, HostSilent, placement.Broken)
+				n.move(g, HostSilent, placement.ConnectionLost)
 				moved++
 			}
 		}
-		n.ask(Note{fmt.Sprintf("host %s silent for %.1f s, %d clients moved off it", n.hosts[f.on].name, age,
+		n.ask(WriteLog{fmt.Sprintf("host %s silent for %.1f s, %d clients moved off it", n.hosts[f.on].name, age,
 			moved)})
 	}
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -83,8 +83,8 @@
 func (n *Node) unlisted(kind placement.ListKind, why string) {
 	n.misses++
 	n.watch.state = unwatched
-	n.module.List(n.now, kind, nil)
-	n.ask(Note{fmt.Sprintf("discovery: %s, the list is %.1f s old", why, n.now-n.watch.fresh)})
+	n.module.UpdateEndpoints(n.now, kind, nil)
+	n.ask(WriteLog{fmt.Sprintf("discovery: %s, the list is %.1f s old", why, n.now-n.watch.fresh)})
 }
 
 // hush ends a watch that has been silent for too long. A call that waits is not given up: another is made beside it.
@@ -94,14 +94,14 @@
 	if n.now < n.watch.due() {
 		return
 	}
-	if n.watch.state == opening && !n.door.Pushed {
+	if n.watch.state == opening && !n.door.ListPushed {
 		n.misses++
 		n.watch.word = n.now
 		n.ask(Watch{Index: n.index, Beside: true})
-		n.ask(Note{fmt.Sprintf("discovery: no answer for %.0f s, asked once more beside, the list is %.1f s old",
+		n.ask(WriteLog{fmt.Sprintf("discovery: no answer for %.0f s, asked once more beside, the list is %.1f s old",
 			answerWait, n.now-n.watch.fresh)})
 		return
 	}
-	n.ask(Unwatch{})
-	n.unlisted(placement.ListSilent, "the watch is silent")
+	n.ask(StopWatch{})
+	n.unlisted(placement.ListTimedOut, "the watch is silent")
 }
