--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -26,8 +26,8 @@
 // older than what counts as told (rule 3), and against calls that are all given up before a slow discovery has come
 // to them.
 func TestSilentWatch(t *testing.T) {
-	one := func(status string) Listed {
-		return Listed{roster.List{Index: 9, Hosts: []roster.Host{{Name: "s-00000064", Status: status}}}}
+	one := func(status string) ListReceived {
+		return ListReceived{roster.List{Index: 9, Hosts: []roster.Host{{Name: "s-00000064", Status: status}}}}
 	}
 	for _, c := range []struct {
 		name        string
@@ -35,16 +35,16 @@
 		least, most float64 // s from the last of these to the next call
 		unwatches   int
 	}{
-		{"a call that nothing answers", []Input{Relocated{}}, answerWait, answerWait + beatOf, 0},
-		{"an answer with nothing in it", []Input{Relocated{}, Spoke{}}, quiet, quiet + beatOf, 1},
-		{"after a list", []Input{Relocated{}, one("SERVING")}, quiet, quiet + beatOf, 1},
-		{"between lines, or in the middle of one", []Input{Relocated{}, one("SERVING"), Spoke{}, Spoke{}}, quiet,
+		{"a call that nothing answers", []Input{DiscoveryMoved{}}, answerWait, answerWait + beatOf, 0},
+		{"an answer with nothing in it", []Input{DiscoveryMoved{}, WatchAlive{}}, quiet, quiet + beatOf, 1},
+		{"after a list", []Input{DiscoveryMoved{}, one("SERVING")}, quiet, quiet + beatOf, 1},
+		{"between lines, or in the middle of one", []Input{DiscoveryMoved{}, one("SERVING"), WatchAlive{}, WatchAlive{}}, quiet,
 			quiet + beatOf, 1},
-		{"reset", []Input{Relocated{}, Unlisted{Why: "reset"}}, beatOf / 2, 2 * beatOf, 0},
-		{"reset after a list", []Input{Relocated{}, one("SERVING"), Unlisted{Why: "reset"}}, beatOf / 2, 2 * beatOf, 0},
-		{"refused twice", []Input{Relocated{}, Unlisted{Why: "503"}, Unlisted{Why: "503"}}, beatOf, 4 * beatOf, 0},
-		{"moved while it is waited for", []Input{Unlisted{Why: "503"}, Relocated{}}, answerWait, answerWait + beatOf, 0},
-		{"moved while it is silent", []Input{one("SERVING"), Relocated{}}, answerWait, answerWait + beatOf, 0},
+		{"reset", []Input{DiscoveryMoved{}, WatchFailed{Reason: "reset"}}, beatOf / 2, 2 * beatOf, 0},
+		{"reset after a list", []Input{DiscoveryMoved{}, one("SERVING"), WatchFailed{Reason: "reset"}}, beatOf / 2, 2 * beatOf, 0},
+		{"refused twice", []Input{DiscoveryMoved{}, WatchFailed{Reason: "503"}, WatchFailed{Reason: "503"}}, beatOf, 4 * beatOf, 0},
+		{"moved while it is waited for", []Input{WatchFailed{Reason: "503"}, DiscoveryMoved{}}, answerWait, answerWait + beatOf, 0},
+		{"moved while it is silent", []Input{one("SERVING"), DiscoveryMoved{}}, answerWait, answerWait + beatOf, 0},
 	} {
 		w := newWorld(t, "proxy", 3, 100)
 		for _, in := range c.before {
@@ -56,8 +56,8 @@
 		if w.unwatches != c.unwatches {
 			t.Errorf("%s: %d watches ended, wanted %d", c.name, w.unwatches, c.unwatches)
 		}
-		if f := w.asks(HowMany, "").Figures; f.Listed != 3 || f.Avoided != 0 {
-			t.Errorf("%s: %d hosts listed, %d avoided", c.name, f.Listed, f.Avoided)
+		if f := w.asks(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 0 {
+			t.Errorf("%s: %d hosts listed, %d avoided", c.name, f.Listed, f.Unavailable)
 		}
 	}
 }
@@ -68,8 +68,8 @@
 // Guards against a discovery that needs longer than that for a call, where who starts again is never answered; against
 // a call that got lost and held up the next; and against an agent that is given no second call.
 func TestSlowDiscovery(t *testing.T) {
-	w := newWorldOf(t, strings.Replace(settings, "{", `{"membership_mode":"automatic",`, 1), "proxy", 3, 100)
-	w.do(Relocated{})
+	w := newWorldOf(t, strings.Replace(settingsJSON, "{", `{"membership_mode":"automatic",`, 1), "proxy", 3, 100)
+	w.do(DiscoveryMoved{})
 	for range 5 { // its own agent
 		if took := w.untilAsked(100); math.Abs(took-answerWait) > 2*beatOf {
 			t.Fatalf("waited %.2f s for an agent, wanted %.0f s", took, answerWait)
@@ -79,7 +79,7 @@
 		t.Errorf("%d calls of an agent given up, %d made beside, wanted 5 and 0", w.unwatches, w.besides)
 	}
 	w = newWorld(t, "proxy", 3, 100)
-	w.do(Relocated{})
+	w.do(DiscoveryMoved{})
 	for range 20 {
 		if took := w.untilAsked(100); math.Abs(took-answerWait) > 2*beatOf {
 			t.Fatalf("waited %.2f s, wanted %.0f s", took, answerWait)
@@ -88,7 +88,7 @@
 	if w.unwatches != 0 || w.besides != 20 {
 		t.Errorf("%d calls given up, %d made beside, wanted 0 and 20", w.unwatches, w.besides)
 	}
-	w.do(Spoke{})
+	w.do(WatchAlive{})
 	w.untilAsked(5)
 	if w.unwatches != 1 {
 		t.Errorf("%d watches ended, wanted the one that spoke", w.unwatches)
@@ -105,7 +105,7 @@
 		w := newWorld(t, "proxy", 3, 100)
 		for i := range 60 {
 			w.pass(0.2)
-			w.do(Spoke{Within: !ends || i%15 != 14}) // a line of three seconds, or one without an end
+			w.do(WatchAlive{MidLine: !ends || i%15 != 14}) // a line of three seconds, or one without an end
 		}
 		if given := w.unwatches > 0; given == ends {
 			t.Errorf("a line that ends %v: %d watches given up", ends, w.unwatches)
@@ -121,8 +121,8 @@
 		t.Fatalf("%d watches given up, asked from %v", w.unwatches, w.watches)
 	}
 	w.untilAsked(10)
-	w.do(Listed{roster.List{Index: 9, Hosts: []roster.Host{{Name: "s-00000064", Status: "DRAINING"}}}})
-	if f := w.asks(HowMany, "").Figures; f.Avoided != 1 {
+	w.do(ListReceived{roster.List{Index: 9, Hosts: []roster.Host{{Name: "s-00000064", Status: "DRAINING"}}}})
+	if f := w.asks(GetFigures, "").Figures; f.Unavailable != 1 {
 		t.Error("a late word was not heard")
 	}
 }
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -37,18 +37,18 @@
 
 // Send sends the words to every other node, in as few messages as they take. One that cannot be sent is lost: the
 // others learn the same by their own probes, later.
-func (l *Link) Send(words []Word) {
+func (l *Link) Send(words []HostLoad) {
 	var texts [][]byte
-	for ; len(words) > 0; words = words[min(len(words), Most):] {
+	for ; len(words) > 0; words = words[min(len(words), MaxLoads):] {
 		texts = append(texts, Append(nil, words))
 	}
 	l.socket.Send(texts, slices.Collect(maps.Keys(l.nodes))...)
 }
 
 // Serve hands on what the other nodes say, until the context ends; what nobody else may say is dropped.
-func (l *Link) Serve(ctx context.Context, hear func([]Word)) error {
-	return l.socket.Serve(ctx, MostSize, func(text []byte, from netip.AddrPort) {
-		if words := Read(text); l.nodes[from] && len(words) > 0 {
+func (l *Link) Serve(ctx context.Context, hear func([]HostLoad)) error {
+	return l.socket.Serve(ctx, MaxMessageBytes, func(text []byte, from netip.AddrPort) {
+		if words := Parse(text); l.nodes[from] && len(words) > 0 {
 			hear(words)
 		}
 	})
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -32,22 +32,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard, served := make(chan []Word, 8), make(chan error, 1)
-	go func() { served <- l.Serve(ctx, func(words []Word) { heard <- words }) }()
-	words := make([]Word, Most+2)
+	heard, served := make(chan []HostLoad, 8), make(chan error, 1)
+	go func() { served <- l.Serve(ctx, func(words []HostLoad) { heard <- words }) }()
+	words := make([]HostLoad, MaxLoads+2)
 	for i := range words {
-		words[i] = Word{uint32(i), 0.5}
+		words[i] = HostLoad{uint32(i), 0.5}
 	}
 	l.Send(words)
-	buf := make([]byte, 2*MostSize)
-	var got []Word
+	buf := make([]byte, 2*MaxMessageBytes)
+	var got []HostLoad
 	for len(got) < len(words) {
 		peer.SetReadDeadline(time.Now().Add(10 * time.Second))
 		n, err := peer.Read(buf)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got = append(got, Read(buf[:n])...)
+		got = append(got, Parse(buf[:n])...)
 	}
 	if !slices.Equal(got, words) {
 		t.Errorf("the other node got %v", got)
@@ -57,14 +57,14 @@
 		from *net.UDPConn
 		text []byte
 	}{
-		{stranger, Append(nil, []Word{{1, 1}})}, {peer, nil}, {peer, []byte{version + 1, 0, 0, 0, 1, 64}},
-		{peer, make([]byte, MostSize+5)}, {peer, Append(nil, []Word{{7, 1}})},
+		{stranger, Append(nil, []HostLoad{{1, 1}})}, {peer, nil}, {peer, []byte{version + 1, 0, 0, 0, 1, 64}},
+		{peer, make([]byte, MaxMessageBytes+5)}, {peer, Append(nil, []HostLoad{{7, 1}})},
 	} {
 		if _, err := m.from.WriteToUDP(m.text, to); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if words := <-heard; !slices.Equal(words, []Word{{7, 1}}) {
+	if words := <-heard; !slices.Equal(words, []HostLoad{{7, 1}}) {
 		t.Errorf("heard %v", words)
 	}
 	cancel()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	version  = 1
-	wordLen  = 5
-	unit     = 1.0 / 64 // of what a host can do; rounded up, lest one a little too busy is told as none
-	Most     = 51       // words in a message
-	MostSize = 1 + Most*wordLen
+	version         = 1
+	wordLen         = 5
+	unit            = 1.0 / 64 // of what a host can do; rounded up, lest one a little too busy is told as none
+	MaxLoads        = 51       // words in a message
+	MaxMessageBytes = 1 + MaxLoads*wordLen
 )
 
-// Word is one host's load, by its id: what is asked of it over what it can do.
-type Word struct {
+// HostLoad is one host's load, by its id: what is asked of it over what it can do.
+type HostLoad struct {
 	Host uint32
 	Load float64
 }
 
 // Append adds a message with the words, of which it takes Most; loads are told up to four.
-func Append(to []byte, words []Word) []byte {
+func Append(to []byte, words []HostLoad) []byte {
 	to = append(to, version)
-	for _, w := range words[:min(len(words), Most)] {
+	for _, w := range words[:min(len(words), MaxLoads)] {
 		to = binary.BigEndian.AppendUint32(to, w.Host)
 		to = append(to, byte(math.Ceil(min(max(w.Load, 0)/unit, 255))))
 	}
 	return to
 }
 
-// Read takes a message apart; nothing comes of one of another version or length.
-func Read(text []byte) (words []Word) {
-	if len(text) < 1 || len(text) > MostSize || text[0] != version || len(text)%wordLen != 1 {
+// Parse takes a message apart; nothing comes of one of another version or length.
+func Parse(text []byte) (words []HostLoad) {
+	if len(text) < 1 || len(text) > MaxMessageBytes || text[0] != version || len(text)%wordLen != 1 {
 		return nil
 	}
 	for text = text[1:]; len(text) > 0; text = text[wordLen:] {
-		words = append(words, Word{binary.BigEndian.Uint32(text), float64(text[4]) * unit})
+		words = append(words, HostLoad{binary.BigEndian.Uint32(text), float64(text[4]) * unit})
 	}
 	return words
 }
--- a/internal/peers/peers_golden_test.go
+++ b/internal/peers/peers_golden_test.go
@@ -30,10 +30,10 @@
 }
 
 // manyWords gives words that all differ.
-func manyWords(count int) []Word {
-	words := make([]Word, count)
+func manyWords(count int) []HostLoad {
+	words := make([]HostLoad, count)
 	for i := range words {
-		words[i] = Word{Host: 0xfe01a200 + uint32(i), Load: float64(i+1) / 64}
+		words[i] = HostLoad{Host: 0xfe01a200 + uint32(i), Load: float64(i+1) / 64}
 	}
 	return words
 }
@@ -42,15 +42,15 @@
 	datagrams := goldenDatagrams(t)
 	cases := []struct {
 		name string
-		sent []Word
-		read []Word // where it is not what was sent
+		sent []HostLoad
+		read []HostLoad // where it is not what was sent
 	}{
 		{name: "empty"},
-		{name: "one", sent: []Word{{0x5be2a07c, 0.75}}},
-		{name: "two", sent: []Word{{1, 0.015625}, {4294967295, 3.984375}}},
-		{name: "rounded-up", sent: []Word{{7, 0.751}}, read: []Word{{7, 0.765625}}},
-		{name: "over-the-range", sent: []Word{{7, 40}}, read: []Word{{7, 3.984375}}},
-		{name: "below-zero", sent: []Word{{7, -1}}, read: []Word{{7, 0}}},
+		{name: "one", sent: []HostLoad{{0x5be2a07c, 0.75}}},
+		{name: "two", sent: []HostLoad{{1, 0.015625}, {4294967295, 3.984375}}},
+		{name: "rounded-up", sent: []HostLoad{{7, 0.751}}, read: []HostLoad{{7, 0.765625}}},
+		{name: "over-the-range", sent: []HostLoad{{7, 40}}, read: []HostLoad{{7, 3.984375}}},
+		{name: "below-zero", sent: []HostLoad{{7, -1}}, read: []HostLoad{{7, 0}}},
 		{name: "most", sent: manyWords(51)},
 		{name: "most", sent: manyWords(53), read: manyWords(51)}, // the rest goes into the next datagram
 	}
@@ -69,7 +69,7 @@
 			if want == nil {
 				want = c.sent
 			}
-			got := Read(datagram)
+			got := Parse(datagram)
 			if !slices.Equal(got, want) {
 				t.Errorf("Read gave %v, want %v", got, want)
 			}
@@ -84,18 +84,18 @@
 }
 
 func TestDatagramLimits(t *testing.T) {
-	if Most != 51 || MostSize != 256 {
-		t.Errorf("%d words and %d bytes in a datagram, want 51 and 256", Most, MostSize)
+	if MaxLoads != 51 || MaxMessageBytes != 256 {
+		t.Errorf("%d words and %d bytes in a datagram, want 51 and 256", MaxLoads, MaxMessageBytes)
 	}
 	most := goldenDatagrams(t)["most"]
 	if len(most) != 256 {
 		t.Fatalf("the longest golden datagram has %d bytes, want 256", len(most))
 	}
-	if words := Read(append(bytes.Clone(most), 0, 0, 0, 1, 2)); words != nil {
+	if words := Parse(append(bytes.Clone(most), 0, 0, 0, 1, 2)); words != nil {
 		t.Errorf("a longer one was read as %v", words)
 	}
 	most[0]++
-	if words := Read(most); words != nil {
+	if words := Parse(most); words != nil {
 		t.Errorf("one of another version was read as %v", words)
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,25 +9,25 @@
 
 func TestMessage(t *testing.T) {
 	for _, c := range []struct{ load, want float64 }{{0, 0}, {0.5, 0.5}, {0.751, 49.0 / 64}, {40, 255.0 / 64}, {-1, 0}} {
-		words := Read(Append(nil, []Word{{7, 1}, {0xfe01a2b3, c.load}}))
-		if !slices.Equal(words, []Word{{7, 1}, {0xfe01a2b3, c.want}}) {
+		words := Parse(Append(nil, []HostLoad{{7, 1}, {0xfe01a2b3, c.load}}))
+		if !slices.Equal(words, []HostLoad{{7, 1}, {0xfe01a2b3, c.want}}) {
 			t.Errorf("%v: %v", c.load, words)
 		}
 	}
-	if text := Append(nil, make([]Word, 2*Most)); len(text) != MostSize || MostSize > 256 || len(Read(text)) != Most {
+	if text := Append(nil, make([]HostLoad, 2*MaxLoads)); len(text) != MaxMessageBytes || MaxMessageBytes > 256 || len(Parse(text)) != MaxLoads {
 		t.Errorf("%d bytes for more words than a message takes", len(text))
 	}
 }
 
 // A node takes whatever comes from the network: only its own version, whole, is a message.
 func FuzzRead(f *testing.F) {
-	f.Add(Append(nil, []Word{{7, 0.9}}))
+	f.Add(Append(nil, []HostLoad{{7, 0.9}}))
 	f.Add([]byte{})
 	f.Add([]byte{2, 0, 0, 0, 7, 52})
 	f.Add([]byte("longer than a word, and no message"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		words := Read(text)
-		if len(words) > Most {
+		words := Parse(text)
+		if len(words) > MaxLoads {
 			t.Fatalf("%d words", len(words))
 		}
 		for i := range words {
--- a/internal/rig/standin/standin.go
+++ b/internal/rig/standin/standin.go
@@ -85,7 +85,7 @@
 
 // List gives the hosts as discovery tells them.
 func (h *Hosts) List(index int64) roster.List {
-	l := roster.List{Index: index, Whole: true}
+	l := roster.List{Index: index, Complete: true}
 	for i, ln := range h.listeners {
 		l.Hosts = append(l.Hosts, roster.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: ln.Addr().String(),
 			Zone: "a", Status: "SERVING", Weight: 1})
@@ -138,7 +138,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if list.Whole {
+	if list.Complete {
 		d.whole = len(d.said)
 	}
 	d.said = append(d.said, append(text, '\n'))
--- a/internal/rundown/rundown.go
+++ b/internal/rundown/rundown.go
@@ -11,19 +11,19 @@
 	"gorseledge/placement"
 )
 
-// Door is what the adapters need of the settings beside the module's rundown: names and limits of
+// ListenerSettings is what the adapters need of the settings beside the module's rundown: names and limits of
 // connections.
-type Door struct {
-	Fields      []string // of a load report, in their order
-	Types       []string // service types
-	Tenants     []string
-	Zones       []string
-	DialTimeout float64 // a connection that is not up by then never comes up
-	Longest     float64 // the longest connect timeout
-	TellsLoad   bool    // hosts tell a connection's load
-	TellsDelay  bool    // hosts tell how long a message takes
-	Pushed      bool    // lists come on their own, to an agent on the node's machine
-	PassThrough bool    // packets pass through: connections outlive the node
+type ListenerSettings struct {
+	ReportFields      []string // of a load report, in their order
+	ServiceTypes      []string // service types
+	Tenants           []string
+	Zones             []string
+	DialTimeout       float64 // a connection that is not up by then never comes up
+	MaxConnectTimeout float64 // the longest connect timeout
+	ReportsLoad       bool    // hosts tell a connection's load
+	ReportsDelay      bool    // hosts tell how long a message takes
+	ListPushed        bool    // lists come on their own, to an agent on the node's machine
+	PassThrough       bool    // packets pass through: connections outlive the node
 }
 
 // start is the settings object of a start; keys not named here are skipped.
@@ -72,72 +72,72 @@
 	Zones    []string `json:"zones"`
 }
 
-var effects = map[string]placement.Effect{"repeatable": placement.Repeatable, "by_key": placement.Referenced,
-	"once": placement.OnceOnly}
+var effects = map[string]placement.Idempotency{"repeatable": placement.Idempotent, "by_key": placement.IdempotentWithKey,
+	"once": placement.AtMostOnce}
 
-var groups = map[string]placement.Group{"all": placement.GroupAll, "zone": placement.GroupZone,
-	"cell": placement.GroupCell}
+var groups = map[string]placement.KeyScope{"all": placement.KeyScopeAll, "zone": placement.KeyScopeZone,
+	"cell": placement.KeyScopeCell}
 
 const micro = 1e-6
 
-// Wrong tells what of the settings cannot be taken, by its key.
-type Wrong struct{ Key, Why string }
+// KeyError tells what of the settings cannot be taken, by its key.
+type KeyError struct{ Key, Reason string }
 
-func (w *Wrong) Error() string { return w.Key + ": " + w.Why }
+func (w *KeyError) Error() string { return w.Key + ": " + w.Reason }
 
-// Read turns the settings of a start into the module's rundown and the door's; what cannot be taken is a *Wrong. A key
+// Parse turns the settings of a start into the module's rundown and the door's; what cannot be taken is a *Wrong. A key
 // that is not known or missing is none.
-func Read(text []byte, seed uint64) (placement.Rundown, Door, error) {
+func Parse(text []byte, seed uint64) (placement.Settings, ListenerSettings, error) {
 	var s start
 	if err := json.Unmarshal(text, &s); err != nil {
 		key := "settings"
 		if kind := (*json.UnmarshalTypeError)(nil); errors.As(err, &kind) && kind.Field != "" {
 			key += "." + kind.Field
 		}
-		return placement.Rundown{}, Door{}, &Wrong{key, err.Error()}
+		return placement.Settings{}, ListenerSettings{}, &KeyError{key, err.Error()}
 	}
 	if wrong := s.check(); wrong != nil {
-		return placement.Rundown{}, Door{}, wrong
+		return placement.Settings{}, ListenerSettings{}, wrong
 	}
-	r := placement.Rundown{
+	r := placement.Settings{
 		Seed: seed, Nodes: whole(s.Siblings), Tick: span(s.Tick),
-		MaxConnects: whole(s.Limits.MaxConnects), Probes: s.Limits.Probes, Subscribe: s.Membership == "subscribe",
-		AskWithin: span(s.Invariants.AskWithin),
-		ColdFrom:  s.Invariants.ColdFrom, ColdFor: span(s.Invariants.ColdFor),
-		FallMultiple: s.Invariants.FallMultiple, FallFor: span(s.Invariants.FallFor),
-		Reports: s.Reporting.Source == "on_probe",
-		Peers:   s.Limits.Peers,
-		Quotas:  s.Family.Quotas,
-		Self:    -1, // not told
+		MaxAttempts: whole(s.Limits.MaxConnects), HealthChecks: s.Limits.Probes, WatchEndpoints: s.Membership == "subscribe",
+		PollInterval:   span(s.Invariants.AskWithin),
+		SlowStartShare: s.Invariants.ColdFrom, SlowStartTime: span(s.Invariants.ColdFor),
+		OverloadMultiple: s.Invariants.FallMultiple, OverloadWindow: span(s.Invariants.FallFor),
+		LoadReports: s.Reporting.Source == "on_probe",
+		LoadGossip:  s.Limits.Peers,
+		Quotas:      s.Family.Quotas,
+		NodeNumber:  -1, // not told
 	}
 	if s.Me != nil {
-		r.Self = whole(*s.Me)
+		r.NodeNumber = whole(*s.Me)
 	}
 	if s.Limits.RetryAfter {
-		r.RetryAdvice = span(s.Limits.MaxRetryAfter)
+		r.MaxRetryAfter = span(s.Limits.MaxRetryAfter)
 	}
-	d := Door{Fields: s.Reporting.Fields, Zones: s.Zones, DialTimeout: span(s.Limits.DialTimeout),
-		TellsLoad: s.Family.TellsLoad, TellsDelay: s.Family.TellsDelay, PassThrough: s.Family.Mode == "pass",
-		Pushed: s.Membership == "automatic"}
+	d := ListenerSettings{ReportFields: s.Reporting.Fields, Zones: s.Zones, DialTimeout: span(s.Limits.DialTimeout),
+		ReportsLoad: s.Family.TellsLoad, ReportsDelay: s.Family.TellsDelay, PassThrough: s.Family.Mode == "pass",
+		ListPushed: s.Membership == "automatic"}
 	for _, p := range s.Parties {
 		d.Tenants = append(d.Tenants, p.Name)
 	}
 	for i, t := range s.Types {
-		row := placement.ServiceType{Effect: effects[t.Effect], Group: groups[t.Group],
-			MemorySpan: span(t.MemorySpan), SetupTarget: span(t.SetupTarget)}
+		row := placement.ServiceType{Idempotency: effects[t.Effect], KeyScope: groups[t.Group],
+			KeyLifetime: span(t.MemorySpan), SetupObjective: span(t.SetupTarget)}
 		if i < len(s.Family.MessageAim) {
-			row.MessageAim = span(s.Family.MessageAim[i])
+			row.MessageObjective = span(s.Family.MessageAim[i])
 		}
-		r.Types = append(r.Types, row)
-		d.Types = append(d.Types, t.Name)
-		d.Longest = max(d.Longest, span(t.GiveUp))
+		r.ServiceTypes = append(r.ServiceTypes, row)
+		d.ServiceTypes = append(d.ServiceTypes, t.Name)
+		d.MaxConnectTimeout = max(d.MaxConnectTimeout, span(t.GiveUp))
 	}
 	return r, d, nil
 }
 
 // check gives the first figure below nothing, or the first effect that there is none of. Guards against a figure that
 // is taken for nothing, and an effect for one that it is not.
-func (s *start) check() *Wrong {
+func (s *start) check() *KeyError {
 	type figure struct {
 		key string
 		x   float64
@@ -159,24 +159,24 @@
 	for i, t := range s.Types {
 		at := fmt.Sprintf("service_types[%d].", i)
 		if _, known := effects[t.Effect]; !known && t.Effect != "" {
-			return &Wrong{"settings." + at + "effect", fmt.Sprintf("%q is none of repeatable, by_key, once", t.Effect)}
+			return &KeyError{"settings." + at + "effect", fmt.Sprintf("%q is none of repeatable, by_key, once", t.Effect)}
 		}
 		figures = append(figures, figure{at + "give_up_us", t.GiveUp}, figure{at + "memory_span_us", t.MemorySpan},
 			figure{at + "setup_target_us", t.SetupTarget})
 	}
 	for _, f := range figures {
 		if f.x < 0 {
-			return &Wrong{"settings." + f.key, fmt.Sprintf("%v is below nothing", f.x)}
+			return &KeyError{"settings." + f.key, fmt.Sprintf("%v is below nothing", f.x)}
 		}
 	}
 	return nil
 }
 
-// Check tells of settings that no deployment can have together, by the key at fault: the node of one is not to
+// Validate tells of settings that no deployment can have together, by the key at fault: the node of one is not to
 // start on half of another's.
-func Check(r placement.Rundown) error {
-	if r.Reports && !r.Probes {
-		return &Wrong{"settings.reporting.source", "reports come on probes, and settings.limits.probes allows none"}
+func Validate(r placement.Settings) error {
+	if r.LoadReports && !r.HealthChecks {
+		return &KeyError{"settings.reporting.source", "reports come on probes, and settings.limits.probes allows none"}
 	}
 	return nil
 }
--- a/internal/rundown/rundown_golden_test.go
+++ b/internal/rundown/rundown_golden_test.go
@@ -60,26 +60,26 @@
 }
 
 func TestGoldenSettingsAreRead(t *testing.T) {
-	settings, rest, err := Read(goldenSettings(t), 18446744073709551615)
+	settings, rest, err := Parse(goldenSettings(t), 18446744073709551615)
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantSettings := placement.Rundown{
-		Seed: 18446744073709551615, Nodes: 3, Self: 2, Tick: 0.0078125, MaxConnects: 5, Probes: true, RetryAdvice: 2,
-		Subscribe: true, AskWithin: 10, Reports: true, Peers: true, ColdFrom: 0.375, ColdFor: 8, FallMultiple: 4.5,
-		FallFor: 1.5, Quotas: []float64{90, 60.5},
-		Types: []placement.ServiceType{
-			{Effect: placement.Repeatable, Group: placement.GroupAll, MemorySpan: 5, SetupTarget: 0.5, MessageAim: 0.0625},
-			{Effect: placement.Referenced, Group: placement.GroupZone, MemorySpan: 6, SetupTarget: 0.75, MessageAim: 0.25},
-			{Effect: placement.OnceOnly, Group: placement.GroupCell, MemorySpan: 7, SetupTarget: 0.875, MessageAim: 0.125},
+	wantSettings := placement.Settings{
+		Seed: 18446744073709551615, Nodes: 3, NodeNumber: 2, Tick: 0.0078125, MaxAttempts: 5, HealthChecks: true, MaxRetryAfter: 2,
+		WatchEndpoints: true, PollInterval: 10, LoadReports: true, LoadGossip: true, SlowStartShare: 0.375, SlowStartTime: 8, OverloadMultiple: 4.5,
+		OverloadWindow: 1.5, Quotas: []float64{90, 60.5},
+		ServiceTypes: []placement.ServiceType{
+			{Idempotency: placement.Idempotent, KeyScope: placement.KeyScopeAll, KeyLifetime: 5, SetupObjective: 0.5, MessageObjective: 0.0625},
+			{Idempotency: placement.IdempotentWithKey, KeyScope: placement.KeyScopeZone, KeyLifetime: 6, SetupObjective: 0.75, MessageObjective: 0.25},
+			{Idempotency: placement.AtMostOnce, KeyScope: placement.KeyScopeCell, KeyLifetime: 7, SetupObjective: 0.875, MessageObjective: 0.125},
 		},
 	}
 	if !reflect.DeepEqual(settings, wantSettings) {
 		t.Errorf("read %+v, want %+v", settings, wantSettings)
 	}
-	wantRest := Door{
-		Fields: []string{"x0", "x1"}, Types: []string{"chat", "order", "pay"}, Tenants: []string{"acme", "beta"},
-		Zones: []string{"a", "b"}, DialTimeout: 0.375, Longest: 4.5, TellsLoad: true, TellsDelay: true, PassThrough: true,
+	wantRest := ListenerSettings{
+		ReportFields: []string{"x0", "x1"}, ServiceTypes: []string{"chat", "order", "pay"}, Tenants: []string{"acme", "beta"},
+		Zones: []string{"a", "b"}, DialTimeout: 0.375, MaxConnectTimeout: 4.5, ReportsLoad: true, ReportsDelay: true, PassThrough: true,
 	}
 	if !reflect.DeepEqual(rest, wantRest) {
 		t.Errorf("read %+v, want %+v", rest, wantRest)
@@ -90,23 +90,23 @@
 func TestGoldenSettingsOfOtherChoices(t *testing.T) {
 	for _, c := range []struct {
 		name, from, to string
-		settings       func(*placement.Rundown)
-		rest           func(*Door)
+		settings       func(*placement.Settings)
+		rest           func(*ListenerSettings)
 	}{
 		{"pushed lists", `"membership_mode":"subscribe"`, `"membership_mode":"automatic"`,
-			func(s *placement.Rundown) { s.Subscribe = false }, func(d *Door) { d.Pushed = true }},
+			func(s *placement.Settings) { s.WatchEndpoints = false }, func(d *ListenerSettings) { d.ListPushed = true }},
 		{"polled lists", `"membership_mode":"subscribe"`, `"membership_mode":"poll"`,
-			func(s *placement.Rundown) { s.Subscribe = false }, nil},
+			func(s *placement.Settings) { s.WatchEndpoints = false }, nil},
 		{"connections that end at the node", `"mode":"pass"`, `"mode":"end"`, nil,
-			func(d *Door) { d.PassThrough = false }},
+			func(d *ListenerSettings) { d.PassThrough = false }},
 		{"no load reports", `"source":"on_probe"`, `"source":"none"`,
-			func(s *placement.Rundown) { s.Reports = false }, nil},
+			func(s *placement.Settings) { s.LoadReports = false }, nil},
 		{"no retry times", `"retry_after":true`, `"retry_after":false`,
-			func(s *placement.Rundown) { s.RetryAdvice = 0 }, nil},
-		{"no number of its own", `,"me":2`, ``, func(s *placement.Rundown) { s.Self = -1 }, nil},
+			func(s *placement.Settings) { s.MaxRetryAfter = 0 }, nil},
+		{"no number of its own", `,"me":2`, ``, func(s *placement.Settings) { s.NodeNumber = -1 }, nil},
 		{"a type without an effect and a group", `"effect":"repeatable","group":"all",`, ``,
-			func(s *placement.Rundown) {
-				s.Types[0].Effect, s.Types[0].Group = placement.OnceOnly, placement.GroupCell
+			func(s *placement.Settings) {
+				s.ServiceTypes[0].Idempotency, s.ServiceTypes[0].KeyScope = placement.AtMostOnce, placement.KeyScopeCell
 			}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 			if bytes.Equal(changed, text) {
 				t.Fatalf("the golden settings have no %s", c.from)
 			}
-			want, wantRest, err := Read(text, 9)
+			want, wantRest, err := Parse(text, 9)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -125,7 +125,7 @@
 			if c.rest != nil {
 				c.rest(&wantRest)
 			}
-			got, gotRest, err := Read(changed, 9)
+			got, gotRest, err := Parse(changed, 9)
 			if err != nil || !reflect.DeepEqual(got, want) || !reflect.DeepEqual(gotRest, wantRest) {
 				t.Errorf("%v, read %+v and %+v, want %+v and %+v", err, got, gotRest, want, wantRest)
 			}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -174,8 +174,8 @@
 		return memberFacts{}, err
 	}
 	log := zerolog.New(io.Discard).With().Timestamp().Str("node", n.Name).Logger()
-	part := fleet.New(file, view.Options{Name: n.Name, Build: n.Build, Seed: n.Seed, Settled: n.Settled, Log: log,
-		Nodes: func(int) {}, Install: func(_ context.Context, revision live.Revision) ([]string, error) {
+	part := fleet.New(file, view.Options{Name: n.Name, Build: n.Build, Seed: n.Seed, ConfiguredNodes: n.Settled, Log: log,
+		NodesChanged: func(int) {}, Install: func(_ context.Context, revision live.Revision) ([]string, error) {
 			p.install(n.Name, revision)
 			return nil, nil
 		}})
--- a/internal/sockets/config.go
+++ b/internal/sockets/config.go
@@ -154,21 +154,21 @@
 
 // start turns the config into what the core is told. A known list that does not parse is as good as none.
 func (c Config) start() (node.Start, error) {
-	r, d, err := rundown.Read(c.Settings, line.Number([]byte(c.Seed)))
+	r, d, err := rundown.Parse(c.Settings, line.Number([]byte(c.Seed)))
 	if err == nil {
-		err = rundown.Check(r)
+		err = rundown.Validate(r)
 	}
 	if err == nil {
-		err = c.mixed(r.Peers)
+		err = c.mixed(r.LoadGossip)
 	}
 	if err != nil {
 		return node.Start{}, err
 	}
-	if r.Self < 0 {
-		r.Self = numberOf(c.Name)
+	if r.NodeNumber < 0 {
+		r.NodeNumber = numberOf(c.Name)
 	}
-	r.Peers = c.PeerAddr != "" || r.Peers && c.Fleet != "" // members are told where no peers are named
-	known, err := roster.Read(c.Known)
+	r.LoadGossip = c.PeerAddr != "" || r.LoadGossip && c.Fleet != "" // members are told where no peers are named
+	known, err := roster.Parse(c.Known)
 	if err != nil {
 		known = roster.List{}
 	}
@@ -183,5 +183,5 @@
 	if c.Fleet != "" {
 		own++
 	}
-	return node.Start{Rundown: r, Door: d, Known: known, Sockets: max(limit-own, 2), Toll: own}, nil
+	return node.Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: max(limit-own, 2), DescriptorOverhead: own}, nil
 }
--- a/internal/sockets/departed_test.go
+++ b/internal/sockets/departed_test.go
@@ -46,9 +46,9 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}, "discovery")}
-	d.core = node.New(d.now(), node.Start{Sockets: 100, Door: rundown.Door{Types: []string{"chat"}},
-		Rundown: placement.Rundown{Nodes: 1, MaxConnects: 1, Types: []placement.ServiceType{{Effect: placement.Repeatable}}},
-		Known:   roster.List{Hosts: []roster.Host{{Name: "s-1", Address: host.Addr().String(), Status: "SERVING"}}}})
+	d.core = node.New(d.now(), node.Start{MaxDescriptors: 100, Listener: rundown.ListenerSettings{ServiceTypes: []string{"chat"}},
+		Settings:   placement.Settings{Nodes: 1, MaxAttempts: 1, ServiceTypes: []placement.ServiceType{{Idempotency: placement.Idempotent}}},
+		CachedList: roster.List{Hosts: []roster.Host{{Name: "s-1", Address: host.Addr().String(), Status: "SERVING"}}}})
 	t.Cleanup(func() {
 		for _, l := range d.links {
 			l.close(false)
@@ -104,8 +104,8 @@
 		if !c.dials {
 			waitFor(t, h.links[1]) // it has reached the node's machine
 		}
-		h.apply(first.(node.Got))
-		flows, conns, _ := h.core.Held()
+		h.apply(first.(node.ReadDone))
+		flows, conns, _ := h.core.Usage()
 		if !c.dials {
 			if flows != 0 || conns != 0 {
 				t.Errorf("%s: %d flows and %d connections are held", c.name, flows, conns)
@@ -148,7 +148,7 @@
 func TestNoDelay(t *testing.T) {
 	h := halt(t)
 	fmt.Fprint(h.client, "OPEN 1 a1 c=chat,d=5000\r\n")
-	h.apply(h.input().(node.Got))
+	h.apply(h.input().(node.ReadDone))
 	up, err := h.host.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sockets/effects.go
+++ b/internal/sockets/effects.go
@@ -19,11 +19,11 @@
 		l.reads <- e.Into
 	case node.Write:
 		if n, failed, whole := d.links[e.Conn].write(e.Data); whole {
-			d.next = append(d.next, node.Wrote{Conn: e.Conn, N: n, Failed: failed})
+			d.next = append(d.next, node.WriteDone{Conn: e.Conn, N: n, Failed: failed})
 		}
 	case node.Dial:
 		d.dial(e)
-	case node.Shut:
+	case node.CloseWrite:
 		if err := d.links[e.Conn].socket.CloseWrite(); err != nil {
 			d.log.Debug().Err(err).Msg("shut")
 		}
@@ -32,52 +32,52 @@
 		delete(d.links, e.Conn)
 	case node.Watch:
 		d.watch(e)
-	case node.Unwatch:
+	case node.StopWatch:
 		d.unwatch(0)
-	case node.Timer:
+	case node.SetTimer:
 		d.timer.Reset(time.Duration((e.At - d.now()) * 1e9))
-	case node.Note:
+	case node.WriteLog:
 		d.log.Info().Msg(e.Line)
-	case node.Done:
+	case node.LogConnection:
 		r := e.Record
 		d.log.Info().Str("reason", string(r.Reason)).Str("type", r.Type).Str("host", r.Host).
-			Int("connects", r.Connects).Float64("setup_s", round(r.Setup)).Float64("lasted_s", round(r.Lasted)).
-			Uint64("up", r.Up).Uint64("down", r.Down).Msg("ended")
-	case node.Answer:
-		if e.Legacy != nil {
-			d.heir.post(letter{Message: handover.Message{Legacy: e.Legacy}, door: d.passes()})
+			Int("connects", r.Attempts).Float64("setup_s", round(r.Setup)).Float64("lasted_s", round(r.Duration)).
+			Uint64("up", r.BytesFromClient).Uint64("down", r.BytesToClient).Msg("ended")
+	case node.Reply:
+		if e.Handover != nil {
+			d.heir.post(letter{Message: handover.Message{State: e.Handover}, door: d.passes()})
 		} else {
 			d.answer <- e
 		}
-	case node.Say:
+	case node.SendGossip:
 		if d.others != nil {
 			select {
-			case d.others <- e.Words:
+			case d.others <- e.Loads:
 			default: // the sender is behind: lost, as on the way
 			}
 		}
-	case node.Tell:
-		if r := e.News.Revision; r != nil && d.fleet != nil {
+	case node.UpdatePeerProcess:
+		if r := e.Update.Revision; r != nil && d.fleet != nil {
 			d.fleet.InForce(*r)
 		}
-		d.elder.post(letter{Message: handover.Message{News: &e.News}})
-		d.heir.post(letter{Message: handover.Message{News: &e.News}})
-	case node.Configured:
+		d.elder.post(letter{Message: handover.Message{Update: &e.Update}})
+		d.heir.post(letter{Message: handover.Message{Update: &e.Update}})
+	case node.SettingsApplied:
 		d.configured <- e
-	case node.Relocate:
+	case node.MoveDiscovery:
 		d.relocate(e.Address)
-	case node.Halt:
+	case node.StopReading:
 		l := d.links[e.Conn]
 		l.halted = true
 		l.socket.SetReadDeadline(time.Unix(1, 0))
-	case node.Pass:
+	case node.SendConnection:
 		d.pass(e)
-	case node.Own:
+	case node.BindHostConnection:
 		d.link(e.Conn, d.adopted)
 		d.adopted = nil
-	case node.Ready:
+	case node.OpenListener:
 		d.open()
-	case node.Shutter:
+	case node.CloseListener:
 		d.shutter()
 	case node.Exit:
 		return false
--- a/internal/sockets/inputs.go
+++ b/internal/sockets/inputs.go
@@ -38,7 +38,7 @@
 	}
 	reconfigure struct {
 		revision live.Revision
-		answer   chan<- node.Configured
+		answer   chan<- node.SettingsApplied
 	}
 )
 
@@ -56,7 +56,7 @@
 		if what.err == nil {
 			d.link(what.conn, what.socket)
 		}
-		return node.Dialed{Conn: what.conn, Err: what.err, Own: own(what.err)}
+		return node.Dialed{Conn: what.conn, Err: what.err, LocalFailure: own(what.err)}
 	case spoke:
 		if what.watch.Err() != nil { // called off meanwhile: it says nothing of the watch that took its place
 			return nil
@@ -67,14 +67,14 @@
 			}
 			return c.ctx != what.watch
 		})
-		return node.Spoke{Within: what.within}
+		return node.WatchAlive{MidLine: what.within}
 	case listed:
 		// What a watch said before it was given up as silent counts. Guards against an older list after the newer one
 		// of the call beside it.
 		if context.Cause(what.watch) == errOutpaced {
 			return nil
 		}
-		return node.Listed{List: what.list}
+		return node.ListReceived{List: what.list}
 	case unwatched:
 		if what.watch.Err() != nil {
 			return nil
@@ -88,12 +88,12 @@
 		if len(d.calls) > 0 { // one beside it waits still
 			return nil
 		}
-		return node.Unlisted{Why: what.why}
+		return node.WatchFailed{Reason: what.why}
 	case reloaded:
 		return d.reload(what.config, what.err)
 	case reconfigure:
 		d.configured = what.answer
-		return node.Reconfigured{Revision: what.revision}
+		return node.SettingsReceived{Revision: what.revision}
 	case fromTwin:
 		return d.hear(what)
 	case bound:
--- a/internal/sockets/link.go
+++ b/internal/sockets/link.go
@@ -48,14 +48,14 @@
 	d.group.Go(func() error {
 		for into := range l.reads {
 			n, err := socket.Read(into)
-			d.send(node.Got{Conn: conn, N: n, End: endOf(err)})
+			d.send(node.ReadDone{Conn: conn, N: n, End: endOf(err)})
 		}
 		return done()
 	})
 	d.group.Go(func() error {
 		for r := range l.writes {
 			n, err := socket.Write(r.data[r.done:])
-			d.send(node.Wrote{Conn: conn, N: r.done + n, Failed: err != nil})
+			d.send(node.WriteDone{Conn: conn, N: r.done + n, Failed: err != nil})
 		}
 		return done()
 	})
@@ -122,11 +122,11 @@
 }
 
 func (d *door) dial(e node.Dial) {
-	ctx, cancel := context.WithTimeout(d.ctx, time.Duration(e.Within*1e9))
+	ctx, cancel := context.WithTimeout(d.ctx, time.Duration(e.Timeout*1e9))
 	d.links[e.Conn] = &link{cancel: cancel}
 	if whose := d.links[e.For]; whose != nil && whose.left() {
 		cancel() // so nothing goes out
-		d.next = append(d.next, node.Departed{Conn: e.For})
+		d.next = append(d.next, node.ClientGone{Conn: e.For})
 	}
 	d.group.Go(func() error {
 		defer cancel()
--- a/internal/sockets/others.go
+++ b/internal/sockets/others.go
@@ -18,7 +18,7 @@
 	if c.PeerAddr == "" {
 		return
 	}
-	d.others = make(chan []peers.Word, waitingWords)
+	d.others = make(chan []peers.HostLoad, waitingWords)
 	d.group.Go(func() error {
 		l, err := peers.Listen(ctx, c.PeerAddr, c.Peers)
 		if err != nil {
@@ -39,7 +39,7 @@
 }
 
 // saying hands on the words that are to go to other nodes, beside the loop.
-func (d *door) saying(ctx context.Context, send func([]peers.Word)) error {
+func (d *door) saying(ctx context.Context, send func([]peers.HostLoad)) error {
 	for {
 		select {
 		case words := <-d.others:
@@ -51,9 +51,9 @@
 }
 
 // heard takes another node's words.
-func (d *door) heard(words []peers.Word) {
+func (d *door) heard(words []peers.HostLoad) {
 	select {
-	case d.inputs <- node.Heard{Words: words}:
+	case d.inputs <- node.GossipReceived{Loads: words}:
 	default: // guards against a crowd of messages that holds clients up
 	}
 }
@@ -64,15 +64,15 @@
 	if m.open == nil {
 		return
 	}
-	d.fleet = m.open(view.Options{Name: d.config.Name, Build: Version(), Seed: start.Rundown.Seed, Settled: start.Rundown.Nodes,
-		Log: d.log, Nodes: func(n int) { d.send(node.Siblings{Nodes: n}) }, Words: d.heard, Install: d.install,
+	d.fleet = m.open(view.Options{Name: d.config.Name, Build: Version(), Seed: start.Settings.Seed, ConfiguredNodes: start.Settings.Nodes,
+		Log: d.log, NodesChanged: func(n int) { d.send(node.NodesChanged{Nodes: n}) }, GossipReceived: d.heard, Install: d.install,
 		InForce: d.core.Revision(), Successor: d.elder != nil && d.inheritsRevision()})
 	d.group.Go(func() error { return d.fleet.Run(ctx) })
-	if d.config.PeerAddr != "" || !start.Rundown.Peers {
+	if d.config.PeerAddr != "" || !start.Settings.LoadGossip {
 		return
 	}
-	d.others = make(chan []peers.Word, waitingWords) // no peers are named: the members are told
-	d.group.Go(func() error { return d.saying(ctx, d.fleet.Say) })
+	d.others = make(chan []peers.HostLoad, waitingWords) // no peers are named: the members are told
+	d.group.Go(func() error { return d.saying(ctx, d.fleet.SendGossip) })
 }
 
 // view is what the second address shows of the fleet; nil for a node on its own.
--- a/internal/sockets/reload.go
+++ b/internal/sockets/reload.go
@@ -46,7 +46,7 @@
 		return nil
 	}
 	d.roster = discovery.New(c.Discovery)
-	return node.Relocated{}
+	return node.DiscoveryMoved{}
 }
 
 // relocate takes discovery's address by the live settings; the empty one stands for the config's.
@@ -58,7 +58,7 @@
 
 // install has the core put a revision of the live settings in force, and returns once it is or cannot be.
 func (d *door) install(ctx context.Context, r live.Revision) (ignored []string, err error) {
-	answer := make(chan node.Configured, 1)
+	answer := make(chan node.SettingsApplied, 1)
 	select {
 	case d.inputs <- reconfigure{r, answer}:
 	case <-ctx.Done():
--- a/internal/sockets/second.go
+++ b/internal/sockets/second.go
@@ -14,19 +14,19 @@
 
 // question is one for the core; the answer is taken at once.
 type question struct {
-	node.Asked
-	answer chan<- node.Answer
+	node.Query
+	answer chan<- node.Reply
 }
 
 // ask puts a question to the core.
-func (d *door) ask(ctx context.Context, q node.Asked) (node.Answer, bool) {
-	answer := make(chan node.Answer, 1)
+func (d *door) ask(ctx context.Context, q node.Query) (node.Reply, bool) {
+	answer := make(chan node.Reply, 1)
 	select {
 	case d.asks <- question{q, answer}:
 	case <-ctx.Done():
-		return node.Answer{}, false
+		return node.Reply{}, false
 	case <-d.ctx.Done():
-		return node.Answer{}, false
+		return node.Reply{}, false
 	}
 	select {
 	case a := <-answer:
@@ -34,7 +34,7 @@
 	case <-ctx.Done():
 	case <-d.ctx.Done():
 	}
-	return node.Answer{}, false
+	return node.Reply{}, false
 }
 
 // second opens the second address, if there is to be one.
--- a/internal/sockets/silence_test.go
+++ b/internal/sockets/silence_test.go
@@ -106,8 +106,8 @@
 						t.Errorf("seed %d: never told", seed)
 					}
 					synctest.Wait()
-					if a, _ := d.ask(t.Context(), node.Asked{What: node.HowMany}); a.Figures.Avoided != 1 {
-						t.Errorf("seed %d: told, and %d hosts avoided", seed, a.Figures.Avoided)
+					if a, _ := d.ask(t.Context(), node.Query{Question: node.GetFigures}); a.Figures.Unavailable != 1 {
+						t.Errorf("seed %d: told, and %d hosts avoided", seed, a.Figures.Unavailable)
 					}
 					cancel()
 					<-ended
@@ -185,8 +185,8 @@
 				t.Errorf("%s: never told", c.name)
 			}
 			synctest.Wait()
-			if a, _ := d.ask(t.Context(), node.Asked{What: node.HowMany}); a.Figures.Avoided != 1 {
-				t.Errorf("%s: told, and %d hosts avoided", c.name, a.Figures.Avoided)
+			if a, _ := d.ask(t.Context(), node.Query{Question: node.GetFigures}); a.Figures.Unavailable != 1 {
+				t.Errorf("%s: told, and %d hosts avoided", c.name, a.Figures.Unavailable)
 			}
 			if got := calls.Load(); got != c.calls {
 				t.Errorf("%s: %d calls, wanted %d", c.name, got, c.calls)
@@ -212,7 +212,7 @@
 		t.Errorf("one of two calls failed: %v, %d left", in, len(d.calls))
 	}
 	b = begin()
-	if in := d.arrived(spoke{b.ctx, false}); in != (node.Spoke{}) || len(d.calls) != 1 || a.ctx.Err() == nil {
+	if in := d.arrived(spoke{b.ctx, false}); in != (node.WatchAlive{}) || len(d.calls) != 1 || a.ctx.Err() == nil {
 		t.Errorf("the second of two spoke: %v, %d left", in, len(d.calls))
 	}
 	for _, late := range []any{spoke{a.ctx, false}, listed{a.ctx, roster.List{Index: 1}}, unwatched{a.ctx, "reset"}} {
@@ -220,11 +220,11 @@
 			t.Errorf("a call that was outpaced: %v", in)
 		}
 	}
-	if _, ok := d.arrived(listed{b.ctx, roster.List{Index: 2}}).(node.Listed); !ok {
+	if _, ok := d.arrived(listed{b.ctx, roster.List{Index: 2}}).(node.ListReceived); !ok {
 		t.Error("the watch that stands was not heard")
 	}
 	d.unwatch(0)
-	if _, ok := d.arrived(listed{b.ctx, roster.List{Index: 3}}).(node.Listed); !ok {
+	if _, ok := d.arrived(listed{b.ctx, roster.List{Index: 3}}).(node.ListReceived); !ok {
 		t.Error("what a silent watch still said was not heard")
 	}
 }
@@ -234,9 +234,9 @@
 	dial func(context.Context, string, string) (net.Conn, error)) (*door, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(t.Context())
 	group, ctx := errgroup.WithContext(ctx)
-	start := node.Start{Sockets: 100, Rundown: placement.Rundown{Seed: seed, Nodes: nodes, AskWithin: 10}}
+	start := node.Start{MaxDescriptors: 100, Settings: placement.Settings{Seed: seed, Nodes: nodes, PollInterval: 10}}
 	for i := range 8 {
-		start.Known.Hosts = append(start.Known.Hosts, roster.Host{Name: fmt.Sprint("s-", i),
+		start.CachedList.Hosts = append(start.CachedList.Hosts, roster.Host{Name: fmt.Sprint("s-", i),
 			Address: "h:1", Status: "SERVING"})
 	}
 	began := time.Now()
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -44,17 +44,17 @@
 	began   time.Time
 	base    float64
 	timer   *time.Timer
-	answer  chan<- node.Answer // of the question that the core has
-	next    []node.Input       // what came of effects at once, which the core has not heard yet
-	step    chan struct{}      // for who accepts and was stopped: go on
-	closing atomic.Bool        // or end
+	answer  chan<- node.Reply // of the question that the core has
+	next    []node.Input      // what came of effects at once, which the core has not heard yet
+	step    chan struct{}     // for who accepts and was stopped: go on
+	closing atomic.Bool       // or end
 	roster  *discovery.Client
-	calls   []call            // for the list, under way, oldest first: once one has spoken it is the only one
-	others  chan []peers.Word // to the other nodes; nil where nodes may not talk
-	fleet   view.Part         // nil for a node on its own
+	calls   []call                // for the list, under way, oldest first: once one has spoken it is the only one
+	others  chan []peers.HostLoad // to the other nodes; nil where nodes may not talk
+	fleet   view.Part             // nil for a node on its own
 
-	configured    chan<- node.Configured // of the revision that the core has
-	liveDiscovery string                 // discovery's address by the live settings; empty for the config's
+	configured    chan<- node.SettingsApplied // of the revision that the core has
+	liveDiscovery string                      // discovery's address by the live settings; empty for the config's
 }
 
 // Version is the revision that this program was built from, as far as the build knows it.
@@ -71,8 +71,8 @@
 
 // Signals are what the platform asks of a node that runs.
 type Signals struct {
-	Leave  <-chan os.Signal
-	Reload <-chan os.Signal // read the config again
+	Shutdown <-chan os.Signal
+	Reload   <-chan os.Signal // read the config again
 }
 
 // Run serves until the core is done, a signal says to leave, or something fails that it cannot do without.
@@ -89,9 +89,9 @@
 	if err != nil {
 		return err
 	}
-	start.Left, start.Shut = p.left, p.elder != nil || p.ln == nil
+	start.Handover, start.NotListening = p.left, p.elder != nil || p.ln == nil
 	if member.follows {
-		start.Sockets, start.Toll = max(start.Sockets-controlDescriptors, 2), start.Toll+controlDescriptors
+		start.MaxDescriptors, start.DescriptorOverhead = max(start.MaxDescriptors-controlDescriptors, 2), start.DescriptorOverhead+controlDescriptors
 	}
 	if member.follows && !p.inheritsRevision() {
 		start.AwaitSettings = awaitSettings
@@ -116,14 +116,14 @@
 	if p.ln != nil {
 		listen = p.ln.Addr().String()
 	}
-	log.Info().Str("listen", listen).Int("sockets", start.Sockets).Bool("elder", start.Shut).Msg("started")
-	limitMemory(c.Limits.MemoryMB, start.Shut)
+	log.Info().Str("listen", listen).Int("sockets", start.MaxDescriptors).Bool("elder", start.NotListening).Msg("started")
+	limitMemory(c.Limits.MemoryMB, start.NotListening)
 	if p.elder != nil {
 		d.attend(p.elder)
 	}
 	d.talk(ctx)
-	d.mayOpen = !start.Shut && start.AwaitSettings == 0
-	group.Go(func() error { return d.loop(asked.Leave) })
+	d.mayOpen = !start.NotListening && start.AwaitSettings == 0
+	group.Go(func() error { return d.loop(asked.Shutdown) })
 	group.Go(func() error { return d.reread(asked.Reload) })
 	if err := group.Wait(); !errors.Is(err, errDone) {
 		return err
@@ -185,12 +185,12 @@
 		if d.mayOpen {
 			d.mayOpen = false
 			d.letIn()
-			if !d.apply(node.Opened{}) {
+			if !d.apply(node.ListenerOpened{}) {
 				return errDone
 			}
 		}
 		for ; len(d.unpassed) > 0; d.unpassed = d.unpassed[1:] {
-			if !d.apply(node.Passed{Conn: d.unpassed[0]}) {
+			if !d.apply(node.ConnectionSent{Conn: d.unpassed[0]}) {
 				return errDone
 			}
 		}
@@ -207,9 +207,9 @@
 			if d.fleet != nil && !d.given {
 				d.fleet.Leave()
 			}
-			in = node.Leave{}
+			in = node.Shutdown{}
 		case <-d.timer.C:
-			in = node.Tick{}
+			in = node.TimerFired{}
 		case socket := <-accepts:
 			d.last += 2
 			d.link(d.last, socket)
@@ -217,7 +217,7 @@
 		case what := <-d.inputs:
 			in = d.arrived(what)
 		case q := <-d.asks:
-			d.answer, in = q.answer, q.Asked
+			d.answer, in = q.answer, q.Query
 		}
 		if in == nil {
 			continue
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -49,7 +49,7 @@
 				Settings: []byte(`{"service_types":[{"name":"chat","effect":"repeatable","give_up_us":300000}],"limits":{"max_connects":1}}`)}
 			ran := make(chan error, 1)
 			go func() {
-				err := Run(ctx, config, zerolog.New(lines), Signals{Leave: stop})
+				err := Run(ctx, config, zerolog.New(lines), Signals{Shutdown: stop})
 				lines.Close()
 				ran <- err
 			}()
@@ -118,8 +118,8 @@
 			t.Fatal(err)
 		}
 		s, err := config.start()
-		if (err != nil) != c.fails || s.Sockets != c.sockets || len(s.Known.Hosts) != c.known {
-			t.Errorf("%s: %d sockets, %d hosts known, %v", c.name, s.Sockets, len(s.Known.Hosts), err)
+		if (err != nil) != c.fails || s.MaxDescriptors != c.sockets || len(s.CachedList.Hosts) != c.known {
+			t.Errorf("%s: %d sockets, %d hosts known, %v", c.name, s.MaxDescriptors, len(s.CachedList.Hosts), err)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 	if err := json.Unmarshal([]byte(text), &config); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := config.start(); err != nil || !s.Rundown.Peers || !s.Rundown.Reports {
-		t.Errorf("whole: %+v, %v", s.Rundown, err)
+	if s, err := config.start(); err != nil || !s.Settings.LoadGossip || !s.Settings.LoadReports {
+		t.Errorf("whole: %+v, %v", s.Settings, err)
 	}
 }
--- a/internal/sockets/twin.go
+++ b/internal/sockets/twin.go
@@ -31,7 +31,7 @@
 	path        string // where an heir finds this process; empty for nowhere
 	ln          *net.TCPListener
 	elder, heir *twin
-	left        *node.Legacy
+	left        *node.HandoverState
 	offered     *net.UnixListener
 	mayOpen     bool // let clients in, before the next input
 	able        bool // the core could serve
@@ -119,7 +119,7 @@
 		err := p.claim(ctx)
 		switch {
 		case err == nil:
-			log.Info().Int("hosts", len(p.left.Hosts)).Int("connections", len(p.left.Sits)).Bool("heard", p.left.Heard).
+			log.Info().Int("hosts", len(p.left.Hosts)).Int("connections", len(p.left.Connections)).Bool("heard", p.left.ListReceived).
 				Msg("claimed from the elder")
 			return
 		case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED): // nobody, or only a stale socket
@@ -138,26 +138,26 @@
 func (p *pair) claim(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, claimWithin)
 	defer cancel()
-	link, err := handover.Reach(ctx, p.path)
+	link, err := handover.Dial(ctx, p.path)
 	if err != nil {
 		return err
 	}
-	link.Within(claimWithin)
-	err = link.Send(handover.Message{Ask: handover.Claim})
+	link.SetReadTimeout(claimWithin)
+	err = link.Send(handover.Message{Ask: handover.RequestState})
 	var m handover.Message
 	if err == nil {
 		m, err = link.Receive()
 	}
 	switch {
 	case err != nil:
-	case m.No == handover.Busy:
+	case m.Refusal == handover.Busy:
 		err = errBusy
-	case m.Legacy == nil:
-		err = fmt.Errorf("the elder said no: %s", m.No)
+	case m.State == nil:
+		err = fmt.Errorf("the elder said no: %s", m.Refusal)
 	default:
 		if p.ln, err = link.Listener(); err == nil {
-			link.Within(0)
-			p.left, p.elder = m.Legacy, newTwin(link)
+			link.SetReadTimeout(0)
+			p.left, p.elder = m.State, newTwin(link)
 			return nil
 		}
 	}
@@ -195,7 +195,7 @@
 	d.able = true
 	switch {
 	case d.elder != nil:
-		d.elder.post(letter{Message: handover.Message{Ask: handover.Take}})
+		d.elder.post(letter{Message: handover.Message{Ask: handover.RequestClients}})
 		d.group.Go(func() error { // an elder that hangs keeps nobody out
 			select {
 			case <-time.After(claimWithin):
@@ -236,7 +236,7 @@
 	if d.offered != nil {
 		d.offered.Close()
 	}
-	ln, err := handover.Offer(d.path)
+	ln, err := handover.Listen(d.path)
 	if d.offered = ln; err != nil {
 		d.offered = nil
 		d.log.Warn().Err(err).Msg("no hand-over to a later version")
@@ -248,8 +248,8 @@
 			if err != nil {
 				return nil
 			}
-			if link, err := handover.Join(conn); err == nil {
-				link.Within(claimWithin)
+			if link, err := handover.NewLink(conn); err == nil {
+				link.SetReadTimeout(claimWithin)
 				d.attend(newTwin(link))
 			}
 		}
@@ -261,9 +261,9 @@
 	var err error
 	switch {
 	case m.door != nil:
-		err = t.link.Pass(m.door)
-	case m.Parcel != nil:
-		err = t.link.Pass(m.client, m.host)
+		err = t.link.SendSockets(m.door)
+	case m.Transfer != nil:
+		err = t.link.SendSockets(m.client, m.host)
 	}
 	if err == nil {
 		err = t.link.Send(m.Message)
@@ -274,7 +274,7 @@
 // receive reads a message with what came along.
 func (t *twin) receive() (w fromTwin, err error) {
 	w.twin = t
-	if w.said, err = t.link.Receive(); err != nil || w.said.Parcel == nil {
+	if w.said, err = t.link.Receive(); err != nil || w.said.Transfer == nil {
 		return w, err
 	}
 	if w.client, err = t.link.Conn(); err == nil {
@@ -297,8 +297,8 @@
 				if err != nil {
 					t.link.Close()
 				}
-				if m.Parcel != nil {
-					d.send(node.Passed{Conn: m.conn, OK: err == nil})
+				if m.Transfer != nil {
+					d.send(node.ConnectionSent{Conn: m.conn, OK: err == nil})
 				}
 			case <-ended:
 				return nil
@@ -308,7 +308,7 @@
 	d.group.Go(func() error {
 		defer stop()
 		defer close(ended)
-		defer t.link.Drop()
+		defer t.link.CloseReceived()
 		defer t.link.Close()
 		for {
 			w, err := t.receive()
@@ -316,7 +316,7 @@
 				d.send(fromTwin{twin: t, gone: err})
 				return nil
 			}
-			t.link.Within(0)
+			t.link.SetReadTimeout(0)
 			d.send(w)
 		}
 	})
@@ -327,26 +327,26 @@
 	switch {
 	case w.gone != nil:
 		return d.gone(w.twin, w.gone)
-	case w.said.News != nil && (w.twin == d.elder || w.twin == d.heir):
-		return node.Told{News: *w.said.News}
-	case w.said.Legacy != nil && w.twin == d.elder && !d.opened:
+	case w.said.Update != nil && (w.twin == d.elder || w.twin == d.heir):
+		return node.PeerProcessChanged{Update: *w.said.Update}
+	case w.said.State != nil && w.twin == d.elder && !d.opened:
 		d.mayOpen = true
-		return node.Inherited{Legacy: w.said.Legacy}
-	case w.said.Parcel != nil:
+		return node.HandoverReceived{State: w.said.State}
+	case w.said.Transfer != nil:
 		return d.adopt(w)
-	case w.said.Ask == handover.Claim && (d.heir != nil || !d.opened):
-		w.post(letter{Message: handover.Message{No: handover.Busy}})
-	case w.said.Ask == handover.Claim:
+	case w.said.Ask == handover.RequestState && (d.heir != nil || !d.opened):
+		w.post(letter{Message: handover.Message{Refusal: handover.Busy}})
+	case w.said.Ask == handover.RequestState:
 		d.heir = w.twin
 		limitMemory(d.config.Limits.MemoryMB, true)
-		return node.Asked{What: node.Claim}
-	case w.said.Ask == handover.Take && w.twin == d.heir:
+		return node.Query{Question: node.ClaimHandover}
+	case w.said.Ask == handover.RequestClients && w.twin == d.heir:
 		d.given = true
 		if d.fleet != nil { // one member throughout: the heir's from here on
-			d.fleet.Hold(true)
+			d.fleet.SetHandedOver(true)
 		}
 		d.ln.SetDeadline(time.Unix(1, 0)) // who waits is the heir's
-		return node.Asked{What: node.Take}
+		return node.Query{Question: node.TakeOver}
 	}
 	return nil
 }
@@ -361,12 +361,12 @@
 	d.last += 2
 	d.link(d.last, w.client)
 	d.adopted = w.host
-	return node.Adopted{Conn: d.last, Parcel: w.said.Parcel}
+	return node.ConnectionReceived{Conn: d.last, Transfer: w.said.Transfer}
 }
 
 // pass sends an open connection to the heir.
-func (d *door) pass(e node.Pass) {
-	m := letter{Message: handover.Message{Parcel: e.Parcel}, conn: e.Conn, client: d.links[e.Conn].socket,
+func (d *door) pass(e node.SendConnection) {
+	m := letter{Message: handover.Message{Transfer: e.Transfer}, conn: e.Conn, client: d.links[e.Conn].socket,
 		host: d.links[e.Host].socket}
 	if d.heir != nil {
 		select {
@@ -396,11 +396,11 @@
 		}
 		d.log.Info().AnErr("why", why).Msg("the elder's end of the hand-over is closed")
 		d.mayOpen = d.able && !d.opened
-		return node.ElderGone{}
+		return node.PredecessorGone{}
 	case d.heir:
 		d.heir = nil
 		for len(t.out) > 0 { // what was posted too late to be sent stays here
-			if m := <-t.out; m.Parcel != nil {
+			if m := <-t.out; m.Transfer != nil {
 				d.unpassed = append(d.unpassed, m.conn)
 			}
 		}
@@ -408,13 +408,13 @@
 		if d.given {
 			d.given = false
 			if d.fleet != nil {
-				d.fleet.Hold(false)
+				d.fleet.SetHandedOver(false)
 			}
 			d.ln.SetDeadline(time.Time{})
 			d.nudge()
 			d.offer()
 		}
-		return node.HeirGone{}
+		return node.SuccessorGone{}
 	}
 	return nil
 }
--- a/placement/figures_test.go
+++ b/placement/figures_test.go
@@ -9,8 +9,8 @@
 func TestReplacedFiguresDecideNext(t *testing.T) {
 	cold := func(g *rig) { // of four servers one starts now
 		it := g.entry(3, Ready)
-		it.Since = g.now
-		g.List(g.now, ListChanges, []Listing{it})
+		it.StartedAt = g.now
+		g.UpdateEndpoints(g.now, ListChanges, []Endpoint{it})
 	}
 	onCold := func(g *rig) (n int) { // of 200 flows within a second
 		cold(g)
@@ -23,59 +23,59 @@
 	}
 	for _, c := range []struct {
 		name   string
-		change func(*Figures)
+		change func(*LiveSettings)
 		decide func(g *rig) any
 	}{
-		{"max connects", func(f *Figures) { f.MaxConnects = 1 }, func(g *rig) any {
-			g.arrive(0, Arrival{Key: 5})
-			g.Ended(g.now, 0, 0, Unreached, false)
-			return g.pull()[0].Do
+		{"max connects", func(f *LiveSettings) { f.MaxAttempts = 1 }, func(g *rig) any {
+			g.arrive(0, Arrival{ClientKey: 5})
+			g.AttemptEnded(g.now, 0, 0, ConnectFailed, false)
+			return g.pull()[0].Action
 		}},
-		{"retry advice", func(f *Figures) { f.RetryAdvice = 200 }, func(g *rig) any {
+		{"retry advice", func(f *LiveSettings) { f.MaxRetryAfter = 200 }, func(g *rig) any {
 			for i := range 4 {
-				g.ByHand(g.now, g.index(i), true)
+				g.SetDisabled(g.now, g.index(i), true)
 			}
-			d, _ := g.arrive(0, Arrival{Key: 5})
-			return d.Within > 50
+			d, _ := g.arrive(0, Arrival{ClientKey: 5})
+			return d.Seconds > 50
 		}},
-		{"time to ask within", func(f *Figures) { f.AskWithin = 0.5 }, func(g *rig) any {
+		{"time to ask within", func(f *LiveSettings) { f.PollInterval = 0.5 }, func(g *rig) any {
 			for range 4 {
-				g.List(g.now, ListFailed, nil)
+				g.UpdateEndpoints(g.now, ListFailed, nil)
 			}
 			return g.askGap
 		}},
-		{"a cold server's first share", func(f *Figures) { f.ColdFrom = 1 }, func(g *rig) any { return onCold(g) }},
-		{"for how long a server is cold", func(f *Figures) { f.ColdFor = 0.01 }, func(g *rig) any {
+		{"a cold server's first share", func(f *LiveSettings) { f.SlowStartShare = 1 }, func(g *rig) any { return onCold(g) }},
+		{"for how long a server is cold", func(f *LiveSettings) { f.SlowStartTime = 0.01 }, func(g *rig) any {
 			return onCold(g)
 		}},
-		{"at which multiple a cold server falls over", func(f *Figures) { f.FallMultiple = 12 }, func(g *rig) any { return onCold(g) }},
-		{"for how long", func(f *Figures) { f.FallFor = 40 }, func(g *rig) any { return onCold(g) }},
-		{"the target of a setup", func(f *Figures) { f.Targets[0].Setup = 2.5 }, func(g *rig) any {
-			d, _ := g.arrive(0, Arrival{Key: 5})
-			return d.Within
+		{"at which multiple a cold server falls over", func(f *LiveSettings) { f.OverloadMultiple = 12 }, func(g *rig) any { return onCold(g) }},
+		{"for how long", func(f *LiveSettings) { f.OverloadWindow = 40 }, func(g *rig) any { return onCold(g) }},
+		{"the target of a setup", func(f *LiveSettings) { f.Objectives[0].Setup = 2.5 }, func(g *rig) any {
+			d, _ := g.arrive(0, Arrival{ClientKey: 5})
+			return d.Seconds
 		}},
-		{"the target of a message", func(f *Figures) { f.Targets[0].Message = 9 }, func(g *rig) any {
-			_, on := g.arrive(0, Arrival{Key: 5})
+		{"the target of a message", func(f *LiveSettings) { f.Objectives[0].Message = 9 }, func(g *rig) any {
+			_, on := g.arrive(0, Arrival{ClientKey: 5})
 			g.Established(0, 0)
-			g.DelayNote(g.now, 0, 0.15)
-			_, next := g.arrive(1, Arrival{Key: 5})
+			g.ReportDelay(g.now, 0, 0.15)
+			_, next := g.arrive(1, Arrival{ClientKey: 5})
 			return on == next
 		}},
-		{"a share", func(f *Figures) { f.Quotas[0] = 0 }, func(g *rig) any {
+		{"a share", func(f *LiveSettings) { f.Quotas[0] = 0 }, func(g *rig) any {
 			g.fill(0, 4)
 			for i := range 4 { // room within the ceiling, and none within what is left to who is over its share
 				s := &g.servers[g.index(i)]
 				s.ceiling = (s.work + 0.02) / 0.9
 			}
-			d, _ := g.arrive(9, Arrival{Key: 5})
-			return d.Do
+			d, _ := g.arrive(9, Arrival{ClientKey: 5})
+			return d.Action
 		}},
 	} {
-		rigOf := func() *rig { return newRig(4, func(r *Rundown) { r.Quotas = []float64{1000} }) }
+		rigOf := func() *rig { return newRig(4, func(r *Settings) { r.Quotas = []float64{1000} }) }
 		as, by := rigOf(), rigOf()
-		f := by.Rundown.Figures()
+		f := by.Settings.Live()
 		c.change(&f)
-		by.Replace(f)
+		by.ApplySettings(f)
 		if a, b := c.decide(as), c.decide(by); a == b {
 			t.Errorf("%s: %v under both", c.name, a)
 		}
@@ -85,19 +85,19 @@
 // The figures of the start, put back, decide as if nothing had been replaced.
 func TestFiguresOfTheStartPutBack(t *testing.T) {
 	play := func(replace bool) (out []Decision) {
-		g := newRig(5, func(r *Rundown) { r.Quotas = []float64{20, 30} })
+		g := newRig(5, func(r *Settings) { r.Quotas = []float64{20, 30} })
 		if replace {
-			start := g.Rundown.Figures()
-			other := g.Rundown.Figures()
-			other.MaxConnects, other.ColdFor, other.Quotas[1], other.Targets[0].Message = 1, 99, 0, 0
-			g.Replace(other)
-			if g.MaxConnects != 1 || !math.IsInf(g.aim, 1) || g.Quotas[1] != 0 || start.Quotas[1] != 30 {
-				t.Fatalf("%+v", g.Rundown)
+			start := g.Settings.Live()
+			other := g.Settings.Live()
+			other.MaxAttempts, other.SlowStartTime, other.Quotas[1], other.Objectives[0].Message = 1, 99, 0, 0
+			g.ApplySettings(other)
+			if g.MaxAttempts != 1 || !math.IsInf(g.aim, 1) || g.Quotas[1] != 0 || start.Quotas[1] != 30 {
+				t.Fatalf("%+v", g.Settings)
 			}
-			g.Replace(start)
+			g.ApplySettings(start)
 		}
 		for id := range 80 {
-			d, _ := g.arrive(id, Arrival{Key: uint64(id + 1), Tenant: id % 3})
+			d, _ := g.arrive(id, Arrival{ClientKey: uint64(id + 1), Tenant: id % 3})
 			if out = append(out, d); id%3 > 0 {
 				g.Established(id, 0)
 			}
@@ -119,11 +119,11 @@
 // A flow that waits for its answer keeps its deadline through any change of figures.
 func TestReplacedFiguresKeepDeadlines(t *testing.T) {
 	g := newRig(4, nil)
-	g.arrive(0, Arrival{Key: 5, Left: 2})
+	g.arrive(0, Arrival{ClientKey: 5, Timeout: 2})
 	due := g.flows[0].due
-	f := g.Rundown.Figures()
-	f.MaxConnects, f.RetryAdvice, f.AskWithin, f.Targets[0].Setup, f.FallFor, f.ColdFor = 1, 0, 1, 9, 9, 99
-	if g.Replace(f); g.flows[0].due != due {
+	f := g.Settings.Live()
+	f.MaxAttempts, f.MaxRetryAfter, f.PollInterval, f.Objectives[0].Setup, f.OverloadWindow, f.SlowStartTime = 1, 0, 1, 9, 9, 99
+	if g.ApplySettings(f); g.flows[0].due != due {
 		t.Errorf("due at %g, was %g", g.flows[0].due, due)
 	}
 }
@@ -140,7 +140,7 @@
 		return n
 	}
 	before := homes()
-	g.Weigh(g.index(2), 50)
+	g.SetSize(g.index(2), 50)
 	if after := homes(); before > 50 || after < 90 {
 		t.Errorf("%d of 100 homes before, %d after", before, after)
 	}
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -1,7 +1,7 @@
 package placement
 
-// Siblings takes the number of nodes that share the fleet, as it is known now, this one included.
-func (b *Balancer) Siblings(nodes int) {
+// SetNodes takes the number of nodes that share the fleet, as it is known now, this one included.
+func (b *Balancer) SetNodes(nodes int) {
 	nodes = max(nodes, 1)
 	b.due *= float64(b.Nodes) / float64(nodes)
 	b.Nodes = nodes
--- a/placement/hand_test.go
+++ b/placement/hand_test.go
@@ -7,18 +7,18 @@
 func TestByHand(t *testing.T) {
 	key := keyFor(2, 5)
 	const n = 5
-	since := func(g *rig, at float64, st State) {
+	since := func(g *rig, at float64, st EndpointState) {
 		it := g.entry(2, st)
-		it.Since = at
-		g.List(g.now, ListChanges, []Listing{it})
+		it.StartedAt = at
+		g.UpdateEndpoints(g.now, ListChanges, []Endpoint{it})
 	}
-	hand := func(out bool) func(*rig) { return func(g *rig) { g.ByHand(g.now, g.index(2), out) } }
+	hand := func(out bool) func(*rig) { return func(g *rig) { g.SetDisabled(g.now, g.index(2), out) } }
 	whole := func(g *rig) {
-		var all []Listing
+		var all []Endpoint
 		for i := range n {
 			all = append(all, g.entry(i, Ready))
 		}
-		g.List(g.now, ListFull, all)
+		g.UpdateEndpoints(g.now, ListFull, all)
 	}
 	cases := []struct {
 		name  string
@@ -32,13 +32,13 @@
 		{"out, a whole list", []func(*rig){hand(true), whole}, false},
 		{"out, a new start", []func(*rig){hand(true), func(g *rig) { since(g, g.now+1, Ready) }}, false},
 		{"out, drains, serves again", []func(*rig){hand(true), func(g *rig) { since(g, 0, Draining) }, whole}, false},
-		{"out, gone, listed anew", []func(*rig){hand(true), func(g *rig) { since(g, 0, Gone) },
+		{"out, gone, listed anew", []func(*rig){hand(true), func(g *rig) { since(g, 0, Removed) },
 			func(g *rig) { since(g, g.now, Ready) }}, false},
 		{"back, but it drains", []func(*rig){hand(true), func(g *rig) { since(g, 0, Draining) }, hand(false)}, false},
 		{"out when it was set aside, and probes are answered", []func(*rig){
 			func(g *rig) { g.servers[g.index(2)].aside = true }, hand(true), func(g *rig) {
 				for range 3 {
-					g.Probed(g.now, g.index(2), Served, Report{Load: -1})
+					g.HealthChecked(g.now, g.index(2), Served, LoadReport{Load: -1})
 				}
 			}}, false},
 		{"set aside, out and back: its operators vouch for it", []func(*rig){
@@ -51,11 +51,11 @@
 		}
 		g.now += 11 // warm again
 		before := len(g.base)
-		_, avoided := g.Avoided(g.now)
-		if _, at := g.arrive(1, Arrival{Key: key}); (at == 2) != c.takes || before != n || (avoided == 0) != c.takes {
+		_, avoided := g.Unavailable(g.now)
+		if _, at := g.arrive(1, Arrival{ClientKey: key}); (at == 2) != c.takes || before != n || (avoided == 0) != c.takes {
 			t.Errorf("%s: sent to %d of %d, %d avoided", c.name, at, before, avoided)
 		}
-		if _, at := g.arrive(2, Arrival{Key: key, MidFlow: true}); (at == 2) != c.takes {
+		if _, at := g.arrive(2, Arrival{ClientKey: key, MidFlow: true}); (at == 2) != c.takes {
 			t.Errorf("%s: a mid-flow connection went to %d", c.name, at)
 		}
 	}
@@ -67,25 +67,25 @@
 	g := newRig(1, nil)
 	g.fill(0, 20)
 	for id := range 20 {
-		g.LoadNote(id, 0.02)
+		g.ReportLoad(id, 0.02)
 	}
-	g.ByHand(g.now, g.index(0), true)
+	g.SetDisabled(g.now, g.index(0), true)
 	moved, first := 0, 0
 	for i, d := range g.pass(6) {
-		switch d.Do {
-		case Move:
+		switch d.Action {
+		case Migrate:
 			if moved++; i == 0 {
 				first++
 			}
-			g.Ended(g.now, d.Flow, 0, CalledOff, true)
-		case Probe:
+			g.AttemptEnded(g.now, d.Flow, 0, Canceled, true)
+		case CheckHealth:
 			t.Fatal("it is probed")
 		}
 	}
 	if moved != 20 {
 		t.Errorf("%d of 20 moved", moved)
 	}
-	if d, _ := g.arrive(50, Arrival{Key: 5}); d.Do != Reject || d.Within <= 0 {
+	if d, _ := g.arrive(50, Arrival{ClientKey: 5}); d.Action != Reject || d.Seconds <= 0 {
 		t.Errorf("the last server out: %v", d)
 	}
 }
@@ -95,23 +95,23 @@
 	const n = 8
 	used, soon, warm := 0, 0, 0
 	for seed := range uint64(60) {
-		g := newRig(n, func(r *Rundown) { r.Seed, r.Nodes = seed, 3 })
+		g := newRig(n, func(r *Settings) { r.Seed, r.Nodes = seed, 3 })
 		g.fill(0, 4*n)
-		g.ByHand(g.now, g.index(2), true)
+		g.SetDisabled(g.now, g.index(2), true)
 		for id := range g.flows {
 			if g.flows[id].out && g.flows[id].at == g.index(2) {
-				g.Ended(g.now, id, 0, CalledOff, true)
+				g.AttemptEnded(g.now, id, 0, Canceled, true)
 			}
 		}
 		g.now += 3
-		g.ByHand(g.now, g.index(2), false)
-		if w := g.warmth(g.now, &g.servers[g.index(2)]); w != g.ColdFrom {
+		g.SetDisabled(g.now, g.index(2), false)
+		if w := g.warmth(g.now, &g.servers[g.index(2)]); w != g.SlowStartShare {
 			t.Fatalf("warmth %v", w)
 		}
 		at := 0
 		for i := range 6 { // a flow in 0.8 s, none of them with its primary there
 			g.now += 0.8
-			if _, to := g.arrive(100+i, Arrival{Key: keyFor(3, n)}); to == 2 {
+			if _, to := g.arrive(100+i, Arrival{ClientKey: keyFor(3, n)}); to == 2 {
 				at++
 			}
 		}
@@ -122,8 +122,8 @@
 			soon++
 		}
 		it := g.entry(2, Ready) // the list tells its start at last: that counts, not the call
-		it.Since = 990
-		g.List(g.now, ListChanges, []Listing{it})
+		it.StartedAt = 990
+		g.UpdateEndpoints(g.now, ListChanges, []Endpoint{it})
 		if g.warmth(g.now, &g.servers[g.index(2)]) >= 1 {
 			warm++
 		}
@@ -144,17 +144,17 @@
 	for _, nodes := range []int{1, 3, 80, 1000} {
 		sent, windows := 0, map[int]int{}
 		for node := range nodes {
-			g := newRig(12, func(r *Rundown) { r.Seed, r.Nodes, r.Self = uint64(node), nodes, node })
+			g := newRig(12, func(r *Settings) { r.Seed, r.Nodes, r.NodeNumber = uint64(node), nodes, node })
 			g.fill(0, 6) // half a connection a server
-			g.ByHand(g.now, g.index(2), true)
+			g.SetDisabled(g.now, g.index(2), true)
 			g.now += 3
-			g.ByHand(g.now, g.index(2), false)
+			g.SetDisabled(g.now, g.index(2), false)
 			from := g.now
 			for i := range 10 {
 				g.now += 0.25
-				if _, at := g.arrive(100+i, Arrival{Key: keyFor(4, 12)}); at == 2 {
+				if _, at := g.arrive(100+i, Arrival{ClientKey: keyFor(4, 12)}); at == 2 {
 					sent++
-					windows[int((g.now-from)/g.FallFor)]++
+					windows[int((g.now-from)/g.OverloadWindow)]++
 				}
 			}
 		}
--- a/placement/helper_test.go
+++ b/placement/helper_test.go
@@ -8,27 +8,27 @@
 	now float64
 }
 
-func newRig(n int, tune func(*Rundown)) *rig {
-	r := Rundown{Seed: 7, Nodes: 2, Tick: 0.002, MaxConnects: 3, Probes: true, RetryAdvice: 2, ColdFrom: 0.2,
-		ColdFor: 10, FallMultiple: 3, FallFor: 2, Types: []ServiceType{
-			{Effect: Repeatable, SetupTarget: 0.3, MessageAim: 0.1}}}
+func newRig(n int, tune func(*Settings)) *rig {
+	r := Settings{Seed: 7, Nodes: 2, Tick: 0.002, MaxAttempts: 3, HealthChecks: true, MaxRetryAfter: 2, SlowStartShare: 0.2,
+		SlowStartTime: 10, OverloadMultiple: 3, OverloadWindow: 2, ServiceTypes: []ServiceType{
+			{Idempotency: Idempotent, SetupObjective: 0.3, MessageObjective: 0.1}}}
 	if tune != nil {
 		tune(&r)
 	}
 	g := &rig{New(r), 1000}
 	g.strain, g.blind = 0, 0 // as after some quiet minutes, with many connections
-	var list []Listing
+	var list []Endpoint
 	for i := range n {
 		list = append(list, g.entry(i, Ready))
 	}
-	g.List(g.now, ListFull, list)
+	g.UpdateEndpoints(g.now, ListFull, list)
 	g.pull()
 	return g
 }
 
 // entry lists the server that is i-th by id.
-func (g *rig) entry(i int, st State) Listing {
-	return Listing{Server: g.index(i), ID: uint32(100 + i), State: st, Zone: i % 2, Cell: i / 2}
+func (g *rig) entry(i int, st EndpointState) Endpoint {
+	return Endpoint{Server: g.index(i), ID: uint32(100 + i), State: st, Zone: i % 2, Cell: i / 2}
 }
 
 // index is the door's index of the server that is i-th by id.
@@ -46,7 +46,7 @@
 		if !ok {
 			return out
 		}
-		if d.Do != Wake && d.Do != Log {
+		if d.Action != Wake && d.Action != Log {
 			out = append(out, d)
 		}
 	}
@@ -54,22 +54,22 @@
 
 // arrive brings a flow and returns what was decided for it and, for a connect, the place by id.
 func (g *rig) arrive(id int, a Arrival) (Decision, int) {
-	if a.Left == 0 {
-		a.Left = 3
+	if a.Timeout == 0 {
+		a.Timeout = 3
 	}
-	g.Flow(g.now, id, a)
+	g.AddFlow(g.now, id, a)
 	for _, d := range g.pull() {
-		if d.Flow == id && d.Do <= Abort {
+		if d.Flow == id && d.Action <= Abort {
 			return d, g.index(d.Server)
 		}
 	}
-	return Decision{Do: Log}, -1
+	return Decision{Action: Log}, -1
 }
 
 // fill establishes n connections with the keys that follow from.
 func (g *rig) fill(from, n int) {
 	for id := from; id < from+n; id++ {
-		if d, _ := g.arrive(id, Arrival{Key: uint64(id + 1)}); d.Do == Connect {
+		if d, _ := g.arrive(id, Arrival{ClientKey: uint64(id + 1)}); d.Action == Connect {
 			g.Established(id, 0)
 		}
 	}
--- a/placement/legacy_golden_test.go
+++ b/placement/legacy_golden_test.go
@@ -19,20 +19,20 @@
 	want := bytes.TrimSuffix(text, []byte("\n"))
 	decoder := json.NewDecoder(bytes.NewReader(want))
 	decoder.DisallowUnknownFields()
-	var state Legacy
+	var state HandoverState
 	if err := decoder.Decode(&state); err != nil {
 		t.Fatal(err)
 	}
 	for i, server := range state.Servers {
-		for field := range reflect.TypeFor[Standing]().NumField() {
+		for field := range reflect.TypeFor[ServerState]().NumField() {
 			if reflect.ValueOf(server).Field(field).IsZero() {
-				t.Errorf("server %d has no %s", i, reflect.TypeFor[Standing]().Field(field).Name)
+				t.Errorf("server %d has no %s", i, reflect.TypeFor[ServerState]().Field(field).Name)
 			}
 		}
 	}
-	b := New(Rundown{Seed: 1, Nodes: 2, Types: make([]ServiceType, 2)})
-	b.Inherit(state)
-	got, err := json.Marshal(b.Legacy())
+	b := New(Settings{Seed: 1, Nodes: 2, ServiceTypes: make([]ServiceType, 2)})
+	b.Restore(state)
+	got, err := json.Marshal(b.HandoverState())
 	if err != nil || !bytes.Equal(got, want) {
 		t.Errorf("%v, handed on:\n%s\nwant:\n%s", err, got, want)
 	}
@@ -40,9 +40,9 @@
 
 // A balancer that knows nothing hands on a fresh server as one without a ceiling, which is written as 0.
 func TestFreshStateKeepsItsForm(t *testing.T) {
-	b := New(Rundown{Seed: 1, Nodes: 2, Types: make([]ServiceType, 2)})
-	b.List(1, ListFull, []Listing{{Server: 0, ID: 101, State: Ready}})
-	text, err := json.Marshal(b.Legacy())
+	b := New(Settings{Seed: 1, Nodes: 2, ServiceTypes: make([]ServiceType, 2)})
+	b.UpdateEndpoints(1, ListFull, []Endpoint{{Server: 0, ID: 101, State: Ready}})
+	text, err := json.Marshal(b.HandoverState())
 	const want = `{"Servers":[{"Ceiling":0,"CutAt":-99,"ToldAt":-99,"DrainAt":0,"Load":0,"JamAt":-99,"FullAt":-99,"Bad":0,` +
 		`"Good":0,"Hold":1,"ProbeAt":0,"Least":0,"Aside":false,"ByHand":false,"HandAt":0,"Wanted":0,"Answers":0,"Round":0}],` +
 		`"Typical":[0,0],"Loads":{},"Gate":0,"GateAt":-99,"Least":0,"Strain":0.5}`
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -42,7 +42,7 @@
 )
 
 type server struct {
-	Listing
+	Endpoint
 	mark                 uint64  // hash of the id
 	listed, byHand       bool    // byHand: an operator took it out
 	handAt               float64 // when that was; put back, when it counts as started, if no list tells it
@@ -81,7 +81,7 @@
 
 // Balancer is one instance; nothing is shared between instances.
 type Balancer struct {
-	Rundown
+	Settings
 	servers         []server
 	flows           []flow
 	base            []int // every listed server by id
@@ -107,16 +107,16 @@
 }
 
 // New gives an instance that knows nothing but its rundown.
-func New(r Rundown) *Balancer {
-	r.Nodes, r.AskWithin = max(r.Nodes, 1), cmp.Or(r.AskWithin, longestHold)
-	if len(r.Types) == 0 {
-		r.Types = make([]ServiceType, 1) // the strictest row for whatever comes
+func New(r Settings) *Balancer {
+	r.Nodes, r.PollInterval = max(r.Nodes, 1), cmp.Or(r.PollInterval, longestHold)
+	if len(r.ServiceTypes) == 0 {
+		r.ServiceTypes = make([]ServiceType, 1) // the strictest row for whatever comes
 	}
-	b := &Balancer{Rundown: r, tenants: make([]int, len(r.Quotas)+1), beatAt: -1,
-		loads: map[uint64]float64{}, typical: make([]float64, len(r.Types)), gate: math.Inf(1), gateAt: -99,
+	b := &Balancer{Settings: r, tenants: make([]int, len(r.Quotas)+1), beatAt: -1,
+		loads: map[uint64]float64{}, typical: make([]float64, len(r.ServiceTypes)), gate: math.Inf(1), gateAt: -99,
 		aim: math.Inf(1), strain: 1 - 1/float64(r.Nodes), blind: 1}
-	for _, t := range r.Types {
-		b.aim = min(b.aim, cmp.Or(t.MessageAim, b.aim))
+	for _, t := range r.ServiceTypes {
+		b.aim = min(b.aim, cmp.Or(t.MessageObjective, b.aim))
 	}
 	return b
 }
@@ -131,7 +131,7 @@
 }
 
 func (b *Balancer) say(format string, args ...any) {
-	b.asks = append(b.asks, Decision{Do: Log, Line: fmt.Sprintf(format, args...)})
+	b.asks = append(b.asks, Decision{Action: Log, Message: fmt.Sprintf(format, args...)})
 }
 
 func unknown() server {
@@ -147,13 +147,13 @@
 
 // ---- the list ----
 
-// List takes what the list of servers tells.
-func (b *Balancer) List(now float64, kind ListKind, items []Listing) {
-	if kind == ListFailed || kind == ListSilent {
+// UpdateEndpoints takes what the list of servers tells.
+func (b *Balancer) UpdateEndpoints(now float64, kind ListKind, items []Endpoint) {
+	if kind == ListFailed || kind == ListTimedOut {
 		// Found at each node by its own clock, which spreads the calls already; seconds are lost by then.
 		wait := b.chance() * min(b.listTime(), 1.5)
 		if kind == ListFailed {
-			b.askGap = min(max(2*b.askGap, beat, b.listTime()/2), max(b.listTime(), beat, min(1, b.AskWithin/2)))
+			b.askGap = min(max(2*b.askGap, beat, b.listTime()/2), max(b.listTime(), beat, min(1, b.PollInterval/2)))
 			wait = b.askGap * (0.5 + b.chance())
 		}
 		b.follows, b.askAt = false, now+wait
@@ -166,7 +166,7 @@
 	before := len(b.base)
 	for _, it := range items {
 		s := b.server(it.Server)
-		if it.Since != s.Since { // a fresh process: what was known of the old one is void
+		if it.StartedAt != s.StartedAt { // a fresh process: what was known of the old one is void
 			old := *s
 			*s = unknown()
 			s.held, s.work, s.probing = old.held, old.work, old.probing
@@ -177,7 +177,7 @@
 		if it.State == Draining && s.State != Draining {
 			s.drainAt = now
 		}
-		s.Listing, s.listed, s.mark = it, it.State != Gone, mix(uint64(it.ID))
+		s.Endpoint, s.listed, s.mark = it, it.State != Removed, mix(uint64(it.ID))
 	}
 	b.base = b.base[:0]
 	for i := range b.servers {
@@ -198,9 +198,9 @@
 	}
 }
 
-// ByHand takes an operator's word that a server takes nothing new (out), or may again; false where it held
+// SetDisabled takes an operator's word that a server takes nothing new (out), or may again; false where it held
 // already. Guards against a later list undoing it: neither list nor probes touch it.
-func (b *Balancer) ByHand(now float64, at int, out bool) bool {
+func (b *Balancer) SetDisabled(now float64, at int, out bool) bool {
 	s := b.server(at)
 	if s.byHand == out {
 		return false
@@ -212,8 +212,8 @@
 	}
 	old := *s // its operators vouch for it: what was judged of it is void
 	*s = unknown()
-	s.Listing, s.mark, s.listed = old.Listing, old.mark, old.listed
-	if s.Since < old.handAt { // most likely restarted meanwhile, of which a late list tells nothing yet
+	s.Endpoint, s.mark, s.listed = old.Endpoint, old.mark, old.listed
+	if s.StartedAt < old.handAt { // most likely restarted meanwhile, of which a late list tells nothing yet
 		s.handAt = now
 	}
 	s.held, s.work, s.probing, s.drainAt = old.held, old.work, old.probing, old.drainAt
@@ -222,15 +222,15 @@
 	return true
 }
 
-// Avoided gives the length of the list, and how many on it take no new flows now.
-func (b *Balancer) Avoided(now float64) (listed, avoided int) {
+// Unavailable gives the length of the list, and how many on it take no new flows now.
+func (b *Balancer) Unavailable(now float64) (listed, avoided int) {
 	b.survey(now, false)
 	return len(b.base), len(b.base) - len(b.usable)
 }
 
 // listTime is what all nodes' calls for the whole list may take, within the time in which each has to ask.
 func (b *Balancer) listTime() float64 {
-	return min(float64(b.Nodes*len(b.base))/listPace, b.AskWithin/2, callSpread)
+	return min(float64(b.Nodes*len(b.base))/listPace, b.PollInterval/2, callSpread)
 }
 
 // ---- flows ----
@@ -246,25 +246,25 @@
 		b.flows = append(b.flows, flow{})
 	}
 	// Without a client key the group stands in for it, and without a group chance.
-	key := cmp.Or(a.Key, a.Group, math.Float64bits(b.chance()))
-	b.flows[id] = flow{live: true, kind: min(max(a.Type, 0), len(b.Types)-1),
-		tenant: min(max(a.Tenant, 0), len(b.Quotas)), ca: mix(key), midFlow: a.MidFlow, back: a.Back, on: a.On - 1,
+	key := cmp.Or(a.ClientKey, a.GroupKey, math.Float64bits(b.chance()))
+	b.flows[id] = flow{live: true, kind: min(max(a.Type, 0), len(b.ServiceTypes)-1),
+		tenant: min(max(a.Tenant, 0), len(b.Quotas)), ca: mix(key), midFlow: a.MidFlow, back: a.Returning, on: a.HeldBy - 1,
 		load: max(a.Load, 0), at: -1, ranAt: -1, asked: b.flows[id].asked[:0]}
-	if a.Group != 0 {
-		b.flows[id].home = mix(a.Group)
+	if a.GroupKey != 0 {
+		b.flows[id].home = mix(a.GroupKey)
 	}
 	return &b.flows[id]
 }
 
-// Flow takes an arriving flow, which is owed one final answer.
-func (b *Balancer) Flow(now float64, id int, a Arrival) {
+// AddFlow takes an arriving flow, which is owed one final answer.
+func (b *Balancer) AddFlow(now float64, id int, a Arrival) {
 	f := b.take(id, a)
-	f.owed, f.due = true, now+a.Left-3*b.Tick // so that the answer is out before the client gives up
+	f.owed, f.due = true, now+a.Timeout-3*b.Tick // so that the answer is out before the client gives up
 	b.todo = append(b.todo, id)
 }
 
-// Carried takes a connection that was passing through when this balancer started.
-func (b *Balancer) Carried(now float64, id int, a Arrival, on int) {
+// RestoreFlow takes a connection that was passing through when this balancer started.
+func (b *Balancer) RestoreFlow(now float64, id int, a Arrival, on int) {
 	f := b.take(id, a)
 	f.tries, f.sentAt = 1, now
 	b.hold(f, on)
@@ -303,8 +303,8 @@
 
 // meanLoad is the mean of the usual loads, a unit that does not hang on the order of the service types.
 func (b *Balancer) meanLoad() (mean float64) {
-	for kind := range b.Types {
-		mean += b.usualLoad(kind) / float64(len(b.Types))
+	for kind := range b.ServiceTypes {
+		mean += b.usualLoad(kind) / float64(len(b.ServiceTypes))
 	}
 	return mean
 }
@@ -331,8 +331,8 @@
 	b.gate += 1 / max(b.gate, 1) // one more a round of connects, as long as none fails
 }
 
-// Ended takes the end of a connect or of the connection it became; over says that the flow is finished.
-func (b *Balancer) Ended(now float64, id, try int, how Outcome, over bool) {
+// AttemptEnded takes the end of a connect or of the connection it became; over says that the flow is finished.
+func (b *Balancer) AttemptEnded(now float64, id, try int, how Outcome, over bool) {
 	if !b.known(id) {
 		return
 	}
@@ -350,15 +350,15 @@
 	}
 }
 
-// Left takes the news that the client is gone.
-func (b *Balancer) Left(id int) {
+// ClientLeft takes the news that the client is gone.
+func (b *Balancer) ClientLeft(id int) {
 	if b.known(id) {
 		b.flows[id].owed = false
 	}
 }
 
-// Idle tells whether nothing more can come for a flow; its index may then be used again.
-func (b *Balancer) Idle(id int) bool {
+// Release tells whether nothing more can come for a flow; its index may then be used again.
+func (b *Balancer) Release(id int) bool {
 	if !b.known(id) || b.flows[id].owed || b.flows[id].out {
 		return false
 	}
@@ -371,14 +371,14 @@
 func (b *Balancer) judge(now float64, f *flow, how Outcome, wasOpen bool) {
 	s := &b.servers[f.at]
 	switch {
-	case how == Full:
+	case how == Rejected:
 		s.fullAt = now
 		return
-	case wasOpen && how == Broken:
+	case wasOpen && how == ConnectionLost:
 		s.jamAt = now
 		b.lower(now, s, 0.9) // 0.97 measured alike
 		return
-	case wasOpen, how == Served, how == CalledOff, how == NeverSent, how == Errored && f.ranAt >= 0:
+	case wasOpen, how == Served, how == Canceled, how == NotSent, how == Failed && f.ranAt >= 0:
 		return // a flow that errs again tells of itself
 	}
 	s.bad++
@@ -398,7 +398,7 @@
 	common, most := bad/max(all, 1), max(1, ready/3)
 	// Guards against a shared store taken for sick servers: where one in twenty errs or gets no answer, and
 	// as many fail at the others, fewer go out: once for all on their way. What breaks is a server that died.
-	if (how == Errored || how == Unanswered) && common > 0.05 && now-b.gateAt >= 0.2 {
+	if (how == Failed || how == TimedOut) && common > 0.05 && now-b.gateAt >= 0.2 {
 		if math.IsInf(b.gate, 1) {
 			b.say("failures common, %.0f%% of connects: gate at %d out", 100*common, b.out)
 		}
@@ -406,7 +406,7 @@
 		b.gate = max(1, 0.7*min(b.gate, float64(b.out+1))) // halving measured no better
 	}
 	// Guards against many dead servers, where a list is late, being taken for a trouble that all share.
-	if how == Unreached {
+	if how == ConnectFailed {
 		common, most = 0, max(1, ready*2/3)
 	}
 	if s.bad/(s.bad+s.good) > 0.2+2*common && !s.aside && s.listed && out <= most {
@@ -428,8 +428,8 @@
 	s.round = b.chance()
 }
 
-// LoadNote takes the load of an open connection.
-func (b *Balancer) LoadNote(id int, load float64) {
+// ReportLoad takes the load of an open connection.
+func (b *Balancer) ReportLoad(id int, load float64) {
 	if !b.known(id) || b.flows[id].moved || !(load >= 0) {
 		return
 	}
@@ -450,8 +450,8 @@
 	b.typical[f.kind] += (load - b.typical[f.kind]) / 32 // a few dozen notes are fresh enough
 }
 
-// DelayNote takes how long a message takes now at the server of an open connection.
-func (b *Balancer) DelayNote(now float64, id int, delay float64) {
+// ReportDelay takes how long a message takes now at the server of an open connection.
+func (b *Balancer) ReportDelay(now float64, id int, delay float64) {
 	if !b.known(id) || !b.flows[id].open {
 		return
 	}
@@ -468,8 +468,8 @@
 	}
 }
 
-// Probed takes the result of a probe.
-func (b *Balancer) Probed(now float64, at int, how Outcome, r Report) {
+// HealthChecked takes the result of a probe.
+func (b *Balancer) HealthChecked(now float64, at int, how Outcome, r LoadReport) {
 	if at < 0 || at >= len(b.servers) {
 		return
 	}
@@ -480,10 +480,10 @@
 		s.answers = 0
 	} else if r.Load >= 0 {
 		b.report(now, at, r.Load)
-	} else if b.Timed && r.Took > 0 { // guards against jams that no note tells of
-		b.least = min(cmp.Or(b.least, r.Took), r.Took)
-		s.least = min(cmp.Or(s.least, r.Took), r.Took, probeSpread*b.least)
-		b.slow(now, s, 4*b.aim*math.Pow((r.Took-s.least)/(s.least+probeNoise), 2))
+	} else if b.TimeHealthChecks && r.RoundTrip > 0 { // guards against jams that no note tells of
+		b.least = min(cmp.Or(b.least, r.RoundTrip), r.RoundTrip)
+		s.least = min(cmp.Or(s.least, r.RoundTrip), r.RoundTrip, probeSpread*b.least)
+		b.slow(now, s, 4*b.aim*math.Pow((r.RoundTrip-s.least)/(s.least+probeNoise), 2))
 	}
 	if s.aside && s.answers >= 2 {
 		s.aside, s.bad, s.good = false, 0, 0
@@ -495,15 +495,15 @@
 func (b *Balancer) report(now float64, at int, load float64) {
 	s := &b.servers[at]
 	hot, was := load > hotLoad, s.hot(now)
-	if b.Peers && hot && was && now-s.toldAt < 0.75*toldFor {
+	if b.LoadGossip && hot && was && now-s.toldAt < 0.75*toldFor {
 		return
 	}
-	s.news = b.Peers && (hot || was && load < hotLoad-0.1)
+	s.news = b.LoadGossip && (hot || was && load < hotLoad-0.1)
 	s.load, s.toldAt = load, now
 }
 
-// Told takes another node's word of a server's load.
-func (b *Balancer) Told(now float64, at int, load float64) {
+// GossipReceived takes another node's word of a server's load.
+func (b *Balancer) GossipReceived(now float64, at int, load float64) {
 	s := b.server(at)
 	s.load, s.toldAt, s.news = load, now, false
 }
@@ -578,49 +578,49 @@
 
 // warmth is the share of its capacity that a server has at the least by now.
 func (b *Balancer) warmth(now float64, s *server) float64 {
-	since := max(s.Since, s.handAt)
-	if since <= 0 || b.ColdFor <= 0 || now-since >= b.ColdFor {
+	since := max(s.StartedAt, s.handAt)
+	if since <= 0 || b.SlowStartTime <= 0 || now-since >= b.SlowStartTime {
 		return 1
 	}
-	return b.ColdFrom + (1-b.ColdFrom)*max(now-since, 0)/b.ColdFor
+	return b.SlowStartShare + (1-b.SlowStartShare)*max(now-since, 0)/b.SlowStartTime
 }
 
 // mayTake keeps to this node's part of a cold server's budget in a window: what a warm server's connections,
 // spread over the warm-up, come to, times its warmth; at the least one connect by the chance least.
 func (b *Balancer) mayTake(now float64, s *server, warm, mean, least float64) bool {
-	span := cmp.Or(b.FallFor, 1)
+	span := cmp.Or(b.OverloadWindow, 1)
 	if from := math.Floor(now/span) * span; from != s.windowFrom { // on the one clock, so at all nodes alike
 		s.windowFrom, s.spent = from, 0
 	}
 	// Guards against a part that is void in nearly every window, as one of many nodes sees a flow in seconds:
 	// cold servers stood empty beside jammed ones. Draws are dealt evenly apart, so that equal parts sum up to
 	// their mean and one: independent ones overfill a server whose budget is near the number of nodes.
-	turn := mix(mix(s.mark^math.Float64bits(max(s.Since, s.handAt))) ^ math.Float64bits(s.windowFrom))
-	luck := float64((turn>>32+uint64(b.Self))%uint64(b.Nodes)) + float64(uint32(turn))/(1<<32)
-	part := max(least, 1/float64(b.Nodes), warm*max(mean, b.due)*b.FallMultiple/2*b.FallFor/b.ColdFor)
+	turn := mix(mix(s.mark^math.Float64bits(max(s.StartedAt, s.handAt))) ^ math.Float64bits(s.windowFrom))
+	luck := float64((turn>>32+uint64(b.NodeNumber))%uint64(b.Nodes)) + float64(uint32(turn))/(1<<32)
+	part := max(least, 1/float64(b.Nodes), warm*max(mean, b.due)*b.OverloadMultiple/2*b.OverloadWindow/b.SlowStartTime)
 	// Nothing where another process of this node may have spent it: before it handed over, or began anew.
-	return warm >= 1 || !b.given && s.windowFrom > b.Began && s.spent+1 <= part+luck/float64(b.Nodes)
+	return warm >= 1 || !b.given && s.windowFrom > b.StartedAt && s.spent+1 <= part+luck/float64(b.Nodes)
 }
 
 // lawful tells whether a further connect of f may go to server at: no effect twice.
 func (b *Balancer) lawful(now float64, f *flow, at int) bool {
-	t := &b.Types[f.kind]
-	if f.ranAt < 0 || t.Effect == Repeatable {
+	t := &b.ServiceTypes[f.kind]
+	if f.ranAt < 0 || t.Idempotency == Idempotent {
 		return true
 	}
-	if t.Effect == OnceOnly || now+b.DialWithin >= f.ranAt+t.MemorySpan {
+	if t.Idempotency == AtMostOnce || now+b.DialTimeout >= f.ranAt+t.KeyLifetime {
 		return false
 	}
-	was, to := b.servers[f.ranOn].Listing, b.servers[at].Listing
-	return t.Group == GroupAll || t.Group == GroupZone && was.Zone == to.Zone ||
-		t.Group == GroupCell && was.Cell == to.Cell
+	was, to := b.servers[f.ranOn].Endpoint, b.servers[at].Endpoint
+	return t.KeyScope == KeyScopeAll || t.KeyScope == KeyScopeZone && was.Zone == to.Zone ||
+		t.KeyScope == KeyScopeCell && was.Cell == to.Cell
 }
 
 // rejectable tells whether the client may be told that a retry is safe.
 func (b *Balancer) rejectable(now float64, f *flow, away float64) bool {
-	t := &b.Types[f.kind]
-	return f.ranAt < 0 || t.Effect == Repeatable ||
-		t.Effect == Referenced && t.Group == GroupAll && now+away < f.ranAt+t.MemorySpan
+	t := &b.ServiceTypes[f.kind]
+	return f.ranAt < 0 || t.Idempotency == Idempotent ||
+		t.Idempotency == IdempotentWithKey && t.KeyScope == KeyScopeAll && now+away < f.ranAt+t.KeyLifetime
 }
 
 // enter gives the place among the usable where a flow enters, the cap there, and past which draw of its
@@ -663,7 +663,7 @@
 	for _, at := range b.usable {
 		if s := &b.servers[at]; f.tries == 0 && !f.midFlow && s.wanted > 0 && now >= s.wanted {
 			s.wanted = 0
-			if b.chance() < b.warmth(now, s)*mean*b.FallMultiple/2*backWithin/cmp.Or(b.FallFor, 1) {
+			if b.chance() < b.warmth(now, s)*mean*b.OverloadMultiple/2*backWithin/cmp.Or(b.OverloadWindow, 1) {
 				return at
 			}
 		}
@@ -702,9 +702,9 @@
 		s := &b.servers[at]
 		warm := b.warmth(now, s)
 		// All nodes' part: the rule's multiple of its even share. Guards against a cold server that is the last.
-		share := warm * min(1, b.FallMultiple/2/max(float64(m), float64(len(b.base))/2))
+		share := warm * min(1, b.OverloadMultiple/2/max(float64(m), float64(len(b.base))/2))
 		if k == 0 {
-			share = warm * min(1, b.FallMultiple/2*float64(m)/float64(len(b.base)))
+			share = warm * min(1, b.OverloadMultiple/2*float64(m)/float64(len(b.base)))
 		}
 		if mid && k == 0 && b.mayTake(now, s, warm, mean, share) {
 			return at
@@ -754,10 +754,10 @@
 // store that is kept full by what was given up in its queue and sent again: who is unsure waits it out.
 func (b *Balancer) timeout(now float64, f *flow) float64 {
 	left := f.due - now
-	if f.tries+1 >= b.MaxConnects || b.Types[f.kind].Effect == OnceOnly || b.unsure() {
+	if f.tries+1 >= b.MaxAttempts || b.ServiceTypes[f.kind].Idempotency == AtMostOnce || b.unsure() {
 		return left
 	}
-	return min(left, max(b.Types[f.kind].SetupTarget, left/2))
+	return min(left, max(b.ServiceTypes[f.kind].SetupObjective, left/2))
 }
 
 func (b *Balancer) settle(now float64, id int) (Decision, bool) {
@@ -769,7 +769,7 @@
 	paced := f.back && !f.midFlow && f.tries == 0 && b.chance() < paceReturns*b.tight*b.blind
 	// Guards against the gate's floor of one connect a node, where what failed at a shared store goes out again.
 	spent := f.ranAt >= 0 && !math.IsInf(b.gate, 1) && b.unsure()
-	if now < f.due && f.tries < b.MaxConnects && (float64(b.out) < b.gate || f.midFlow) && !paced && !spent {
+	if now < f.due && f.tries < b.MaxAttempts && (float64(b.out) < b.gate || f.midFlow) && !paced && !spent {
 		if at := b.place(now, f); at >= 0 {
 			within := b.timeout(now, f)
 			b.hold(f, at)
@@ -777,15 +777,15 @@
 			f.asked = append(f.asked, at)
 			b.servers[at].spent++
 			b.servers[at].wanted = 0
-			return Decision{Do: Connect, Flow: id, Server: at, Within: within}, true
+			return Decision{Action: Connect, Flow: id, Server: at, Seconds: within}, true
 		}
 	}
 	f.owed = false
-	away := b.RetryAdvice * (0.25 + 0.5*b.chance()) // spread, so that they do not return together
+	away := b.MaxRetryAfter * (0.25 + 0.5*b.chance()) // spread, so that they do not return together
 	if b.rejectable(now, f, away) {
-		return Decision{Do: Reject, Flow: id, Within: away}, true
+		return Decision{Action: Reject, Flow: id, Seconds: away}, true
 	}
-	return Decision{Do: Abort, Flow: id}, true
+	return Decision{Action: Abort, Flow: id}, true
 }
 
 // over tells whether a server holds too much: anything, once it drains, as clients must move before it goes.
@@ -819,7 +819,7 @@
 			s.moves++
 			s.work -= f.load
 			f.load, f.moved = 0, true
-			b.asks = append(b.asks, Decision{Do: Move, Flow: id})
+			b.asks = append(b.asks, Decision{Action: Migrate, Flow: id})
 		}
 	}
 }
@@ -839,22 +839,22 @@
 		for i := range b.servers { // together: one message costs less than a word each
 			if s := &b.servers[i]; s.news {
 				s.news = false
-				b.asks = append(b.asks, Decision{Do: Tell, Server: i, Load: s.load})
+				b.asks = append(b.asks, Decision{Action: GossipLoad, Server: i, Load: s.load})
 			}
 		}
-		b.asks = append(b.asks, Decision{Do: Wake, Within: beat})
+		b.asks = append(b.asks, Decision{Action: Wake, Seconds: beat})
 	}
 	if len(b.asks) > 0 {
 		d := b.asks[0]
 		b.asks = b.asks[1:]
 		return d, true
 	}
-	if b.Subscribe && !b.follows && now >= b.askAt {
+	if b.WatchEndpoints && !b.follows && now >= b.askAt {
 		b.follows = true
-		return Decision{Do: Follow}, true
+		return Decision{Action: WatchEndpoints}, true
 	}
 	// All at once, so that what they tell goes out in one message; at chance, as nodes may start together.
-	if b.Reports && now >= b.roundAt {
+	if b.LoadReports && now >= b.roundAt {
 		if b.roundAt > 0 {
 			b.lookAt = now
 		}
@@ -862,18 +862,18 @@
 	}
 	for i := range b.servers {
 		s := &b.servers[i]
-		look := b.Probes && (b.Reports && s.askedAt < b.lookAt || b.Timed && s.held > 0)
+		look := b.HealthChecks && (b.LoadReports && s.askedAt < b.lookAt || b.TimeHealthChecks && s.held > 0)
 		if !s.aside && !look || s.probing || now < s.probeAt || !s.listed || s.State != Ready ||
 			s.byHand || b.given {
 			continue
 		}
 		s.askedAt, s.probeAt = now, now+probePace*(0.75+0.5*b.chance())
-		if !s.aside && !(b.Timed && now-s.cutAt < tightHold) {
+		if !s.aside && !(b.TimeHealthChecks && now-s.cutAt < tightHold) {
 			s.probeAt += probePace * float64(b.Nodes)
 		}
-		if b.Probes {
+		if b.HealthChecks {
 			s.probing = true
-			return Decision{Do: Probe, Server: i}, true
+			return Decision{Action: CheckHealth, Server: i}, true
 		}
 		s.aside = false // untested, where no probes are allowed
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -15,50 +15,50 @@
 		a     Arrival
 		want  int // place by id, -1 for a reject
 	}{
-		{"primary", nil, Arrival{Key: key}, 2},
+		{"primary", nil, Arrival{ClientKey: key}, 2},
 		{"draining primary: its keys are re-spread over the usable", func(g *rig) {
-			g.List(g.now, ListChanges, []Listing{g.entry(2, Draining)})
-		}, Arrival{Key: key}, []int{0, 1, 3, 4}[mix(key)%4]},
+			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(2, Draining)})
+		}, Arrival{ClientKey: key}, []int{0, 1, 3, 4}[mix(key)%4]},
 		{"another one draining: the primary stays", func(g *rig) {
-			g.List(g.now, ListChanges, []Listing{g.entry(0, Draining)})
-		}, Arrival{Key: key}, 2},
-		{"over the cap of two: next by id", func(g *rig) { g.load(2, 3) }, Arrival{Key: key}, 3},
-		{"at the cap of two: primary", func(g *rig) { g.load(2, 2) }, Arrival{Key: key}, 2},
+			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(0, Draining)})
+		}, Arrival{ClientKey: key}, 2},
+		{"over the cap of two: next by id", func(g *rig) { g.load(2, 3) }, Arrival{ClientKey: key}, 3},
+		{"at the cap of two: primary", func(g *rig) { g.load(2, 2) }, Arrival{ClientKey: key}, 2},
 		{"over the cap, in a group: the group's home", func(g *rig) { g.load(2, 3) },
-			Arrival{Key: key, Group: groupFor(0, 5)}, 0},
-		{"back after a break: the group's home", nil, Arrival{Key: key, Group: groupFor(4, 5), Back: true}, 4},
+			Arrival{ClientKey: key, GroupKey: groupFor(0, 5)}, 0},
+		{"back after a break: the group's home", nil, Arrival{ClientKey: key, GroupKey: groupFor(4, 5), Returning: true}, 4},
 		{"jams seen: the group's home at once", func(g *rig) { g.strain = 1 },
-			Arrival{Key: key, Group: groupFor(4, 5)}, 4},
+			Arrival{ClientKey: key, GroupKey: groupFor(4, 5)}, 4},
 		{"jams seen, this node has one at the home of few: it goes on", func(g *rig) {
 			g.strain, g.blind = 1, 0.5
 			g.load(4, 1)
-		}, Arrival{Key: key, Group: groupFor(4, 5, 1)}, 1},
+		}, Arrival{ClientKey: key, GroupKey: groupFor(4, 5, 1)}, 1},
 		{"the group's first two homes are full: the third, whatever the ids", func(g *rig) {
 			g.strain, g.blind = 1, 0.5
 			g.servers[g.index(4)].ceiling, g.servers[g.index(1)].ceiling = 0, 0
-		}, Arrival{Key: key, Group: groupFor(4, 5, 1, 3)}, 3},
+		}, Arrival{ClientKey: key, GroupKey: groupFor(4, 5, 1, 3)}, 3},
 		{"the same, and this node sees much: the first home, then on by id", func(g *rig) {
 			g.strain, g.blind = 1, 0
 			g.servers[g.index(4)].ceiling, g.servers[g.index(0)].ceiling = 0, 0
-		}, Arrival{Key: key, Group: groupFor(4, 5, 3)}, 1},
-		{"quiet for long: the primary, group or not", nil, Arrival{Key: key, Group: groupFor(4, 5)}, 2},
+		}, Arrival{ClientKey: key, GroupKey: groupFor(4, 5, 3)}, 1},
+		{"quiet for long: the primary, group or not", nil, Arrival{ClientKey: key, GroupKey: groupFor(4, 5)}, 2},
 		{"mid-flow, quiet for long: the primary, where it was most likely placed", nil,
-			Arrival{Key: key, Group: groupFor(4, 5), MidFlow: true}, 2},
+			Arrival{ClientKey: key, GroupKey: groupFor(4, 5), MidFlow: true}, 2},
 		{"mid-flow, strain: its group's home", func(g *rig) { g.strain = 1 },
-			Arrival{Key: key, Group: groupFor(4, 5), MidFlow: true}, 4},
-		{"mid-flow skips the spill", func(g *rig) { g.load(2, 9) }, Arrival{Key: key, MidFlow: true}, 2},
+			Arrival{ClientKey: key, GroupKey: groupFor(4, 5), MidFlow: true}, 4},
+		{"mid-flow skips the spill", func(g *rig) { g.load(2, 9) }, Arrival{ClientKey: key, MidFlow: true}, 2},
 		{"mid-flow skips the ceiling", func(g *rig) { g.servers[18].ceiling = 0 },
-			Arrival{Key: key, MidFlow: true}, 2},
-		{"no room under its ceiling: next by id", func(g *rig) { g.servers[18].ceiling = 0 }, Arrival{Key: key}, 3},
+			Arrival{ClientKey: key, MidFlow: true}, 2},
+		{"no room under its ceiling: next by id", func(g *rig) { g.servers[18].ceiling = 0 }, Arrival{ClientKey: key}, 3},
 		{"all draining: rejected", func(g *rig) {
 			for i := range 5 {
-				g.List(g.now, ListChanges, []Listing{g.entry(i, Draining)})
+				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(i, Draining)})
 			}
-		}, Arrival{Key: key}, -1},
-		{"empty list: rejected", func(g *rig) { g.List(g.now, ListFull, nil) }, Arrival{Key: key}, -1},
-		{"no connect allowed: rejected", func(g *rig) { g.MaxConnects = 0 }, Arrival{Key: key}, -1},
-		{"without a key the group decides", nil, Arrival{Group: key}, 2},
-		{"too late for a connect: rejected", nil, Arrival{Key: key, Left: 0.003}, -1},
+		}, Arrival{ClientKey: key}, -1},
+		{"empty list: rejected", func(g *rig) { g.UpdateEndpoints(g.now, ListFull, nil) }, Arrival{ClientKey: key}, -1},
+		{"no connect allowed: rejected", func(g *rig) { g.MaxAttempts = 0 }, Arrival{ClientKey: key}, -1},
+		{"without a key the group decides", nil, Arrival{GroupKey: key}, 2},
+		{"too late for a connect: rejected", nil, Arrival{ClientKey: key, Timeout: 0.003}, -1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -68,10 +68,10 @@
 			}
 			d, at := g.arrive(0, c.a)
 			if c.want < 0 {
-				if d.Do != Reject || d.Within <= 0 {
+				if d.Action != Reject || d.Seconds <= 0 {
 					t.Fatalf("got %+v, wanted a reject with a retry time", d)
 				}
-			} else if d.Do != Connect || at != c.want {
+			} else if d.Action != Connect || at != c.want {
 				t.Fatalf("got %+v at place %d, wanted place %d", d, at, c.want)
 			}
 		})
@@ -81,59 +81,59 @@
 // load carries n connections on the server at a place.
 func (g *rig) load(place, n int) {
 	for i := range n {
-		g.Carried(g.now, 900+i, Arrival{Key: 1}, g.index(place))
+		g.RestoreFlow(g.now, 900+i, Arrival{ClientKey: 1}, g.index(place))
 	}
 }
 
 func TestEffects(t *testing.T) {
 	type row struct {
 		name   string
-		effect Effect
-		group  Group
+		effect Idempotency
+		group  KeyScope
 		how    Outcome
 		after  float64
-		want   Verb
-		same   func(a, b Listing) bool // what the further connect must share with the first
+		want   Action
+		same   func(a, b Endpoint) bool // what the further connect must share with the first
 		dial   float64
 	}
-	zone := func(a, b Listing) bool { return a.Zone == b.Zone }
-	cell := func(a, b Listing) bool { return a.Cell == b.Cell }
+	zone := func(a, b Endpoint) bool { return a.Zone == b.Zone }
+	cell := func(a, b Endpoint) bool { return a.Cell == b.Cell }
 	cases := []row{
-		{"referenced, by zone", Referenced, GroupZone, Unanswered, 0.1, Connect, zone, 0},
-		{"referenced, by cell", Referenced, GroupCell, Errored, 0.1, Connect, cell, 0},
-		{"referenced, all", Referenced, GroupAll, Broken, 0.1, Connect, nil, 0},
-		{"referenced, all, past the memory span", Referenced, GroupAll, Broken, 1.5, Abort, nil, 0},
-		{"referenced, all, past the memory span once it is dialed", Referenced, GroupAll, Broken, 0.8, Abort, nil, 0.25},
-		{"referenced, all, within the memory span once it is dialed", Referenced, GroupAll, Broken, 0.7, Connect, nil, 0.25},
-		{"referenced, by zone, past the memory span", Referenced, GroupZone, Unanswered, 1.5, Abort, nil, 0},
-		{"referenced, by cell, never ran, late", Referenced, GroupCell, Full, 1.5, Connect, nil, 0},
-	}
-	for _, how := range []Outcome{Errored, Full, Unanswered, Unreached, Broken, CalledOff, NeverSent} {
+		{"referenced, by zone", IdempotentWithKey, KeyScopeZone, TimedOut, 0.1, Connect, zone, 0},
+		{"referenced, by cell", IdempotentWithKey, KeyScopeCell, Failed, 0.1, Connect, cell, 0},
+		{"referenced, all", IdempotentWithKey, KeyScopeAll, ConnectionLost, 0.1, Connect, nil, 0},
+		{"referenced, all, past the memory span", IdempotentWithKey, KeyScopeAll, ConnectionLost, 1.5, Abort, nil, 0},
+		{"referenced, all, past the memory span once it is dialed", IdempotentWithKey, KeyScopeAll, ConnectionLost, 0.8, Abort, nil, 0.25},
+		{"referenced, all, within the memory span once it is dialed", IdempotentWithKey, KeyScopeAll, ConnectionLost, 0.7, Connect, nil, 0.25},
+		{"referenced, by zone, past the memory span", IdempotentWithKey, KeyScopeZone, TimedOut, 1.5, Abort, nil, 0},
+		{"referenced, by cell, never ran, late", IdempotentWithKey, KeyScopeCell, Rejected, 1.5, Connect, nil, 0},
+	}
+	for _, how := range []Outcome{Failed, Rejected, TimedOut, ConnectFailed, ConnectionLost, Canceled, NotSent} {
 		want := Abort
-		if how == Full || how == Unreached || how == NeverSent {
+		if how == Rejected || how == ConnectFailed || how == NotSent {
 			want = Connect
 		}
-		cases = append(cases, row{"once-only", OnceOnly, GroupAll, how, 0.1, want, nil, 0},
-			row{"repeatable", Repeatable, GroupAll, how, 0.1, Connect, nil, 0})
+		cases = append(cases, row{"once-only", AtMostOnce, KeyScopeAll, how, 0.1, want, nil, 0},
+			row{"repeatable", Idempotent, KeyScopeAll, how, 0.1, Connect, nil, 0})
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(6, func(r *Rundown) {
-				r.Types[0].Effect, r.Types[0].Group, r.Types[0].MemorySpan = c.effect, c.group, 1
-				r.DialWithin = c.dial
+			g := newRig(6, func(r *Settings) {
+				r.ServiceTypes[0].Idempotency, r.ServiceTypes[0].KeyScope, r.ServiceTypes[0].KeyLifetime = c.effect, c.group, 1
+				r.DialTimeout = c.dial
 			})
-			_, first := g.arrive(0, Arrival{Key: 5, Left: 4})
+			_, first := g.arrive(0, Arrival{ClientKey: 5, Timeout: 4})
 			g.now += c.after
-			g.Ended(g.now, 0, 0, c.how, false)
+			g.AttemptEnded(g.now, 0, 0, c.how, false)
 			out := g.pull()
-			if len(out) == 0 || out[0].Do != c.want {
+			if len(out) == 0 || out[0].Action != c.want {
 				t.Fatalf("%v after outcome %d: got %+v", c.want, c.how, out)
 			}
 			if c.want == Connect && c.same != nil && !c.same(g.entry(first, Ready), g.entry(g.index(out[0].Server), Ready)) {
 				t.Fatalf("further connect left the group: %d then %d", first, g.index(out[0].Server))
 			}
-			g.Ended(g.now, 0, 1, Unanswered, true)
-			if again := g.pull(); c.want != Connect && len(again) > 0 && again[0].Do <= Abort {
+			g.AttemptEnded(g.now, 0, 1, TimedOut, true)
+			if again := g.pull(); c.want != Connect && len(again) > 0 && again[0].Action <= Abort {
 				t.Fatalf("something sent after the final answer: %+v", again)
 			}
 		})
@@ -142,24 +142,24 @@
 
 // Every connect fails: the flow ends in one answer, in time, after the most connects allowed.
 func TestOneAnswerInTime(t *testing.T) {
-	for _, e := range []Effect{Repeatable, Referenced, OnceOnly} {
-		g := newRig(6, func(r *Rundown) { r.Types[0].Effect, r.Types[0].MemorySpan = e, 5 })
-		d, _ := g.arrive(0, Arrival{Key: 9, Left: 1.8})
+	for _, e := range []Idempotency{Idempotent, IdempotentWithKey, AtMostOnce} {
+		g := newRig(6, func(r *Settings) { r.ServiceTypes[0].Idempotency, r.ServiceTypes[0].KeyLifetime = e, 5 })
+		d, _ := g.arrive(0, Arrival{ClientKey: 9, Timeout: 1.8})
 		answers, connects := 0, 0
-		for d.Do == Connect {
+		for d.Action == Connect {
 			connects++
-			g.now += d.Within
-			g.Ended(g.now, 0, connects-1, Unanswered, false)
+			g.now += d.Seconds
+			g.AttemptEnded(g.now, 0, connects-1, TimedOut, false)
 			for _, d = range g.pull() {
-				if d.Do == Reject || d.Do == Abort {
+				if d.Action == Reject || d.Action == Abort {
 					answers++
 				}
 			}
 		}
-		if answers != 1 || connects > 3 || g.now >= 1001.8 || e == OnceOnly && connects > 1 {
+		if answers != 1 || connects > 3 || g.now >= 1001.8 || e == AtMostOnce && connects > 1 {
 			t.Fatalf("effect %d: %d answers after %d connects at %.3f", e, answers, connects, g.now)
 		}
-		if !g.Idle(0) {
+		if !g.Release(0) {
 			t.Fatal("the index of an ended flow is not free")
 		}
 	}
@@ -183,12 +183,12 @@
 			const seeds = 20 // one window's part is rounded by one draw: none may be over, and the mean not under
 			sum := 0
 			for seed := range uint64(seeds) {
-				g := newRig(5, func(r *Rundown) { r.Seed, r.Self = seed, int(seed) })
+				g := newRig(5, func(r *Settings) { r.Seed, r.NodeNumber = seed, int(seed) })
 				g.now += float64(seed / 2) // both nodes have their part of each window
 				g.fill(0, 50)
 				fresh := g.entry(5, Ready)
-				fresh.Since = g.now - c.age
-				g.List(g.now, ListChanges, []Listing{fresh})
+				fresh.StartedAt = g.now - c.age
+				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{fresh})
 				for i := range 5 {
 					if c.all {
 						g.servers[g.index(i)].fullAt = g.now
@@ -196,7 +196,7 @@
 				}
 				got := 0
 				for id := 100; id < 140; id++ { // within one window: the rule's budget is for the burst
-					if d, at := g.arrive(id, Arrival{Key: keyFor(5, 6), MidFlow: c.mid}); d.Do == Connect && at == 5 {
+					if d, at := g.arrive(id, Arrival{ClientKey: keyFor(5, 6), MidFlow: c.mid}); d.Action == Connect && at == 5 {
 						got++
 					}
 				}
@@ -217,13 +217,13 @@
 		for _, mid := range []bool{false, true} {
 			sent, most := 0, 0.0
 			for seed := range max(nodes, 30) { // a few single nodes stand for one, so that chance evens out
-				g := newRig(5, func(r *Rundown) { r.Nodes, r.Seed, r.Self = nodes, uint64(seed), seed })
+				g := newRig(5, func(r *Settings) { r.Nodes, r.Seed, r.NodeNumber = nodes, uint64(seed), seed })
 				g.fill(0, max(1, 60/nodes))
 				fresh := g.entry(5, Ready)
-				fresh.Since = g.now
-				g.List(g.now, ListChanges, []Listing{fresh})
+				fresh.StartedAt = g.now
+				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{fresh})
 				for id := 100; id < 110; id++ {
-					if d, at := g.arrive(id, Arrival{Key: keyFor(5, 6), MidFlow: mid}); d.Do == Connect && at == 5 {
+					if d, at := g.arrive(id, Arrival{ClientKey: keyFor(5, 6), MidFlow: mid}); d.Action == Connect && at == 5 {
 						sent++
 					}
 				}
@@ -231,7 +231,7 @@
 				for i := range g.servers {
 					held += float64(g.servers[i].held) / 5
 				}
-				most += max(g.ColdFrom, 1/float64(nodes), g.ColdFrom*held*g.FallMultiple/2*g.FallFor/g.ColdFor)
+				most += max(g.SlowStartShare, 1/float64(nodes), g.SlowStartShare*held*g.OverloadMultiple/2*g.OverloadWindow/g.SlowStartTime)
 			}
 			if float64(sent) > 1.5*most+3 {
 				t.Errorf("%d nodes, mid-flow %v: %d connects to a cold server in one window, part %.1f", nodes, mid, sent, most)
@@ -270,18 +270,18 @@
 				if c.numbering != nil {
 					self = c.numbering(node + 1000*window)
 				}
-				b := New(Rundown{Nodes: c.nodes, Self: self, ColdFrom: 0.4, ColdFor: 8, FallMultiple: multiple, FallFor: span})
+				b := New(Settings{Nodes: c.nodes, NodeNumber: self, SlowStartShare: 0.4, SlowStartTime: 8, OverloadMultiple: multiple, OverloadWindow: span})
 				now := 1000 + span*(float64(window)+0.5)
 				if c.joins && (node+window)%10 == 0 {
-					b.Began = now - span/4
+					b.StartedAt = now - span/4
 				}
 				s := b.server(0)
-				s.Since, s.mark = 999, 7
+				s.StartedAt, s.mark = 999, 7
 				mean := 10.0 / float64(c.nodes) * (0.2 + 1.6*float64(node%2)) // some nodes see nine times what others do
-				part := max(1/float64(c.nodes), b.ColdFrom*mean*multiple/2*span/b.ColdFor)
+				part := max(1/float64(c.nodes), b.SlowStartShare*mean*multiple/2*span/b.SlowStartTime)
 				parts += part
 				for range 20 {
-					if b.mayTake(now, s, b.ColdFrom, mean, 0) {
+					if b.mayTake(now, s, b.SlowStartShare, mean, 0) {
 						s.spent++
 						sent++
 					}
@@ -319,20 +319,20 @@
 		const windows = 100                   // one strays by a twentieth: which nodes have a part at several servers hangs on its draws
 		sent, asked := 0, max(2*c.nodes, 200) // by all nodes in each of some windows
 		for seed := range windows * c.nodes {
-			g := newRig(n, func(r *Rundown) { r.Nodes, r.Seed, r.Self = c.nodes, uint64(seed), seed%c.nodes })
-			g.now += g.FallFor * float64(seed/c.nodes)
-			var list []Listing
+			g := newRig(n, func(r *Settings) { r.Nodes, r.Seed, r.NodeNumber = c.nodes, uint64(seed), seed%c.nodes })
+			g.now += g.OverloadWindow * float64(seed/c.nodes)
+			var list []Endpoint
 			for i := range n {
 				if it := g.entry(i, Ready); i < fresh {
-					it.Since = g.now - 5 // half warm by now: 0.6
+					it.StartedAt = g.now - 5 // half warm by now: 0.6
 					list = append(list, it)
 				} else if c.full {
 					g.server(it.Server).fullAt = g.now
 				}
 			}
-			g.List(g.now, ListChanges, list)
+			g.UpdateEndpoints(g.now, ListChanges, list)
 			for id := range asked / c.nodes {
-				if d, at := g.arrive(id, Arrival{Key: mix(uint64(seed*1000 + id))}); d.Do == Connect && at < fresh {
+				if d, at := g.arrive(id, Arrival{ClientKey: mix(uint64(seed*1000 + id))}); d.Action == Connect && at < fresh {
 					sent++
 				}
 			}
@@ -354,14 +354,14 @@
 	const n, clients = 12, 600
 	met, at := 0, map[int]int{}
 	for i := range clients {
-		placed, looks := newRig(n, func(r *Rundown) { r.Nodes, r.Seed = 300, uint64(2*i) }), newRig(n, func(r *Rundown) {
+		placed, looks := newRig(n, func(r *Settings) { r.Nodes, r.Seed = 300, uint64(2*i) }), newRig(n, func(r *Settings) {
 			r.Nodes, r.Seed = 300, uint64(2*i+1)
 		})
 		placed.blind, looks.blind, looks.strain = 0.93, 0.9, 1 // one has run for a while, the other has just begun
-		a := Arrival{Key: mix(uint64(i)), Group: 77}
-		a.Back = true
+		a := Arrival{ClientKey: mix(uint64(i)), GroupKey: 77}
+		a.Returning = true
 		_, was := placed.arrive(1, a)
-		a.Back, a.MidFlow = false, true
+		a.Returning, a.MidFlow = false, true
 		if _, now := looks.arrive(1, a); now == was {
 			met++
 		}
@@ -393,17 +393,17 @@
 	} {
 		moved := 0
 		for seed := range nodes {
-			g := newRig(10, func(r *Rundown) { r.Nodes, r.Seed = nodes, uint64(seed) })
-			g.arrive(0, Arrival{Key: keyFor(at, 10)})
+			g := newRig(10, func(r *Settings) { r.Nodes, r.Seed = nodes, uint64(seed) })
+			g.arrive(0, Arrival{ClientKey: keyFor(at, 10)})
 			g.Established(0, 0)
-			g.LoadNote(0, 0.02)
+			g.ReportLoad(0, 0.02)
 			g.pass(1)
 			for range c.notes {
-				g.DelayNote(g.now, 0, c.delay*g.aim)
+				g.ReportDelay(g.now, 0, c.delay*g.aim)
 				for _, d := range g.pass(1.25) {
-					if d.Do == Move {
+					if d.Action == Migrate {
 						moved++
-						g.Ended(g.now, 0, 0, CalledOff, true)
+						g.AttemptEnded(g.now, 0, 0, Canceled, true)
 					}
 				}
 			}
@@ -432,8 +432,8 @@
 		g.tight, g.blind = c.tight, c.blind
 		rejects := 0
 		for id := range 100 {
-			d, _ := g.arrive(id, Arrival{Key: uint64(id + 1), Group: 7, Back: c.back})
-			if d.Do == Reject && d.Within > 0 {
+			d, _ := g.arrive(id, Arrival{ClientKey: uint64(id + 1), GroupKey: 7, Returning: c.back})
+			if d.Action == Reject && d.Seconds > 0 {
 				rejects++
 			}
 		}
@@ -445,14 +445,14 @@
 
 // With 200 servers a further connect goes to another one; two ids 64 apart were taken for the same once.
 func TestAskedServers(t *testing.T) {
-	g := newRig(200, func(r *Rundown) { r.MaxConnects = 200 })
-	_, first := g.arrive(0, Arrival{Key: 9, Left: 1e6})
+	g := newRig(200, func(r *Settings) { r.MaxAttempts = 200 })
+	_, first := g.arrive(0, Arrival{ClientKey: 9, Timeout: 1e6})
 	seen := map[int]bool{first: true}
 	for try := range 199 {
 		g.now += 0.001
-		g.Ended(g.now, 0, try, NeverSent, false)
+		g.AttemptEnded(g.now, 0, try, NotSent, false)
 		out := g.pull()
-		if len(out) != 1 || out[0].Do != Connect || seen[g.index(out[0].Server)] {
+		if len(out) != 1 || out[0].Action != Connect || seen[g.index(out[0].Server)] {
 			t.Fatalf("after %d connects: %+v", try+1, out)
 		}
 		seen[g.index(out[0].Server)] = true
@@ -467,13 +467,13 @@
 	for group := uint64(1); group <= 400; group++ {
 		before[group] = g.usable[g.homes(group, 1)[0]]
 	}
-	g.List(g.now, ListChanges, []Listing{g.entry(3, Gone)})
+	g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(3, Removed)})
 	g.survey(g.now, false)
 	moved := 0
 	for group, was := range before {
 		if is := g.usable[g.homes(group, 1)[0]]; is != was {
 			moved++
-			if was != g.entry(3, Gone).Server {
+			if was != g.entry(3, Removed).Server {
 				t.Fatalf("group %d moved from a server that stays", group)
 			}
 		}
@@ -491,7 +491,7 @@
 	for _, back := range []bool{false, true} {
 		at, all := map[int]int{}, 0
 		for seed := range uint64(400) {
-			g := newRig(n, func(r *Rundown) { r.Seed, r.Nodes = mix(seed), 100 })
+			g := newRig(n, func(r *Settings) { r.Seed, r.Nodes = mix(seed), 100 })
 			g.strain = 1
 			homes := g.homes(77, 3)
 			if !back {
@@ -501,7 +501,7 @@
 			for range mix(seed) % 50 { // nodes stand at draws of their own
 				g.chance()
 			}
-			if d, to := g.arrive(0, Arrival{Key: seed + 1, Group: 77, Back: back}); d.Do == Connect {
+			if d, to := g.arrive(0, Arrival{ClientKey: seed + 1, GroupKey: 77, Returning: back}); d.Action == Connect {
 				at[slices.Index(homes, to)]++
 				all++
 			}
@@ -534,23 +534,23 @@
 			quotas = []float64{0.75 * n * c.bears, 0.25 * n * c.bears}
 		}
 		node := func(seed int) *rig {
-			g := newRig(n, func(r *Rundown) { r.Nodes, r.Seed, r.Quotas = nodes, uint64(seed), quotas })
+			g := newRig(n, func(r *Settings) { r.Nodes, r.Seed, r.Quotas = nodes, uint64(seed), quotas })
 			g.strain, g.blind = 1, 0.95
 			return g
 		}
 		first, at := node(0).homes(77, c.homes), map[int]int{}
 		for client := range nodes {
-			a := Arrival{Key: mix(uint64(client)), Group: 77, Tenant: client % 2}
+			a := Arrival{ClientKey: mix(uint64(client)), GroupKey: 77, Tenant: client % 2}
 			_, placed := node(2*client).arrive(1, a)
 			at[slices.Index(first, placed)]++
 			if c.homes == 1 {
 				continue
 			}
-			a.Back = true
+			a.Returning = true
 			if _, back := node(2*client+1).arrive(1, a); back != placed {
 				t.Errorf("%s: client %d was at %d, came back to %d", c.name, client, placed, back)
 			}
-			a.Back, a.MidFlow = false, true
+			a.Returning, a.MidFlow = false, true
 			if _, looked := node(2*client+1).arrive(1, a); looked != placed {
 				t.Errorf("%s: client %d is at %d, handed over it is looked for at %d", c.name, client, placed, looked)
 			}
@@ -558,7 +558,7 @@
 			for _, a.MidFlow = range []bool{false, true} {
 				quiet := node(2*client + 1)
 				quiet.strain, quiet.blind = 0, 0 // and with many connections
-				if _, at := quiet.arrive(1, a); at != int(mix(a.Key)%n) {
+				if _, at := quiet.arrive(1, a); at != int(mix(a.ClientKey)%n) {
 					t.Errorf("%s: client %d, mid-flow %v, is at %d after quiet minutes", c.name, client, a.MidFlow, at)
 				}
 			}
@@ -577,8 +577,8 @@
 	g := newRig(9, nil)
 	g.fill(0, 20)
 	for i := range 6 { // one server that cannot be reached
-		if d, at := g.arrive(100+i, Arrival{Key: keyFor(4, 9)}); i == 0 && at == 4 {
-			g.Ended(g.now, d.Flow, 0, Unreached, false)
+		if d, at := g.arrive(100+i, Arrival{ClientKey: keyFor(4, 9)}); i == 0 && at == 4 {
+			g.AttemptEnded(g.now, d.Flow, 0, ConnectFailed, false)
 			g.pull()
 		} else if at == 4 {
 			t.Fatal("sent to a server set aside")
@@ -590,19 +590,19 @@
 	}
 	for probes, beats := 0, 0; probes < 2 && beats < 50; beats++ { // it comes back with its second answered probe
 		for _, d := range g.pass(0.5) {
-			if d.Do == Probe {
+			if d.Action == CheckHealth {
 				if !g.servers[16].aside {
 					t.Fatal("back too early")
 				}
 				probes++
-				g.Probed(g.now, d.Server, Served, Report{Load: -1})
+				g.HealthChecked(g.now, d.Server, Served, LoadReport{Load: -1})
 			}
 		}
 	}
 	if g.servers[16].aside {
 		t.Fatal("not back after two answers")
 	}
-	if _, at := g.arrive(200, Arrival{Key: keyFor(4, 9)}); at != 4 {
+	if _, at := g.arrive(200, Arrival{ClientKey: keyFor(4, 9)}); at != 4 {
 		t.Fatal("not used after its return")
 	}
 }
@@ -616,18 +616,18 @@
 		how              Outcome
 		longestAsidePart float64
 	}{
-		{"one of nine", 1, 9, 1, Unreached, 1},
-		{"five of nine", 5, 9, 5, Unreached, 1},
-		{"all of nine: a third stay, as it may be this node", 9, 9, 6, Unreached, 0.7},
-		{"five that err: what they share may be sick", 5, 9, 1, Errored, 0.4},
+		{"one of nine", 1, 9, 1, ConnectFailed, 1},
+		{"five of nine", 5, 9, 5, ConnectFailed, 1},
+		{"all of nine: a third stay, as it may be this node", 9, 9, 6, ConnectFailed, 0.7},
+		{"five that err: what they share may be sick", 5, 9, 1, Failed, 0.4},
 	} {
 		g := newRig(c.of, nil)
 		for i := range c.dead {
-			d, at := g.arrive(i, Arrival{Key: keyFor(i, c.of), Left: 3})
+			d, at := g.arrive(i, Arrival{ClientKey: keyFor(i, c.of), Timeout: 3})
 			if at != i {
 				continue // set aside or full: nothing to learn
 			}
-			g.Ended(g.now, d.Flow, 0, c.how, true)
+			g.AttemptEnded(g.now, d.Flow, 0, c.how, true)
 			g.pull()
 		}
 		aside := 0
@@ -647,8 +647,8 @@
 	g := newRig(9, nil)
 	g.fill(0, 10)
 	for id := 100; id < 106; id++ {
-		if _, at := g.arrive(id, Arrival{Key: keyFor(4, 9)}); at == 4 {
-			g.Ended(g.now, id, 0, Errored, false)
+		if _, at := g.arrive(id, Arrival{ClientKey: keyFor(4, 9)}); at == 4 {
+			g.AttemptEnded(g.now, id, 0, Failed, false)
 			g.pull()
 		}
 	}
@@ -662,7 +662,7 @@
 	twoDie := func(g *rig) {
 		for id := range 30 {
 			if at := g.flows[id].at; at == g.index(1) || at == g.index(2) {
-				g.Ended(g.now, id, 0, Broken, true)
+				g.AttemptEnded(g.now, id, 0, ConnectionLost, true)
 			}
 		}
 	}
@@ -670,20 +670,20 @@
 		"two servers died and a connect broke": func(g *rig) {
 			twoDie(g)
 			for id := 100; id < 110; id++ {
-				g.arrive(id, Arrival{Key: uint64(id)})
-				g.Ended(g.now, id, 0, Broken, false)
+				g.arrive(id, Arrival{ClientKey: uint64(id)})
+				g.AttemptEnded(g.now, id, 0, ConnectionLost, false)
 				g.pull()
 			}
 		},
 		"two servers died and a connect erred": func(g *rig) {
 			twoDie(g)
-			g.arrive(100, Arrival{Key: 100})
-			g.Ended(g.now, 100, 0, Errored, false)
+			g.arrive(100, Arrival{ClientKey: 100})
+			g.AttemptEnded(g.now, 100, 0, Failed, false)
 		},
 		"one flow errs everywhere": func(g *rig) {
-			g.arrive(100, Arrival{Key: 100})
+			g.arrive(100, Arrival{ClientKey: 100})
 			for try := range 3 {
-				g.Ended(g.now, 100, try, Errored, false)
+				g.AttemptEnded(g.now, 100, try, Failed, false)
 				g.pull()
 			}
 		},
@@ -703,13 +703,13 @@
 	g.fill(0, 30)
 	refused := 0
 	for id := 100; id < 220; id++ {
-		if d, _ := g.arrive(id, Arrival{Key: uint64(id)}); d.Do == Reject {
+		if d, _ := g.arrive(id, Arrival{ClientKey: uint64(id)}); d.Action == Reject {
 			refused++
 			continue
 		}
 		for try := range 3 {
 			g.now += 0.03
-			g.Ended(g.now, id, try, Errored, false)
+			g.AttemptEnded(g.now, id, try, Failed, false)
 			g.pull()
 		}
 	}
@@ -724,8 +724,8 @@
 	}
 	for id := 300; id < 420; id++ {
 		for _, d := range g.pass(0.25) {
-			if d.Do == Probe {
-				g.Probed(g.now, d.Server, Served, Report{Load: -1})
+			if d.Action == CheckHealth {
+				g.HealthChecked(g.now, d.Server, Served, LoadReport{Load: -1})
 			}
 		}
 		g.fill(id, 1)
@@ -741,20 +741,20 @@
 	for place := range 3 {
 		for id := range g.flows {
 			if f := &g.flows[id]; f.open && f.at == g.index(place) {
-				g.DelayNote(g.now, id, 0.5) // five times the aim
+				g.ReportDelay(g.now, id, 0.5) // five times the aim
 				break
 			}
 		}
 	}
-	if d, _ := g.arrive(50, Arrival{Key: 3}); d.Do != Reject || d.Within <= 0 {
+	if d, _ := g.arrive(50, Arrival{ClientKey: 3}); d.Action != Reject || d.Seconds <= 0 {
 		t.Fatalf("got %+v, wanted a reject at once with a retry time", d)
 	}
 	moved := map[int]bool{}
 	for _, d := range g.pass(0.5) {
-		if d.Do == Move && moved[d.Flow] {
+		if d.Action == Migrate && moved[d.Flow] {
 			t.Fatal("moved twice")
 		}
-		moved[d.Flow] = d.Do == Move
+		moved[d.Flow] = d.Action == Migrate
 	}
 	if len(moved) == 0 || len(moved) > 12 {
 		t.Fatalf("%d moved, wanted some and never all", len(moved))
@@ -771,10 +771,10 @@
 // A ceiling that was set on next to nothing, as the loads there were not known, does not keep flows out for long
 // where servers are seen to bear much more; it still does for the first seconds.
 func TestLowCeilingRises(t *testing.T) {
-	g := newRig(3, func(r *Rundown) { r.Quotas = []float64{40, 20} }) // ten a server and node
+	g := newRig(3, func(r *Settings) { r.Quotas = []float64{40, 20} }) // ten a server and node
 	g.fill(0, 30)
 	for id := range g.flows {
-		g.LoadNote(id, 0.1)
+		g.ReportLoad(id, 0.1)
 	}
 	g.servers[20].work, g.servers[20].ceiling, g.servers[20].cutAt = 0.02, 0.02, g.now
 	if g.pass(3); g.servers[20].ceiling > 0.4 {
@@ -788,7 +788,7 @@
 // The order in which service types are listed decides nothing.
 func TestOrderOfTypes(t *testing.T) {
 	for _, loads := range [][]float64{{0.1, 1}, {1, 0.1}} {
-		g := newRig(3, func(r *Rundown) { r.Types = append(r.Types, r.Types[0]) })
+		g := newRig(3, func(r *Settings) { r.ServiceTypes = append(r.ServiceTypes, r.ServiceTypes[0]) })
 		g.typical = loads
 		g.lower(g.now, &g.servers[20], 0.9)
 		if got := g.servers[20].ceiling; math.Abs(got-0.55) > 1e-9 {
@@ -802,7 +802,7 @@
 func TestHotServers(t *testing.T) {
 	group := groupFor(1, 4, 3)
 	say := func(place int, load float64) func(*rig) {
-		return func(g *rig) { g.Told(g.now, g.index(place), load) }
+		return func(g *rig) { g.GossipReceived(g.now, g.index(place), load) }
 	}
 	for _, c := range []struct {
 		name  string
@@ -810,23 +810,23 @@
 		a     Arrival
 		want  int
 	}{
-		{"told to be hot: next by id", []func(*rig){say(1, 0.9)}, Arrival{Key: keyFor(1, 4)}, 2},
-		{"told to be busy", []func(*rig){say(1, 0.7)}, Arrival{Key: keyFor(1, 4)}, 1},
-		{"hot, and cool again", []func(*rig){say(1, 0.9), say(1, 0.5)}, Arrival{Key: keyFor(1, 4)}, 1},
-		{"told long ago", []func(*rig){say(1, 0.9), func(g *rig) { g.now += toldFor }}, Arrival{Key: keyFor(1, 4)}, 1},
+		{"told to be hot: next by id", []func(*rig){say(1, 0.9)}, Arrival{ClientKey: keyFor(1, 4)}, 2},
+		{"told to be busy", []func(*rig){say(1, 0.7)}, Arrival{ClientKey: keyFor(1, 4)}, 1},
+		{"hot, and cool again", []func(*rig){say(1, 0.9), say(1, 0.5)}, Arrival{ClientKey: keyFor(1, 4)}, 1},
+		{"told long ago", []func(*rig){say(1, 0.9), func(g *rig) { g.now += toldFor }}, Arrival{ClientKey: keyFor(1, 4)}, 1},
 		{"a group's home: its second", []func(*rig){say(1, 0.9), func(g *rig) { g.strain, g.blind = 1, 0.5 }},
-			Arrival{Key: 5, Group: group}, 3},
+			Arrival{ClientKey: 5, GroupKey: group}, 3},
 		{"all hot: the least loaded", []func(*rig){say(0, 0.9), say(1, 1.2), say(2, 0.8), say(3, 0.85)},
-			Arrival{Key: keyFor(1, 4)}, 2},
-		{"mid-flow skips it", []func(*rig){say(1, 0.9)}, Arrival{Key: keyFor(1, 4), MidFlow: true}, 1},
+			Arrival{ClientKey: keyFor(1, 4)}, 2},
+		{"mid-flow skips it", []func(*rig){say(1, 0.9)}, Arrival{ClientKey: keyFor(1, 4), MidFlow: true}, 1},
 		{"found by this node's own probe", []func(*rig){func(g *rig) {
-			g.Probed(g.now, g.index(1), Served, Report{Load: 0.9})
-		}}, Arrival{Key: keyFor(1, 4)}, 2},
+			g.HealthChecked(g.now, g.index(1), Served, LoadReport{Load: 0.9})
+		}}, Arrival{ClientKey: keyFor(1, 4)}, 2},
 		{"a probe that failed tells nothing", []func(*rig){func(g *rig) {
-			g.Probed(g.now, g.index(1), Errored, Report{Load: 0.9})
-		}}, Arrival{Key: keyFor(1, 4)}, 1},
+			g.HealthChecked(g.now, g.index(1), Failed, LoadReport{Load: 0.9})
+		}}, Arrival{ClientKey: keyFor(1, 4)}, 1},
 	} {
-		g := newRig(4, func(r *Rundown) { r.Reports, r.Peers = true, true })
+		g := newRig(4, func(r *Settings) { r.LoadReports, r.LoadGossip = true, true })
 		for _, step := range c.steps {
 			step(g)
 		}
@@ -855,16 +855,16 @@
 		{"heard, and cool again", true, 0.8, []float64{0.3}, 1, []float64{0.3}},
 		{"not allowed", false, 0, []float64{0.9, 0.5}, 1, nil},
 	} {
-		g := newRig(4, func(r *Rundown) { r.Reports, r.Peers = true, c.peers })
+		g := newRig(4, func(r *Settings) { r.LoadReports, r.LoadGossip = true, c.peers })
 		if c.heard > 0 {
-			g.Told(g.now, 19, c.heard)
+			g.GossipReceived(g.now, 19, c.heard)
 		}
 		var got []float64
 		for _, load := range c.loads {
 			g.now += c.apart - beat
-			g.Probed(g.now, 19, Served, Report{Load: load})
+			g.HealthChecked(g.now, 19, Served, LoadReport{Load: load})
 			for _, d := range g.pass(beat) {
-				if d.Do == Tell && d.Server == 19 {
+				if d.Action == GossipLoad && d.Server == 19 {
 					got = append(got, d.Load)
 				}
 			}
@@ -880,7 +880,7 @@
 func TestFirstReportsSpread(t *testing.T) {
 	asked := 0
 	for seed := range uint64(20) {
-		g := newRig(50, func(r *Rundown) { r.Reports, r.Nodes, r.Seed = true, 100, mix(seed) })
+		g := newRig(50, func(r *Settings) { r.LoadReports, r.Nodes, r.Seed = true, 100, mix(seed) })
 		g.pass(5)
 		for i := range g.servers {
 			if g.servers[i].probing {
@@ -895,17 +895,17 @@
 }
 
 func TestListFollowing(t *testing.T) {
-	g := newRig(3, func(r *Rundown) { r.Subscribe = true })
+	g := newRig(3, func(r *Settings) { r.WatchEndpoints = true })
 	last := 0.0
 	for i := range 5 {
-		g.List(g.now, ListFailed, nil)
+		g.UpdateEndpoints(g.now, ListFailed, nil)
 		from := g.now
 		for asked := false; !asked; {
 			if g.now-from > 13 {
 				t.Fatal("never asked again")
 			}
 			for _, d := range g.pass(beat) {
-				asked = asked || d.Do == Follow
+				asked = asked || d.Action == WatchEndpoints
 			}
 		}
 		if gap := g.now - from; i > 0 && gap < last/4 || gap > 0.75*float64(int(1)<<i)+beat {
@@ -919,9 +919,9 @@
 	}
 	g.servers[20].aside = true
 	again := g.entry(0, Ready)
-	again.Since = g.now
-	g.List(g.now, ListChanges, []Listing{again, g.entry(1, Gone)})
-	if g.servers[20].aside || len(g.base) != 2 || g.warmth(g.now, &g.servers[20]) != g.ColdFrom {
+	again.StartedAt = g.now
+	g.UpdateEndpoints(g.now, ListChanges, []Endpoint{again, g.entry(1, Removed)})
+	if g.servers[20].aside || len(g.base) != 2 || g.warmth(g.now, &g.servers[20]) != g.SlowStartShare {
 		t.Fatal("a restart is a fresh, cold server; a server gone leaves the base list")
 	}
 }
@@ -935,16 +935,16 @@
 	}{{1, 10, 0.02}, {30, 100, callSpread}, {160, 1000, callSpread}} {
 		first, last := math.Inf(1), 0.0
 		for seed := range 60 {
-			b := New(Rundown{Seed: uint64(seed), Nodes: c.nodes, Subscribe: true, AskWithin: 10})
-			var list []Listing
+			b := New(Settings{Seed: uint64(seed), Nodes: c.nodes, WatchEndpoints: true, PollInterval: 10})
+			var list []Endpoint
 			for i := range c.servers {
-				list = append(list, Listing{Server: i, ID: uint32(i), State: Ready})
+				list = append(list, Endpoint{Server: i, ID: uint32(i), State: Ready})
 			}
-			b.List(0, ListCached, list)
+			b.UpdateEndpoints(0, ListCached, list)
 			first, last = min(first, b.askAt), max(last, b.askAt)
 			gap := 0.0
 			for range 6 {
-				b.List(0, ListFailed, nil)
+				b.UpdateEndpoints(0, ListFailed, nil)
 				if b.askGap < gap || b.askAt > 1.5*callSpread || b.askAt <= 0 {
 					t.Fatalf("%d nodes: gap %.2f s after %.2f s", c.nodes, b.askGap, gap)
 				}
@@ -967,24 +967,24 @@
 	}{{1, 0, 0.1}, {6, 0, 0.1}, {300, 1.2, 1.5}, {1100, 1.2, 1.5}} {
 		widest := 0.0
 		for seed := range 60 {
-			b := New(Rundown{Seed: uint64(seed), Nodes: c.nodes, Subscribe: true, AskWithin: 10})
-			var list []Listing
+			b := New(Settings{Seed: uint64(seed), Nodes: c.nodes, WatchEndpoints: true, PollInterval: 10})
+			var list []Endpoint
 			for i := range 8 {
-				list = append(list, Listing{Server: i, ID: uint32(i), State: Ready})
+				list = append(list, Endpoint{Server: i, ID: uint32(i), State: Ready})
 			}
-			b.List(0, ListFull, list)
-			b.List(0, ListSilent, nil)
+			b.UpdateEndpoints(0, ListFull, list)
+			b.UpdateEndpoints(0, ListTimedOut, nil)
 			if widest = max(widest, b.askAt); b.askGap != 0 || len(b.base) != 8 {
 				t.Fatalf("%d nodes: gap %.2f s, %d servers", c.nodes, b.askGap, len(b.base))
 			}
 			for now := 0.0; now <= b.askAt; now += beat { // guards against a wish to follow that is never said
 				for d, ok := b.Next(now); ok; d, ok = b.Next(now) {
-					if d.Do == Follow && now < b.askAt {
+					if d.Action == WatchEndpoints && now < b.askAt {
 						t.Fatalf("%d nodes: asked at %.2f s, not %.2f s", c.nodes, now, b.askAt)
 					}
 				}
 			}
-			if b.List(9, ListFailed, nil); b.askAt <= 9 {
+			if b.UpdateEndpoints(9, ListFailed, nil); b.askAt <= 9 {
 				t.Fatalf("%d nodes: asked at once after a refusal", c.nodes)
 			}
 		}
@@ -998,35 +998,35 @@
 func TestOddInput(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tune func(*Rundown)
+		tune func(*Settings)
 		n    int
 		odd  func(*rig)
 	}{
 		{"no server", nil, 0, nil},
 		{"a thousand servers", nil, 1000, nil},
-		{"no nodes, members, types or connects told", func(r *Rundown) { *r = Rundown{} }, 20, nil},
-		{"a member and a type that were not told", func(r *Rundown) { r.Quotas = []float64{1} }, 20, nil},
-		{"shares of next to nothing", func(r *Rundown) { r.Quotas = []float64{1e-12} }, 20, nil},
+		{"no nodes, members, types or connects told", func(r *Settings) { *r = Settings{} }, 20, nil},
+		{"a member and a type that were not told", func(r *Settings) { r.Quotas = []float64{1} }, 20, nil},
+		{"shares of next to nothing", func(r *Settings) { r.Quotas = []float64{1e-12} }, 20, nil},
 		{"ids that were never given", nil, 20, func(g *rig) {
 			for _, id := range []int{-1, 0, 9999} {
 				g.Established(id, 0)
-				g.Ended(g.now, id, 0, Broken, true)
-				g.Left(id)
-				g.LoadNote(id, 1)
-				g.DelayNote(g.now, id, 9)
-				g.Probed(g.now, id, Served, Report{Load: 1})
+				g.AttemptEnded(g.now, id, 0, ConnectionLost, true)
+				g.ClientLeft(id)
+				g.ReportLoad(id, 1)
+				g.ReportDelay(g.now, id, 9)
+				g.HealthChecked(g.now, id, Served, LoadReport{Load: 1})
 			}
 		}},
-		{"a load that is no number", nil, 20, func(g *rig) { g.LoadNote(905, math.NaN()) }},
+		{"a load that is no number", nil, 20, func(g *rig) { g.ReportLoad(905, math.NaN()) }},
 		{"a server that is back under a new start time", nil, 20, func(g *rig) {
 			again := g.entry(3, Ready)
-			again.Since = g.now
-			g.List(g.now, ListChanges, []Listing{again, again})
+			again.StartedAt = g.now
+			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{again, again})
 		}},
 		{"an empty list, then the whole one", nil, 20, func(g *rig) {
-			g.List(g.now, ListFull, nil)
+			g.UpdateEndpoints(g.now, ListFull, nil)
 			g.pass(1)
-			g.List(g.now, ListFull, []Listing{g.entry(1, Ready)})
+			g.UpdateEndpoints(g.now, ListFull, []Endpoint{g.entry(1, Ready)})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -1036,11 +1036,11 @@
 				c.odd(g)
 			}
 			for id := range 50 {
-				d, _ := g.arrive(id, Arrival{Type: 7 * id, Tenant: id, Key: uint64(id % 3), Group: uint64(id % 2), Back: id%5 == 0})
-				if d.Do == Connect {
+				d, _ := g.arrive(id, Arrival{Type: 7 * id, Tenant: id, ClientKey: uint64(id % 3), GroupKey: uint64(id % 2), Returning: id%5 == 0})
+				if d.Action == Connect {
 					g.Established(id, 0)
 					g.Established(id, 0) // once more: it counts once
-				} else if d.Do != Reject && d.Do != Abort {
+				} else if d.Action != Reject && d.Action != Abort {
 					t.Fatalf("flow %d got no answer", id)
 				}
 				g.pass(beat)
@@ -1066,10 +1066,10 @@
 			for id := 4 * n; b.Loop(); id++ {
 				g.now += beat
 				g.Woken(g.now)
-				if d, _ := g.arrive(4*n, Arrival{Key: uint64(id + 1), Group: uint64(id%n + 1)}); d.Do == Connect {
-					g.Ended(g.now, 4*n, 0, Broken, true)
+				if d, _ := g.arrive(4*n, Arrival{ClientKey: uint64(id + 1), GroupKey: uint64(id%n + 1)}); d.Action == Connect {
+					g.AttemptEnded(g.now, 4*n, 0, ConnectionLost, true)
 				}
-				g.Idle(4 * n)
+				g.Release(4 * n)
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*n), "ns/op/server")
 		})
@@ -1077,7 +1077,7 @@
 }
 
 func TestChance(t *testing.T) {
-	a, b := newRig(0, nil), newRig(0, func(r *Rundown) { r.Seed = 8 })
+	a, b := newRig(0, nil), newRig(0, func(r *Settings) { r.Seed = 8 })
 	var bins [10]int
 	pairs := 0
 	for range 20000 {
@@ -1105,17 +1105,17 @@
 		later float64
 		back  bool // the server takes flows again
 	}{
-		{"dropped just now", Broken, 0.1, false},
-		{"dropped a while ago", Broken, jamHold + 1, true},
+		{"dropped just now", ConnectionLost, 0.1, false},
+		{"dropped a while ago", ConnectionLost, jamHold + 1, true},
 		{"ended well just now", Served, 0.1, true},
 	} {
 		g := newRig(5, nil)
 		key := keyFor(2, 5)
-		g.arrive(0, Arrival{Key: key})
+		g.arrive(0, Arrival{ClientKey: key})
 		g.Established(0, 0)
-		g.Ended(g.now, 0, 0, c.how, true)
+		g.AttemptEnded(g.now, 0, 0, c.how, true)
 		g.pass(c.later)
-		if _, at := g.arrive(1, Arrival{Key: key}); (at == 2) != c.back {
+		if _, at := g.arrive(1, Arrival{ClientKey: key}); (at == 2) != c.back {
 			t.Errorf("%s: sent to place %d", c.name, at)
 		}
 	}
@@ -1128,12 +1128,12 @@
 		best, first, took float64
 		jam               bool
 	}{{0.0014, 0.006, 0.0105, true}, {0.0014, 0.0043, 0.0045, false}, {0.006, 0.006, 0.0105, false}} {
-		g := newRig(3, func(r *Rundown) { r.Timed = true })
+		g := newRig(3, func(r *Settings) { r.TimeHealthChecks = true })
 		g.fill(0, 9)
-		g.Probed(g.now, g.index(0), Served, Report{Load: -1, Took: c.best})
+		g.HealthChecked(g.now, g.index(0), Served, LoadReport{Load: -1, RoundTrip: c.best})
 		for _, took := range []float64{c.first, c.took} {
 			g.now++
-			g.Probed(g.now, g.index(1), Served, Report{Load: -1, Took: took})
+			g.HealthChecked(g.now, g.index(1), Served, LoadReport{Load: -1, RoundTrip: took})
 		}
 		if s := g.servers[g.index(1)]; (s.jamAt == g.now) != c.jam {
 			t.Errorf("%+v: ceiling %g", c, s.ceiling)
@@ -1154,14 +1154,14 @@
 		{"twice the least: ceiling lowered", true, 0.004, 0.008, Served, false, true},
 		{"a little over the least", true, 0.004, 0.0045, Served, false, false},
 		{"a millisecond more where the least is short", true, 0.0005, 0.0012, Served, false, false},
-		{"no answer says nothing of the time", true, 0.004, 0.014, Errored, false, false},
+		{"no answer says nothing of the time", true, 0.004, 0.014, Failed, false, false},
 		{"not timed", false, 0.004, 0.014, Served, false, false},
 	} {
-		g := newRig(3, func(r *Rundown) { r.Timed = c.timed })
+		g := newRig(3, func(r *Settings) { r.TimeHealthChecks = c.timed })
 		g.fill(0, 9)
 		for place := range 3 {
-			g.Probed(g.now, g.index(place), Served, Report{Load: -1, Took: c.least})
-			g.Probed(g.now, g.index(place), c.how, Report{Load: -1, Took: c.took})
+			g.HealthChecked(g.now, g.index(place), Served, LoadReport{Load: -1, RoundTrip: c.least})
+			g.HealthChecked(g.now, g.index(place), c.how, LoadReport{Load: -1, RoundTrip: c.took})
 			s := g.servers[g.index(place)]
 			if (s.jamAt == g.now) != c.held || !math.IsInf(s.ceiling, 1) != c.cut {
 				t.Errorf("%s: in a jam %v, ceiling %g", c.name, s.jamAt == g.now, s.ceiling)
@@ -1184,15 +1184,15 @@
 		{"not in use", true, 0, 0.004, 0, 0},
 		{"not timed", false, 3, 0.004, 0, 0},
 	} {
-		g := newRig(1, func(r *Rundown) { r.Timed = c.timed })
+		g := newRig(1, func(r *Settings) { r.TimeHealthChecks = c.timed })
 		g.fill(0, c.held)
 		g.servers[20].least, g.servers[20].probing = 0.004, false
 		probes := 0
 		for range 80 {
 			for _, d := range g.pass(beat) {
-				if d.Do == Probe {
+				if d.Action == CheckHealth {
 					probes++
-					g.Probed(g.now, d.Server, Served, Report{Load: -1, Took: c.took})
+					g.HealthChecked(g.now, d.Server, Served, LoadReport{Load: -1, RoundTrip: c.took})
 				}
 			}
 		}
@@ -1206,21 +1206,21 @@
 func TestMovedOffDraining(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		state State
+		state EndpointState
 		moved bool
-	}{{"ready", Ready, false}, {"draining", Draining, true}, {"gone: its connections end by themselves", Gone, false}} {
+	}{{"ready", Ready, false}, {"draining", Draining, true}, {"gone: its connections end by themselves", Removed, false}} {
 		g := newRig(3, nil)
 		g.fill(0, 9)
 		on := g.servers[20].held
-		g.List(g.now, ListChanges, []Listing{g.entry(0, c.state)})
+		g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(0, c.state)})
 		first, all := 0, map[int]bool{}
 		for _, d := range g.pass(drainWait) { // servers that send their clients away do so meanwhile
-			if d.Do == Move {
+			if d.Action == Migrate {
 				t.Errorf("%s: moved off before the server could send it away", c.name)
 			}
 		}
 		for _, d := range g.pass(beat) {
-			if d.Do == Move {
+			if d.Action == Migrate {
 				first++
 			}
 		}
@@ -1228,7 +1228,7 @@
 			all[id] = g.flows[id].moved
 		}
 		for _, d := range g.pass(5) {
-			if d.Do == Move && all[d.Flow] {
+			if d.Action == Migrate && all[d.Flow] {
 				t.Errorf("%s: moved twice", c.name)
 			}
 		}
@@ -1256,30 +1256,30 @@
 		played := min(nodes, 40) // of which each stands for several
 		each := float64(nodes) / float64(played)
 		for seed := range played {
-			g := newRig(servers, func(r *Rundown) {
-				r.Nodes, r.Seed, r.Timed, r.Subscribe, r.AskWithin, r.FallFor = nodes, uint64(seed), true, true, 1000, 1
-				r.Self = seed * nodes / played
+			g := newRig(servers, func(r *Settings) {
+				r.Nodes, r.Seed, r.TimeHealthChecks, r.WatchEndpoints, r.PollInterval, r.OverloadWindow = nodes, uint64(seed), true, true, 1000, 1
+				r.NodeNumber = seed * nodes / played
 			})
-			cached := make([]Listing, servers)
+			cached := make([]Endpoint, servers)
 			for i := range cached {
 				cached[i] = g.entry(i, Ready)
 			}
 			g.follows = false
-			g.List(g.now, ListCached, cached)
+			g.UpdateEndpoints(g.now, ListCached, cached)
 			calls[int(g.askAt-g.now)] += each
-			cached[7].Since = g.now
-			g.List(g.now, ListChanges, cached[7:8])
+			cached[7].StartedAt = g.now
+			g.UpdateEndpoints(g.now, ListChanges, cached[7:8])
 			g.fill(seed*1000, max(1200/nodes, 1)) // 1200 connections over all nodes, in one second
 			for i := range g.servers {
 				if g.servers[i].probing { // asked for while the flows came
 					probes += each
-					g.Probed(g.now, i, Served, Report{Load: -1, Took: 0.004})
+					g.HealthChecked(g.now, i, Served, LoadReport{Load: -1, RoundTrip: 0.004})
 				}
 			}
-			last := newRig(servers, func(r *Rundown) {
-				r.Nodes, r.Seed, r.FallFor, r.Self = nodes, uint64(seed), 1, seed*nodes/played
+			last := newRig(servers, func(r *Settings) {
+				r.Nodes, r.Seed, r.OverloadWindow, r.NodeNumber = nodes, uint64(seed), 1, seed*nodes/played
 			})
-			last.List(last.now, ListFull, cached)
+			last.UpdateEndpoints(last.now, ListFull, cached)
 			for i := range servers {
 				if i != 7 { // the cold one is the last that takes anything
 					last.servers[last.index(i)].fullAt = last.now
@@ -1289,9 +1289,9 @@
 			connects += each * float64(last.servers[last.index(7)].held)
 			for range 20 { // 5 s
 				for _, d := range g.pass(beat) {
-					if d.Do == Probe {
+					if d.Action == CheckHealth {
 						probes += each
-						g.Probed(g.now, d.Server, Served, Report{Load: -1, Took: 0.004})
+						g.HealthChecked(g.now, d.Server, Served, LoadReport{Load: -1, RoundTrip: 0.004})
 					}
 				}
 			}
@@ -1327,20 +1327,20 @@
 	} {
 		sent := 0
 		for seed := range uint64(20) {
-			g := newRig(8, func(r *Rundown) { r.Seed, r.Quotas, r.FallMultiple = seed, c.quotas, 4 })
+			g := newRig(8, func(r *Settings) { r.Seed, r.Quotas, r.OverloadMultiple = seed, c.quotas, 4 })
 			for i := range c.gone {
-				g.List(g.now, ListChanges, []Listing{g.entry(7-i, Gone)})
+				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(7-i, Removed)})
 			}
 			it := g.entry(2, Ready)
-			it.Since = g.now - 4
-			g.List(g.now, ListChanges, []Listing{it})
+			it.StartedAt = g.now - 4
+			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{it})
 			for i := range 8 { // the others are jammed
 				if i != 2 {
 					g.servers[g.index(i)].jamAt = g.now + 99
 				}
 			}
 			for i := range 40 { // within one window, all want in
-				if d, at := g.arrive(i, Arrival{Key: uint64(i + 1)}); d.Do == Connect && at == 2 {
+				if d, at := g.arrive(i, Arrival{ClientKey: uint64(i + 1)}); d.Action == Connect && at == 2 {
 					sent++
 				}
 			}
--- a/placement/store_test.go
+++ b/placement/store_test.go
@@ -18,32 +18,32 @@
 		wait  float64 // of the first, of 3 s
 		then  float64 // of the second, 0.5 s later; 0 for none
 	}{
-		{"a node of many connections", 300, 0.2, math.Inf(1), Unanswered, 1.5, 1.25},
-		{"and failures at many servers", 300, 0.2, 3, Errored, 1.5, 1.25},
-		{"one of few that holds nothing yet", 3, 1, math.Inf(1), Unanswered, 1.5, 1.25},
-		{"one of many that holds next to nothing", 300, 0.9, math.Inf(1), Unanswered, 3, 2.5},
-		{"and a first that reached nothing", 300, 0.9, math.Inf(1), Unreached, 3, 2.5},
-		{"and failures at many servers", 300, 0.9, 3, Errored, 3, 0},
+		{"a node of many connections", 300, 0.2, math.Inf(1), TimedOut, 1.5, 1.25},
+		{"and failures at many servers", 300, 0.2, 3, Failed, 1.5, 1.25},
+		{"one of few that holds nothing yet", 3, 1, math.Inf(1), TimedOut, 1.5, 1.25},
+		{"one of many that holds next to nothing", 300, 0.9, math.Inf(1), TimedOut, 3, 2.5},
+		{"and a first that reached nothing", 300, 0.9, math.Inf(1), ConnectFailed, 3, 2.5},
+		{"and failures at many servers", 300, 0.9, 3, Failed, 3, 0},
 	} {
-		g := newRig(9, func(r *Rundown) { r.Nodes, r.Tick = c.nodes, 0 })
+		g := newRig(9, func(r *Settings) { r.Nodes, r.Tick = c.nodes, 0 })
 		g.blind, g.gate, g.gateAt = c.blind, c.gate, g.now
-		d, _ := g.arrive(1, Arrival{Key: 1})
-		if d.Do != Connect || math.Abs(d.Within-c.wait) > 1e-6 {
+		d, _ := g.arrive(1, Arrival{ClientKey: 1})
+		if d.Action != Connect || math.Abs(d.Seconds-c.wait) > 1e-6 {
 			t.Errorf("%s: %+v, wanted a connect of %g s", c.name, d, c.wait)
 			continue
 		}
 		g.now += 0.5
-		g.Ended(g.now, 1, 0, c.how, false)
-		d = Decision{Do: Log}
+		g.AttemptEnded(g.now, 1, 0, c.how, false)
+		d = Decision{Action: Log}
 		for _, d = range g.pull() {
 			if d.Flow == 1 {
 				break
 			}
 		}
 		switch {
-		case c.then == 0 && d.Do != Reject:
+		case c.then == 0 && d.Action != Reject:
 			t.Errorf("%s: then %+v, wanted a reject at once", c.name, d)
-		case c.then > 0 && (d.Do != Connect || math.Abs(d.Within-c.then) > 1e-6):
+		case c.then > 0 && (d.Action != Connect || math.Abs(d.Seconds-c.then) > 1e-6):
 			t.Errorf("%s: then %+v, wanted a connect of %g s", c.name, d, c.then)
 		}
 	}
@@ -64,7 +64,7 @@
 	}
 	balancers, clients := make([]*rig, nodes), make([][each]client, nodes)
 	for i := range balancers {
-		balancers[i] = newRig(20, func(r *Rundown) { r.Seed, r.Nodes, r.MaxConnects = uint64(i), nodes, 5 })
+		balancers[i] = newRig(20, func(r *Settings) { r.Seed, r.Nodes, r.MaxAttempts = uint64(i), nodes, 5 })
 		balancers[i].blind = 1
 	}
 	var queue []ask
@@ -76,7 +76,7 @@
 			for k := range clients[i] {
 				if c := &clients[i][k]; !c.gone && c.at <= now {
 					c.at = math.Inf(1)
-					g.Flow(now, k, Arrival{Key: uint64(i*each + k + 1), Left: 2, Back: true})
+					g.AddFlow(now, k, Arrival{ClientKey: uint64(i*each + k + 1), Timeout: 2, Returning: true})
 				}
 			}
 			if math.Mod(now, beat) < step {
@@ -87,15 +87,15 @@
 				if !ok {
 					break
 				}
-				switch d.Do {
+				switch d.Action {
 				case Connect:
 					connects++
 					try := g.flows[d.Flow].tries - 1
 					if len(queue) >= room {
-						g.Ended(now, d.Flow, try, Errored, false)
+						g.AttemptEnded(now, d.Flow, try, Failed, false)
 						continue
 					}
-					queue = append(queue, ask{i, d.Flow, try, now + d.Within})
+					queue = append(queue, ask{i, d.Flow, try, now + d.Seconds})
 				case Reject, Abort:
 					clients[i][d.Flow].at = now + 0.05
 				}
@@ -104,7 +104,7 @@
 		for _, q := range queue {
 			g := balancers[q.node]
 			if f := &g.flows[q.flow]; now >= q.until && f.out && !f.open && f.tries-1 == q.try {
-				g.Ended(now, q.flow, q.try, Unanswered, false)
+				g.AttemptEnded(now, q.flow, q.try, TimedOut, false)
 			}
 		}
 		for work += pace * step; work >= 1 && len(queue) > 0; work-- {
