--- a/cmd/gorseledge/closing_test.go
+++ b/cmd/gorseledge/closing_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 )
 
 // What is under way in the moment in which the node ends a connection, over loopback. Guards against answers lost
@@ -123,7 +123,7 @@
 	}()
 	s.logged(`"reason":"no-sockets"`)
 	next := discovery(t)
-	next.Tell(roster.List{Index: 7, Complete: true, Hosts: []roster.Host{
+	next.Tell(endpoint.List{Index: 7, Complete: true, Hosts: []endpoint.Host{
 		{Name: "s-00000064", Address: s.hosts[0].Addr().String(), Status: "DRAINING"},
 		{Name: "s-00000065", Address: s.hosts[1].Addr().String(), Status: "SERVING"}}})
 	s.roster.Close() // the old one is down, and only then the node is told of the new one
--- a/cmd/gorseledge/configuration_test.go
+++ b/cmd/gorseledge/configuration_test.go
@@ -20,7 +20,7 @@
 
 	"gorseledge/internal/configfeed"
 	"gorseledge/internal/configfeed/feedhttp"
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/fleet/view"
 	"gorseledge/internal/livesettings"
 )
@@ -369,10 +369,10 @@
 	c := startControl(t)
 	s := followed(t, c.address, "")
 	elsewhere, third := discovery(t), discovery(t)
-	list := roster.List{Index: 1, Complete: true, Hosts: []roster.Host{{Name: "s-00000066", Address: s.hosts[2].Addr().String(),
+	list := endpoint.List{Index: 1, Complete: true, Hosts: []endpoint.Host{{Name: "s-00000066", Address: s.hosts[2].Addr().String(),
 		Zone: "a", Status: "SERVING", Weight: 1}}}
 	elsewhere.Tell(list)
-	third.Tell(roster.List{Index: 1, Complete: true})
+	third.Tell(endpoint.List{Index: 1, Complete: true})
 	s.inForce(c.apply(fmt.Sprintf("discovery = %q", elsewhere.Address())))
 	s.metric("lb.targets:1|g\n")
 	s.config["discovery"] = third.Address()
@@ -384,7 +384,7 @@
 	}
 	s.inForce(c.apply(""))
 	s.metric("lb.targets:0|g\n")
-	third.Tell(roster.List{Index: 2, Complete: true, Hosts: list.Hosts})
+	third.Tell(endpoint.List{Index: 2, Complete: true, Hosts: list.Hosts})
 	s.metric("lb.targets:1|g\n")
 }
 
--- a/cmd/gorseledge/main.go
+++ b/cmd/gorseledge/main.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"gorseledge/internal/logwriter"
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 	"gorseledge/internal/sockets"
 )
 
@@ -65,7 +65,7 @@
 
 // exitOf gives the exit code of a program that could not start or go on: 2 for settings that cannot be taken.
 func exitOf(err error) int {
-	if wrong := (*rundown.KeyError)(nil); errors.As(err, &wrong) {
+	if wrong := (*settings.KeyError)(nil); errors.As(err, &wrong) {
 		return 2
 	}
 	return 1
--- a/cmd/gorseledge/main_test.go
+++ b/cmd/gorseledge/main_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/rig/standin"
 )
 
@@ -95,10 +95,10 @@
 func (s *stage) begin(mode string, hosts, sockets int) {
 	t := s.T
 	s.log, s.roster, s.sockets = &lockedBuffer{}, discovery(t), sockets
-	list := roster.List{Index: 1, Complete: true}
+	list := endpoint.List{Index: 1, Complete: true}
 	for i := range hosts {
 		s.hosts = append(s.hosts, listen(t))
-		list.Hosts = append(list.Hosts, roster.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: s.hosts[i].Addr().String(),
+		list.Hosts = append(list.Hosts, endpoint.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: s.hosts[i].Addr().String(),
 			Zone: "a", Status: "SERVING", Weight: 1})
 	}
 	s.roster.Tell(list)
@@ -380,7 +380,7 @@
 		if got := s.ask(); got != "UP 1" {
 			t.Fatalf("told %q", got)
 		}
-		s.roster.Tell(roster.List{Index: 2, Hosts: []roster.Host{{Name: "s-00000064", Status: "DRAINING"}}})
+		s.roster.Tell(endpoint.List{Index: 2, Hosts: []endpoint.Host{{Name: "s-00000064", Status: "DRAINING"}}})
 		for end := time.Now().Add(patience); !strings.HasPrefix(s.ask(), "BUSY"); {
 			if time.Now().After(end) {
 				t.Fatal("it still does")
@@ -483,7 +483,7 @@
 		s.config["discovery"] = next.Address()
 		s.configure()
 		s.signal(syscall.SIGHUP)
-		next.Tell(roster.List{Index: int64(round + 2), Hosts: []roster.Host{{Name: fmt.Sprintf("s-0000000%d", round+1),
+		next.Tell(endpoint.List{Index: int64(round + 2), Hosts: []endpoint.Host{{Name: fmt.Sprintf("s-0000000%d", round+1),
 			Address: "h:1", Status: "DRAINING"}}})
 		s.logged(fmt.Sprintf("base list of %d servers", round+4))
 		select {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -13,7 +13,7 @@
 	"net/http"
 	"time"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 )
 
 const (
@@ -58,7 +58,7 @@
 
 // Watch hands on each list that is told after index, until the watch ends or ctx is done; the error says why. It
 // calls alive when its answer begins and whenever some of it comes, with true in the middle of a line.
-func (c *Client) Watch(ctx context.Context, index int64, alive func(within bool), told func(roster.List)) error {
+func (c *Client) Watch(ctx context.Context, index int64, alive func(within bool), told func(endpoint.List)) error {
 	url := fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", c.address, index)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -80,7 +80,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		list, err := roster.Parse(text)
+		list, err := endpoint.Parse(text)
 		if err != nil { // where the watch broke in the middle of a line, that is why
 			return cmp.Or(lines.Err(), fmt.Errorf("a list that does not parse: %w", err))
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gorseledge/internal/discovery/discoverytest"
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 )
 
 // within gives a client of a stand-in for discovery.
@@ -84,7 +84,7 @@
 					c.handle(w, r)
 				})
 				told, began, signs := "", time.Now(), 0
-				err := client.Watch(t.Context(), 40, func(bool) { signs++ }, func(l roster.List) {
+				err := client.Watch(t.Context(), 40, func(bool) { signs++ }, func(l endpoint.List) {
 					told += fmt.Sprint(l.Index, " ", l.Complete, " ")
 					for _, h := range l.Hosts {
 						told += h.Name + " " + h.Status + ", "
--- a/internal/discovery/roster/roster.go
+++ b/internal/discovery/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package roster reads the lists of hosts that discovery tells.
-package roster
+// Package endpoint reads the lists of hosts that discovery tells.
+package endpoint
 
 import (
 	"encoding/json"
--- a/internal/discovery/roster/roster_test.go
+++ b/internal/discovery/endpoint/endpoint_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoint
 
 import (
 	"reflect"
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node"
 )
 
@@ -26,7 +26,7 @@
 
 type change struct {
 	index int64
-	host  roster.Host
+	host  endpoint.Host
 }
 
 type standing struct {
@@ -41,8 +41,8 @@
 	toAsk     = 1e-3 // for a call whose turn it is, as it always is at the agent to which lists are pushed
 )
 
-func (w *World) entry(h *host, status string) roster.Host {
-	return roster.Host{Name: h.name, Address: h.name, Zone: zoneName(h.zone), Status: status, Weight: h.capacity,
+func (w *World) entry(h *host, status string) endpoint.Host {
+	return endpoint.Host{Name: h.name, Address: h.name, Zone: zoneName(h.zone), Status: status, Weight: h.capacity,
 		StartedAtMS: 1e3 * since(w.base, h.since)}
 }
 
@@ -66,7 +66,7 @@
 		}
 		d.w.trace("listed %s %s", entry.Name, entry.Status)
 		for _, s := range d.watches {
-			d.send(s, roster.List{Index: d.index, Hosts: []roster.Host{entry}})
+			d.send(s, endpoint.List{Index: d.index, Hosts: []endpoint.Host{entry}})
 		}
 	})
 }
@@ -105,7 +105,7 @@
 }
 
 // send hands a list to a watch that still stands.
-func (d *discovery) send(s standing, l roster.List) {
+func (d *discovery) send(s standing, l endpoint.List) {
 	d.w.After(1e-3, func() {
 		if !d.down && s.stands() {
 			s.n.hearing.heard()
@@ -126,8 +126,8 @@
 }
 
 // whole is the list as discovery has it.
-func (d *discovery) whole() roster.List {
-	l := roster.List{Index: d.index, Complete: true}
+func (d *discovery) whole() endpoint.List {
+	l := endpoint.List{Index: d.index, Complete: true}
 	at := map[string]int{}
 	for _, c := range d.changes {
 		i, seen := at[c.host.Name]
@@ -202,11 +202,11 @@
 }
 
 // since is what changed after an index, or the whole list.
-func (d *discovery) since(index int64) roster.List {
+func (d *discovery) since(index int64) endpoint.List {
 	if index <= 0 || index > d.index {
 		return d.whole()
 	}
-	l := roster.List{Index: d.index}
+	l := endpoint.List{Index: d.index}
 	for _, c := range d.changes {
 		if c.index > index {
 			l.Hosts = append(l.Hosts, c.host)
--- a/internal/emulator/station.go
+++ b/internal/emulator/station.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"errors"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/line"
 	"gorseledge/internal/node"
 )
@@ -75,7 +75,7 @@
 }
 
 // learned notes since when the node knows that a host takes nothing new.
-func (n *station) learned(l roster.List) {
+func (n *station) learned(l endpoint.List) {
 	for _, h := range l.Hosts {
 		n.starts[h.Name] = h.StartedAtMS
 		if h.Status == "SERVING" {
--- a/internal/emulator/twin.go
+++ b/internal/emulator/twin.go
@@ -5,7 +5,7 @@
 	"maps"
 
 	"gorseledge/internal/node"
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 )
 
 const (
@@ -89,7 +89,7 @@
 	if !old.running || old.vanished || old.leaving || old.elder != nil || old.heir != nil {
 		return // one upgrade at a time
 	}
-	r, d, err := rundown.Parse(w.settings, fork(w.seed, old.name+" anew", int(w.Now*1e3)).Uint64())
+	r, d, err := settings.Parse(w.settings, fork(w.seed, old.name+" anew", int(w.Now*1e3)).Uint64())
 	if err != nil {
 		panic(err) // the settings are made here
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -14,9 +14,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node"
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 	"gorseledge/placement"
 )
 
@@ -158,7 +158,7 @@
 
 // boot starts a node's process anew, with the list as it stands at discovery.
 func (w *World) boot(n *station) {
-	r, d, err := rundown.Parse(w.settings, fork(w.seed, n.name, int(w.Now*1e3)).Uint64())
+	r, d, err := settings.Parse(w.settings, fork(w.seed, n.name, int(w.Now*1e3)).Uint64())
 	if err != nil {
 		panic(err) // the settings are made here
 	}
@@ -184,7 +184,7 @@
 
 var leave node.Input = node.Shutdown{}
 
-func listed(l roster.List) node.Input        { return node.ListReceived{List: l} }
+func listed(l endpoint.List) node.Input      { return node.ListReceived{List: l} }
 func unlisted(why string) node.Input         { return node.WatchFailed{Reason: why} }
 func (w *World) flowOf(id string) *flow      { return w.byID[id] }
 func (w *World) hostAt(address string) *host { return w.byName[address] }
--- a/internal/handover/handover_golden_test.go
+++ b/internal/handover/handover_golden_test.go
@@ -10,7 +10,7 @@
 	"reflect"
 	"testing"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node"
 	"gorseledge/internal/node/live"
 	"gorseledge/placement"
@@ -100,7 +100,7 @@
 	return &node.HandoverState{
 		Index:        9007199254740993,
 		ListReceived: true,
-		Hosts: []roster.Host{
+		Hosts: []endpoint.Host{
 			{Name: "s-5be2a07c", Address: "10.1.0.18:5000", Zone: "a", Group: 3, Status: "SERVING", Weight: 1.5,
 				StartedAtMS: 1700000000123},
 			{Name: "s-77d10e42", Address: "10.1.0.19:5000", Zone: "b", Group: 4, Status: "DRAINING", Weight: 2.5,
@@ -153,7 +153,7 @@
 	return []goldenMessage{
 		{"empty state", Message{Version: 1, State: &node.HandoverState{}}},
 		{"state with empty entries", Message{Version: 1, State: &node.HandoverState{
-			Hosts:       []roster.Host{{}},
+			Hosts:       []endpoint.Host{{}},
 			Module:      placement.HandoverState{Servers: []placement.ServerState{{}}, ClientLoads: map[uint64]float64{}},
 			Connections: []node.InheritedConnection{{}},
 			EndedFlows:  map[uint64]uint64{},
--- a/internal/lbwire/link.go
+++ b/internal/lbwire/link.go
@@ -12,7 +12,7 @@
 	"slices"
 
 	"gorseledge/internal/peers"
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 	"gorseledge/placement"
 )
 
@@ -210,7 +210,7 @@
 		if err != nil {
 			return err
 		}
-		r, door, err := rundown.Parse(text, be.Uint64(rec[3:]))
+		r, door, err := settings.Parse(text, be.Uint64(rec[3:]))
 		if err != nil {
 			return err
 		}
--- a/internal/lbwire/link_golden_test.go
+++ b/internal/lbwire/link_golden_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 )
 
 // testdata/input.hex is a stream of the simulator's frames, one a line, and testdata/output.hex holds what revision
@@ -143,7 +143,7 @@
 	first := goldenFrames(t, "input.hex")[0]
 	from, length := be.Uint32(first[16+11:]), be.Uint32(first[16+15:])
 	tail := first[16+48*be.Uint32(first[12:]):]
-	settings, rest, err := rundown.Parse(tail[from:from+length], be.Uint64(first[16+3:]))
+	settings, rest, err := settings.Parse(tail[from:from+length], be.Uint64(first[16+3:]))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -1,7 +1,7 @@
 package node
 
 import (
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node/live"
 	"gorseledge/internal/peers"
 )
@@ -50,7 +50,7 @@
 	// Closed says that a connection's descriptor is free again.
 	Closed struct{ Conn Conn }
 	// ListReceived is what discovery told.
-	ListReceived struct{ List roster.List }
+	ListReceived struct{ List endpoint.List }
 	// WatchAlive is a sign of life of the watch: its answer has begun, or some of it came, if only an empty line; Within a
 	// line, if that has not ended yet.
 	WatchAlive struct{ MidLine bool }
--- a/internal/node/legacy.go
+++ b/internal/node/legacy.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node/live"
 	"gorseledge/placement"
 )
@@ -28,7 +28,7 @@
 type HandoverState struct {
 	Index        int64                   `json:"Index"`
 	ListReceived bool                    `json:"Heard"` // discovery has told a list
-	Hosts        []roster.Host           `json:"Hosts"` // all that were ever listed, as they were told last
+	Hosts        []endpoint.Host         `json:"Hosts"` // all that were ever listed, as they were told last
 	Module       placement.HandoverState `json:"Module"`
 	Connections  []InheritedConnection   `json:"Sits"`
 	EndedFlows   map[uint64]uint64       `json:"Spent"` // client keys by the hash of an ended flow's id
@@ -80,7 +80,7 @@
 	}
 	if l.ListReceived && (!n.heard || l.Index >= n.index) {
 		n.heard, n.misses = true, 0
-		n.list(placement.ListFull, roster.List{Index: l.Index, Complete: true, Hosts: l.Hosts})
+		n.list(placement.ListFull, endpoint.List{Index: l.Index, Complete: true, Hosts: l.Hosts})
 	}
 	mine := n.module.HandoverState().Servers
 	for i, s := range l.Module.Servers {
--- a/internal/node/legacy_golden_test.go
+++ b/internal/node/legacy_golden_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 )
 
 // testdata/inherited.json is the state that a process of revision 5fa7498 hands over, and testdata/handed-on.json what a
@@ -46,7 +46,7 @@
 		"parties":[{"name":"acme"},{"name":"beta"}],"zones":["a","b"],"siblings":2,"me":1,"service_types":[
 		{"name":"chat","effect":"repeatable","group":"all","give_up_us":2000000,"setup_target_us":300000},
 		{"name":"feed","effect":"once","group":"all","give_up_us":2000000,"setup_target_us":300000}]}`
-	settings, rest, err := rundown.Parse([]byte(nodeSettings), 7)
+	settings, rest, err := settings.Parse([]byte(nodeSettings), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/legacy_test.go
+++ b/internal/node/legacy_test.go
@@ -7,14 +7,14 @@
 	"strings"
 	"testing"
 
-	"gorseledge/internal/discovery/roster"
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/discovery/endpoint"
+	"gorseledge/internal/settings"
 )
 
 // heir makes a process that takes over from w; what goes over crosses as JSON.
 func (w *world) heir(mode string) *world {
 	w.Helper()
-	r, d, err := rundown.Parse(fmt.Appendf(nil, settingsJSON, mode), 8)
+	r, d, err := settings.Parse(fmt.Appendf(nil, settingsJSON, mode), 8)
 	if err != nil {
 		w.Fatal(err)
 	}
@@ -333,7 +333,7 @@
 // Both together never send a cold host more than the one would have: the elder has no part of it any more.
 func TestColdBudgetIsShared(t *testing.T) {
 	w := newWorld(t, "pass", 0, 1000)
-	w.do(ListReceived{roster.List{Index: 9, Complete: true, Hosts: []roster.Host{{Name: "s-00000064", Address: "h0", Status: "SERVING",
+	w.do(ListReceived{endpoint.List{Index: 9, Complete: true, Hosts: []endpoint.Host{{Name: "s-00000064", Address: "h0", Status: "SERVING",
 		StartedAtMS: (w.now - 1) * 1e3}}}})
 	w.n.module.SlowStartTime, w.n.module.SlowStartShare, w.n.module.OverloadWindow, w.n.module.OverloadMultiple = 100, 0.1, 1000, 2
 	w.n.module.StartedAt = 0 // a window before this one at the least; its heir begins within it
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"strings"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/placement"
 )
 
@@ -30,12 +30,12 @@
 	if !ok {
 		at = len(n.hosts)
 		n.byName[name], n.byNumber[number(name)] = at, at
-		n.hosts = append(n.hosts, host{name: name, told: roster.Host{Name: name, Status: "DELETED"}})
+		n.hosts = append(n.hosts, host{name: name, told: endpoint.Host{Name: name, Status: "DELETED"}})
 	}
 	return at
 }
 
-func (n *Node) listed(l roster.List) {
+func (n *Node) listed(l endpoint.List) {
 	n.heard, n.misses = true, 0
 	n.watch.spoke(n.now, false)
 	kind := placement.ListChanges
@@ -45,7 +45,7 @@
 	n.list(kind, l)
 }
 
-func (n *Node) list(kind placement.ListKind, l roster.List) {
+func (n *Node) list(kind placement.ListKind, l endpoint.List) {
 	n.index = l.Index
 	if kind != placement.ListChanges {
 		for at := range n.hosts {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,17 +6,17 @@
 import (
 	"math"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/peers"
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 	"gorseledge/placement"
 )
 
 // Start is what a node is told before its first input.
 type Start struct {
 	Settings           placement.Settings
-	Listener           rundown.ListenerSettings
-	CachedList         roster.List    // the list as this node last had it; it may be old
+	Listener           settings.ListenerSettings
+	CachedList         endpoint.List  // the list as this node last had it; it may be old
 	MaxDescriptors     int            // descriptors that its connections may take
 	DescriptorOverhead int            // descriptors that a process takes beside its connections
 	NotListening       bool           // the door is not open yet: Ready asks for it, and Opened says that it is
@@ -29,8 +29,8 @@
 
 type host struct {
 	name, address string
-	told          roster.Host // as it was listed last
-	heard         float64     // when it last said anything
+	told          endpoint.Host // as it was listed last
+	heard         float64       // when it last said anything
 
 	disabledByHand bool // by an operator at the second address
 	overridden     bool // by the live settings, when that was looked at last
@@ -39,7 +39,7 @@
 // Node is the whole state of a real node.
 type Node struct {
 	module   *placement.Balancer
-	door     rundown.ListenerSettings
+	door     settings.ListenerSettings
 	probes   string // what a probe says
 	mayProbe bool
 	now      float64
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/line"
 	"gorseledge/internal/peers"
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 )
 
 const settingsJSON = `{"family_info":{"mode":"%s","message_aim_us":[50000,50000,50000]},"granularity_us":4000,
@@ -58,23 +58,23 @@
 }
 
 func newWorldOf(t *testing.T, settingsText, mode string, hosts, sockets int) *world {
-	r, d, err := rundown.Parse(fmt.Appendf(nil, settingsText, mode), 7)
+	r, d, err := settings.Parse(fmt.Appendf(nil, settingsText, mode), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := &world{T: t, now: 1e9, reads: map[Conn][]byte{}, said: map[Conn]string{}, how: map[Conn]string{},
 		address: map[Conn]string{}, stalled: map[Conn]bool{}, accepts: 1}
-	w.n = New(w.now, Start{Settings: r, Listener: d, CachedList: roster.List{Index: 5, Complete: true}, MaxDescriptors: sockets})
+	w.n = New(w.now, Start{Settings: r, Listener: d, CachedList: endpoint.List{Index: 5, Complete: true}, MaxDescriptors: sockets})
 	w.do(TimerFired{})
 	w.do(ListReceived{hostList(hosts)})
 	return w
 }
 
 // hostList lists hosts whose ids rise with their place.
-func hostList(hosts int) roster.List {
-	l := roster.List{Index: 6, Complete: true}
+func hostList(hosts int) endpoint.List {
+	l := endpoint.List{Index: 6, Complete: true}
 	for i := range hosts {
-		l.Hosts = append(l.Hosts, roster.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: fmt.Sprint("h", i),
+		l.Hosts = append(l.Hosts, endpoint.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: fmt.Sprint("h", i),
 			Zone:   "a",
 			Status: "SERVING", Weight: 1})
 	}
@@ -1034,11 +1034,11 @@
 		w.say(c, "PING\r\n", Ended)
 		return w.said[c] == "PONG\r\n"
 	}
-	r, d, err := rundown.Parse(fmt.Appendf(nil, settingsJSON, "pass"), 7)
+	r, d, err := settings.Parse(fmt.Appendf(nil, settingsJSON, "pass"), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh := func(known roster.List) *world {
+	fresh := func(known endpoint.List) *world {
 		w := newWorld(t, "pass", 0, 100)
 		w.n = New(w.now, Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: 100})
 		w.watches = nil
@@ -1056,7 +1056,7 @@
 	if w.do(WatchFailed{Reason: "503"}); !ready(w) {
 		t.Fatal("not ready on the old list though discovery is out")
 	}
-	w = fresh(roster.List{})
+	w = fresh(endpoint.List{})
 	w.do(WatchFailed{Reason: "503"})
 	if w.do(WatchFailed{Reason: "503"}); ready(w) {
 		t.Fatal("ready without any host")
@@ -1078,7 +1078,7 @@
 		return w.address[w.dials[before]]
 	}
 	one := func(name, address, status string) ListReceived {
-		return ListReceived{roster.List{Index: 9, Hosts: []roster.Host{{Name: name, Address: address, Status: status}}}}
+		return ListReceived{endpoint.List{Index: 9, Hosts: []endpoint.Host{{Name: name, Address: address, Status: status}}}}
 	}
 	steps := []struct {
 		name string
@@ -1105,7 +1105,7 @@
 // line is written stays. Guards against a line that is written to a draining host past the grace, by a dial from
 // before (rule 3).
 func TestRecall(t *testing.T) {
-	change := func(l roster.List, status string) roster.List {
+	change := func(l endpoint.List, status string) endpoint.List {
 		for i := range l.Hosts {
 			if l.Hosts[i].Name == "s-00000064" {
 				l.Hosts[i].Status = status
@@ -1293,27 +1293,27 @@
 func TestOddLists(t *testing.T) {
 	thousand := hostList(1000)
 	twice := hostList(1)
-	twice.Hosts = append(twice.Hosts, roster.Host{Name: twice.Hosts[0].Name, Address: "h7", Status: "SERVING"})
+	twice.Hosts = append(twice.Hosts, endpoint.Host{Name: twice.Hosts[0].Name, Address: "h7", Status: "SERVING"})
 	back := hostList(1)
 	back.Index = 2
-	change := func(index int64, name, address string) roster.List {
-		return roster.List{Index: index, Hosts: []roster.Host{{Name: name, Address: address, Status: "SERVING", StartedAtMS: -5}}}
+	change := func(index int64, name, address string) endpoint.List {
+		return endpoint.List{Index: index, Hosts: []endpoint.Host{{Name: name, Address: address, Status: "SERVING", StartedAtMS: -5}}}
 	}
 	for _, c := range []struct {
 		name  string
-		lists []roster.List
+		lists []endpoint.List
 		known int    // hosts listed at the end
 		index int64  // from which a watch is taken up again
 		to    string // where a flow goes; BUSY for nowhere
 	}{
-		{"an empty whole list: nobody serves", []roster.List{{Index: 8, Complete: true}}, 0, 8, "BUSY"},
-		{"an empty change changes nothing", []roster.List{hostList(1), {Index: 9}}, 1, 9, "h0"},
-		{"a thousand hosts", []roster.List{thousand}, 1000, 6, "h"},
-		{"one name under two addresses: the last counts", []roster.List{twice}, 1, 6, "h7"},
-		{"a name under a new address, told later", []roster.List{hostList(1), change(7, "s-00000064", "h8")}, 1, 7, "h8"},
-		{"an index that goes back with a whole list: that list counts", []roster.List{thousand, back}, 1, 2, "h0"},
-		{"an index that goes back with a change", []roster.List{hostList(1), change(3, "s-00000064", "h5")}, 1, 3, "h5"},
-		{"a name that is no number", []roster.List{{Index: 6, Complete: true, Hosts: []roster.Host{{Name: "\x00é", Address: "h3",
+		{"an empty whole list: nobody serves", []endpoint.List{{Index: 8, Complete: true}}, 0, 8, "BUSY"},
+		{"an empty change changes nothing", []endpoint.List{hostList(1), {Index: 9}}, 1, 9, "h0"},
+		{"a thousand hosts", []endpoint.List{thousand}, 1000, 6, "h"},
+		{"one name under two addresses: the last counts", []endpoint.List{twice}, 1, 6, "h7"},
+		{"a name under a new address, told later", []endpoint.List{hostList(1), change(7, "s-00000064", "h8")}, 1, 7, "h8"},
+		{"an index that goes back with a whole list: that list counts", []endpoint.List{thousand, back}, 1, 2, "h0"},
+		{"an index that goes back with a change", []endpoint.List{hostList(1), change(3, "s-00000064", "h5")}, 1, 3, "h5"},
+		{"a name that is no number", []endpoint.List{{Index: 6, Complete: true, Hosts: []endpoint.Host{{Name: "\x00é", Address: "h3",
 			Status: "SERVING"}}}}, 1, 6, "h3"},
 	} {
 		w := newWorld(t, "proxy", 2, 1000)
@@ -1404,7 +1404,7 @@
 func BenchmarkIdleSecond(b *testing.B) {
 	for _, hosts := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			r, d, err := rundown.Parse(fmt.Appendf(nil, settingsJSON, "proxy"), 7)
+			r, d, err := settings.Parse(fmt.Appendf(nil, settingsJSON, "proxy"), 7)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/node/settings_handover_test.go
+++ b/internal/node/settings_handover_test.go
@@ -5,13 +5,13 @@
 	"strings"
 	"testing"
 
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 )
 
 // A process that starts without a predecessor opens its listener once it has a first revision, and without one after
 // the time that it is to wait for it.
 func TestListenerAwaitsSettings(t *testing.T) {
-	r, d, err := rundown.Parse(fmt.Appendf(nil, settingsWithShares, "pass"), 7)
+	r, d, err := settings.Parse(fmt.Appendf(nil, settingsWithShares, "pass"), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 	}
 	left := crossed(w, w.asks(ClaimHandover, "").Handover)
 	fewer := strings.Replace(settingsJSON, `"max_connects":3`, `"max_connects":1`, 1)
-	r, d, err := rundown.Parse(fmt.Appendf(nil, fewer, "pass"), 8)
+	r, d, err := settings.Parse(fmt.Appendf(nil, fewer, "pass"), 8)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/livesettings"
 	"gorseledge/internal/node/live"
 )
@@ -381,7 +381,7 @@
 	if err := w.configure(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil {
 		t.Fatal(err)
 	}
-	w.do(ListReceived{roster.List{Index: 6, Complete: true, Hosts: hostList(3).Hosts}})
+	w.do(ListReceived{endpoint.List{Index: 6, Complete: true, Hosts: hostList(3).Hosts}})
 	for range 60 {
 		w.come(chat)
 	}
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 )
 
 // untilAsked lets time go by without a word of the watch until it is asked for anew, and gives how long that took.
@@ -27,7 +27,7 @@
 // to them.
 func TestSilentWatch(t *testing.T) {
 	one := func(status string) ListReceived {
-		return ListReceived{roster.List{Index: 9, Hosts: []roster.Host{{Name: "s-00000064", Status: status}}}}
+		return ListReceived{endpoint.List{Index: 9, Hosts: []endpoint.Host{{Name: "s-00000064", Status: status}}}}
 	}
 	for _, c := range []struct {
 		name        string
@@ -121,7 +121,7 @@
 		t.Fatalf("%d watches given up, asked from %v", w.unwatches, w.watches)
 	}
 	w.untilAsked(10)
-	w.do(ListReceived{roster.List{Index: 9, Hosts: []roster.Host{{Name: "s-00000064", Status: "DRAINING"}}}})
+	w.do(ListReceived{endpoint.List{Index: 9, Hosts: []endpoint.Host{{Name: "s-00000064", Status: "DRAINING"}}}})
 	if f := w.asks(GetFigures, "").Figures; f.Unavailable != 1 {
 		t.Error("a late word was not heard")
 	}
--- a/internal/rig/setup.go
+++ b/internal/rig/setup.go
@@ -11,7 +11,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/fleet"
 	"gorseledge/internal/rig/standin"
 )
@@ -122,15 +122,15 @@
 
 // nodeConfig is the config file of a node.
 type nodeConfig struct {
-	Name      string       `json:"name"`
-	Listen    string       `json:"listen"`
-	Discovery string       `json:"discovery"`
-	Admin     string       `json:"admin_addr,omitempty"`
-	Fleet     string       `json:"fleet,omitempty"` // path of the fleet file
-	Seed      string       `json:"seed"`            // hexadecimal
-	Limits    NodeLimits   `json:"limits"`
-	Known     *roster.List `json:"known"` // hosts that the node has known for long
-	Settings  nodeSettings `json:"settings"`
+	Name      string         `json:"name"`
+	Listen    string         `json:"listen"`
+	Discovery string         `json:"discovery"`
+	Admin     string         `json:"admin_addr,omitempty"`
+	Fleet     string         `json:"fleet,omitempty"` // path of the fleet file
+	Seed      string         `json:"seed"`            // hexadecimal
+	Limits    NodeLimits     `json:"limits"`
+	Known     *endpoint.List `json:"known"` // hosts that the node has known for long
+	Settings  nodeSettings   `json:"settings"`
 }
 
 // NodeLimits are the resources that a node is told it has.
--- a/internal/rig/standin/standin.go
+++ b/internal/rig/standin/standin.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 )
 
 // Hosts are stand-ins for hosts: each takes every flow and sends every line back.
@@ -84,10 +84,10 @@
 }
 
 // List gives the hosts as discovery tells them.
-func (h *Hosts) List(index int64) roster.List {
-	l := roster.List{Index: index, Complete: true}
+func (h *Hosts) List(index int64) endpoint.List {
+	l := endpoint.List{Index: index, Complete: true}
 	for i, ln := range h.listeners {
-		l.Hosts = append(l.Hosts, roster.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: ln.Addr().String(),
+		l.Hosts = append(l.Hosts, endpoint.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: ln.Addr().String(),
 			Zone: "a", Status: "SERVING", Weight: 1})
 	}
 	return l
@@ -131,7 +131,7 @@
 func (d *Discovery) Address() string { return d.server.Listener.Addr().String() }
 
 // Tell tells a list.
-func (d *Discovery) Tell(list roster.List) {
+func (d *Discovery) Tell(list endpoint.List) {
 	text, err := json.Marshal(list)
 	if err != nil {
 		panic(err) // a list is plain figures and words
--- a/internal/rundown/live_test.go
+++ b/internal/settings/live_test.go
@@ -1,4 +1,4 @@
-package rundown
+package settings
 
 import (
 	"reflect"
--- a/internal/rundown/rundown.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package rundown reads the settings object that an instance is given at its start, for the module and for
+// Package settings reads the settings object that an instance is given at its start, for the module and for
 // what carries it.
-package rundown
+package settings
 
 import (
 	"encoding/json"
--- a/internal/sockets/config.go
+++ b/internal/sockets/config.go
@@ -12,12 +12,12 @@
 	"strconv"
 	"strings"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/fleet/view"
 	"gorseledge/internal/line"
 	"gorseledge/internal/node"
 	"gorseledge/internal/peers"
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 )
 
 // Config is what a node is told by its platform.
@@ -154,9 +154,9 @@
 
 // start turns the config into what the core is told. A known list that does not parse is as good as none.
 func (c Config) start() (node.Start, error) {
-	r, d, err := rundown.Parse(c.Settings, line.Number([]byte(c.Seed)))
+	r, d, err := settings.Parse(c.Settings, line.Number([]byte(c.Seed)))
 	if err == nil {
-		err = rundown.Validate(r)
+		err = settings.Validate(r)
 	}
 	if err == nil {
 		err = c.mixed(r.LoadGossip)
@@ -168,9 +168,9 @@
 		r.NodeNumber = numberOf(c.Name)
 	}
 	r.LoadGossip = c.PeerAddr != "" || r.LoadGossip && c.Fleet != "" // members are told where no peers are named
-	known, err := roster.Parse(c.Known)
+	known, err := endpoint.Parse(c.Known)
 	if err != nil {
-		known = roster.List{}
+		known = endpoint.List{}
 	}
 	limit := cmp.Or(max(c.Limits.Sockets, 0), manySockets)
 	own := ownDescriptors
--- a/internal/sockets/departed_test.go
+++ b/internal/sockets/departed_test.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 
 	"gorseledge/internal/discovery"
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node"
-	"gorseledge/internal/rundown"
+	"gorseledge/internal/settings"
 	"gorseledge/placement"
 )
 
@@ -46,9 +46,9 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}, "discovery")}
-	d.core = node.New(d.now(), node.Start{MaxDescriptors: 100, Listener: rundown.ListenerSettings{ServiceTypes: []string{"chat"}},
+	d.core = node.New(d.now(), node.Start{MaxDescriptors: 100, Listener: settings.ListenerSettings{ServiceTypes: []string{"chat"}},
 		Settings:   placement.Settings{Nodes: 1, MaxAttempts: 1, ServiceTypes: []placement.ServiceType{{Idempotency: placement.Idempotent}}},
-		CachedList: roster.List{Hosts: []roster.Host{{Name: "s-1", Address: host.Addr().String(), Status: "SERVING"}}}})
+		CachedList: endpoint.List{Hosts: []endpoint.Host{{Name: "s-1", Address: host.Addr().String(), Status: "SERVING"}}}})
 	t.Cleanup(func() {
 		for _, l := range d.links {
 			l.close(false)
--- a/internal/sockets/inputs.go
+++ b/internal/sockets/inputs.go
@@ -7,7 +7,7 @@
 	"slices"
 	"syscall"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node"
 	"gorseledge/internal/node/live"
 )
@@ -26,7 +26,7 @@
 	}
 	listed struct {
 		watch context.Context
-		list  roster.List
+		list  endpoint.List
 	}
 	unwatched struct {
 		watch context.Context
--- a/internal/sockets/listwatch.go
+++ b/internal/sockets/listwatch.go
@@ -4,7 +4,7 @@
 	"context"
 	"errors"
 
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node"
 )
 
@@ -37,7 +37,7 @@
 	client := d.roster
 	d.group.Go(func() error {
 		err := client.Watch(ctx, e.Index, func(within bool) { d.send(spoke{ctx, within}) },
-			func(l roster.List) { d.send(listed{ctx, l}) })
+			func(l endpoint.List) { d.send(listed{ctx, l}) })
 		if ctx.Err() == nil {
 			d.send(unwatched{ctx, err.Error()})
 		}
--- a/internal/sockets/silence_test.go
+++ b/internal/sockets/silence_test.go
@@ -16,7 +16,7 @@
 
 	"gorseledge/internal/discovery"
 	"gorseledge/internal/discovery/discoverytest"
-	"gorseledge/internal/discovery/roster"
+	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node"
 	"gorseledge/placement"
 )
@@ -215,16 +215,16 @@
 	if in := d.arrived(spoke{b.ctx, false}); in != (node.WatchAlive{}) || len(d.calls) != 1 || a.ctx.Err() == nil {
 		t.Errorf("the second of two spoke: %v, %d left", in, len(d.calls))
 	}
-	for _, late := range []any{spoke{a.ctx, false}, listed{a.ctx, roster.List{Index: 1}}, unwatched{a.ctx, "reset"}} {
+	for _, late := range []any{spoke{a.ctx, false}, listed{a.ctx, endpoint.List{Index: 1}}, unwatched{a.ctx, "reset"}} {
 		if in := d.arrived(late); in != nil {
 			t.Errorf("a call that was outpaced: %v", in)
 		}
 	}
-	if _, ok := d.arrived(listed{b.ctx, roster.List{Index: 2}}).(node.ListReceived); !ok {
+	if _, ok := d.arrived(listed{b.ctx, endpoint.List{Index: 2}}).(node.ListReceived); !ok {
 		t.Error("the watch that stands was not heard")
 	}
 	d.unwatch(0)
-	if _, ok := d.arrived(listed{b.ctx, roster.List{Index: 3}}).(node.ListReceived); !ok {
+	if _, ok := d.arrived(listed{b.ctx, endpoint.List{Index: 3}}).(node.ListReceived); !ok {
 		t.Error("what a silent watch still said was not heard")
 	}
 }
@@ -236,7 +236,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	start := node.Start{MaxDescriptors: 100, Settings: placement.Settings{Seed: seed, Nodes: nodes, PollInterval: 10}}
 	for i := range 8 {
-		start.CachedList.Hosts = append(start.CachedList.Hosts, roster.Host{Name: fmt.Sprint("s-", i),
+		start.CachedList.Hosts = append(start.CachedList.Hosts, endpoint.Host{Name: fmt.Sprint("s-", i),
 			Address: "h:1", Status: "SERVING"})
 	}
 	began := time.Now()
