--- a/cmd/gorseledge/alone_test.go
+++ b/cmd/gorseledge/alone_test.go
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	own, member := traced(t, program, ""), traced(t, program, path)
-	const started = `{"elder":false,"level":"info","message":"started","node":"n1","sockets":%d}`
+	const started = `{"predecessor":false,"level":"info","message":"started","node":"n1","sockets":%d}`
 	for _, c := range []struct {
 		what       string
 		own, with  []string
--- a/cmd/gorseledge/upgrade_test.go
+++ b/cmd/gorseledge/upgrade_test.go
@@ -275,7 +275,7 @@
 			s.node.Process.Kill()
 			s.node.Wait()
 			s.node = old
-			s.logged("the heir is gone")
+			s.logged("the successor is gone")
 			old2 := s.again() // and the next one is found
 			s.ready()
 			s.node, old2 = old2, s.node
@@ -292,7 +292,7 @@
 			s.ready()
 			old.Process.Kill()
 			old.Wait()
-			s.logged("the elder is gone")
+			s.logged("the predecessor is gone")
 		}},
 		{"the old one says half a message", func(t *testing.T, s *stage) {
 			stand(t, s, func(c net.Conn) { io.WriteString(c, `{"version":1,"legacy":{"Ind`); c.Close() })
@@ -360,7 +360,7 @@
 				t.Error(err)
 			}
 			s.node = old
-			s.logged("the heir is gone")
+			s.logged("the successor is gone")
 		}},
 		{"SIGHUP to both", func(t *testing.T, s *stage) {
 			old := s.again()
@@ -377,7 +377,7 @@
 		{"the same second address", func(t *testing.T, s *stage) {
 			old := s.node
 			s.launch()
-			s.logged("an heir takes the clients")
+			s.logged("a successor takes the clients")
 			old.Process.Signal(syscall.SIGTERM)
 			if err := old.Wait(); err != nil {
 				t.Error(err)
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -161,8 +161,8 @@
 		n.stop()
 		n.parted()
 	}
-	if old := n.elder; old != nil && old.running && !old.leaving { // it has the clients again
-		w.nodes[n.index], n.elder = old, nil
+	if old := n.predecessor; old != nil && old.running && !old.leaving { // it has the clients again
+		w.nodes[n.index], n.predecessor = old, nil
 		return
 	}
 	w.After(back, func() {
--- a/internal/emulator/twin.go
+++ b/internal/emulator/peer_process.go
@@ -47,7 +47,7 @@
 // processes are those that run, the old ones of upgrades included.
 func (w *World) processes() (all []*station) {
 	for _, n := range w.nodes {
-		for p := n; p != nil; p = p.elder {
+		for p := n; p != nil; p = p.predecessor {
 			if p.running && !p.vanished {
 				all = append(all, p)
 			}
@@ -86,7 +86,7 @@
 // upgrade starts a node's program again beside the old process, which is asked to leave once the new one is ready.
 func (w *World) upgrade(at int) {
 	old := w.nodes[at]
-	if !old.running || old.vanished || old.leaving || old.elder != nil || old.heir != nil {
+	if !old.running || old.vanished || old.leaving || old.predecessor != nil || old.successor != nil {
 		return // one upgrade at a time
 	}
 	r, d, err := settings.Parse(w.settings, fork(w.seed, old.name+" anew", int(w.Now*1e3)).Uint64())
@@ -94,32 +94,32 @@
 		panic(err) // the settings are made here
 	}
 	r.NodeNumber = old.index
-	heir := &station{machine: newMachine(old.name, old.zone), w: w, index: old.index, last: old.last, freeAt: w.Now, running: true,
-		conns: map[node.Conn]*port{}, told: maps.Clone(old.told), out: maps.Clone(old.out), starts: maps.Clone(old.starts), elder: old, hearing: hearing{bootAt: w.Now, calledAt: w.Now, numbered: old.hearing.numbered},
+	successor := &station{machine: newMachine(old.name, old.zone), w: w, index: old.index, last: old.last, freeAt: w.Now, running: true,
+		conns: map[node.Conn]*port{}, told: maps.Clone(old.told), out: maps.Clone(old.out), starts: maps.Clone(old.starts), predecessor: old, hearing: hearing{bootAt: w.Now, calledAt: w.Now, numbered: old.hearing.numbered},
 		adopted: map[node.Conn]*port{}}
 	left := crossed(old.ask(node.Query{Question: node.ClaimHandover}).Handover)
-	old.heir = heir
-	heir.core = node.New(w.base+w.Now, node.Start{Settings: r, Listener: d, MaxDescriptors: w.script.Fleet.Sockets, NotListening: true, Handover: left})
+	old.successor = successor
+	successor.core = node.New(w.base+w.Now, node.Start{Settings: r, Listener: d, MaxDescriptors: w.script.Fleet.Sockets, NotListening: true, Handover: left})
 	if w.options.Wrong != nil {
-		heir.core = w.options.Wrong(heir.core)
+		successor.core = w.options.Wrong(successor.core)
 	}
 	w.trace("%s: a new process", old.name)
-	heir.give(node.TimerFired{})
+	successor.give(node.TimerFired{})
 	w.After(lastCall+1, func() {
 		switch {
-		case heir.given && old.running: // it holds some connections to the end
+		case successor.given && old.running: // it holds some connections to the end
 			old.stop()
 			old.parted()
-		case !heir.given && heir.running: // it never got ready
-			heir.stop()
-			heir.parted()
+		case !successor.given && successor.running: // it never got ready
+			successor.stop()
+			successor.parted()
 		}
 	})
 }
 
-// takes has an heir that could serve take the clients.
+// takes has a successor that could serve take the clients.
 func (n *station) takes() {
-	old := n.elder
+	old := n.predecessor
 	if old == nil || !old.running { // killed meanwhile: its next process has the door
 		return
 	}
@@ -141,27 +141,27 @@
 	})
 }
 
-// pass moves an open connection to the heir: its bytes under way come there.
+// pass moves an open connection to the successor: its bytes under way come there.
 func (n *station) pass(e node.SendConnection) {
-	heir, c, h := n.heir, n.conns[e.Conn], n.conns[e.Host]
-	if heir == nil || !heir.running {
+	successor, c, h := n.successor, n.conns[e.Conn], n.conns[e.Host]
+	if successor == nil || !successor.running {
 		n.give(node.ConnectionSent{Conn: e.Conn})
 		return
 	}
 	parcel := crossed(e.Transfer)
-	heir.last += 2
-	client := &port{station: heir, id: heir.last, s: c.s}
-	host := &port{station: heir, host: h.host, s: h.s, flow: h.flow, counted: true}
-	heir.adopted[client.id] = host
-	h.flow = nil // it is out at the heir
+	successor.last += 2
+	client := &port{station: successor, id: successor.last, s: c.s}
+	host := &port{station: successor, host: h.host, s: h.s, flow: h.flow, counted: true}
+	successor.adopted[client.id] = host
+	h.flow = nil // it is out at the successor
 	for _, p := range []*port{client, host} {
 		delete(n.machine.sockets, p.s)
-		heir.machine.sockets[p.s] = true
-		p.s.on, p.s.wake = heir.machine, p.hear
+		successor.machine.sockets[p.s] = true
+		p.s.on, p.s.wake = successor.machine, p.hear
 	}
 	c.s, h.s, c.passed, h.passed = nil, nil, true, true
-	heir.conns[client.id] = client
-	heir.give(node.ConnectionReceived{Conn: client.id, Transfer: parcel})
+	successor.conns[client.id] = client
+	successor.give(node.ConnectionReceived{Conn: client.id, Transfer: parcel})
 	n.give(node.ConnectionSent{Conn: e.Conn, OK: true})
 }
 
@@ -176,7 +176,7 @@
 // tell brings news to the node's other processes.
 func (n *station) tell(news node.HandoverUpdate) {
 	news = crossed(news)
-	for _, other := range []*station{n.elder, n.heir} {
+	for _, other := range []*station{n.predecessor, n.successor} {
 		if other == nil || !other.running {
 			continue
 		}
@@ -190,12 +190,12 @@
 
 // parted tells the other process that this one is no more.
 func (n *station) parted() {
-	if n.heir != nil && n.heir.running {
-		n.heir.give(node.PredecessorGone{})
-		n.heir.elder = nil
+	if n.successor != nil && n.successor.running {
+		n.successor.give(node.PredecessorGone{})
+		n.successor.predecessor = nil
 	}
-	if n.elder != nil && n.elder.running {
-		n.elder.give(node.SuccessorGone{})
-		n.elder.heir = nil
+	if n.predecessor != nil && n.predecessor.running {
+		n.predecessor.give(node.SuccessorGone{})
+		n.predecessor.successor = nil
 	}
 }
--- a/internal/emulator/station.go
+++ b/internal/emulator/station.go
@@ -17,25 +17,25 @@
 // station is the machine of one node: it carries out what the core asks for, each effect in its time.
 type station struct {
 	*machine
-	w       *World
-	index   int
-	core    Core
-	running bool
-	conns   map[node.Conn]*port
-	last    node.Conn
-	freeAt  float64 // when its processor is done with what came before
-	calls   calls   // for the list
-	timer   int
-	told    map[string]float64 // when it learned that a host drains or is gone
-	starts  map[string]float64 // when a host last started, as it was told
-	hearing hearing
-	out     map[string]float64 // when it said yes to a host taken out by hand
-	elder   *station           // the process before this one, and the one after it, while there are two
-	heir    *station
-	leaving bool                // it was asked to leave
-	given   bool                // the elder has given its clients
-	adopted map[node.Conn]*port // host's sides of connections that the core is about to adopt, by their client's
-	cpu     float64
+	w           *World
+	index       int
+	core        Core
+	running     bool
+	conns       map[node.Conn]*port
+	last        node.Conn
+	freeAt      float64 // when its processor is done with what came before
+	calls       calls   // for the list
+	timer       int
+	told        map[string]float64 // when it learned that a host drains or is gone
+	starts      map[string]float64 // when a host last started, as it was told
+	hearing     hearing
+	out         map[string]float64 // when it said yes to a host taken out by hand
+	predecessor *station           // the process before this one, and the one after it, while there are two
+	successor   *station
+	leaving     bool                // it was asked to leave
+	given       bool                // the predecessor has given its clients
+	adopted     map[node.Conn]*port // host's sides of connections that the core is about to adopt, by their client's
+	cpu         float64
 }
 
 // port is a core's connection.
@@ -47,7 +47,7 @@
 	host    *host
 	flow    *flow
 	counted bool
-	passed  bool // it is the heir's
+	passed  bool // it is the successor's
 }
 
 var errUnreached = errors.New("unreached")
--- a/internal/emulator/told_test.go
+++ b/internal/emulator/told_test.go
@@ -160,7 +160,7 @@
 		{"a dial from before", "[rules]\ndial_timeout = 2\n", late, func(c Core) Core {
 			return &headlong{Core: c, dials: map[node.Conn]bool{}}
 		}},
-		{"an heir that knows of no drain", rules, "[[fault]]\nat = 13\nkind = \"upgrade\"\nnode = 0\n" +
+		{"a successor that knows of no drain", rules, "[[fault]]\nat = 13\nkind = \"upgrade\"\nnode = 0\n" +
 			"[[fault]]\nat = 13\nkind = \"upgrade\"\nnode = 1\n", func(c Core) Core { return &forgetful{c} }},
 	} {
 		s := script(t, calm+c.rules+drained+c.faults)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -168,7 +168,7 @@
 	}
 	n.running, n.vanished, n.conns, n.told = true, false, map[node.Conn]*port{}, map[string]float64{}
 	n.starts = map[string]float64{}
-	n.leaving, n.given, n.elder, n.heir = false, false, nil, nil
+	n.leaving, n.given, n.predecessor, n.successor = false, false, nil, nil
 	n.hearing = hearing{bootAt: w.Now, calledAt: w.Now, numbered: w.discovery.moved}
 	n.out = map[string]float64{} // a process that starts by itself knows of none
 	n.last, n.timer, n.freeAt = n.last|1, n.timer+1, w.Now
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,4 +1,4 @@
-// Package handover joins the process of a node that serves, the elder, with the one that takes its place, the heir:
+// Package handover joins the process of a node that serves, the predecessor, with the one that takes its place, the successor:
 // a Unix socket, open to one user alone, that carries the listening socket and messages of one JSON object a line.
 // What is in them and what comes of it is not decided here.
 package handover
@@ -34,7 +34,7 @@
 	RequestClients = "take"  // the clients, and what is known by now
 )
 
-// Busy says that the elder hands over to another already, or has no clients to give yet.
+// Busy says that the predecessor hands over to another already, or has no clients to give yet.
 const Busy = "busy"
 
 // ErrVersion says that the other process speaks another version.
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)), func() { dir.Close() }, nil
 }
 
-// Listen listens for an heir, in place of whoever did so before.
+// Listen listens for a successor, in place of whoever did so before.
 func Listen(path string) (*net.UnixListener, error) {
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	short, done, err := reach(fresh)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -17,7 +17,7 @@
 )
 
 // joined gives the two ends of a link, made by way of a path.
-func joined(t *testing.T, path string) (elder, heir *Link) {
+func joined(t *testing.T, path string) (predecessor, successor *Link) {
 	t.Helper()
 	ln, err := Listen(path)
 	if err != nil {
@@ -27,24 +27,24 @@
 	return meet(t, ln, path)
 }
 
-func meet(t *testing.T, ln *net.UnixListener, path string) (elder, heir *Link) {
+func meet(t *testing.T, ln *net.UnixListener, path string) (predecessor, successor *Link) {
 	t.Helper()
-	heir, err := Dial(t.Context(), path)
+	successor, err := Dial(t.Context(), path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn, err := ln.AcceptUnix()
 	if err == nil {
-		elder, err = NewLink(conn)
+		predecessor, err = NewLink(conn)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range []*Link{elder, heir} {
+	for _, l := range []*Link{predecessor, successor} {
 		l.SetReadTimeout(20 * time.Second)
 		t.Cleanup(l.Close)
 	}
-	return elder, heir
+	return predecessor, successor
 }
 
 func tcp(t *testing.T) (ln *net.TCPListener, near, far *net.TCPConn) {
@@ -72,13 +72,13 @@
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 			t.Fatal(err)
 		}
-		elder, heir := joined(t, path)
+		predecessor, successor := joined(t, path)
 		ln, near, far := tcp(t)
 		_, host, box := tcp(t)
-		if err := heir.Send(Message{Ask: RequestState}); err != nil {
+		if err := successor.Send(Message{Ask: RequestState}); err != nil {
 			t.Fatal(err)
 		}
-		if m, err := elder.Receive(); err != nil || m.Ask != RequestState {
+		if m, err := predecessor.Receive(); err != nil || m.Ask != RequestState {
 			t.Fatalf("%+v, %v", m, err)
 		}
 		// All is sent before anything is received: what belongs together has to come together all the same.
@@ -87,44 +87,44 @@
 			big.EndedFlows[i] = ^i
 		}
 		for _, step := range []func() error{
-			func() error { return elder.SendSockets(ln) },
-			func() error { return elder.Send(Message{State: big}) },
-			func() error { return elder.Send(Message{Update: &node.HandoverUpdate{DisabledHost: "s-1"}}) },
-			func() error { return elder.SendSockets(near, host) },
+			func() error { return predecessor.SendSockets(ln) },
+			func() error { return predecessor.Send(Message{State: big}) },
+			func() error { return predecessor.Send(Message{Update: &node.HandoverUpdate{DisabledHost: "s-1"}}) },
+			func() error { return predecessor.SendSockets(near, host) },
 			func() error {
-				return elder.Send(Message{Transfer: &node.ConnectionTransfer{Host: "s-2", FromClient: []byte("M\x00 1")}})
+				return predecessor.Send(Message{Transfer: &node.ConnectionTransfer{Host: "s-2", FromClient: []byte("M\x00 1")}})
 			},
 		} {
 			if err := step(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		m, err := heir.Receive()
+		m, err := successor.Receive()
 		if err != nil || m.State == nil || m.State.Index != 7 || len(m.State.EndedFlows) != 4000 {
 			t.Fatalf("%v, %v", m.State, err)
 		}
-		door, err := heir.Listener()
+		door, err := successor.Listener()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer door.Close()
-		if m, err = heir.Receive(); err != nil || m.Update == nil || m.Update.DisabledHost != "s-1" {
+		if m, err = successor.Receive(); err != nil || m.Update == nil || m.Update.DisabledHost != "s-1" {
 			t.Fatalf("%+v, %v", m, err)
 		}
-		if m, err = heir.Receive(); err != nil || string(m.Transfer.FromClient) != "M\x00 1" {
+		if m, err = successor.Receive(); err != nil || string(m.Transfer.FromClient) != "M\x00 1" {
 			t.Fatalf("%+v, %v", m, err)
 		}
-		client, err := heir.Conn()
+		client, err := successor.Conn()
 		if err != nil {
 			t.Fatal(err)
 		}
-		stream, err := heir.Conn()
+		stream, err := successor.Conn()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer client.Close()
 		defer stream.Close()
-		if _, err := heir.Conn(); err == nil {
+		if _, err := successor.Conn(); err == nil {
 			t.Error("a socket that nobody sent")
 		}
 		ln.Close()
@@ -155,22 +155,22 @@
 		{"no JSON", "OPEN 1 2 c=chat\r\n", "parse"},
 		{"no end", strings.Repeat("x", longest+1), "too long"},
 	} {
-		elder, heir := joined(t, Path(t.TempDir(), "a:1"))
+		predecessor, successor := joined(t, Path(t.TempDir(), "a:1"))
 		go func() {
-			io.WriteString(heir.conn, c.text)
-			heir.conn.CloseWrite()
+			io.WriteString(successor.conn, c.text)
+			successor.conn.CloseWrite()
 		}()
-		if m, err := elder.Receive(); err == nil || !strings.Contains(err.Error(), c.want) {
+		if m, err := predecessor.Receive(); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %+v, %v", c.name, m, err)
 		}
-		elder.Close()
+		predecessor.Close()
 	}
-	elder, heir := joined(t, Path(t.TempDir(), "a:1"))
-	elder.SetReadTimeout(time.Millisecond) // nothing comes: that is no hang
-	if _, err := elder.Receive(); !errors.Is(err, os.ErrDeadlineExceeded) {
+	predecessor, successor := joined(t, Path(t.TempDir(), "a:1"))
+	predecessor.SetReadTimeout(time.Millisecond) // nothing comes: that is no hang
+	if _, err := predecessor.Receive(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error(err)
 	}
-	if err := heir.Send(Message{Transfer: &node.ConnectionTransfer{OpeningLine: strings.Repeat("x", longest)}}); err == nil {
+	if err := successor.Send(Message{Transfer: &node.ConnectionTransfer{OpeningLine: strings.Repeat("x", longest)}}); err == nil {
 		t.Error("a message without bound was sent")
 	}
 }
--- a/internal/node/connect.go
+++ b/internal/node/connect.go
@@ -84,7 +84,7 @@
 		c.calm()
 		f.established, f.setup = true, n.now-f.client.since
 		n.settled(&n.figures.Types[f.kind].Established)
-		n.tellHeir(HandoverUpdate{Established: n.sitting(f)})
+		n.tellSuccessor(HandoverUpdate{Established: n.sitting(f)})
 		if !f.carried {
 			n.module.Established(f.id, f.try)
 		}
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -64,7 +64,7 @@
 	Shutdown struct{}
 	// ListenerOpened says that the door is open.
 	ListenerOpened struct{}
-	// HandoverReceived is what the elder leaves when it gives the clients over.
+	// HandoverReceived is what the predecessor leaves when it gives the clients over.
 	HandoverReceived struct{ State *HandoverState }
 	// PeerProcessChanged is news of the node's other process.
 	PeerProcessChanged struct{ Update HandoverUpdate }
@@ -74,7 +74,7 @@
 	SettingsReceived struct{ Revision live.Revision }
 	// GossipReceived is what another node said.
 	GossipReceived struct{ Loads []peers.HostLoad }
-	// ConnectionReceived is an open connection of the elder's, under the number of a client's; its host's is asked for by Own.
+	// ConnectionReceived is an open connection of the predecessor's, under the number of a client's; its host's is asked for by Own.
 	ConnectionReceived struct {
 		Conn     Conn
 		Transfer *ConnectionTransfer
@@ -84,10 +84,10 @@
 		Conn Conn
 		OK   bool
 	}
-	// SuccessorGone and ElderGone say that it is no more.
+	// SuccessorGone and PredecessorGone say that it is no more.
 	SuccessorGone   struct{}
 	PredecessorGone struct{}
-	// Query is a question of the second address or of an heir, answered by Answer in the same Apply.
+	// Query is a question of the second address or of a successor, answered by Answer in the same Apply.
 	Query struct {
 		Question Question
 		Host     string // by name, where one is meant
@@ -118,7 +118,7 @@
 func (SuccessorGone) input()      {}
 func (PredecessorGone) input()    {}
 
-// Question is what the second address or an heir may ask.
+// Question is what the second address or a successor may ask.
 type Question uint8
 
 // The questions.
@@ -127,8 +127,8 @@
 	GetFigures                    // the figures
 	DisableHost                   // the host takes nothing new from now on
 	EnableHost                    // it does again, if list and module allow it
-	ClaimHandover                 // what goes over to an heir; it is told what changes from then on
-	TakeOver                      // the same again: the heir takes the clients from now on
+	ClaimHandover                 // what goes over to a successor; it is told what changes from then on
+	TakeOver                      // the same again: the successor takes the clients from now on
 )
 
 // Effect is one thing that the core asks for.
@@ -187,7 +187,7 @@
 	}
 	// StopReading ends the read under way with what it has, if anything.
 	StopReading struct{ Conn Conn }
-	// SendConnection sends a client's connection and its host's to the heir, answered by Passed.
+	// SendConnection sends a client's connection and its host's to the successor, answered by Passed.
 	SendConnection struct {
 		Conn, Host Conn
 		Transfer   *ConnectionTransfer
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -47,7 +47,7 @@
 		f.over = true
 		n.figures.Open--
 		if f.established {
-			n.tellHeir(HandoverUpdate{EndedFlow: f.opening.ID})
+			n.tellSuccessor(HandoverUpdate{EndedFlow: f.opening.ID})
 		}
 	}
 }
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -28,7 +28,7 @@
 	established  bool
 	over         bool
 	liftAt       float64
-	lifting      bool      // goes over to an heir: nothing more is read
+	lifting      bool      // goes over to a successor: nothing more is read
 	passing      bool      // is on its way
 	last         line.Word // what the host said before its end
 	sentAt       float64
@@ -132,7 +132,7 @@
 	n.ids.begin(f)
 }
 
-// arrival is what the module is told of a flow. One that sits at the elder is the elder's no more.
+// arrival is what the module is told of a flow. One that sits at the predecessor is the predecessor's no more.
 func (n *Node) arrival(f *flow) placement.Arrival {
 	tenant, known := n.tenants[f.opening.Tenant]
 	if !known {
@@ -167,7 +167,7 @@
 // move tells an established client to come again and ends both sides. What the host said in whole lines goes
 // first.
 func (n *Node) move(f *flow, why Reason, how placement.Outcome) {
-	if !f.established || f.over || f.passing { // what is on its way is the heir's to move
+	if !f.established || f.over || f.passing { // what is on its way is the successor's to move
 		return
 	}
 	n.close(f.host, false)
--- a/internal/node/legacy.go
+++ b/internal/node/legacy.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	flightSpare = 8    // descriptors that an elder may need beside those it holds, for connects of flows in flight
-	sitsFor     = 10.0 // that connections of an elder that is gone have to come again
+	flightSpare = 8    // descriptors that a predecessor may need beside those it holds, for connects of flows in flight
+	sitsFor     = 10.0 // that connections of a predecessor that is gone have to come again
 )
 
 // InheritedConnection is an open connection of the node's other process.
@@ -24,7 +24,7 @@
 	at        int
 }
 
-// HandoverState is what a process leaves to the one that takes its place, its elder's included.
+// HandoverState is what a process leaves to the one that takes its place, its predecessor's included.
 type HandoverState struct {
 	Index        int64                   `json:"Index"`
 	ListReceived bool                    `json:"Heard"` // discovery has told a list
@@ -72,7 +72,7 @@
 	return &InheritedConnection{ID: f.opening.ID, ClientKey: f.opening.Key, Host: n.hosts[f.on].name, Load: cmp.Or(f.load, f.opening.Load)}
 }
 
-// inherit takes what the elder has left; a second time, in place of the first.
+// inherit takes what the predecessor has left; a second time, in place of the first.
 func (n *Node) inherit(l *HandoverState) {
 	places := make([]int, len(l.Hosts))
 	for i, h := range l.Hosts {
@@ -100,12 +100,12 @@
 		n.sits(&l.Connections[i])
 	}
 	n.lent = l.Descriptors + n.toll
-	for _, q := range n.calls { // guards against a call that crossed with what the elder says here
+	for _, q := range n.calls { // guards against a call that crossed with what the predecessor says here
 		n.byHand(q.Host, q.Question == DisableHost)
 	}
 }
 
-// sits takes a connection that the elder holds.
+// sits takes a connection that the predecessor holds.
 func (n *Node) sits(s *InheritedConnection) {
 	at, known := n.byName[s.Host]
 	if !known || len(n.ids.sits) >= mostSpent {
@@ -117,7 +117,7 @@
 	n.module.AddPeerLoad(at, 1, s.Load)
 }
 
-// leaves takes the end of a connection that the elder holds, or its coming here.
+// leaves takes the end of a connection that the predecessor holds, or its coming here.
 func (n *Node) leaves(id string) {
 	if s := n.ids.sits[id]; s != nil {
 		delete(n.ids.sits, id)
@@ -137,7 +137,7 @@
 			n.ask(WriteLog{fmt.Sprintf("the other process's revision %d.%d not in force: %v", news.Revision.Epoch,
 				news.Revision.Number, err)})
 		}
-	case n.given: // an heir's own connections are none of its elder's business
+	case n.given: // a successor's own connections are none of its predecessor's business
 	case news.Established != nil:
 		n.sits(news.Established)
 	case news.EndedFlow != "":
@@ -150,13 +150,13 @@
 	}
 }
 
-// give hands the flows that come from now on to an heir. What is held is kept, and a few descriptors more for
+// give hands the flows that come from now on to a successor. What is held is kept, and a few descriptors more for
 // flows in flight.
 func (n *Node) give() {
 	n.given = true
 	n.limit = min(n.limit, n.used()+n.lent+spareFew+1+flightSpare)
 	n.module.SetHandedOver(true)
-	n.ask(WriteLog{fmt.Sprintf("an heir takes the clients: %d descriptors held", n.used())})
+	n.ask(WriteLog{fmt.Sprintf("a successor takes the clients: %d descriptors held", n.used())})
 	for _, f := range n.flows {
 		if f != nil {
 			n.lift(f)
@@ -164,8 +164,8 @@
 	}
 }
 
-// heirGone takes them back, unless this process was asked to leave.
-func (n *Node) heirGone() {
+// successorGone takes them back, unless this process was asked to leave.
+func (n *Node) successorGone() {
 	if n.paired = false; !n.given {
 		return
 	}
@@ -176,13 +176,13 @@
 		}
 	}
 	n.module.SetHandedOver(false)
-	n.ask(WriteLog{"the heir is gone"})
+	n.ask(WriteLog{"the successor is gone"})
 }
 
-// elderGone is the end of the other process: what it held comes again soon, or never.
-func (n *Node) elderGone() {
+// predecessorGone is the end of the other process: what it held comes again soon, or never.
+func (n *Node) predecessorGone() {
 	n.lent, n.forgetAt = 0, n.now+sitsFor
-	n.ask(WriteLog{fmt.Sprintf("the elder is gone, %d connections may come again", len(n.ids.sits))})
+	n.ask(WriteLog{fmt.Sprintf("the predecessor is gone, %d connections may come again", len(n.ids.sits))})
 }
 
 // forget drops what did not come.
@@ -195,14 +195,14 @@
 	}
 }
 
-// tellHeir tells an heir what changed of the connections here.
-func (n *Node) tellHeir(news HandoverUpdate) {
+// tellSuccessor tells a successor what changed of the connections here.
+func (n *Node) tellSuccessor(news HandoverUpdate) {
 	if n.paired {
 		n.ask(UpdatePeerProcess{news})
 	}
 }
 
-// tellHeld tells an heir how many descriptors it cannot have.
+// tellHeld tells a successor how many descriptors it cannot have.
 func (n *Node) tellHeld() {
 	if held := n.used() + n.lent; n.paired && held != n.heldTold && held > 0 {
 		n.heldTold = held
@@ -210,7 +210,7 @@
 	}
 }
 
-// sitting gives the ids of the elder's connections in order.
+// sitting gives the ids of the predecessor's connections in order.
 func (s *ids) sitting() []string {
 	all := make([]string, 0, len(s.sits))
 	for id := range s.sits {
--- a/internal/node/legacy_test.go
+++ b/internal/node/legacy_test.go
@@ -11,8 +11,8 @@
 	"gorseledge/internal/settings"
 )
 
-// heir makes a process that takes over from w; what goes over crosses as JSON.
-func (w *world) heir(mode string) *world {
+// successor makes a process that takes over from w; what goes over crosses as JSON.
+func (w *world) successor(mode string) *world {
 	w.Helper()
 	r, d, err := settings.Parse(fmt.Appendf(nil, settingsJSON, mode), 8)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return out
 }
 
-// take has an heir take the clients.
+// take has a successor take the clients.
 func (w *world) takenBy(h *world) {
 	w.Helper()
 	h.do(HandoverReceived{crossed(w, w.asks(TakeOver, "").Handover)})
@@ -85,14 +85,14 @@
 		first := len(w.said[host])
 		w.say(client, c.up, Open)
 		w.say(host, c.down, Open)
-		h := w.heir("pass")
+		h := w.successor("pass")
 		w.takenBy(h)
 		names := w.carry(h, false)
 		if len(names) != 2 || !w.n.alone() {
 			t.Fatalf("%s: %d passed, %d left", c.name, len(names), len(w.n.conns))
 		}
 		if w.how[client] != "closed" || w.how[host] != "closed" {
-			t.Errorf("%s: at the elder they are %s and %s", c.name, w.how[client], w.how[host])
+			t.Errorf("%s: at the predecessor they are %s and %s", c.name, w.how[client], w.how[host])
 		}
 		h.say(names[client], c.upRest, Open)
 		h.say(names[host], c.downRest, Open)
@@ -104,7 +104,7 @@
 		}
 		w.balanced()
 		if f := h.balanced(); f.Open != 1 || f.Accepted != 0 {
-			t.Errorf("%s: the heir tells of %+v", c.name, f)
+			t.Errorf("%s: the successor tells of %+v", c.name, f)
 		}
 		h.say(names[client], "", Ended)
 		h.say(names[host], "", Ended)
@@ -113,7 +113,7 @@
 	}
 }
 
-// What cannot go over stays and goes on where it is: it is ending, it is blocked, it was not sent, or the heir is
+// What cannot go over stays and goes on where it is: it is ending, it is blocked, it was not sent, or the successor is
 // gone.
 func TestNotLifted(t *testing.T) {
 	for _, c := range []struct {
@@ -134,7 +134,7 @@
 		w := newWorld(t, "pass", 1, 100)
 		client, host := w.established(chat)
 		c.do(w, client, host)
-		h := w.heir("pass")
+		h := w.successor("pass")
 		w.takenBy(h)
 		names := w.carry(h, c.lost)
 		if stays := len(names) == 0; stays != c.stays {
@@ -144,10 +144,10 @@
 		if !c.stays {
 			continue
 		}
-		w.do(SuccessorGone{}) // and the heir with it: the elder takes clients again
+		w.do(SuccessorGone{}) // and the successor with it: the predecessor takes clients again
 		before := len(w.dials)
 		if w.come("b2 c=chat,t=acme,d=2000"); len(w.dials) == before {
-			t.Errorf("%s: the elder places nobody", c.name)
+			t.Errorf("%s: the predecessor places nobody", c.name)
 		}
 		w.say(w.up(), "UP 2\r\n", Open)
 		w.stalled = map[Conn]bool{}
@@ -170,7 +170,7 @@
 func TestInFlight(t *testing.T) {
 	w := newWorld(t, "pass", 1, 100)
 	client := w.come(chat)
-	h := w.heir("pass")
+	h := w.successor("pass")
 	w.takenBy(h)
 	w.say(w.up(), "UP 5\r\n", Open)
 	if w.said[client] != "UP 5\r\n" {
@@ -189,13 +189,13 @@
 
 // What two processes that are one node know of each other.
 func TestOneNode(t *testing.T) {
-	stuck := func(t *testing.T) (w, h *world, client Conn) { // its connection stays at the elder
+	stuck := func(t *testing.T) (w, h *world, client Conn) { // its connection stays at the predecessor
 		w = newWorld(t, "pass", 3, 100)
 		client, host := w.established("a1 c=chat,t=acme,d=2000")
 		w.stalled[client] = true
 		w.say(host, "M 1\r\n", Open)
 		w.asks(DisableHost, "s-00000066")
-		h = w.heir("pass")
+		h = w.successor("pass")
 		w.takenBy(h)
 		w.carry(h, false)
 		return w, h, client
@@ -205,7 +205,7 @@
 		name string
 		do   func(t *testing.T, w, h *world, client Conn)
 	}{
-		{"ready at once, from the elder's list", func(t *testing.T, w, h *world, _ Conn) {
+		{"ready at once, from the predecessor's list", func(t *testing.T, w, h *world, _ Conn) {
 			if !h.asks(IsReady, "").OK || h.ready != 1 || len(h.watches) > 1 || len(h.watches) == 1 && h.watches[0] != 6 {
 				t.Errorf("ready said %d times, watches %v", h.ready, h.watches)
 			}
@@ -215,7 +215,7 @@
 				t.Errorf("%d listed, %d avoided", f.Listed, f.Unavailable)
 			}
 		}},
-		{"a call at the heir reaches the elder", func(t *testing.T, w, h *world, _ Conn) {
+		{"a call at the successor reaches the predecessor", func(t *testing.T, w, h *world, _ Conn) {
 			h.asks(EnableHost, "s-00000066")
 			h.asks(DisableHost, "s-00000065")
 			h.carry(w, false)
@@ -223,7 +223,7 @@
 				t.Errorf("%d and %d avoided, %v", a, b, w.news)
 			}
 		}},
-		{"a call at the elder reaches the heir, and comes to rest", func(t *testing.T, w, h *world, _ Conn) {
+		{"a call at the predecessor reaches the successor, and comes to rest", func(t *testing.T, w, h *world, _ Conn) {
 			w.asks(DisableHost, "s-00000065")
 			w.carry(h, false)
 			h.carry(w, false)
@@ -232,14 +232,14 @@
 				t.Errorf("%d and %d avoided, %v %v", a, b, w.news, h.news)
 			}
 		}},
-		{"the id of a flow at the elder is refused", func(t *testing.T, w, h *world, client Conn) {
+		{"the id of a flow at the predecessor is refused", func(t *testing.T, w, h *world, client Conn) {
 			c := h.accept()
 			h.say(c, id(client)+"b2 c=chat,d=900\r\n", Open)
 			if h.said[c] != "BUSY\r\n" {
 				t.Errorf("told %q", h.said[c])
 			}
 		}},
-		{"packets that come by the heir find their host", func(t *testing.T, w, h *world, client Conn) {
+		{"packets that come by the successor find their host", func(t *testing.T, w, h *world, client Conn) {
 			at := w.address[w.dials[0]]
 			for try, line := range []string{id(client) + "a1 c=chat,t=acme,d=900,mid=1\r\n", id(client) + "a1 c=chat,t=acme,d=900,mid=1\r\n"} {
 				h.say(h.accept(), line, Open)
@@ -247,11 +247,11 @@
 					t.Errorf("sent to %s, it sits at %s", got, at)
 				}
 				if len(h.n.ids.sits) != 0 {
-					t.Error("it still sits at the elder")
+					t.Error("it still sits at the predecessor")
 				}
 			}
 		}},
-		{"what the elder holds counts against the limit, until it is gone", func(t *testing.T, w, h *world, _ Conn) {
+		{"what the predecessor holds counts against the limit, until it is gone", func(t *testing.T, w, h *world, _ Conn) {
 			if h.n.lent != w.n.used()+20+flightSpare || w.n.used() < 2 {
 				t.Errorf("%d lent, %d held", h.n.lent, w.n.used())
 			}
@@ -268,7 +268,7 @@
 				t.Error("not forgotten")
 			}
 		}},
-		{"the end of one at the elder is told", func(t *testing.T, w, h *world, client Conn) {
+		{"the end of one at the predecessor is told", func(t *testing.T, w, h *world, client Conn) {
 			w.pass(1) // what does not go out is not waited for
 			w.say(client, "", Broken)
 			if w.carry(h, false); len(h.n.ids.sits) != 0 {
@@ -282,14 +282,14 @@
 		}},
 		{"a third process learns all of both", func(t *testing.T, w, h *world, client Conn) {
 			h.asks(DisableHost, "s-00000064")
-			third := h.heir("pass")
+			third := h.successor("pass")
 			h.takenBy(third)
 			h.carry(third, false)
 			if third.n.tell().Unavailable != 2 || third.n.ids.sits[strings.Fields(id(client))[1]] == nil {
 				t.Errorf("%+v, %v", third.n.tell(), third.n.ids.sits)
 			}
 		}},
-		{"an heir that is gone gives the clients back", func(t *testing.T, w, h *world, _ Conn) {
+		{"a successor that is gone gives the clients back", func(t *testing.T, w, h *world, _ Conn) {
 			if w.do(SuccessorGone{}); w.n.limit != 100 || w.n.given {
 				t.Errorf("limit %d, given %v", w.n.limit, w.n.given)
 			}
@@ -302,23 +302,23 @@
 	}
 }
 
-// A call that crosses with the elder's word is not undone by it.
+// A call that crosses with the predecessor's word is not undone by it.
 func TestCallsCross(t *testing.T) {
 	w := newWorld(t, "pass", 3, 100)
-	h := w.heir("pass")
+	h := w.successor("pass")
 	late := w.asks(TakeOver, "").Handover // said before the call below
 	h.asks(DisableHost, "s-00000065")
 	h.do(HandoverReceived{crossed(w, late)})
 	if h.n.tell().Unavailable != 1 {
-		t.Error("put back by what the elder had said before")
+		t.Error("put back by what the predecessor had said before")
 	}
 }
 
-// An heir of a node that had no list yet waits for its own.
-func TestHeirWithoutList(t *testing.T) {
+// A successor of a node that had no list yet waits for its own.
+func TestSuccessorWithoutList(t *testing.T) {
 	w := newWorld(t, "pass", 0, 100)
 	w.n.heard = false
-	h := w.heir("pass")
+	h := w.successor("pass")
 	if h.ready != 0 || h.asks(IsReady, "").OK {
 		t.Fatal("ready without a list")
 	}
@@ -330,14 +330,14 @@
 	}
 }
 
-// Both together never send a cold host more than the one would have: the elder has no part of it any more.
+// Both together never send a cold host more than the one would have: the predecessor has no part of it any more.
 func TestColdBudgetIsShared(t *testing.T) {
 	w := newWorld(t, "pass", 0, 1000)
 	w.do(ListReceived{endpoint.List{Index: 9, Complete: true, Hosts: []endpoint.Host{{Name: "s-00000064", Address: "h0", Status: "SERVING",
 		StartedAtMS: (w.now - 1) * 1e3}}}})
 	w.n.module.SlowStartTime, w.n.module.SlowStartShare, w.n.module.OverloadWindow, w.n.module.OverloadMultiple = 100, 0.1, 1000, 2
-	w.n.module.StartedAt = 0 // a window before this one at the least; its heir begins within it
-	h := w.heir("pass")
+	w.n.module.StartedAt = 0 // a window before this one at the least; its successor begins within it
+	h := w.successor("pass")
 	h.n.module.SlowStartTime, h.n.module.SlowStartShare, h.n.module.OverloadWindow, h.n.module.OverloadMultiple = 100, 0.1, 1000, 2
 	for range 40 {
 		w.come("a1 c=chat,d=900")
@@ -349,7 +349,7 @@
 		h.come("a1 c=chat,d=900")
 	}
 	if spent == 0 || len(w.dials) != spent || len(h.dials) != 0 {
-		t.Errorf("%d connects before; after it %d at the elder, %d at the heir", spent, len(w.dials)-spent, len(h.dials))
+		t.Errorf("%d connects before; after it %d at the predecessor, %d at the successor", spent, len(w.dials)-spent, len(h.dials))
 	}
 }
 
@@ -359,7 +359,7 @@
 		chance := rand.New(rand.NewPCG(seed, 2))
 		w := newWorld(t, "pass", 3, 100)
 		shuffle(w, chance, 60)
-		h := w.heir("pass")
+		h := w.successor("pass")
 		shuffle(w, chance, 10)
 		w.takenBy(h)
 		for range 10 {
@@ -381,7 +381,7 @@
 	}
 }
 
-// An elder asked to leave in the same moment moves nobody who is about to go over; who cannot go is moved then.
+// A predecessor asked to leave in the same moment moves nobody who is about to go over; who cannot go is moved then.
 func TestLeaveWhileLifting(t *testing.T) {
 	w := newWorld(t, "proxy", 1, 100)
 	client, host := w.established(chat)
@@ -389,7 +389,7 @@
 	w.stalled[stuck] = true
 	w.say(far, "M 1\r\n", Open)
 	w.say(host, "M 2\r\n", Open)
-	h := w.heir("proxy")
+	h := w.successor("proxy")
 	w.takenBy(h)
 	w.do(Shutdown{})
 	names := w.carry(h, false)
--- a/internal/node/lift.go
+++ b/internal/node/lift.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	mostPassing = 8   // open connections that are on their way to the heir at once: both processes hold them then
+	mostPassing = 8   // open connections that are on their way to the successor at once: both processes hold them then
 	liftWithin  = 0.5 // for what was read to go out; a far side that takes nothing keeps its connection here
 )
 
-// ConnectionTransfer is an open connection as it goes over to the heir, beside its two descriptors.
+// ConnectionTransfer is an open connection as it goes over to the successor, beside its two descriptors.
 type ConnectionTransfer struct {
 	OpeningLine   string    `json:"First"` // the client's first line
 	Host          string    `json:"Host"`
@@ -25,7 +25,7 @@
 	BytesToClient uint64    `json:"Back"` // bytes passed on to the host and to the client
 }
 
-// lift begins to hand an open connection to the heir: nothing more is read of it, and what is read goes out first.
+// lift begins to hand an open connection to the successor: nothing more is read of it, and what is read goes out first.
 func (n *Node) lift(f *flow) {
 	if f.lifting || !f.established || f.over {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// passed takes the news that a connection is the heir's, or that it could not be sent.
+// passed takes the news that a connection is the successor's, or that it could not be sent.
 func (n *Node) passed(c *conn, ok bool) {
 	f := c.flow
 	f.passing = false
@@ -103,7 +103,7 @@
 	n.close(c, false)
 }
 
-// adopt goes on with an open connection of the elder's.
+// adopt goes on with an open connection of the predecessor's.
 func (n *Node) adopt(id Conn, p *ConnectionTransfer) {
 	c := n.newConn(id, client)
 	c.up, c.heard, c.since, c.passed = true, true, p.AcceptedAt, p.BytesToClient
@@ -131,7 +131,7 @@
 	if f.load > 0 {
 		n.module.ReportLoad(f.id, f.load)
 	}
-	n.tellHeir(HandoverUpdate{Established: n.sitting(f)})
+	n.tellSuccessor(HandoverUpdate{Established: n.sitting(f)})
 	if len(f.waits) > 0 {
 		n.wait(h, max(f.waits[0]+quietAfter-n.now, 0))
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,7 +20,7 @@
 	MaxDescriptors     int            // descriptors that its connections may take
 	DescriptorOverhead int            // descriptors that a process takes beside its connections
 	NotListening       bool           // the door is not open yet: Ready asks for it, and Opened says that it is
-	Handover           *HandoverState // what an elder has left; nil for none
+	Handover           *HandoverState // what a predecessor has left; nil for none
 
 	// AwaitSettings is for how long the listener stays closed at the most until a first revision of the live settings
 	// comes, in seconds; zero where none is to come.
@@ -78,16 +78,16 @@
 	shut, able bool    // the door is not open yet; it was said that it may be
 	succeeds   bool    // another process has the clients until this one can serve
 
-	paired   bool // an heir is told what changes here
+	paired   bool // a successor is told what changes here
 	given    bool // it takes the clients
-	sockets  int  // the limit while there is no heir
-	lent     int  // descriptors that an elder holds
+	sockets  int  // the limit while there is no successor
+	lent     int  // descriptors that a predecessor holds
 	toll     int
 	heldTold int
-	lifts    []*flow // that go over to the heir
+	lifts    []*flow // that go over to the successor
 	passing  int     // of these are on their way
-	calls    []Query // hosts by hand, called here while the elder still has the clients
-	forgetAt float64 // when what an elder held will not come any more
+	calls    []Query // hosts by hand, called here while the predecessor still has the clients
+	forgetAt float64 // when what a predecessor held will not come any more
 
 	leaving   bool
 	leaveAt   float64 // when it was asked to leave
@@ -246,9 +246,9 @@
 			n.passed(c, in.OK)
 		}
 	case SuccessorGone:
-		n.heirGone()
+		n.successorGone()
 	case PredecessorGone:
-		n.elderGone()
+		n.predecessorGone()
 	case TimerFired:
 		n.timerAt = math.Inf(1)
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -821,20 +821,20 @@
 	w := newWorld(t, "pass", 3, 100)
 	say := func(text string) Conn { c := w.accept(); w.say(c, text+"\r\n", Open); return c }
 	first := say("OPEN 7 a1 c=chat,t=acme,d=2000")
-	if twin := say("OPEN 7 b2 c=chat,t=acme,d=2000"); w.said[twin] != "BUSY\r\n" || len(w.dials) != 1 {
-		t.Fatalf("while it is set up: told %q, %d dials", w.said[twin], len(w.dials))
+	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000"); w.said[peerProcess] != "BUSY\r\n" || len(w.dials) != 1 {
+		t.Fatalf("while it is set up: told %q, %d dials", w.said[peerProcess], len(w.dials))
 	}
 	w.say(w.up(), "UP 77\r\n", Open)
-	if twin := say("OPEN 7 b2 c=chat,t=acme,d=2000,mid=1"); w.said[twin] != "BUSY\r\n" || len(w.dials) != 1 {
-		t.Fatalf("while it is open: told %q, %d dials", w.said[twin], len(w.dials))
+	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000,mid=1"); w.said[peerProcess] != "BUSY\r\n" || len(w.dials) != 1 {
+		t.Fatalf("while it is open: told %q, %d dials", w.said[peerProcess], len(w.dials))
 	}
 	if say("OPEN 7 a1 c=chat,t=acme,d=2000,mid=1"); len(w.dials) != 2 {
 		t.Fatalf("its own packets by another way: %d dials", len(w.dials))
 	}
 	w.say(w.up(), "BYE\r\n", Ended)
 	w.say(first, "", Broken)
-	if twin := say("OPEN 7 b2 c=chat,t=acme,d=2000"); w.said[twin] != "BUSY\r\n" || len(w.dials) != 2 {
-		t.Fatalf("after its end: told %q, %d dials", w.said[twin], len(w.dials))
+	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000"); w.said[peerProcess] != "BUSY\r\n" || len(w.dials) != 2 {
+		t.Fatalf("after its end: told %q, %d dials", w.said[peerProcess], len(w.dials))
 	}
 	if say("OPEN 7 a1 c=chat,t=acme,d=2000"); len(w.dials) != 3 {
 		t.Fatalf("the client itself again: %d dials", len(w.dials))
--- a/internal/node/settings_handover_test.go
+++ b/internal/node/settings_handover_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	w.asks(DisableHost, "s-00000066")
-	h := w.heir("pass")
+	h := w.successor("pass")
 	if h.n.live.revision.Number != 1 || h.n.module.MaxAttempts != 2 || h.n.tell().Unavailable != 2 {
 		t.Fatalf("%+v, %d connects, %d out", h.n.live.revision, h.n.module.MaxAttempts, h.n.tell().Unavailable)
 	}
--- a/internal/sockets/effects.go
+++ b/internal/sockets/effects.go
@@ -45,7 +45,7 @@
 			Uint64("up", r.BytesFromClient).Uint64("down", r.BytesToClient).Msg("ended")
 	case node.Reply:
 		if e.Handover != nil {
-			d.heir.post(letter{Message: handover.Message{State: e.Handover}, door: d.passes()})
+			d.successor.post(letter{Message: handover.Message{State: e.Handover}, door: d.passes()})
 		} else {
 			d.answer <- e
 		}
@@ -60,8 +60,8 @@
 		if r := e.Update.Revision; r != nil && d.fleet != nil {
 			d.fleet.InForce(*r)
 		}
-		d.elder.post(letter{Message: handover.Message{Update: &e.Update}})
-		d.heir.post(letter{Message: handover.Message{Update: &e.Update}})
+		d.predecessor.post(letter{Message: handover.Message{Update: &e.Update}})
+		d.successor.post(letter{Message: handover.Message{Update: &e.Update}})
 	case node.SettingsApplied:
 		d.configured <- e
 	case node.MoveDiscovery:
--- a/internal/sockets/inputs.go
+++ b/internal/sockets/inputs.go
@@ -94,7 +94,7 @@
 	case reconfigure:
 		d.configured = what.answer
 		return node.SettingsReceived{Revision: what.revision}
-	case fromTwin:
+	case fromPeerProcess:
 		return d.hear(what)
 	case bound:
 		if what.ln != nil {
--- a/internal/sockets/others.go
+++ b/internal/sockets/others.go
@@ -11,7 +11,7 @@
 
 const waitingWords = 16 // rounds of words that may wait for the network
 
-// talk opens the address for messages among nodes, if there is to be one. An elder has the same: this one's
+// talk opens the address for messages among nodes, if there is to be one. A predecessor has the same: this one's
 // turn comes when that is gone. A node serves without them as well.
 func (d *door) talk(ctx context.Context) {
 	c := d.config
@@ -66,7 +66,7 @@
 	}
 	d.fleet = m.open(view.Options{Name: d.config.Name, Build: Version(), Seed: start.Settings.Seed, ConfiguredNodes: start.Settings.Nodes,
 		Log: d.log, NodesChanged: func(n int) { d.send(node.NodesChanged{Nodes: n}) }, GossipReceived: d.heard, Install: d.install,
-		InForce: d.core.Revision(), Successor: d.elder != nil && d.inheritsRevision()})
+		InForce: d.core.Revision(), Successor: d.predecessor != nil && d.inheritsRevision()})
 	d.group.Go(func() error { return d.fleet.Run(ctx) })
 	if d.config.PeerAddr != "" || !start.Settings.LoadGossip {
 		return
--- a/internal/sockets/twin.go
+++ b/internal/sockets/peer_process.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	claimWithin = 500 * time.Millisecond // for an elder to answer; without that the node serves all the same
-	claimFor    = 3 * time.Second        // where the elder is handing over to another already
+	claimWithin = 500 * time.Millisecond // for a predecessor to answer; without that the node serves all the same
+	claimFor    = 3 * time.Second        // where the predecessor is handing over to another already
 	again       = 100 * time.Millisecond // between tries
 	lastLook    = time.Millisecond       // at who waits at the door, before it is closed
 	newsWaiting = 1024                   // messages that may wait for the other process
@@ -28,25 +28,25 @@
 
 // pair is what joins this process with the one before it and the one after it.
 type pair struct {
-	path        string // where an heir finds this process; empty for nowhere
-	ln          *net.TCPListener
-	elder, heir *twin
-	left        *node.HandoverState
-	offered     *net.UnixListener
-	mayOpen     bool // let clients in, before the next input
-	able        bool // the core could serve
-	opened      bool
-	adopted     *net.TCPConn // host's side of the connection that the core adopts now
-	unpassed    []node.Conn  // that could not even be posted
-	given       bool         // the heir has the clients
+	path                   string // where a successor finds this process; empty for nowhere
+	ln                     *net.TCPListener
+	predecessor, successor *peerProcess
+	left                   *node.HandoverState
+	offered                *net.UnixListener
+	mayOpen                bool // let clients in, before the next input
+	able                   bool // the core could serve
+	opened                 bool
+	adopted                *net.TCPConn // host's side of the connection that the core adopts now
+	unpassed               []node.Conn  // that could not even be posted
+	given                  bool         // the successor has the clients
 }
 
 // inheritsRevision tells whether the predecessor has handed over a revision of the live settings. One that has none
 // may not follow the control servers at all.
 func (p *pair) inheritsRevision() bool { return p.left != nil && p.left.Revision != nil }
 
-// twin is the node's other process.
-type twin struct {
+// peer process is the node's other process.
+type peerProcess struct {
 	link *handover.Link
 	out  chan letter
 }
@@ -62,8 +62,8 @@
 // fromTwin brings to the loop what the other process said, or that it is gone; bound a door of this process's own,
 // or that none is waited for any longer.
 type (
-	fromTwin struct {
-		*twin
+	fromPeerProcess struct {
+		*peerProcess
 		said         handover.Message
 		gone         error
 		client, host *net.TCPConn // with a parcel
@@ -71,10 +71,12 @@
 	bound struct{ ln *net.TCPListener }
 )
 
-func newTwin(link *handover.Link) *twin { return &twin{link, make(chan letter, newsWaiting)} }
+func newPeerProcess(link *handover.Link) *peerProcess {
+	return &peerProcess{link, make(chan letter, newsWaiting)}
+}
 
-// post sends a message, in order. Guards against a twin that does not read: it is given up, and holds nobody up.
-func (t *twin) post(m letter) {
+// post sends a message, in order. Guards against a peer process that does not read: it is given up, and holds nobody up.
+func (t *peerProcess) post(m letter) {
 	if t == nil {
 		return
 	}
@@ -85,15 +87,15 @@
 	}
 }
 
-// pairUp gives the door of a node's first process, or what its elder hands over, or neither: then the address is
-// an elder's that hands over nothing.
+// pairUp gives the door of a node's first process, or what its predecessor hands over, or neither: then the address is
+// a predecessor's that hands over nothing.
 func pairUp(ctx context.Context, c Config, log zerolog.Logger) (pair, error) {
 	p := pair{}
 	if dir := os.Getenv("TMPDIR"); c.Admin != "" && dir != "" {
 		p.path = handover.Path(dir, c.Listen)
 		p.claims(ctx, log)
 	}
-	if p.elder != nil {
+	if p.predecessor != nil {
 		return p, nil
 	}
 	var lc net.ListenConfig
@@ -120,7 +122,7 @@
 		switch {
 		case err == nil:
 			log.Info().Int("hosts", len(p.left.Hosts)).Int("connections", len(p.left.Connections)).Bool("heard", p.left.ListReceived).
-				Msg("claimed from the elder")
+				Msg("claimed from the predecessor")
 			return
 		case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED): // nobody, or only a stale socket
 			return
@@ -133,7 +135,7 @@
 	}
 }
 
-var errBusy = errors.New("the elder is busy")
+var errBusy = errors.New("the predecessor is busy")
 
 func (p *pair) claim(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, claimWithin)
@@ -153,11 +155,11 @@
 	case m.Refusal == handover.Busy:
 		err = errBusy
 	case m.State == nil:
-		err = fmt.Errorf("the elder said no: %s", m.Refusal)
+		err = fmt.Errorf("the predecessor said no: %s", m.Refusal)
 	default:
 		if p.ln, err = link.Listener(); err == nil {
 			link.SetReadTimeout(0)
-			p.left, p.elder = m.State, newTwin(link)
+			p.left, p.predecessor = m.State, newPeerProcess(link)
 			return nil
 		}
 	}
@@ -189,14 +191,14 @@
 	return nil
 }
 
-// open opens the door of a process that can serve: with the elder's word, if there is one, so that the two do not
+// open opens the door of a process that can serve: with the predecessor's word, if there is one, so that the two do not
 // take clients at once.
 func (d *door) open() {
 	d.able = true
 	switch {
-	case d.elder != nil:
-		d.elder.post(letter{Message: handover.Message{Ask: handover.RequestClients}})
-		d.group.Go(func() error { // an elder that hangs keeps nobody out
+	case d.predecessor != nil:
+		d.predecessor.post(letter{Message: handover.Message{Ask: handover.RequestClients}})
+		d.group.Go(func() error { // a predecessor that hangs keeps nobody out
 			select {
 			case <-time.After(claimWithin):
 				d.send(bound{})
@@ -216,7 +218,7 @@
 	}
 }
 
-// letIn begins to accept clients, and to be found by an heir.
+// letIn begins to accept clients, and to be found by a successor.
 func (d *door) letIn() {
 	d.opened = true
 	if d.fleet != nil {
@@ -228,7 +230,7 @@
 	d.offer()
 }
 
-// offer lets an heir find this process. Where that cannot be, a later version comes beside it all the same.
+// offer lets a successor find this process. Where that cannot be, a later version comes beside it all the same.
 func (d *door) offer() {
 	if d.path == "" {
 		return
@@ -250,14 +252,14 @@
 			}
 			if link, err := handover.NewLink(conn); err == nil {
 				link.SetReadTimeout(claimWithin)
-				d.attend(newTwin(link))
+				d.attend(newPeerProcess(link))
 			}
 		}
 	})
 }
 
 // send writes a message with what goes along.
-func (t *twin) send(m letter) error {
+func (t *peerProcess) send(m letter) error {
 	var err error
 	switch {
 	case m.door != nil:
@@ -272,8 +274,8 @@
 }
 
 // receive reads a message with what came along.
-func (t *twin) receive() (w fromTwin, err error) {
-	w.twin = t
+func (t *peerProcess) receive() (w fromPeerProcess, err error) {
+	w.peerProcess = t
 	if w.said, err = t.link.Receive(); err != nil || w.said.Transfer == nil {
 		return w, err
 	}
@@ -285,8 +287,8 @@
 	return w, err
 }
 
-// attend reads and writes a twin until one side is gone.
-func (d *door) attend(t *twin) {
+// attend reads and writes a peer process until one side is gone.
+func (d *door) attend(t *peerProcess) {
 	stop := context.AfterFunc(d.ctx, t.link.Close)
 	ended := make(chan struct{})
 	d.group.Go(func() error {
@@ -313,7 +315,7 @@
 		for {
 			w, err := t.receive()
 			if err != nil {
-				d.send(fromTwin{twin: t, gone: err})
+				d.send(fromPeerProcess{peerProcess: t, gone: err})
 				return nil
 			}
 			t.link.SetReadTimeout(0)
@@ -322,38 +324,38 @@
 	})
 }
 
-// hear takes what a twin says, in the order in which it said it.
-func (d *door) hear(w fromTwin) node.Input {
+// hear takes what a peer process says, in the order in which it said it.
+func (d *door) hear(w fromPeerProcess) node.Input {
 	switch {
 	case w.gone != nil:
-		return d.gone(w.twin, w.gone)
-	case w.said.Update != nil && (w.twin == d.elder || w.twin == d.heir):
+		return d.gone(w.peerProcess, w.gone)
+	case w.said.Update != nil && (w.peerProcess == d.predecessor || w.peerProcess == d.successor):
 		return node.PeerProcessChanged{Update: *w.said.Update}
-	case w.said.State != nil && w.twin == d.elder && !d.opened:
+	case w.said.State != nil && w.peerProcess == d.predecessor && !d.opened:
 		d.mayOpen = true
 		return node.HandoverReceived{State: w.said.State}
 	case w.said.Transfer != nil:
 		return d.adopt(w)
-	case w.said.Ask == handover.RequestState && (d.heir != nil || !d.opened):
+	case w.said.Ask == handover.RequestState && (d.successor != nil || !d.opened):
 		w.post(letter{Message: handover.Message{Refusal: handover.Busy}})
 	case w.said.Ask == handover.RequestState:
-		d.heir = w.twin
+		d.successor = w.peerProcess
 		limitMemory(d.config.Limits.MemoryMB, true)
 		return node.Query{Question: node.ClaimHandover}
-	case w.said.Ask == handover.RequestClients && w.twin == d.heir:
+	case w.said.Ask == handover.RequestClients && w.peerProcess == d.successor:
 		d.given = true
-		if d.fleet != nil { // one member throughout: the heir's from here on
+		if d.fleet != nil { // one member throughout: the successor's from here on
 			d.fleet.SetHandedOver(true)
 		}
-		d.ln.SetDeadline(time.Unix(1, 0)) // who waits is the heir's
+		d.ln.SetDeadline(time.Unix(1, 0)) // who waits is the successor's
 		return node.Query{Question: node.TakeOver}
 	}
 	return nil
 }
 
-// adopt takes an open connection of the elder's.
-func (d *door) adopt(w fromTwin) node.Input {
-	if w.twin != d.elder {
+// adopt takes an open connection of the predecessor's.
+func (d *door) adopt(w fromPeerProcess) node.Input {
+	if w.peerProcess != d.predecessor {
 		w.client.Close()
 		w.host.Close()
 		return nil
@@ -364,13 +366,13 @@
 	return node.ConnectionReceived{Conn: d.last, Transfer: w.said.Transfer}
 }
 
-// pass sends an open connection to the heir.
+// pass sends an open connection to the successor.
 func (d *door) pass(e node.SendConnection) {
 	m := letter{Message: handover.Message{Transfer: e.Transfer}, conn: e.Conn, client: d.links[e.Conn].socket,
 		host: d.links[e.Host].socket}
-	if d.heir != nil {
+	if d.successor != nil {
 		select {
-		case d.heir.out <- m:
+		case d.successor.out <- m:
 			return
 		default:
 		}
@@ -378,7 +380,7 @@
 	d.unpassed = append(d.unpassed, e.Conn)
 }
 
-// passes gives the door for the first of what an heir is sent.
+// passes gives the door for the first of what a successor is sent.
 func (d *door) passes() *net.TCPListener {
 	if d.given {
 		return nil
@@ -386,25 +388,25 @@
 	return d.ln
 }
 
-func (d *door) gone(t *twin, why error) node.Input {
-	defer func() { limitMemory(d.config.Limits.MemoryMB, d.elder != nil || d.heir != nil) }()
+func (d *door) gone(t *peerProcess, why error) node.Input {
+	defer func() { limitMemory(d.config.Limits.MemoryMB, d.predecessor != nil || d.successor != nil) }()
 	switch t {
-	case d.elder:
-		d.elder = nil
+	case d.predecessor:
+		d.predecessor = nil
 		if d.fleet != nil {
 			d.fleet.Follow()
 		}
-		d.log.Info().AnErr("why", why).Msg("the elder's end of the hand-over is closed")
+		d.log.Info().AnErr("why", why).Msg("the predecessor's end of the hand-over is closed")
 		d.mayOpen = d.able && !d.opened
 		return node.PredecessorGone{}
-	case d.heir:
-		d.heir = nil
+	case d.successor:
+		d.successor = nil
 		for len(t.out) > 0 { // what was posted too late to be sent stays here
 			if m := <-t.out; m.Transfer != nil {
 				d.unpassed = append(d.unpassed, m.conn)
 			}
 		}
-		d.log.Info().AnErr("why", why).Msg("the heir's end of the hand-over is closed")
+		d.log.Info().AnErr("why", why).Msg("the successor's end of the hand-over is closed")
 		if d.given {
 			d.given = false
 			if d.fleet != nil {
@@ -443,12 +445,12 @@
 	}
 	if d.offered != nil {
 		d.offered.Close()
-		if !d.given { // guards against an heir's being taken away
+		if !d.given { // guards against a successor's being taken away
 			os.Remove(d.path)
 		}
 	}
-	if d.elder != nil {
-		d.elder.link.Close()
+	if d.predecessor != nil {
+		d.predecessor.link.Close()
 	}
 }
 
--- a/internal/sockets/second.go
+++ b/internal/sockets/second.go
@@ -45,11 +45,11 @@
 	var lc net.ListenConfig
 	ln, err := lc.Listen(ctx, "tcp", d.config.Admin)
 	taken := errors.Is(err, syscall.EADDRINUSE)
-	if err != nil && !(taken && d.elder != nil) {
+	if err != nil && !(taken && d.predecessor != nil) {
 		return fmt.Errorf("admin_addr: %w", err)
 	}
 	d.group.Go(func() error {
-		for taken { // the elder's, under the same config: its own once that is gone
+		for taken { // the predecessor's, under the same config: its own once that is gone
 			select {
 			case <-time.After(again):
 			case <-ctx.Done():
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	start.Handover, start.NotListening = p.left, p.elder != nil || p.ln == nil
+	start.Handover, start.NotListening = p.left, p.predecessor != nil || p.ln == nil
 	if member.follows {
 		start.MaxDescriptors, start.DescriptorOverhead = max(start.MaxDescriptors-controlDescriptors, 2), start.DescriptorOverhead+controlDescriptors
 	}
@@ -116,10 +116,10 @@
 	if p.ln != nil {
 		listen = p.ln.Addr().String()
 	}
-	log.Info().Str("listen", listen).Int("sockets", start.MaxDescriptors).Bool("elder", start.NotListening).Msg("started")
+	log.Info().Str("listen", listen).Int("sockets", start.MaxDescriptors).Bool("predecessor", start.NotListening).Msg("started")
 	limitMemory(c.Limits.MemoryMB, start.NotListening)
-	if p.elder != nil {
-		d.attend(p.elder)
+	if p.predecessor != nil {
+		d.attend(p.predecessor)
 	}
 	d.talk(ctx)
 	d.mayOpen = !start.NotListening && start.AwaitSettings == 0
