--- a/cmd/gorsecontrol/cost_test.go
+++ b/cmd/gorseledge-config/cost_test.go
@@ -59,7 +59,7 @@
 // BenchmarkServerWithItsShareOfNodes measures one server, built as operators build it, with 172 nodes that poll it every
 // 2 s, idle and with one change a second.
 func BenchmarkServerWithItsShareOfNodes(b *testing.B) {
-	plain := filepath.Join(b.TempDir(), "gorsecontrol")
+	plain := filepath.Join(b.TempDir(), "gorseledge-config")
 	if out, err := exec.Command("go", "build", "-o", plain, ".").CombinedOutput(); err != nil {
 		b.Fatalf("%v\n%s", err, out)
 	}
@@ -133,7 +133,7 @@
 // BenchmarkStartOfAllNodesWithALargeState measures one server while 172 nodes without any state start at once and take
 // one of close to a megabyte each.
 func BenchmarkStartOfAllNodesWithALargeState(b *testing.B) {
-	plain := filepath.Join(b.TempDir(), "gorsecontrol")
+	plain := filepath.Join(b.TempDir(), "gorseledge-config")
 	if out, err := exec.Command("go", "build", "-o", plain, ".").CombinedOutput(); err != nil {
 		b.Fatalf("%v\n%s", err, out)
 	}
--- a/cmd/gorsecontrol/main.go
+++ b/cmd/gorseledge-config/main.go
@@ -1,4 +1,4 @@
-// Command gorsecontrol runs a control server, which distributes the configuration of a fleet, and holds the commands by
+// Command gorseledge-config runs a control server, which distributes the configuration of a fleet, and holds the commands by
 // which operators change and watch it.
 package main
 
@@ -24,7 +24,7 @@
 	exitBadInput = 2 // the command line or a file is wrong
 )
 
-const errorPrefix = "gorsecontrol: "
+const errorPrefix = "gorseledge-config: "
 
 // commandTimeout bounds what a command waits for.
 const commandTimeout = 20 * time.Second
@@ -109,7 +109,7 @@
 
 func root() *cobra.Command {
 	s := &session{}
-	top := &cobra.Command{Use: "gorsecontrol", Short: "Distributes the configuration of a fleet to its nodes",
+	top := &cobra.Command{Use: "gorseledge-config", Short: "Distributes the configuration of a fleet to its nodes",
 		Long: "Runs a control server, and changes and watches the configuration that the control servers distribute.\n" +
 			"Ends with 0, with 1 where a server refused or the newest revision is another one, with 2 for bad input.",
 		SilenceUsage: true, SilenceErrors: true}
--- a/cmd/gorsecontrol/main_test.go
+++ b/cmd/gorseledge-config/main_test.go
@@ -24,11 +24,11 @@
 var program string
 
 func TestMain(m *testing.M) {
-	directory, err := os.MkdirTemp("", "gorsecontrol")
+	directory, err := os.MkdirTemp("", "gorseledge-config")
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(directory, "gorsecontrol")
+	program = filepath.Join(directory, "gorseledge-config")
 	build := exec.Command("go", "build", "-race", "-o", program, ".")
 	build.Stderr = os.Stderr
 	os.Setenv("GORACE", "atexit_sleep_ms=0") // for the processes: by default each waits a second at its end
--- a/cmd/gorselab/capacity.go
+++ b/cmd/gorseledge-lab/capacity.go
@@ -16,7 +16,7 @@
 type differs []string
 
 func (d differs) Error() string {
-	return fmt.Sprintf("not as the figures give it: %s (gorselab capacity writes it)", strings.Join(d, ", "))
+	return fmt.Sprintf("not as the figures give it: %s (gorseledge-lab capacity writes it)", strings.Join(d, ", "))
 }
 
 // capacityCommand writes the tables of the capacity page.
--- a/cmd/gorselab/fleet.go
+++ b/cmd/gorseledge-lab/fleet.go
@@ -59,7 +59,7 @@
 	if o.seeds < 1 || o.seeds > maxFleetSeeds {
 		return fmt.Errorf("--seeds is %d, and goes from 1 to %d", o.seeds, maxFleetSeeds)
 	}
-	scratch, err := os.MkdirTemp("", "gorselab")
+	scratch, err := os.MkdirTemp("", "gorseledge-lab")
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	if o.control == "" && script.Control > 0 {
-		if o.control, err = build(cmd, scratch, "gorsecontrol"); err != nil {
+		if o.control, err = build(cmd, scratch, "gorseledge-config"); err != nil {
 			return err
 		}
 	}
--- a/cmd/gorselab/main.go
+++ b/cmd/gorseledge-lab/main.go
@@ -1,4 +1,4 @@
-// Command gorselab runs experiments: fleets on the emulator's virtual clock, fleets of the membership core, and fleets of
+// Command gorseledge-lab runs experiments: fleets on the emulator's virtual clock, fleets of the membership core, and fleets of
 // real processes under faults. Figures of the virtual clock are simulated.
 //
 // It exits with 0 where all held, 1 where a rule was broken, and 2 where it could not run.
@@ -32,10 +32,10 @@
 	var different differs
 	switch {
 	case errors.As(err, &broken), errors.As(err, &different):
-		fmt.Fprintln(os.Stderr, "gorselab:", err)
+		fmt.Fprintln(os.Stderr, "gorseledge-lab:", err)
 		os.Exit(exitBroken)
 	case err != nil:
-		fmt.Fprintln(os.Stderr, "gorselab:", err)
+		fmt.Fprintln(os.Stderr, "gorseledge-lab:", err)
 		os.Exit(exitFailed)
 	}
 }
@@ -47,7 +47,7 @@
 
 // rootCommand returns the command with all subcommands.
 func rootCommand() *cobra.Command {
-	top := &cobra.Command{Use: "gorselab", Short: "Plays fleets on a virtual clock and keeps what came of it (simulated)",
+	top := &cobra.Command{Use: "gorseledge-lab", Short: "Plays fleets on a virtual clock and keeps what came of it (simulated)",
 		SilenceUsage: true, SilenceErrors: true}
 	top.AddCommand(emulateCommand(), sweepCommand(), compareCommand(), fleetCommand(), membersCommand(), costCommand(),
 		servingCommand(), capacityCommand(), scaleCommand(), hollowCommand())
--- a/cmd/gorselab/scale.go
+++ b/cmd/gorseledge-lab/scale.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	scratch, err := os.MkdirTemp("", "gorselab")
+	scratch, err := os.MkdirTemp("", "gorseledge-lab")
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 		return err
 	}
 	if f.control == "" && len(s.Control) > 0 {
-		if f.control, err = build(cmd, scratch, "gorsecontrol"); err != nil {
+		if f.control, err = build(cmd, scratch, "gorseledge-config"); err != nil {
 			return err
 		}
 	}
@@ -134,7 +134,7 @@
 
 // provenance is that of a run that begins now, in the checkout whose programs it builds.
 func provenance(s *scale.Script, f scaleFlags) figures.Provenance {
-	command := fmt.Sprintf("gorselab scale %s --seed %d, with %d real nodes and a period of %g s", s.Name, f.seed, s.Real, s.Period)
+	command := fmt.Sprintf("gorseledge-lab scale %s --seed %d, with %d real nodes and a period of %g s", s.Name, f.seed, s.Real, s.Period)
 	beside := f.beside
 	if beside == "" {
 		beside = "not noted"
--- a/cmd/gorselab/serving.go
+++ b/cmd/gorseledge-lab/serving.go
@@ -27,7 +27,7 @@
 			if err := o.Check(); err != nil {
 				return err
 			}
-			scratch, err := os.MkdirTemp("", "gorselab")
+			scratch, err := os.MkdirTemp("", "gorseledge-lab")
 			if err != nil {
 				return err
 			}
--- a/cmd/gorselab/table.go
+++ b/cmd/gorseledge-lab/table.go
@@ -21,7 +21,7 @@
 
 // begin gives a table with the provenance of this command.
 func (f *tableFile) begin(repeats int) *figures.Table {
-	command := strings.Join(append([]string{"gorselab"}, withoutPlace(os.Args[1:])...), " ")
+	command := strings.Join(append([]string{"gorseledge-lab"}, withoutPlace(os.Args[1:])...), " ")
 	return &figures.Table{Provenance: figures.Here(command, f.machine, repeats)}
 }
 
--- a/cmd/gorseledge/gorsecontrol_test.go
+++ b/cmd/gorseledge/gorseledge_config_test.go
@@ -25,8 +25,8 @@
 func startControlServers(t *testing.T) *controlServers {
 	t.Helper()
 	dir := t.TempDir()
-	c := &controlServers{T: t, program: filepath.Join(dir, "gorsecontrol")}
-	if out, err := exec.Command("go", "build", "-o", c.program, "../gorsecontrol").CombinedOutput(); err != nil {
+	c := &controlServers{T: t, program: filepath.Join(dir, "gorseledge-config")}
+	if out, err := exec.Command("go", "build", "-o", c.program, "../gorseledge-config").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	var servers string
--- a/cmd/gorseledge/main.go
+++ b/cmd/gorseledge/main.go
@@ -40,7 +40,7 @@
 	}
 	top := &cobra.Command{Use: "gorseledge", Short: "One node of a balancer for long-lived connections", Args: cobra.NoArgs,
 		Long: "Starts one node by its config, a JSON file named by --config or LB_CONFIG. To see a whole fleet at work on this\n" +
-			"machine, from a checkout: go run ./cmd/gorselab fleet docs/scenarios/processes-calm.toml",
+			"machine, from a checkout: go run ./cmd/gorseledge-lab fleet docs/scenarios/processes-calm.toml",
 		Version: version, SilenceUsage: true, SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if path == "" {
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -18,7 +18,7 @@
 	}
 	different, err := Differences(docs, files)
 	if err != nil || len(different) > 0 {
-		t.Errorf("not as the figures give it: %v, %v (go run ./cmd/gorselab capacity)", different, err)
+		t.Errorf("not as the figures give it: %v, %v (go run ./cmd/gorseledge-lab capacity)", different, err)
 	}
 }
 
--- a/internal/configfeed/controlfile/controlfile_test.go
+++ b/internal/configfeed/controlfile/controlfile_test.go
@@ -10,7 +10,7 @@
 const goodFile = `fleet = "lima"
 name = "c2"
 key = "00112233445566778899aabbccddeeff"
-directory = "/var/lib/gorsecontrol"
+directory = "/var/lib/gorseledge-config"
 writer = "c1"
 
 [[server]]
@@ -59,7 +59,7 @@
 		{"00112233", "0011", "3", "key: wanted"},
 		{"00112233", "zz112233", "3", "key: wanted"},
 		{"directory =", "old_key = \"00\"\ndirectory =", "4", "old_key: wanted"},
-		{`directory = "/var/lib/gorsecontrol"`, ``, "1", "directory: is missing"},
+		{`directory = "/var/lib/gorseledge-config"`, ``, "1", "directory: is missing"},
 		{`directory =`, `directry =`, "4", "unknown key directry"},
 		{`writer = "c1"`, `writer = "c4"`, "5", "writer: there is no server c4"},
 		{`writer = "c1"`, `writer = 1`, "5", ""},
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -9,7 +9,7 @@
 )
 
 func sample() *Table {
-	return &Table{Name: "sample", Provenance: Provenance{Command: "gorselab serving", Revision: "abc", Date: "2026-12-02",
+	return &Table{Name: "sample", Provenance: Provenance{Command: "gorseledge-lab serving", Revision: "abc", Date: "2026-12-02",
 		Cores: 8, Machine: "alone", Repeats: 2},
 		Rows: []Row{{1, Real, "connections", 1000, "rest", "node.memory", "B", 1.5e7},
 			{2, Virtual, "nodes", 860, "rest", "node.cpu", "us/s", 47.25}}}
@@ -27,7 +27,7 @@
 }
 
 func TestHereNamesEveryPartOfTheProvenance(t *testing.T) {
-	if key := Here("gorselab", "alone", 1).missing(); key != "" {
+	if key := Here("gorseledge-lab", "alone", 1).missing(); key != "" {
 		t.Errorf("%s is missing", key)
 	}
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-const scaleText = `# command: gorselab scale scale-control --seed 1
+const scaleText = `# command: gorseledge-lab scale scale-control --seed 1
 # revision: abc123
 # date: 2026-12-02 05:06 UTC
 # cores: 8
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Table{Name: "scale", Provenance: Provenance{Command: "gorselab scale scale-control --seed 1", Revision: "abc123",
+	want := &Table{Name: "scale", Provenance: Provenance{Command: "gorseledge-lab scale scale-control --seed 1", Revision: "abc123",
 		Date: "2026-12-02 05:06 UTC", Cores: 8, Repeats: 1, Machine: "go1.26.8; beside it: other work"},
 		Rows: []Row{{1, Hollow, "nodes", 40, "start", "cpu", "us/s", 5000}, {1, Server, "nodes", 40, "rest", "sent_bytes.all", "B/s", 863.008},
 			{1, Fleet, "nodes", 30, "change-region-cut", "in_force_by", "1", 1}}}
@@ -113,13 +113,13 @@
 
 // A table that was put together of several runs names what differs among them.
 func TestProvenanceOfSeveralRunsStandsSideBySide(t *testing.T) {
-	several := strings.Replace(scaleText, "nodes,kind", "# command: gorselab scale scale-control --seed 1\n# revision: def456\n"+
+	several := strings.Replace(scaleText, "nodes,kind", "# command: gorseledge-lab scale scale-control --seed 1\n# revision: def456\n"+
 		"# date: 2026-12-02 05:27 UTC\n# cores: 8\n# machine: go1.26.8; beside it: other work\n# repeats: 1\nnodes,kind", 1)
 	got, err := Parse("scale", []byte(several))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Command != "gorselab scale scale-control --seed 1" || got.Revision != "abc123 / def456" ||
+	if got.Command != "gorseledge-lab scale scale-control --seed 1" || got.Revision != "abc123 / def456" ||
 		got.Date != "2026-12-02 05:06 UTC / 2026-12-02 05:27 UTC" || got.Machine != "go1.26.8; beside it: other work" {
 		t.Errorf("%+v", got.Provenance)
 	}
--- a/internal/figures/scale.go
+++ b/internal/figures/scale.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// scaleHeader are the columns of a table of gorselab scale: it varies the number of nodes alone, and plays each size once.
+// scaleHeader are the columns of a table of gorseledge-lab scale: it varies the number of nodes alone, and plays each size once.
 var scaleHeader = []string{"nodes", "kind", "nodes_of_kind", "phase", "cost", "unit", "value"}
 
 // scaleUnits are units that it gives a figure in, with this package's and the factor between them.
@@ -11,7 +11,7 @@
 	factor float64
 }{"cores": {"us/s", 1e6}, "part": {"1", 1}}
 
-// scaleRow reads one figure of gorselab scale.
+// scaleRow reads one figure of gorseledge-lab scale.
 func scaleRow(record []string) (r Row, err error) {
 	r = Row{Run: 1, Source: Source(record[1]), Dimension: "nodes", Phase: record[3], Cost: record[4], Unit: record[5]}
 	if r.Size, err = strconv.ParseFloat(record[0], 64); err != nil {
--- a/internal/rig/play_test.go
+++ b/internal/rig/play_test.go
@@ -20,7 +20,7 @@
 		panic(err)
 	}
 	program, hasty = filepath.Join(dir, "gorseledge"), filepath.Join(dir, "hasty")
-	serverProgram = filepath.Join(dir, "gorsecontrol")
+	serverProgram = filepath.Join(dir, "gorseledge-config")
 	oneServer = filepath.Join(dir, "oneserver")
 	code := 1
 	if compile(program, nodeCommand, "-race") && compile(hasty, nodeCommand, "-tags=hasty") &&
@@ -33,7 +33,7 @@
 
 const (
 	nodeCommand   = "gorseledge/cmd/gorseledge"
-	serverCommand = "gorseledge/cmd/gorsecontrol"
+	serverCommand = "gorseledge/cmd/gorseledge-config"
 )
 
 func compile(to, command string, flags ...string) bool {
--- a/internal/scale/play_test.go
+++ b/internal/scale/play_test.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		panic(err)
 	}
-	program, controlProgram = filepath.Join(dir, "gorseledge"), filepath.Join(dir, "gorsecontrol")
-	build := exec.Command("go", "build", "-o", dir, "gorseledge/cmd/gorseledge", "gorseledge/cmd/gorsecontrol")
+	program, controlProgram = filepath.Join(dir, "gorseledge"), filepath.Join(dir, "gorseledge-config")
+	build := exec.Command("go", "build", "-o", dir, "gorseledge/cmd/gorseledge", "gorseledge/cmd/gorseledge-config")
 	build.Stderr = os.Stderr
 	code := 1
 	if build.Run() == nil {
--- a/internal/scale/row_test.go
+++ b/internal/scale/row_test.go
@@ -16,7 +16,7 @@
 
 // A table is read as it was written, with where it comes from.
 func TestTableIsReadAsWritten(t *testing.T) {
-	from := []string{"gorselab scale test, seed 1", "beside it: nothing"}
+	from := []string{"gorseledge-lab scale test, seed 1", "beside it: nothing"}
 	text := CSV(from, someRows)
 	gotFrom, got, err := ReadCSV(bytes.NewReader(text))
 	if err != nil || !slices.Equal(got, someRows) || !slices.Equal(gotFrom, from) {
