--- a/internal/configfeed/controlfile/controlfile_golden_test.go
+++ b/internal/configfeed/controlfile/controlfile_golden_test.go
@@ -70,7 +70,7 @@
 		Name:      "c2",
 		Key:       "f0112233445566778899aabbccddeeff",
 		OldKey:    "ffeeddccbbaa998877665544332211f00f",
-		Directory: "/var/lib/gorseledge-config",
+		Directory: "/var/lib/gorsecontrol",
 		Writer:    "c1",
 		Servers: []Server{
 			{Name: "c1", Address: "127.0.0.1:7100", Region: "east"},
--- a/internal/figures/figures_golden_test.go
+++ b/internal/figures/figures_golden_test.go
@@ -58,7 +58,7 @@
 }
 
 func goldenTable() *Table {
-	return &Table{Name: "table", Provenance: Provenance{Command: "gorseledge-lab serving --stall 1s", Revision: "5fa7498",
+	return &Table{Name: "table", Provenance: Provenance{Command: "gorselab serving --stall 1s", Revision: "5fa7498",
 		Date: "2026-12-02 05:34 UTC", Cores: 8, Machine: "virtual machine; load at the end 1.25 2.5 3.75", Repeats: 3},
 		Rows: []Row{{1, Real, "connections", 1000, "held", "node.memory", "B", 3.85761e+07},
 			{2, Hollow, "nodes", 430, "rest", "node.cpu", "us/s", 47.25}, {3, Virtual, "nodes", 860, "death", "death.known_part", "1", 0.5},
--- a/internal/scale/scale_golden_test.go
+++ b/internal/scale/scale_golden_test.go
@@ -79,7 +79,7 @@
 }
 
 func TestGoldenTables(t *testing.T) {
-	provenance := []string{"command: gorseledge-lab scale test, seed 1", "beside it: nothing"}
+	provenance := []string{"command: gorselab scale test, seed 1", "beside it: nothing"}
 	rows := goldenRows()
 	checkGolden(t, "scale.csv", CSV(provenance, rows))
 	gotProvenance, got, err := ReadCSV(bytes.NewReader(readGolden(t, "scale.csv")))
