--- a/cmd/gorseledge-config/serve_test.go
+++ b/cmd/gorseledge-config/serve_test.go
@@ -4,14 +4,12 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"reflect"
 	"strings"
 	"syscall"
 	"testing"
 
 	"gorseledge/internal/configfeed"
 	"gorseledge/internal/configfeed/feedhttp"
-	"gorseledge/internal/configfeed/feedstore"
 )
 
 func TestATermSignalEndsAServerCleanly(t *testing.T) {
@@ -124,115 +122,6 @@
 	return true
 }
 
-// logOf gives the log of a server after some revisions, and what it holds.
-func logOf(t *testing.T, revisions int) ([]byte, configfeed.Stored) {
-	t.Helper()
-	directory := t.TempDir()
-	store, stored, err := feedstore.Open(directory)
-	if err != nil {
-		t.Fatal(err)
-	}
-	state := stored.State
-	for i := range revisions {
-		to := configfeed.Version{Epoch: 1, Revision: uint64(i + 1)}
-		entries := []configfeed.Entry{{Key: "nodes", Value: fmt.Sprint(i)}}
-		next, err := configfeed.NewState(to, entries)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r := configfeed.Revision{Delta: configfeed.Delta{From: state.Version, To: to, Set: entries, Digest: next.Digest}, Author: "test"}
-		if err := store.Save(next, []configfeed.Revision{r}); err != nil {
-			t.Fatal(err)
-		}
-		state = next
-	}
-	store.Close()
-	text, err := os.ReadFile(filepath.Join(directory, "configuration.db"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	_, stored, err = feedstore.Open(directory)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text, stored
-}
-
-// A byte that is not what it was is an error of one line, or makes no difference: it is in a page that is not in use.
-// A damaged head makes the library take the one before it, which is the state one write earlier.
-func TestAChangedByteOfTheLogIsNotBelieved(t *testing.T) {
-	text, whole := logOf(t, 40)
-	const step = 997    // a prime, so that all parts of a page come up
-	const sweeps = 20   // where a page's parts lie differs from log to log: further bytes are tried until a server has been
-	const between = 149 // bytes from one sweep to the next
-	served := newServers(t, 1)[0]
-	refused, servedRefused := 0, 0
-	var places []int
-	for sweep := range sweeps {
-		for at := 5 + sweep*between%step; at < len(text); at += step {
-			places = append(places, at)
-		}
-	}
-	first := (len(text) - 5 + step - 1) / step // places of the first sweep, all of which are tried
-	for i, at := range places {
-		if i >= first && servedRefused > 0 {
-			break
-		}
-		directory := t.TempDir()
-		path := filepath.Join(directory, "configuration.db")
-		changed := append([]byte(nil), text...)
-		changed[at] ^= 0x55
-		if err := os.WriteFile(path, changed, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if r := run(t, "check-log", directory); r.code != 0 {
-			refused++
-			if !r.oneLine(exitRefused, directory) {
-				t.Errorf("byte %d: %+v", at, r)
-			}
-			if strings.Contains(r.errors, "page ") && servedRefused < 3 { // it takes the library's own check to see it
-				servedRefused++
-				copyDirectory(t, directory, served.config.Directory)
-				if r := run(t, "serve", served.file); !r.oneLine(exitRefused, "page ") {
-					t.Errorf("byte %d, served: %+v", at, r)
-				}
-			}
-			continue
-		}
-		store, stored, err := feedstore.Open(directory)
-		if err != nil {
-			t.Errorf("byte %d: it was good, and then %v", at, err)
-			continue
-		}
-		store.Close()
-		earlier := len(stored.History) == len(whole.History)-1 && reflect.DeepEqual(stored.History, whole.History[:len(stored.History)])
-		if !earlier && !reflect.DeepEqual(stored, whole) {
-			t.Errorf("byte %d: it was taken for %d revisions, version %v", at, len(stored.History), stored.State.Version)
-		}
-	}
-	if refused == 0 || servedRefused == 0 {
-		t.Errorf("%d changes were refused, and %d of them tried with a server", refused, servedRefused)
-	}
-}
-
-func TestAServerDoesNotStartWithALogThatIsCutShort(t *testing.T) {
-	text, _ := logOf(t, 40)
-	s := newServers(t, 1)[0]
-	if err := os.MkdirAll(s.config.Directory, 0o700); err != nil {
-		t.Fatal(err)
-	}
-	path := filepath.Join(s.config.Directory, "configuration.db")
-	// The last part of the file is room for what comes next: half of it is certainly too little.
-	for _, size := range []int{1, 100, os.Getpagesize(), 2*os.Getpagesize() + 1, len(text) / 2} {
-		if err := os.WriteFile(path, text[:size], 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if r := run(t, "serve", s.file); !r.oneLine(exitRefused, s.config.Directory) {
-			t.Errorf("%d of %d bytes: %+v", size, len(text), r)
-		}
-	}
-}
-
 func TestASecondServerOfADirectoryDoesNotStart(t *testing.T) {
 	s := newServers(t, 1)[0]
 	s.start()
