--- a/cmd/gorseledge-config/apply.go
+++ b/cmd/gorseledge-config/apply.go
@@ -90,7 +90,7 @@
 			}
 			state, err := s.client.State(cmd.Context(), s.writer().Address, revision)
 			if err != nil {
-				return calledError(s.writer().Name, err)
+				return callError(s.writer().Name, err)
 			}
 			if note == "" {
 				note = fmt.Sprintf("revert to revision %d", revision)
@@ -117,7 +117,7 @@
 			outcome, err := s.client.NewEpoch(cmd.Context(), s.writer().Address,
 				feedhttp.EpochRequest{IfVersion: newest, Author: author(), Note: note})
 			if err != nil {
-				return calledError(s.writer().Name, err)
+				return callError(s.writer().Name, err)
 			}
 			return report(cmd, outcome)
 		})}
@@ -129,7 +129,7 @@
 func (s *session) newest(cmd *cobra.Command) (configfeed.Version, error) {
 	status, err := s.client.Status(cmd.Context(), s.writer().Address)
 	if err != nil {
-		return configfeed.Version{}, calledError(s.writer().Name, err)
+		return configfeed.Version{}, callError(s.writer().Name, err)
 	}
 	return status.Version, nil
 }
@@ -139,7 +139,7 @@
 	p.ID, p.Author = feedhttp.NewProposalID(), author()
 	outcome, err := s.client.Apply(cmd.Context(), s.writer().Address, p)
 	if err != nil {
-		return calledError(s.writer().Name, err)
+		return callError(s.writer().Name, err)
 	}
 	return report(cmd, outcome)
 }
--- a/cmd/gorseledge-config/cost_test.go
+++ b/cmd/gorseledge-config/cost_test.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	shareOfNodes    = 172 // that follow one of five servers
+	nodesPerServer  = 172 // that follow one of five servers
 	measuredSeconds = 20
 	ticksPerSecond  = 100 // of the processor times in /proc
 )
@@ -88,7 +88,7 @@
 func followAll(b *testing.B, s *server) (nodes []*feedhttp.Follower, stop func()) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var running sync.WaitGroup
-	for i := range shareOfNodes {
+	for i := range nodesPerServer {
 		config := configfeed.FollowerConfig{Name: fmt.Sprint("n", i), Region: "r1", Seed: uint64(i), Wait: 2,
 			Servers: []configfeed.ServerAddress{{Name: "c1", Address: s.address(), Region: "r1"}}}
 		node := feedhttp.NewFollower(feedhttp.FollowerOptions{Fleet: s.config.Fleet, Keys: s.config.Keys, Config: config,
@@ -106,7 +106,7 @@
 	s := startOne(b, plain)
 	nodes, stop := followAll(b, s)
 	defer stop()
-	eventually(b, "all nodes poll", func() bool { return s.status().Nodes == shareOfNodes })
+	eventually(b, "all nodes poll", func() bool { return s.status().Nodes == nodesPerServer })
 	before, traffic, began := usageOf(b, s.process.Process.Pid), trafficOf(nodes), time.Now()
 	client := s.client()
 	for i := range changes {
@@ -122,12 +122,12 @@
 	after, moved := usageOf(b, s.process.Process.Pid), trafficOf(nodes)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	b.ReportMetric(float64(runtime.NumGoroutine())/shareOfNodes, "goroutines/node")
-	b.ReportMetric(float64(memory.HeapInuse+memory.StackInuse)/1024/shareOfNodes, "kB/node")
+	b.ReportMetric(float64(runtime.NumGoroutine())/nodesPerServer, "goroutines/node")
+	b.ReportMetric(float64(memory.HeapInuse+memory.StackInuse)/1024/nodesPerServer, "kB/node")
 	b.ReportMetric((after.processor-before.processor)/seconds*100, "%core")
 	b.ReportMetric(float64(after.resident)/1024, "MB")
 	b.ReportMetric(float64(moved.Requests-traffic.Requests)/seconds, "polls/s")
-	b.ReportMetric(float64(moved.BytesSent+moved.BytesReceived-traffic.BytesSent-traffic.BytesReceived)/seconds/shareOfNodes, "B/s/node")
+	b.ReportMetric(float64(moved.BytesSent+moved.BytesReceived-traffic.BytesSent-traffic.BytesReceived)/seconds/nodesPerServer, "B/s/node")
 }
 
 // BenchmarkStartOfAllNodesWithALargeState measures one server while 172 nodes without any state start at once and take
@@ -151,11 +151,11 @@
 		b.ReportMetric(seconds, "s")
 		b.ReportMetric(after.processor-before.processor, "core-s")
 		b.ReportMetric(float64(after.peak)/1024, "MB")
-		b.ReportMetric(float64(trafficOf(nodes).BytesReceived)/shareOfNodes, "B/node")
+		b.ReportMetric(float64(trafficOf(nodes).BytesReceived)/nodesPerServer, "B/node")
 	}
 }
 
-// fillState applies changes until the state is close to the largest one, and gives its version.
+// fillState applies changes until the state is close to the largest one, and returns its version.
 func fillState(b *testing.B, s *server) (last configfeed.Version) {
 	b.Helper()
 	const entriesEach, changes = 1200, 16
--- a/cmd/gorseledge-config/epoch_test.go
+++ b/cmd/gorseledge-config/epoch_test.go
@@ -43,7 +43,7 @@
 	s.untilReady()
 	s.apply("1", 2)
 	node := follow(t, s)
-	eventually(t, "the node has the second revision", func() bool { return node.View().Version == at(2) })
+	eventually(t, "the node has the second revision", func() bool { return node.View().Version == revision(2) })
 	s.end(syscall.SIGKILL)
 	copyDirectory(t, backup, s.config.Directory)
 	s.start()
@@ -51,7 +51,7 @@
 	if r := s.command("apply", document(t, "nodes = 3\n"), "--if-revision", "1"); !r.oneLine(exitRefused, "not ready: version 1.2 was seen") {
 		t.Errorf("%+v", r)
 	}
-	if v := node.View().Version; v != at(2) {
+	if v := node.View().Version; v != revision(2) {
 		t.Errorf("the node has gone back to %v", v)
 	}
 	if r := s.command("new-epoch", "--note", "the disk was lost"); r.code != 0 {
--- a/cmd/gorseledge-config/history.go
+++ b/cmd/gorseledge-config/history.go
@@ -11,7 +11,7 @@
 	"gorseledge/internal/configfeed"
 )
 
-const usualHistory = 20 // revisions that are shown
+const defaultHistoryLength = 20 // revisions that are shown
 
 func historyCommand(s *session) *cobra.Command {
 	var limit uint64
@@ -20,7 +20,7 @@
 		RunE: s.run(func(cmd *cobra.Command, args []string) error {
 			history, err := s.client.History(cmd.Context(), s.writer().Address, limit)
 			if err != nil {
-				return calledError(s.writer().Name, err)
+				return callError(s.writer().Name, err)
 			}
 			if asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(history)
@@ -32,7 +32,7 @@
 			}
 			return table.Flush()
 		})}
-	c.Flags().Uint64Var(&limit, "limit", usualHistory, "how many")
+	c.Flags().Uint64Var(&limit, "limit", defaultHistoryLength, "how many")
 	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	c.Flags().BoolVar(&values, "values", false, "show the keys and values too")
 	return c
--- a/cmd/gorseledge-config/log_damage_test.go
+++ b/cmd/gorseledge-config/log_damage_test.go
@@ -37,7 +37,7 @@
 	firstDataPage      = 2 // after the two meta pages
 )
 
-// logOf gives the log of a server after some revisions, and what it holds.
+// logOf returns the log of a server after some revisions, and what it holds.
 func logOf(t *testing.T, revisions int) ([]byte, configfeed.Stored) {
 	t.Helper()
 	directory := t.TempDir()
@@ -147,7 +147,7 @@
 	refused int
 }
 
-// changedLog writes the log with one byte changed, and gives its directory.
+// changedLog writes the log with one byte changed, and returns its directory.
 func (d *damageTrial) changedLog(offset int) string {
 	d.t.Helper()
 	directory := d.t.TempDir()
--- a/cmd/gorseledge-config/main.go
+++ b/cmd/gorseledge-config/main.go
@@ -31,7 +31,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	err := root().ExecuteContext(ctx)
+	err := rootCommand().ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, errorPrefix+err.Error())
@@ -49,8 +49,8 @@
 	return &refusedError{cause: fmt.Errorf(format, values...)}
 }
 
-// calledError gives the error of a call to a server, by what it says of the input.
-func calledError(server string, err error) error {
+// callError returns the error of a call to a server, by what it says of the input.
+func callError(server string, err error) error {
 	status := (*feedhttp.StatusError)(nil)
 	if errors.As(err, &status) && status.Code == http.StatusBadRequest {
 		return errors.New(status.Text)
@@ -87,13 +87,13 @@
 	return nil
 }
 
-// writer gives the server that takes proposals.
+// writer returns the server that takes proposals.
 func (s *session) writer() controlfile.Server {
 	server, _ := s.config.Server(s.config.Writer) // checked when the file was read
 	return server
 }
 
-// run gives a command's function: it opens the session first and bounds the command's time.
+// run returns a command's function: it opens the session first and bounds the command's time.
 func (s *session) run(do func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := s.open(); err != nil {
@@ -107,7 +107,7 @@
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	s := &session{}
 	top := &cobra.Command{Use: "gorseledge-config", Short: "Distributes the configuration of a fleet to its nodes",
 		Long: "Runs a control server, and changes and watches the configuration that the control servers distribute.\n" +
--- a/cmd/gorseledge-config/main_test.go
+++ b/cmd/gorseledge-config/main_test.go
@@ -19,7 +19,7 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-const patience = 30 * time.Second // for what has to come in the end
+const eventualTimeout = 30 * time.Second // for what has to come in the end
 
 var program string
 
@@ -94,7 +94,7 @@
 	return servers
 }
 
-// freeAddress gives an address that nobody listens at.
+// freeAddress returns an address that nobody listens at.
 func freeAddress(t testing.TB, number int) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.8.%d.%d:0", os.Getpid()%250, number))
@@ -138,7 +138,7 @@
 
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(eventualTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("not in time: %s", what)
 		}
@@ -159,7 +159,7 @@
 
 func run(t testing.TB, arguments ...string) result {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), eventualTimeout)
 	defer cancel()
 	c := exec.CommandContext(ctx, program, arguments...)
 	var out, errs output
@@ -171,12 +171,12 @@
 	return result{code: c.ProcessState.ExitCode(), out: out.String(), errors: errs.String()}
 }
 
-// oneLine tells whether a command ended with one line of error that says something.
+// oneLine reports whether a command ended with one line of error that says something.
 func (r result) oneLine(code int, says string) bool {
 	return r.code == code && strings.HasPrefix(r.errors, errorPrefix) && strings.Count(r.errors, "\n") == 1 && strings.Contains(r.errors, says)
 }
 
-// document writes a live configuration and gives its path.
+// document writes a live configuration and returns its path.
 func document(t testing.TB, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "live.toml")
@@ -215,7 +215,7 @@
 	return status
 }
 
-// client gives a client of the fleet.
+// client returns a client of the fleet.
 func (s *server) client() *feedhttp.Client {
 	c := feedhttp.NewClient(s.config.Fleet, s.config.Keys, nil)
 	s.t.Cleanup(c.Close)
--- a/cmd/gorseledge-config/output_golden_test.go
+++ b/cmd/gorseledge-config/output_golden_test.go
@@ -82,9 +82,9 @@
 		Nodes:   43,
 		Current: 41,
 		Oldest:  configfeed.Version{Epoch: 1, Revision: 3},
-		Lagging: []laggard{{
+		Lagging: []laggingNode{{
 			FollowerStatus: configfeed.FollowerStatus{Name: "node-17", Server: true, Region: "west",
-				Have: configfeed.Version{Epoch: 1, Revision: 3}, Since: 1764650000.25, Heard: 1764650060.5,
+				Have: configfeed.Version{Epoch: 1, Revision: 3}, HaveSince: 1764650000.25, LastHeard: 1764650060.5,
 				Refused: &configfeed.Refusal{Version: configfeed.Version{Epoch: 2, Revision: 17},
 					Reason: "limits.sockets: 64 needed"}},
 			Lag: 12.5, AtLeast: true, Server: "c2", HeardAgo: 1.25}},
@@ -181,7 +181,7 @@
 // transcript runs a command in this process and returns its exit code and what it writes to standard output. The words
 // of an error are for people and not part of it.
 func transcript(arguments ...string) string {
-	command := root()
+	command := rootCommand()
 	var out bytes.Buffer
 	command.SetOut(&out)
 	command.SetArgs(arguments)
@@ -231,7 +231,7 @@
 	var text bytes.Buffer
 	for _, kind := range []configfeed.OutcomeKind{"accepted", "conflict", "no_change", "not_writer", "not_ready",
 		"too_large", "invalid", "failed", "other"} {
-		command := root()
+		command := rootCommand()
 		var out bytes.Buffer
 		command.SetOut(&out)
 		err := report(command, configfeed.Outcome{Kind: kind, Version: configfeed.Version{Epoch: 2, Revision: 17},
--- a/cmd/gorseledge-config/serve.go
+++ b/cmd/gorseledge-config/serve.go
@@ -64,7 +64,7 @@
 	return server.Serve(ctx, listener)
 }
 
-// serverConfig gives what the core is told of a control file.
+// serverConfig returns what the core is told of a control file.
 func serverConfig(config controlfile.Config) configfeed.ServerConfig {
 	own, _ := config.Server(config.Name)
 	c := configfeed.ServerConfig{Name: own.Name, Region: own.Region, Writer: config.Writer,
--- a/cmd/gorseledge-config/serve_test.go
+++ b/cmd/gorseledge-config/serve_test.go
@@ -112,7 +112,7 @@
 	servers[0].apply("1.1", 2)
 }
 
-// allAt tells whether every server has a revision of the first epoch.
+// allAt reports whether every server has a revision of the first epoch.
 func allAt(status fleetStatus, revision uint64) bool {
 	for _, s := range status.Servers {
 		if s.Version != (configfeed.Version{Epoch: 1, Revision: revision}) {
--- a/cmd/gorseledge-config/status.go
+++ b/cmd/gorseledge-config/status.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	serverTimeout = 3 * time.Second // for one server's answer
-	lagHistory    = 200             // revisions that are looked at for how long a node lags
+	serverTimeout    = 3 * time.Second // for one server's answer
+	lagHistoryLength = 200             // revisions that are looked at for how long a node lags
 )
 
 // serverReport is what one server said of itself.
@@ -32,8 +32,8 @@
 	Nodes    int                `json:"nodes"`              // that poll it, as it knows
 }
 
-// laggard is a node that does not have the newest version.
-type laggard struct {
+// laggingNode is a node that does not have the newest version.
+type laggingNode struct {
 	configfeed.FollowerStatus
 	Lag      float64 `json:"lag_s"`       // since the first revision that it lacks
 	AtLeast  bool    `json:"at_least"`    // the history does not reach that revision
@@ -49,7 +49,7 @@
 	Nodes   int                `json:"nodes"`
 	Current int                `json:"current"` // nodes that have the newest version
 	Oldest  configfeed.Version `json:"oldest"`  // that any node has
-	Lagging []laggard          `json:"lagging"`
+	Lagging []laggingNode      `json:"lagging"`
 }
 
 func statusCommand(s *session) *cobra.Command {
@@ -57,8 +57,8 @@
 	c := &cobra.Command{Use: "status", Short: "Show who has the newest revision, who lags and who refused it", Args: cobra.NoArgs,
 		Long: "Asks every server and puts their answers together. Ends with 1 where a server did not answer.",
 		RunE: s.run(func(cmd *cobra.Command, args []string) error {
-			statuses := s.askAll(cmd.Context())
-			history := s.anyHistory(cmd.Context(), statuses)
+			statuses := s.queryAll(cmd.Context())
+			history := s.firstHistory(cmd.Context(), statuses)
 			now := float64(time.Now().UnixNano()) / 1e9
 			status := mergeStatus(now, s.config, statuses, history)
 			var err error
@@ -67,14 +67,14 @@
 			} else {
 				err = writeStatus(cmd.OutOrStdout(), status)
 			}
-			return cmp.Or(err, unanswered(status))
+			return cmp.Or(err, missingServersError(status))
 		})}
 	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return c
 }
 
-// unanswered is the error of a status in which servers are missing.
-func unanswered(status fleetStatus) error {
+// missingServersError is the error of a status in which servers are missing.
+func missingServersError(status fleetStatus) error {
 	missing := 0
 	for _, server := range status.Servers {
 		if server.Error != "" {
@@ -94,8 +94,8 @@
 	err    error
 }
 
-// askAll asks all servers at once.
-func (s *session) askAll(ctx context.Context) []serverAnswer {
+// queryAll asks all servers at once.
+func (s *session) queryAll(ctx context.Context) []serverAnswer {
 	ctx, cancel := context.WithTimeout(ctx, serverTimeout)
 	defer cancel()
 	answers := make([]serverAnswer, len(s.config.Servers))
@@ -110,13 +110,13 @@
 	return answers
 }
 
-// anyHistory gives the newest revisions by the first server that tells them; every server has them.
-func (s *session) anyHistory(ctx context.Context, answers []serverAnswer) []configfeed.Revision {
+// firstHistory returns the newest revisions by the first server that tells them; every server has them.
+func (s *session) firstHistory(ctx context.Context, answers []serverAnswer) []configfeed.Revision {
 	for _, answer := range answers {
 		if answer.err != nil {
 			continue
 		}
-		if history, err := s.client.History(ctx, answer.server.Address, lagHistory); err == nil {
+		if history, err := s.client.History(ctx, answer.server.Address, lagHistoryLength); err == nil {
 			return history.Revisions
 		}
 	}
@@ -125,8 +125,8 @@
 
 // mergeStatus puts the servers' answers together. A node that several know counts as the one that heard it last says.
 func mergeStatus(now float64, config controlfile.Config, answers []serverAnswer, history []configfeed.Revision) fleetStatus {
-	status := fleetStatus{Writer: config.Writer, Lagging: []laggard{}}
-	nodes := map[string]laggard{}
+	status := fleetStatus{Writer: config.Writer, Lagging: []laggingNode{}}
+	nodes := map[string]laggingNode{}
 	for _, answer := range answers {
 		report := serverReport{Name: answer.server.Name, Region: answer.server.Region}
 		if answer.err != nil {
@@ -146,8 +146,8 @@
 				continue
 			}
 			report.Nodes++
-			if known, found := nodes[follower.Name]; !found || known.Heard < follower.Heard {
-				nodes[follower.Name] = laggard{FollowerStatus: follower, Server: answer.server.Name}
+			if known, found := nodes[follower.Name]; !found || known.LastHeard < follower.LastHeard {
+				nodes[follower.Name] = laggingNode{FollowerStatus: follower, Server: answer.server.Name}
 			}
 		}
 		status.Servers = append(status.Servers, report)
@@ -163,7 +163,7 @@
 			continue
 		}
 		node.Lag, node.AtLeast = lag(now, node.Have, history)
-		node.HeardAgo = max(now-node.Heard, 0)
+		node.HeardAgo = max(now-node.LastHeard, 0)
 		status.Lagging = append(status.Lagging, node)
 	}
 	return status
--- a/cmd/gorseledge-config/status_test.go
+++ b/cmd/gorseledge-config/status_test.go
@@ -9,28 +9,30 @@
 	"gorseledge/internal/configfeed/controlfile"
 )
 
-func at(revision uint64) configfeed.Version { return configfeed.Version{Epoch: 1, Revision: revision} }
+func revision(revision uint64) configfeed.Version {
+	return configfeed.Version{Epoch: 1, Revision: revision}
+}
 
 func TestStatusOfAllServersIsPutTogether(t *testing.T) {
 	const now = 1000.0
 	config := controlfile.Config{Writer: "c1", Servers: []controlfile.Server{{Name: "c1"}, {Name: "c2"}, {Name: "c3"}}}
-	refusal := &configfeed.Refusal{Version: at(3), Reason: "too many sockets"}
+	refusal := &configfeed.Refusal{Version: revision(3), Reason: "too many sockets"}
 	answers := []serverAnswer{
-		{server: config.Servers[0], status: configfeed.ServerStatus{Name: "c1", Writer: "c1", Version: at(3), Followers: []configfeed.FollowerStatus{
-			{Name: "c2", Server: true, Have: at(3)},
-			{Name: "n1", Have: at(3), Heard: 999},
-			{Name: "n2", Have: at(1), Heard: 900}, // has moved to c2
+		{server: config.Servers[0], status: configfeed.ServerStatus{Name: "c1", Writer: "c1", Version: revision(3), Followers: []configfeed.FollowerStatus{
+			{Name: "c2", Server: true, Have: revision(3)},
+			{Name: "n1", Have: revision(3), LastHeard: 999},
+			{Name: "n2", Have: revision(1), LastHeard: 900}, // has moved to c2
 		}}},
-		{server: config.Servers[1], status: configfeed.ServerStatus{Name: "c2", Writer: "c1", Version: at(3), Followers: []configfeed.FollowerStatus{
-			{Name: "n2", Have: at(3), Heard: 998},
-			{Name: "n3", Have: at(2), Heard: 997, Refused: refusal},
-			{Name: "n4", Have: configfeed.Version{}, Heard: 990},
+		{server: config.Servers[1], status: configfeed.ServerStatus{Name: "c2", Writer: "c1", Version: revision(3), Followers: []configfeed.FollowerStatus{
+			{Name: "n2", Have: revision(3), LastHeard: 998},
+			{Name: "n3", Have: revision(2), LastHeard: 997, Refused: refusal},
+			{Name: "n4", Have: configfeed.Version{}, LastHeard: 990},
 		}}},
 		{server: config.Servers[2], err: errors.New("connection refused")},
 	}
-	history := []configfeed.Revision{{Delta: configfeed.Delta{From: at(1), To: at(2)}, At: 900}, {Delta: configfeed.Delta{From: at(2), To: at(3)}, At: 960}}
+	history := []configfeed.Revision{{Delta: configfeed.Delta{From: revision(1), To: revision(2)}, At: 900}, {Delta: configfeed.Delta{From: revision(2), To: revision(3)}, At: 960}}
 	status := mergeStatus(now, config, answers, history)
-	if status.Nodes != 4 || status.Current != 2 || status.Newest != at(3) || status.Oldest != (configfeed.Version{}) || len(status.Lagging) != 2 {
+	if status.Nodes != 4 || status.Current != 2 || status.Newest != revision(3) || status.Oldest != (configfeed.Version{}) || len(status.Lagging) != 2 {
 		t.Fatalf("%+v", status)
 	}
 	n3, n4 := status.Lagging[0], status.Lagging[1]
@@ -50,7 +52,7 @@
 			t.Errorf("%q is missing in\n%s", row, &text)
 		}
 	}
-	if err := unanswered(status); err == nil || exitCode(err) != exitRefused {
+	if err := missingServersError(status); err == nil || exitCode(err) != exitRefused {
 		t.Errorf("%v", err)
 	}
 }
--- a/cmd/gorseledge-config/statustable.go
+++ b/cmd/gorseledge-config/statustable.go
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("%s\t%s\t%s\t%d\t%s", server.Name, server.Region, server.Version, server.Nodes, state)
 }
 
-func nodeRow(node laggard) string {
+func nodeRow(node laggingNode) string {
 	bound := ""
 	if node.AtLeast {
 		bound = "over "
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -114,18 +114,18 @@
 		return nil, err
 	}
 	if key := p.Size.missing(); key != "" {
-		return nil, strict.Place{Table: "size", Key: key}.Wrong(path, text, fmt.Errorf("%s is missing or not over nothing", key))
+		return nil, strict.Place{Table: "size", Key: key}.Wrap(path, text, fmt.Errorf("%s is missing or not over nothing", key))
 	}
 	quantities := p.quantities()
 	for i, a := range p.Assumed {
 		if a.Name == "" || a.Why == "" {
-			return nil, strict.Place{Table: "assumed", Nth: i, Key: "name"}.Wrong(path, text,
+			return nil, strict.Place{Table: "assumed", Index: i, Key: "name"}.Wrap(path, text,
 				errors.New("an assumption has a name, and why it is made"))
 		}
 	}
 	for i, row := range p.Rows {
 		if key, err := row.check(quantities); err != nil {
-			return nil, strict.Place{Table: "row", Nth: i, Key: key}.Wrong(path, text, fmt.Errorf("%s: %w", row.Name, err))
+			return nil, strict.Place{Table: "row", Index: i, Key: key}.Wrap(path, text, fmt.Errorf("%s: %w", row.Name, err))
 		}
 	}
 	return p, nil
--- a/internal/configfeed/changes.go
+++ b/internal/configfeed/changes.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// maxWaiting is how many proposals may wait for the save under way.
-const maxWaiting = 64
+// maxQueuedChanges is how many proposals may wait for the save under way.
+const maxQueuedChanges = 64
 
 // change is a proposal, or a new epoch that an operator asked for, and who waits for its outcome.
 type change struct {
@@ -21,8 +21,8 @@
 	author, note string
 }
 
-// saving is the save under way.
-type saving struct {
+// saveInProgress is the save under way.
+type saveInProgress struct {
 	save   Save
 	change *change // that is saved, or nil
 	peer   *peer   // whose offer is saved, or nil
@@ -33,53 +33,53 @@
 // older state; while a server or follower has shown a newer version than the writer's; and while another server has
 // other entries under the writer's version.
 func (s *Server) Propose(now float64, request uint64, p Proposal) []ServerEffect {
-	if waiting := s.waiting(p.ID); waiting != nil {
+	if waiting := s.findChange(p.ID); waiting != nil {
 		waiting.requests = append(waiting.requests, request)
-		return s.take()
+		return s.takeEffects()
 	}
 	s.enqueue(now, &change{requests: []uint64{request}, proposal: &p})
-	return s.take()
+	return s.takeEffects()
 }
 
 // NewEpoch begins an epoch with the entries that the writer has, as an operator asks for after a backup was restored.
 // Zero draws the one after the highest seen; any other has to be higher than that.
 func (s *Server) NewEpoch(now float64, request uint64, epoch uint64, author, note string) []ServerEffect {
 	s.enqueue(now, &change{requests: []uint64{request}, epoch: epochRequest{number: epoch, author: author, note: note}})
-	return s.take()
+	return s.takeEffects()
 }
 
-// waiting gives the change with a proposal's ID that is being saved or waits, or nil.
-func (s *Server) waiting(id string) *change {
-	if s.saving != nil && s.saving.change.holds(id) {
+// findChange returns the change with a proposal's ID that is being saved or waits, or nil.
+func (s *Server) findChange(id string) *change {
+	if s.saving != nil && s.saving.change.isProposal(id) {
 		return s.saving.change
 	}
-	for _, c := range s.proposals {
-		if c.holds(id) {
+	for _, c := range s.queue {
+		if c.isProposal(id) {
 			return c
 		}
 	}
 	return nil
 }
 
-// holds tells whether the change is the proposal with an ID.
-func (c *change) holds(id string) bool {
+// isProposal reports whether the change is the proposal with an ID.
+func (c *change) isProposal(id string) bool {
 	return c != nil && c.proposal != nil && c.proposal.ID == id && id != ""
 }
 
 func (s *Server) enqueue(now float64, c *change) {
 	switch {
-	case !s.writer():
-		s.settle(c, Outcome{Kind: NotWriter, Writer: s.config.Writer})
-	case len(s.proposals) >= maxWaiting:
-		s.settle(c, Outcome{Kind: NotReady, Detail: "too many proposals wait"})
+	case !s.isWriter():
+		s.answerChange(c, Outcome{Kind: NotWriter, Writer: s.config.Writer})
+	case len(s.queue) >= maxQueuedChanges:
+		s.answerChange(c, Outcome{Kind: NotReady, Detail: "too many proposals wait"})
 	default:
-		s.proposals = append(s.proposals, c)
-		s.proceed(now)
+		s.queue = append(s.queue, c)
+		s.startNextSave(now)
 	}
 }
 
-// settle tells all who wait for a change what became of it.
-func (s *Server) settle(c *change, o Outcome) {
+// answerChange describes all who wait for a change what became of it.
+func (s *Server) answerChange(c *change, o Outcome) {
 	if o.Version == (Version{}) {
 		o.Version = s.state.Version
 	}
@@ -88,39 +88,39 @@
 	}
 }
 
-// proceed begins the next save, if none is under way: of what another server offers, else of what was proposed.
-func (s *Server) proceed(now float64) {
+// startNextSave begins the next save, if none is under way: of what another server offers, else of what was proposed.
+func (s *Server) startNextSave(now float64) {
 	for s.saving == nil {
 		if p := s.bestOffer(now); p != nil {
-			s.begin(saving{save: Save{State: p.offer.State, Revisions: p.offer.revisions}, peer: p})
+			s.startSave(saveInProgress{save: Save{State: p.offer.State, Revisions: p.offer.revisions}, peer: p})
 			return
 		}
-		if len(s.proposals) == 0 {
+		if len(s.queue) == 0 {
 			return
 		}
-		c := s.proposals[0]
-		s.proposals = s.proposals[1:]
+		c := s.queue[0]
+		s.queue = s.queue[1:]
 		revision, next, refused := s.revise(now, c)
 		if refused != nil {
-			s.settle(c, *refused)
+			s.answerChange(c, *refused)
 			continue
 		}
-		s.begin(saving{save: Save{State: next, Revisions: []Revision{revision}}, change: c})
+		s.startSave(saveInProgress{save: Save{State: next, Revisions: []Revision{revision}}, change: c})
 		if s.rules.answerUnsaved {
-			s.settle(c, Outcome{Kind: Accepted, Version: next.Version})
+			s.answerChange(c, Outcome{Kind: Accepted, Version: next.Version})
 		}
 	}
 }
 
-// begin asks for a save.
-func (s *Server) begin(next saving) {
+// startSave asks for a save.
+func (s *Server) startSave(next saveInProgress) {
 	s.lastSave++
 	next.save.ID = s.lastSave
 	s.saving = &next
 	s.emit(next.save)
 }
 
-// revise gives the revision and the state that a change leads to, or the outcome where it does not lead to any.
+// revise returns the revision and the state that a change leads to, or the outcome where it does not lead to any.
 func (s *Server) revise(now float64, c *change) (Revision, State, *Outcome) {
 	if c.proposal == nil {
 		return s.reviseEpoch(now, c.epoch)
@@ -157,7 +157,7 @@
 	return Revision{Delta: delta, At: now, Author: p.Author, Note: p.Note, Proposal: p.ID}, next, nil
 }
 
-// reviseEpoch gives the revision that begins an epoch with the entries of now.
+// reviseEpoch returns the revision that begins an epoch with the entries of now.
 func (s *Server) reviseEpoch(now float64, e epochRequest) (Revision, State, *Outcome) {
 	if e.number == 0 {
 		e.number = s.newest.Epoch + 1
@@ -177,7 +177,7 @@
 func (s *Server) notReady() string {
 	heard := 1
 	for _, p := range s.peers {
-		if p.known {
+		if p.heardSinceStart {
 			heard++
 		}
 		if p.diverged(s.state.Version) {
@@ -202,18 +202,18 @@
 	done := s.saving
 	s.saving = nil
 	if err != nil {
-		s.failed(now, done, err)
+		s.saveFailed(now, done, err)
 	} else {
-		s.commit(now, done)
+		s.commitSave(now, done)
 	}
-	s.proceed(now)
-	return s.take()
+	s.startNextSave(now)
+	return s.takeEffects()
 }
 
-// failed takes that a save did not succeed. The state stays as it is.
-func (s *Server) failed(now float64, done *saving, err error) {
+// saveFailed takes that a save did not succeed. The state stays as it is.
+func (s *Server) saveFailed(now float64, done *saveInProgress, err error) {
 	if done.change != nil {
-		s.settle(done.change, Outcome{Kind: Failed, Detail: err.Error()})
+		s.answerChange(done.change, Outcome{Kind: Failed, Detail: err.Error()})
 	}
 	if done.peer != nil {
 		done.peer.offer = nil
@@ -221,16 +221,16 @@
 	}
 }
 
-// commit takes a state that is on disk: followers are answered with it, servers first.
-func (s *Server) commit(now float64, done *saving) {
+// commitSave takes a state that is on disk: followers are answered with it, servers first.
+func (s *Server) commitSave(now float64, done *saveInProgress) {
 	s.state = done.save.State
 	s.history.append(done.save.Revisions, s.state)
-	s.show(s.state.Version)
+	s.observeVersion(s.state.Version)
 	clear(s.updates)
-	s.answerAll()
+	s.answerPendingPolls()
 	if done.change != nil {
-		s.wrote = true
-		s.settle(done.change, Outcome{Kind: Accepted, Version: s.state.Version})
+		s.hasWritten = true
+		s.answerChange(done.change, Outcome{Kind: Accepted, Version: s.state.Version})
 	}
 	for _, p := range s.peers {
 		if p.offer == nil {
--- a/internal/configfeed/controlfile/controlfile.go
+++ b/internal/configfeed/controlfile/controlfile.go
@@ -49,7 +49,7 @@
 	return c, nil
 }
 
-// Server gives the server of a name; false where there is none.
+// Server returns the server of a name; false where there is none.
 func (c Config) Server(name string) (Server, bool) {
 	for _, s := range c.Servers {
 		if s.Name == name {
@@ -66,12 +66,12 @@
 	}
 	keys, wrongKey := fleetkey.Decode(c.Key, c.OldKey)
 	if wrongKey != nil {
-		return c, strict.Place{Key: wrongKey.Setting}.Wrong(path, text, wrongKey)
+		return c, strict.Place{Key: wrongKey.Setting}.Wrap(path, text, wrongKey)
 	}
 	c.Keys = keys
 	for _, check := range []func(Config) (strict.Place, error){checkSelf, checkServers, checkRoles, checkVia} {
 		if place, err := check(c); err != nil {
-			return c, place.Wrong(path, text, err)
+			return c, place.Wrap(path, text, err)
 		}
 	}
 	return c, nil
@@ -107,7 +107,7 @@
 func checkServers(c Config) (strict.Place, error) {
 	names, addresses := map[string]bool{}, map[netip.AddrPort]bool{}
 	for i, s := range c.Servers {
-		place := func(key string) strict.Place { return strict.Place{Table: "server", Nth: i, Key: key} }
+		place := func(key string) strict.Place { return strict.Place{Table: "server", Index: i, Key: key} }
 		if err := checkName("name", s.Name); err != nil {
 			return place("name"), err
 		}
--- a/internal/configfeed/feedhttp/authentication.go
+++ b/internal/configfeed/feedhttp/authentication.go
@@ -36,7 +36,7 @@
 	keys  [][]byte // the first one signs requests, all are accepted
 }
 
-// newNonce gives a nonce that is not used again.
+// newNonce returns a nonce that is not used again.
 func newNonce() string {
 	var nonce [nonceBytes]byte
 	rand.Read(nonce[:]) // never fails: it ends the program where the system gives no random bytes
@@ -51,7 +51,7 @@
 	h.Write(field)
 }
 
-// sum gives the MAC of a message; the purpose tells requests from answers.
+// sum returns the MAC of a message; the purpose tells requests from answers.
 func (a *authenticator) sum(key []byte, purpose, method, target, nonce string, body []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	for _, field := range []string{purpose, method, target, a.fleet, nonce} {
@@ -66,7 +66,7 @@
 // answerPurpose makes the status code part of what is authenticated.
 func answerPurpose(status int) string { return "answer " + http.StatusText(status) }
 
-// signRequest sets the headers of a request with this body and gives its nonce.
+// signRequest sets the headers of a request with this body and returns its nonce.
 func (a *authenticator) signRequest(r *http.Request, body []byte) (nonce string) {
 	nonce = newNonce()
 	r.Header.Set(headerFleet, a.fleet)
@@ -76,7 +76,7 @@
 	return nonce
 }
 
-// checkRequest gives the key that a request was signed with, or why it is not accepted.
+// checkRequest returns the key that a request was signed with, or why it is not accepted.
 func (a *authenticator) checkRequest(r *http.Request, body []byte) ([]byte, rejection) {
 	nonce := r.Header.Get(headerNonce)
 	mac, err := hex.DecodeString(r.Header.Get(headerMAC))
--- a/internal/configfeed/feedhttp/bodies_golden_test.go
+++ b/internal/configfeed/feedhttp/bodies_golden_test.go
@@ -127,7 +127,7 @@
 	_, state := goldenHistory()
 	return map[string]any{
 		"poll": &configfeed.Poll{Follower: "node-17", Server: true, Region: "east", Have: goldenVersion(1, 2),
-			Digest: revision.Delta.Digest, Refused: goldenRefusal(), Whole: true, Newest: goldenVersion(2, 2), Wait: 2.5},
+			Digest: revision.Delta.Digest, Refused: goldenRefusal(), NeedsSnapshot: true, Newest: goldenVersion(2, 2), Wait: 2.5},
 		"update": &configfeed.Update{Kind: configfeed.Changes, Server: "c2", Version: goldenVersion(2, 2), Isolated: true,
 			Deltas: []configfeed.Delta{revision.Delta}, Revisions: []configfeed.Revision{revision}, State: &state},
 		"proposal": &configfeed.Proposal{ID: "proposal-5", IfVersion: goldenVersion(2, 2), Entries: state.Entries,
@@ -140,10 +140,10 @@
 		"state":   &state,
 		"status": &configfeed.ServerStatus{Name: "c1", Region: "east", Writer: "c1", Version: goldenVersion(2, 2),
 			Digest: state.Digest, Newest: goldenVersion(3, 1), Isolated: true, NotReady: "version 3.1 was seen",
-			Peers: []configfeed.PeerStatus{{Name: "c2", Region: "west", Have: goldenVersion(2, 1), Heard: 1764650200.25,
-				Silent: true, Diverged: true}},
+			Peers: []configfeed.PeerStatus{{Name: "c2", Region: "west", Have: goldenVersion(2, 1), LastHeard: 1764650200.25,
+				Unresponsive: true, Diverged: true}},
 			Followers: []configfeed.FollowerStatus{{Name: "node-17", Server: true, Region: "east",
-				Have: goldenVersion(1, 2), Since: 1764650100.5, Heard: 1764650201.75, Refused: goldenRefusal()}}},
+				Have: goldenVersion(1, 2), HaveSince: 1764650100.5, LastHeard: 1764650201.75, Refused: goldenRefusal()}}},
 		"traffic": &Traffic{Requests: 11, Answers: 10, BytesSent: 4096, BytesReceived: 8192},
 	}
 }
--- a/internal/configfeed/feedhttp/cache.go
+++ b/internal/configfeed/feedhttp/cache.go
@@ -10,7 +10,7 @@
 
 const maxCachedUpdates = 32
 
-// updateKey tells updates of one server apart: two with the same key are equal (see configfeed.AnswerPoll).
+// updateKey describes updates of one server apart: two with the same key are equal (see configfeed.AnswerPoll).
 type updateKey struct {
 	kind         configfeed.UpdateKind
 	version      configfeed.Version
@@ -31,15 +31,15 @@
 	return key
 }
 
-// compressFrom is the size of an answer from which it is compressed, in bytes.
-const compressFrom = 1 << 10
+// minCompressedBytes is the size of an answer from which it is compressed, in bytes.
+const minCompressedBytes = 1 << 10
 
 // encodedAnswer is the body of an answer, and its form by gzip where that is smaller.
 type encodedAnswer struct{ text, compressed []byte }
 
 // compress adds the compressed form of an answer that is large.
 func (a *encodedAnswer) compress() {
-	if len(a.text) < compressFrom {
+	if len(a.text) < minCompressedBytes {
 		return
 	}
 	var out bytes.Buffer
@@ -57,7 +57,7 @@
 	answers map[updateKey]encodedAnswer
 }
 
-// encode gives an update as JSON. The caller must not change it.
+// encode returns an update as JSON. The caller must not change it.
 func (c *updateCache) encode(u configfeed.Update) (encodedAnswer, error) {
 	if u.Version != c.version || len(c.answers) >= maxCachedUpdates || c.answers == nil {
 		c.version, c.answers = u.Version, map[updateKey]encodedAnswer{}
--- a/internal/configfeed/feedhttp/caller.go
+++ b/internal/configfeed/feedhttp/caller.go
@@ -45,7 +45,7 @@
 	return c
 }
 
-// call sends a request to an address and gives the body of its answer. The error is a *StatusError where the server
+// call sends a request to an address and returns the body of its answer. The error is a *StatusError where the server
 // answered that it will not do what was asked.
 func (c *caller) call(ctx context.Context, address, method, target string, body []byte) ([]byte, error) {
 	if via, found := c.via[address]; found {
--- a/internal/configfeed/feedhttp/calls.go
+++ b/internal/configfeed/feedhttp/calls.go
@@ -48,7 +48,7 @@
 
 // poll holds a poll until the core answers it or its caller goes.
 func (s *Server) poll(r *http.Request, body []byte) (encodedAnswer, error) {
-	s.counts.polls.Add(1)
+	s.counters.polls.Add(1)
 	var p configfeed.Poll
 	if err := decode(body, &p); err != nil {
 		return encodedAnswer{}, err
@@ -77,7 +77,7 @@
 			s.core.Closed(now, request)
 			return nil
 		})
-		return encodedAnswer{}, errCallerGone
+		return encodedAnswer{}, errClientGone
 	}
 }
 
@@ -97,7 +97,7 @@
 
 // apply proposes entries and waits until they are on the disk or refused.
 func (s *Server) apply(r *http.Request, body []byte) (encodedAnswer, error) {
-	s.counts.applies.Add(1)
+	s.counters.applies.Add(1)
 	var p configfeed.Proposal
 	if err := decode(body, &p); err != nil {
 		return encodedAnswer{}, err
@@ -161,12 +161,12 @@
 	case <-s.loop.stopped:
 		return encodedAnswer{}, errStopping
 	case <-r.Context().Done():
-		return encodedAnswer{}, errCallerGone
+		return encodedAnswer{}, errClientGone
 	}
 }
 
-// inquire has the loop's goroutine read something of the core.
-func (s *Server) inquire(read func(now float64)) error {
+// readCore has the loop's goroutine read something of the core.
+func (s *Server) readCore(read func(now float64)) error {
 	done := make(chan struct{})
 	if !s.loop.post(func(now float64) []configfeed.ServerEffect {
 		defer close(done)
@@ -180,7 +180,7 @@
 }
 
 func (s *Server) currentStatus() (status configfeed.ServerStatus, err error) {
-	err = s.inquire(func(now float64) { status = s.core.Status(now) })
+	err = s.readCore(func(now float64) { status = s.core.Status(now) })
 	return status, err
 }
 
@@ -192,14 +192,14 @@
 	return encodeAnswer(status)
 }
 
-// history tells the newest revisions, as many as are asked for by the parameter limit and fit into an answer.
+// history describes the newest revisions, as many as are asked for by the parameter limit and fit into an answer.
 func (s *Server) history(r *http.Request, _ []byte) (encodedAnswer, error) {
-	limit, err := number(r, "limit", defaultHistoryLength)
+	limit, err := uintParameter(r, "limit", defaultHistoryLength)
 	if err != nil {
 		return encodedAnswer{}, err
 	}
 	var answer HistoryAnswer
-	err = s.inquire(func(now float64) {
+	err = s.readCore(func(now float64) {
 		answer = HistoryAnswer{Version: s.core.Status(now).Version, Revisions: newestRevisions(s.core.History(), limit)}
 	})
 	if err != nil {
@@ -208,7 +208,7 @@
 	return encodeAnswer(answer)
 }
 
-// newestRevisions gives a copy of the last revisions, oldest first.
+// newestRevisions returns a copy of the last revisions, oldest first.
 func newestRevisions(all []configfeed.Revision, limit uint64) []configfeed.Revision {
 	from, size := len(all), 0
 	for from > 0 && uint64(len(all)-from) < limit && size < maxHistoryBytes {
@@ -220,19 +220,19 @@
 	return slices.Clone(all[from:])
 }
 
-// state tells the whole configuration as of a revision of the present epoch: of the newest one without a parameter.
+// state describes the whole configuration as of a revision of the present epoch: of the newest one without a parameter.
 func (s *Server) state(r *http.Request, _ []byte) (encodedAnswer, error) {
 	status, err := s.currentStatus()
 	if err != nil {
 		return encodedAnswer{}, err
 	}
 	version := status.Version
-	if version.Revision, err = number(r, "revision", version.Revision); err != nil {
+	if version.Revision, err = uintParameter(r, "revision", version.Revision); err != nil {
 		return encodedAnswer{}, err
 	}
 	state, err := s.options.Store.At(version)
 	switch {
-	case errors.Is(err, configfeed.ErrOutOfReach):
+	case errors.Is(err, configfeed.ErrRevisionNotFound):
 		return encodedAnswer{}, &StatusError{Code: http.StatusNotFound,
 			Text: fmt.Sprintf("the history does not reach revision %d of epoch %d", version.Revision, version.Epoch)}
 	case err != nil:
@@ -241,8 +241,8 @@
 	return encodeAnswer(state)
 }
 
-// number reads a parameter of a request.
-func number(r *http.Request, name string, otherwise uint64) (uint64, error) {
+// uintParameter reads a parameter of a request.
+func uintParameter(r *http.Request, name string, otherwise uint64) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return otherwise, nil
--- a/internal/configfeed/feedhttp/client.go
+++ b/internal/configfeed/feedhttp/client.go
@@ -19,12 +19,12 @@
 // Client makes the calls of an operator's commands. Addresses are those of control servers.
 type Client struct{ caller *caller }
 
-// NewClient gives a client of a fleet; via is where an address is reached, if that is elsewhere.
+// NewClient returns a client of a fleet; via is where an address is reached, if that is elsewhere.
 func NewClient(fleet string, keys [][]byte, via map[string]string) *Client {
 	return &Client{caller: newCaller(&authenticator{fleet: fleet, keys: keys}, via)}
 }
 
-// NewProposalID gives an identifier that no other proposal has.
+// NewProposalID returns an identifier that no other proposal has.
 func NewProposalID() string { return newNonce() }
 
 // Close closes the connections that are kept.
@@ -69,7 +69,7 @@
 	delay := firstRetryDelay
 	for attempt := 1; ; attempt++ {
 		outcome, err = fetch[configfeed.Outcome](ctx, c, address, http.MethodPost, pathApply, p)
-		if err == nil || attempt == applyAttempts || !repeatable(err) {
+		if err == nil || attempt == applyAttempts || !isRetryable(err) {
 			return outcome, err
 		}
 		select {
@@ -81,8 +81,8 @@
 	}
 }
 
-// repeatable tells whether another attempt may succeed.
-func repeatable(err error) bool {
+// isRetryable reports whether another attempt may succeed.
+func isRetryable(err error) bool {
 	status := (*StatusError)(nil)
 	return !errors.As(err, &status) || status.Code == http.StatusServiceUnavailable
 }
--- a/internal/configfeed/feedhttp/exchanges_golden_test.go
+++ b/internal/configfeed/feedhttp/exchanges_golden_test.go
@@ -51,7 +51,7 @@
 	if s.readError != nil {
 		return configfeed.State{}, s.readError
 	}
-	return configfeed.State{}, configfeed.ErrOutOfReach
+	return configfeed.State{}, configfeed.ErrRevisionNotFound
 }
 
 // exchange is one request to a server with the history of goldenHistory, and what is special about that server.
@@ -105,7 +105,7 @@
 		{name: "poll_changes_revisions", method: "POST", target: "/v1/poll",
 			body: poll(goldenVersion(1, 1), func(p *configfeed.Poll) { p.Follower, p.Server = "c2", true })},
 		{name: "poll_snapshot", method: "POST", target: "/v1/poll",
-			body: poll(goldenVersion(2, 1), func(p *configfeed.Poll) { p.Whole = true })},
+			body: poll(goldenVersion(2, 1), func(p *configfeed.Poll) { p.NeedsSnapshot = true })},
 		{name: "poll_behind", method: "POST", target: "/v1/poll", body: poll(goldenVersion(2, 3), nil)},
 		{name: "poll_diverged", method: "POST", target: "/v1/poll",
 			body: poll(newest, func(p *configfeed.Poll) { p.Digest = 17 })},
@@ -255,7 +255,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(eventualTimeout))
 	if _, err := conn.Write(request); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/configfeed/feedhttp/fleet_test.go
+++ b/internal/configfeed/feedhttp/fleet_test.go
@@ -18,7 +18,7 @@
 	"gorseledge/internal/configfeed/feedstore"
 )
 
-const patience = 20 * time.Second // for what has to come in the end
+const eventualTimeout = 20 * time.Second // for what has to come in the end
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -94,7 +94,7 @@
 // eventually waits until something holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(eventualTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("not in time: %s", what)
 		}
@@ -112,7 +112,7 @@
 // get makes a call as operators' tools do.
 func get(t *testing.T, address, path string) string {
 	t.Helper()
-	answer, err := (&http.Client{Transport: plainTransport, Timeout: patience}).Get("http://" + address + path)
+	answer, err := (&http.Client{Transport: plainTransport, Timeout: eventualTimeout}).Get("http://" + address + path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 	return value
 }
 
-func entry(value int) []configfeed.Entry {
+func entriesWithNodes(value int) []configfeed.Entry {
 	return []configfeed.Entry{{Key: "nodes", Value: fmt.Sprint(value)}}
 }
 
@@ -143,12 +143,12 @@
 	return configfeed.Version{Epoch: epoch, Revision: revision}
 }
 
-// apply proposes a value at the writer and gives the outcome.
+// apply proposes a value at the writer and returns the outcome.
 func (f *testServers) apply(c *Client, id string, expected configfeed.Version, value int) configfeed.Outcome {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventualTimeout)
 	defer cancel()
-	outcome, err := c.Apply(ctx, f.writer(), configfeed.Proposal{ID: id, IfVersion: expected, Entries: entry(value), Author: "test"})
+	outcome, err := c.Apply(ctx, f.writer(), configfeed.Proposal{ID: id, IfVersion: expected, Entries: entriesWithNodes(value), Author: "test"})
 	if err != nil {
 		f.t.Error(err)
 	}
--- a/internal/configfeed/feedhttp/follower.go
+++ b/internal/configfeed/feedhttp/follower.go
@@ -36,7 +36,7 @@
 	view    atomic.Pointer[configfeed.FollowerView]
 }
 
-// NewFollower gives a follower that does nothing until it runs.
+// NewFollower returns a follower that does nothing until it runs.
 func NewFollower(o FollowerOptions) *Follower {
 	f := &Follower{options: o}
 	clock := newClock()
@@ -48,17 +48,17 @@
 	return f
 }
 
-// Run follows until the context ends, and gives its error then. It can be called once.
+// Run follows until the context ends, and returns its error then. It can be called once.
 func (f *Follower) Run(ctx context.Context) error {
 	f.loop.run(ctx)
 	f.poller.stop()
 	return ctx.Err()
 }
 
-// View tells what the follower knows. It can be called from any goroutine.
+// View describes what the follower knows. It can be called from any goroutine.
 func (f *Follower) View() configfeed.FollowerView { return *f.view.Load() }
 
-// Traffic tells what the follower has sent and received. It can be called from any goroutine.
+// Traffic describes what the follower has sent and received. It can be called from any goroutine.
 func (f *Follower) Traffic() Traffic { return f.poller.caller.traffic.read() }
 
 func (f *Follower) publish(float64) {
@@ -82,7 +82,7 @@
 func (f *Follower) carryOut(e configfeed.FollowerEffect) []configfeed.FollowerEffect {
 	switch e := e.(type) {
 	case configfeed.SendPoll:
-		f.turnTo(e.Server)
+		f.switchServer(e.Server)
 		f.poller.send(e)
 	case configfeed.CancelPoll:
 		f.poller.cancel(e.Request)
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// turnTo notes whom the follower polls. The connection to the server before is not kept.
-func (f *Follower) turnTo(server configfeed.ServerAddress) {
+// switchServer notes whom the follower polls. The connection to the server before is not kept.
+func (f *Follower) switchServer(server configfeed.ServerAddress) {
 	if server.Name == f.server {
 		return
 	}
@@ -121,7 +121,7 @@
 	return f.core.Installed(now, version)
 }
 
-// oneLine gives a text as one short line.
+// oneLine returns a text as one short line.
 func oneLine(text string) string {
 	text = strings.Join(strings.Fields(text), " ")
 	return strings.ToValidUTF8(text[:min(len(text), configfeed.MaxReasonBytes)], "")
--- a/internal/configfeed/feedhttp/handler.go
+++ b/internal/configfeed/feedhttp/handler.go
@@ -20,17 +20,17 @@
 // call answers a request that is authentic. Its error is a *StatusError, or errCallerGone.
 type call func(r *http.Request, body []byte) (encodedAnswer, error)
 
-var errCallerGone = errors.New("the caller has gone")
+var errClientGone = errors.New("the caller has gone")
 
 // handler routes the calls of followers and commands, and those of operators' tools.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathPoll, s.authentic(maxPollBytes, s.poll))
-	mux.HandleFunc("POST "+pathApply, s.limited(s.authentic(maxApplyBytes, s.apply)))
-	mux.HandleFunc("POST "+pathEpoch, s.authentic(maxEpochBytes, s.newEpoch))
-	mux.HandleFunc("GET "+pathStatus, s.authentic(0, s.status))
-	mux.HandleFunc("GET "+pathHistory, s.authentic(0, s.history))
-	mux.HandleFunc("GET "+pathState, s.authentic(0, s.state))
+	mux.HandleFunc("POST "+pathPoll, s.authenticated(maxPollBytes, s.poll))
+	mux.HandleFunc("POST "+pathApply, s.limitConcurrency(s.authenticated(maxApplyBytes, s.apply)))
+	mux.HandleFunc("POST "+pathEpoch, s.authenticated(maxEpochBytes, s.newEpoch))
+	mux.HandleFunc("GET "+pathStatus, s.authenticated(0, s.status))
+	mux.HandleFunc("GET "+pathHistory, s.authenticated(0, s.history))
+	mux.HandleFunc("GET "+pathState, s.authenticated(0, s.state))
 	mux.HandleFunc("GET /-/ready", s.ready)
 	mux.HandleFunc("GET /-/metrics", s.metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -40,8 +40,8 @@
 	})
 }
 
-// limited guards against many large bodies in memory at once.
-func (s *Server) limited(next http.HandlerFunc) http.HandlerFunc {
+// limitConcurrency guards against many large bodies in memory at once.
+func (s *Server) limitConcurrency(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case s.applies <- struct{}{}:
@@ -53,8 +53,8 @@
 	}
 }
 
-// authentic reads a request's body, of limit bytes at the most, checks its MAC and sends the signed answer of a call.
-func (s *Server) authentic(limit int64, do call) http.HandlerFunc {
+// authenticated reads a request's body, of limit bytes at the most, checks its MAC and sends the signed answer of a call.
+func (s *Server) authenticated(limit int64, do call) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := readBody(w, r, limit)
 		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// encodeAnswer gives a value as the answer of a call.
+// encodeAnswer returns a value as the answer of a call.
 func encodeAnswer(value any) (encodedAnswer, error) {
 	text, err := json.Marshal(value)
 	return encodedAnswer{text: text}, err
@@ -109,7 +109,7 @@
 
 // reject counts a request that is not authentic, and writes the first one of each reason to the log.
 func (s *Server) reject(r *http.Request, why rejection) {
-	if s.counts.rejected(why) == 1 {
+	if s.counters.countRejection(why) == 1 {
 		s.options.Log.Warn().Str("why", string(why)).Str("from", r.RemoteAddr).Str("path", r.URL.Path).
 			Msg("request is not authentic")
 	}
--- a/internal/configfeed/feedhttp/loop.go
+++ b/internal/configfeed/feedhttp/loop.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// longestSleep bounds the time between two looks at when a core is due next.
-const longestSleep = time.Minute
+// maxSleep bounds the time between two looks at when a core is due next.
+const maxSleep = time.Minute
 
-// clock gives Unix time in seconds that never steps back.
+// clock returns Unix time in seconds that never steps back.
 type clock struct {
-	began time.Time
-	base  float64
+	startedAt    time.Time
+	startSeconds float64
 }
 
 func newClock() clock {
 	began := time.Now()
-	return clock{began: began, base: float64(began.UnixNano()) / 1e9}
+	return clock{startedAt: began, startSeconds: float64(began.UnixNano()) / 1e9}
 }
 
-func (c clock) now() float64 { return c.base + time.Since(c.began).Seconds() }
+func (c clock) now() float64 { return c.startSeconds + time.Since(c.startedAt).Seconds() }
 
 // core is what a loop runs; E are its effects.
 type core[E any] interface {
@@ -32,16 +32,16 @@
 
 // loop owns a core: its goroutine alone calls the core and carries out the effects, in order.
 type loop[E any] struct {
-	clock    clock
-	core     core[E]
-	carryOut func(E) []E       // gives what the core asks for because of it
-	settled  func(now float64) // is called after each input, once its effects are carried out
-	inputs   chan input[E]
-	stopped  chan struct{}
+	clock      clock
+	core       core[E]
+	carryOut   func(E) []E       // gives what the core asks for because of it
+	afterInput func(now float64) // is called after each input, once its effects are carried out
+	inputs     chan input[E]
+	stopped    chan struct{}
 }
 
 func newLoop[E any](c clock, core core[E], carryOut func(E) []E, settled func(now float64)) *loop[E] {
-	return &loop[E]{clock: c, core: core, carryOut: carryOut, settled: settled,
+	return &loop[E]{clock: c, core: core, carryOut: carryOut, afterInput: settled,
 		inputs: make(chan input[E]), stopped: make(chan struct{})}
 }
 
@@ -66,8 +66,8 @@
 // sleep is how long the core needs no call.
 func (l *loop[E]) sleep() time.Duration {
 	seconds := l.core.Next() - l.clock.now()
-	if seconds >= longestSleep.Seconds() {
-		return longestSleep
+	if seconds >= maxSleep.Seconds() {
+		return maxSleep
 	}
 	return time.Duration(max(seconds, 0) * float64(time.Second))
 }
@@ -79,7 +79,7 @@
 		more := l.carryOut(effects[0])
 		effects = append(effects[1:len(effects):len(effects)], more...)
 	}
-	l.settled(l.clock.now())
+	l.afterInput(l.clock.now())
 }
 
 // post hands the loop an input; false where the loop has stopped and the input is dropped.
--- a/internal/configfeed/feedhttp/metrics.go
+++ b/internal/configfeed/feedhttp/metrics.go
@@ -8,16 +8,16 @@
 	"sync/atomic"
 )
 
-// serverCounts are the counts of a server since its start.
-type serverCounts struct {
+// serverCounters are the counts of a server since its start.
+type serverCounters struct {
 	polls, applies atomic.Uint64
 
 	mu         sync.Mutex
 	rejections map[rejection]int
 }
 
-// rejected counts a request that is not authentic, and gives how many there were of that reason.
-func (c *serverCounts) rejected(why rejection) int {
+// countRejection counts a request that is not authentic, and returns how many there were of that reason.
+func (c *serverCounters) countRejection(why rejection) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rejections == nil {
@@ -27,8 +27,8 @@
 	return c.rejections[why]
 }
 
-// write gives the counts, one a line.
-func (c *serverCounts) write(w io.Writer) {
+// write returns the counts, one a line.
+func (c *serverCounters) write(w io.Writer) {
 	fmt.Fprintf(w, "control.polls:%d|c\n", c.polls.Load())
 	fmt.Fprintf(w, "control.applies:%d|c\n", c.applies.Load())
 	c.mu.Lock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// ready tells operators' tools whether this server does what it is there for.
+// ready describes operators' tools whether this server does what it is there for.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	status, err := s.currentStatus()
 	switch {
@@ -51,10 +51,10 @@
 	}
 }
 
-// metrics gives counts since the start, and gauges, in the form of a node's.
+// metrics returns counts since the start, and gauges, in the form of a node's.
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	var held int
-	if err := s.inquire(func(float64) { held = len(s.polls) }); err != nil {
+	if err := s.readCore(func(float64) { held = len(s.polls) }); err != nil {
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
 	}
@@ -63,7 +63,7 @@
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
 	}
-	s.counts.write(w)
+	s.counters.write(w)
 	gauge := func(name string, value uint64) { fmt.Fprintf(w, "control.%s:%d|g\n", name, value) }
 	gauge("epoch", status.Version.Epoch)
 	gauge("revision", status.Version.Revision)
--- a/internal/configfeed/feedhttp/observer.go
+++ b/internal/configfeed/feedhttp/observer.go
@@ -10,37 +10,37 @@
 
 // observer writes what a server does and how it stands to the log, a line for each change.
 type observer struct {
-	log      zerolog.Logger
-	majority int // of the servers
-	next     float64
-	looked   bool
-	notReady string // at the last look
-	heard    bool   // a majority of the servers has been heard
-	isolated bool   // at the last look
-	diverged map[string]bool
+	log           zerolog.Logger
+	majority      int // of the servers
+	nextUpdate    float64
+	updated       bool
+	notReady      string // at the last look
+	majorityHeard bool   // a majority of the servers has been heard
+	isolated      bool   // at the last look
+	diverged      map[string]bool
 }
 
-// due tells whether it is time for another look.
-func (o *observer) due(now float64) bool { return now >= o.next }
+// due reports whether it is time for another look.
+func (o *observer) due(now float64) bool { return now >= o.nextUpdate }
 
-// look compares a status with the last one.
-func (o *observer) look(now float64, status configfeed.ServerStatus) {
-	o.next = now + observerInterval
+// update compares a status with the last one.
+func (o *observer) update(now float64, status configfeed.ServerStatus) {
+	o.nextUpdate = now + observerInterval
 	heard := 1 // this server itself
 	for _, peer := range status.Peers {
-		if peer.Name != status.Name && peer.Heard > 0 {
+		if peer.Name != status.Name && peer.LastHeard > 0 {
 			heard++
 		}
 	}
-	if !o.heard && heard >= o.majority {
-		o.heard = true
+	if !o.majorityHeard && heard >= o.majority {
+		o.majorityHeard = true
 		o.log.Info().Int("heard", heard).Int("majority", o.majority).Msg("a majority of the servers is heard")
 	}
-	o.lookAtPeers(status)
-	if o.looked && status.NotReady == o.notReady {
+	o.updatePeers(status)
+	if o.updated && status.NotReady == o.notReady {
 		return
 	}
-	o.looked, o.notReady = true, status.NotReady
+	o.updated, o.notReady = true, status.NotReady
 	switch {
 	case status.Name != status.Writer:
 		o.log.Info().Str("writer", status.Writer).Msg("follows the writer")
@@ -51,8 +51,8 @@
 	}
 }
 
-// lookAtPeers notes whether a majority is reached, and who has other entries under the same version.
-func (o *observer) lookAtPeers(status configfeed.ServerStatus) {
+// updatePeers notes whether a majority is reached, and who has other entries under the same version.
+func (o *observer) updatePeers(status configfeed.ServerStatus) {
 	switch {
 	case status.Isolated && !o.isolated:
 		o.log.Warn().Msg("does not reach a majority of the servers")
@@ -69,8 +69,8 @@
 	}
 }
 
-// saved notes what has become of a save. It is called by the goroutine that saves.
-func (o *observer) saved(save configfeed.Save, err error) {
+// logSave notes what has become of a save. It is called by the goroutine that saves.
+func (o *observer) logSave(save configfeed.Save, err error) {
 	version := save.State.Version
 	if err != nil {
 		o.log.Error().Err(err).Uint64("epoch", version.Epoch).Uint64("revision", version.Revision).Msg("not saved")
--- a/internal/configfeed/feedhttp/poller.go
+++ b/internal/configfeed/feedhttp/poller.go
@@ -80,12 +80,12 @@
 		return false
 	}
 	p.cancel(request)
-	p.observe(poll.server, err)
+	p.logReachability(poll.server, err)
 	return true
 }
 
-// observe writes to the log when a server begins or ceases to answer.
-func (p *poller) observe(server string, err error) {
+// logReachability writes to the log when a server begins or ceases to answer.
+func (p *poller) logReachability(server string, err error) {
 	switch {
 	case err != nil && !p.failing[server]:
 		p.failing[server] = true
--- a/internal/configfeed/feedhttp/server.go
+++ b/internal/configfeed/feedhttp/server.go
@@ -29,7 +29,7 @@
 	// Save returns once the disk has a state and the revisions that lead to it; without revisions the state takes the
 	// place of all before it.
 	Save(state configfeed.State, added []configfeed.Revision) error
-	// At gives the state as of a version, or configfeed.ErrOutOfReach.
+	// At returns the state as of a version, or configfeed.ErrOutOfReach.
 	At(v configfeed.Version) (configfeed.State, error)
 }
 
@@ -55,7 +55,7 @@
 	poller        *poller
 	saves         chan configfeed.Save
 	stopping      chan struct{} // closed when held polls are to be ended
-	counts        serverCounts
+	counters      serverCounters
 	applies       chan struct{} // has room for the applies that are read at once
 
 	// Owned by the loop's goroutine.
@@ -63,19 +63,19 @@
 	polls       map[uint64]chan<- encodedAnswer
 	proposals   map[uint64]chan<- configfeed.Outcome
 	encoded     updateCache
-	observed    observer
+	observer    observer
 }
 
-// NewServer gives a server that does nothing until it serves.
+// NewServer returns a server that does nothing until it serves.
 func NewServer(o ServerOptions) *Server {
 	s := &Server{options: o, authenticator: &authenticator{fleet: o.Fleet, keys: o.Keys},
 		saves: make(chan configfeed.Save, 1), stopping: make(chan struct{}), applies: make(chan struct{}, maxApplies),
 		polls: map[uint64]chan<- encodedAnswer{}, proposals: map[uint64]chan<- configfeed.Outcome{}}
 	clock := newClock()
 	s.core = configfeed.NewServer(clock.now(), o.Config, o.Stored)
-	s.loop = newLoop(clock, s.core, s.carryOut, s.settled)
+	s.loop = newLoop(clock, s.core, s.carryOut, s.logStatus)
 	s.poller = newPoller(newCaller(s.authenticator, o.Via), o.Log, s.polled)
-	s.observed = observer{log: o.Log, majority: len(o.Config.Servers)/2 + 1, diverged: map[string]bool{}}
+	s.observer = observer{log: o.Log, majority: len(o.Config.Servers)/2 + 1, diverged: map[string]bool{}}
 	return s
 }
 
@@ -117,7 +117,7 @@
 func (s *Server) saveAll() {
 	for save := range s.saves {
 		err := s.options.Store.Save(save.State, save.Revisions)
-		s.observed.saved(save, err)
+		s.observer.logSave(save, err)
 		s.loop.post(func(now float64) []configfeed.ServerEffect { return s.core.Saved(now, save.ID, err) })
 	}
 }
@@ -168,9 +168,9 @@
 	})
 }
 
-// settled looks at what operators are told of by the log.
-func (s *Server) settled(now float64) {
-	if s.observed.due(now) {
-		s.observed.look(now, s.core.Status(now))
+// logStatus looks at what operators are told of by the log.
+func (s *Server) logStatus(now float64) {
+	if s.observer.due(now) {
+		s.observer.update(now, s.core.Status(now))
 	}
 }
--- a/internal/configfeed/feedhttp/server_test.go
+++ b/internal/configfeed/feedhttp/server_test.go
@@ -124,7 +124,7 @@
 	}{{testFleet, otherKey, "rejected.mac"}, {"cusco", testKeys, "rejected.fleet"}} {
 		client := NewClient(c.fleet, c.keys, nil)
 		_, err := client.Status(t.Context(), f.writer())
-		_, applied := client.Apply(t.Context(), f.writer(), configfeed.Proposal{ID: "p", Entries: entry(1)})
+		_, applied := client.Apply(t.Context(), f.writer(), configfeed.Proposal{ID: "p", Entries: entriesWithNodes(1)})
 		client.Close()
 		for _, err := range []error{err, applied} {
 			if refused := (*StatusError)(nil); !errors.As(err, &refused) || refused.Code != http.StatusForbidden {
@@ -332,7 +332,7 @@
 		if status != http.StatusServiceUnavailable {
 			t.Errorf("status %d", status)
 		}
-	case <-time.After(patience):
+	case <-time.After(eventualTimeout):
 		t.Error("the poll is still held")
 	}
 	if conn, err := net.Dial("tcp", f.writer()); err == nil {
--- a/internal/configfeed/feedstore/check.go
+++ b/internal/configfeed/feedstore/check.go
@@ -19,13 +19,13 @@
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
-	if err := check(path); err != nil {
+	if err := checkFile(path); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
-func check(path string) error {
+func checkFile(path string) error {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: true, PreLoadFreelist: true})
 	switch {
 	case errors.Is(err, bbolterrors.ErrTimeout):
--- a/internal/configfeed/feedstore/feedstore.go
+++ b/internal/configfeed/feedstore/feedstore.go
@@ -24,8 +24,8 @@
 	lockWait     = time.Second // for another process to let go of the file
 	checksumSize = 8
 
-	// foldRevisions is how many revisions become part of the base at once, so that the base is rarely written.
-	foldRevisions = 256
+	// compactedRevisions is how many revisions become part of the base at once, so that the base is rarely written.
+	compactedRevisions = 256
 )
 
 var (
@@ -43,23 +43,23 @@
 	newest configfeed.Version // that Save made durable
 }
 
-// Open opens the log in a directory, or begins one where there is none, and gives what it holds. A file that is cut
+// Open opens the log in a directory, or begins one where there is none, and returns what it holds. A file that is cut
 // short or changed is an error that names it, as far as that shows without the risks of Check.
 func Open(directory string) (*Store, configfeed.Stored, error) {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return nil, configfeed.Stored{}, err
 	}
 	path := filepath.Join(directory, fileName)
-	store, stored, err := open(path)
+	store, stored, err := openFile(path)
 	if err != nil {
 		return nil, configfeed.Stored{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return store, stored, nil
 }
 
-// open reads all records before anything relies on them. The library may panic, or read beyond the file's end, where
+// openFile reads all records before anything relies on them. The library may panic, or read beyond the file's end, where
 // pages are not what they should be: both become errors here.
-func open(path string) (store *Store, stored configfeed.Stored, err error) {
+func openFile(path string) (store *Store, stored configfeed.Stored, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	var db *bbolt.DB
 	defer func() {
@@ -130,7 +130,7 @@
 		return nil
 	}
 	return bucket.ForEach(func(_, value []byte) error {
-		_, err := checked(value)
+		_, err := verifyChecksum(value)
 		return err
 	})
 }
@@ -138,16 +138,16 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// checked gives what follows the checksum of a value.
-func checked(value []byte) ([]byte, error) {
+// verifyChecksum returns what follows the checksum of a value.
+func verifyChecksum(value []byte) ([]byte, error) {
 	if len(value) < checksumSize || binary.BigEndian.Uint64(value) != xxhash.Sum64(value[checksumSize:]) {
 		return nil, errors.New("the file is damaged: a record has another checksum")
 	}
 	return value[checksumSize:], nil
 }
 
-// put writes a record.
-func put(bucket *bbolt.Bucket, key []byte, record any) error {
+// putRecord writes a record.
+func putRecord(bucket *bbolt.Bucket, key []byte, record any) error {
 	text, err := json.Marshal(record)
 	if err != nil {
 		return err
@@ -156,9 +156,9 @@
 	return bucket.Put(key, append(value, text...))
 }
 
-// get reads a record.
-func get(value []byte, record any) error {
-	text, err := checked(value)
+// decodeRecord reads a record.
+func decodeRecord(value []byte, record any) error {
+	text, err := verifyChecksum(value)
 	if err != nil {
 		return err
 	}
--- a/internal/configfeed/feedstore/feedstore_test.go
+++ b/internal/configfeed/feedstore/feedstore_test.go
@@ -18,7 +18,7 @@
 	state configfeed.State
 }
 
-// next gives the next revision and the state after it.
+// next returns the next revision and the state after it.
 func (w *writer) next() (configfeed.State, configfeed.Revision) {
 	w.t.Helper()
 	to := w.state.Version
@@ -99,7 +99,7 @@
 			t.Errorf("revision %d: %+v, %v", revision, state, err)
 		}
 	}
-	if _, err := at(5); !errors.Is(err, configfeed.ErrOutOfReach) {
+	if _, err := at(5); !errors.Is(err, configfeed.ErrRevisionNotFound) {
 		t.Errorf("a revision to come: %v", err)
 	}
 	// A snapshot takes the place of the log: what came before it can no longer be played.
@@ -111,7 +111,7 @@
 	}
 	w.save(store, 1)
 	for revision, reached := range map[uint64]bool{4: false, 9: false, 10: true, 11: true} {
-		if _, err := at(revision); errors.Is(err, configfeed.ErrOutOfReach) == reached {
+		if _, err := at(revision); errors.Is(err, configfeed.ErrRevisionNotFound) == reached {
 			t.Errorf("revision %d after a snapshot: %v", revision, err)
 		}
 	}
@@ -127,10 +127,10 @@
 	w := &writer{t: t}
 	w.save(store, 1)
 	var added []configfeed.Revision
-	for range configfeed.HistoryRevisions + 2*foldRevisions {
+	for range configfeed.HistoryRevisions + 2*compactedRevisions {
 		_, r := w.next()
 		added = append(added, r)
-		if len(added) == foldRevisions {
+		if len(added) == compactedRevisions {
 			if err := store.Save(w.state, added); err != nil {
 				t.Fatal(err)
 			}
@@ -145,7 +145,7 @@
 	if last := stored.History[len(stored.History)-1]; last.Delta.To != w.state.Version {
 		t.Errorf("the last revision is %+v", last.Delta.To)
 	}
-	if _, err := store.At(configfeed.Version{Epoch: 1, Revision: 1}); !errors.Is(err, configfeed.ErrOutOfReach) {
+	if _, err := store.At(configfeed.Version{Epoch: 1, Revision: 1}); !errors.Is(err, configfeed.ErrRevisionNotFound) {
 		t.Errorf("a revision that was folded: %v", err)
 	}
 	if _, err := store.At(stored.History[0].Delta.To); err != nil {
@@ -161,7 +161,7 @@
 	}
 }
 
-// fileOfRevisions gives the bytes of a log.
+// fileOfRevisions returns the bytes of a log.
 func fileOfRevisions(t *testing.T, count int) []byte {
 	t.Helper()
 	directory := t.TempDir()
--- a/internal/configfeed/feedstore/log.go
+++ b/internal/configfeed/feedstore/log.go
@@ -14,12 +14,12 @@
 	return binary.BigEndian.AppendUint64(bytes.Clone(historyPrefix), position)
 }
 
-// revisions calls do with every revision of the log, oldest first, and its key.
-func revisions(bucket *bbolt.Bucket, do func(key []byte, r configfeed.Revision) error) error {
+// forEachRevision calls do with every revision of the log, oldest first, and its key.
+func forEachRevision(bucket *bbolt.Bucket, do func(key []byte, r configfeed.Revision) error) error {
 	cursor := bucket.Cursor()
 	for key, value := cursor.Seek(historyPrefix); bytes.HasPrefix(key, historyPrefix); key, value = cursor.Next() {
 		var r configfeed.Revision
-		if err := get(value, &r); err != nil {
+		if err := decodeRecord(value, &r); err != nil {
 			return err
 		}
 		if err := do(key, r); err != nil {
@@ -29,13 +29,13 @@
 	return nil
 }
 
-// base gives the state before the first revision that can be played from it.
-func base(bucket *bbolt.Bucket) (state configfeed.State, err error) {
+// loadBase returns the state before the first revision that can be played from it.
+func loadBase(bucket *bbolt.Bucket) (state configfeed.State, err error) {
 	value := bucket.Get(baseKey)
 	if value == nil {
 		return configfeed.NewState(configfeed.Version{}, nil)
 	}
-	if err := get(value, &state); err != nil {
+	if err := decodeRecord(value, &state); err != nil {
 		return state, err
 	}
 	if err := state.Verify(); err != nil {
@@ -44,15 +44,15 @@
 	return state, nil
 }
 
-// replay gives the state of the log once up to has been reached, the newest one where it is zero. Revisions from before
+// replay returns the state of the log once up to has been reached, the newest one where it is zero. Revisions from before
 // the base are history only.
 func replay(bucket *bbolt.Bucket, up configfeed.Version) (configfeed.State, error) {
-	state, err := base(bucket)
+	state, err := loadBase(bucket)
 	if err != nil {
 		return state, err
 	}
 	reached := func() bool { return up != configfeed.Version{} && state.Version == up }
-	err = revisions(bucket, func(_ []byte, r configfeed.Revision) error {
+	err = forEachRevision(bucket, func(_ []byte, r configfeed.Revision) error {
 		if r.Delta.To.Compare(state.Version) <= 0 || reached() {
 			return nil
 		}
@@ -64,19 +64,19 @@
 		return nil
 	})
 	if err == nil && up != (configfeed.Version{}) && !reached() {
-		err = configfeed.ErrOutOfReach
+		err = configfeed.ErrRevisionNotFound
 	}
 	return state, err
 }
 
-// load gives all that the log holds.
+// load returns all that the log holds.
 func (s *Store) load() (stored configfeed.Stored, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketName)
 		if stored.State, err = replay(bucket, configfeed.Version{}); err != nil {
 			return err
 		}
-		return revisions(bucket, func(_ []byte, r configfeed.Revision) error {
+		return forEachRevision(bucket, func(_ []byte, r configfeed.Revision) error {
 			stored.History = append(stored.History, r)
 			return nil
 		})
@@ -87,7 +87,7 @@
 	return stored, err
 }
 
-// At gives the state as it was at a version.
+// At returns the state as it was at a version.
 func (s *Store) At(v configfeed.Version) (state configfeed.State, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		state, err = replay(tx.Bucket(bucketName), v)
@@ -99,13 +99,13 @@
 // Save makes a state durable: by the revisions that lead to it, or as a new base where there are none. The file is
 // synced when it returns without an error.
 func (s *Store) Save(state configfeed.State, added []configfeed.Revision) error {
-	if !leads(s.newest, state.Version, added) {
+	if !leadsTo(s.newest, state.Version, added) {
 		return fmt.Errorf("the revisions do not lead from %v to %v", s.newest, state.Version)
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketName)
 		if len(added) == 0 {
-			return put(bucket, baseKey, state)
+			return putRecord(bucket, baseKey, state)
 		}
 		return appendRevisions(bucket, added)
 	})
@@ -115,8 +115,8 @@
 	return err
 }
 
-// leads tells whether revisions join two versions; none at all always do, as the state replaces the one before.
-func leads(from, to configfeed.Version, added []configfeed.Revision) bool {
+// leadsTo reports whether revisions join two versions; none at all always do, as the state replaces the one before.
+func leadsTo(from, to configfeed.Version, added []configfeed.Revision) bool {
 	if len(added) == 0 {
 		return true
 	}
@@ -135,31 +135,31 @@
 		if err != nil {
 			return err
 		}
-		if err := put(bucket, historyKey(position), r); err != nil {
+		if err := putRecord(bucket, historyKey(position), r); err != nil {
 			return err
 		}
 	}
-	return fold(bucket)
+	return compact(bucket)
 }
 
-// fold makes the oldest revisions part of the base once there are enough beyond those that are kept.
-func fold(bucket *bbolt.Bucket) error {
+// compact makes the oldest revisions part of the base once there are enough beyond those that are kept.
+func compact(bucket *bbolt.Bucket) error {
 	cursor := bucket.Cursor()
 	oldest, _ := cursor.Seek(historyPrefix)
 	if !bytes.HasPrefix(oldest, historyPrefix) {
 		return nil
 	}
 	first := binary.BigEndian.Uint64(oldest[len(historyPrefix):])
-	if kept := bucket.Sequence() - first + 1; kept < configfeed.HistoryRevisions+foldRevisions {
+	if kept := bucket.Sequence() - first + 1; kept < configfeed.HistoryRevisions+compactedRevisions {
 		return nil
 	}
-	state, err := base(bucket)
+	state, err := loadBase(bucket)
 	if err != nil {
 		return err
 	}
-	for position := first; position < first+foldRevisions; position++ {
+	for position := first; position < first+compactedRevisions; position++ {
 		var r configfeed.Revision
-		if err := get(bucket.Get(historyKey(position)), &r); err != nil {
+		if err := decodeRecord(bucket.Get(historyKey(position)), &r); err != nil {
 			return err
 		}
 		if r.Delta.To.Compare(state.Version) > 0 {
@@ -171,5 +171,5 @@
 			return err
 		}
 	}
-	return put(bucket, baseKey, state)
+	return putRecord(bucket, baseKey, state)
 }
--- a/internal/configfeed/feedstore/log_golden_test.go
+++ b/internal/configfeed/feedstore/log_golden_test.go
@@ -207,7 +207,7 @@
 		at(2, 2), at(2, 3), at(3, 1), at(7, 1), at(7, 2), at(7, 3)} {
 		state, err := store.At(version)
 		switch {
-		case errors.Is(err, configfeed.ErrOutOfReach):
+		case errors.Is(err, configfeed.ErrRevisionNotFound):
 			fmt.Fprintf(&text, "%s out of reach\n", version)
 		case err != nil:
 			t.Errorf("%s: %v", version, err)
--- a/internal/configfeed/fleet_test.go
+++ b/internal/configfeed/fleet_test.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	fleetServers = 5
-	fleetNodes   = 860
-	zoneNodes    = 107
-	nodeBudget   = 15000 // bytes a second
-	settled      = 8     // seconds that are looked at after a change
+	fleetServers    = 5
+	fleetNodes      = 860
+	zoneNodes       = 107
+	nodeBudget      = 15000 // bytes a second
+	observedSeconds = 8     // seconds that are looked at after a change
 )
 
-// newFleet gives a fleet of full size with some settings in force.
+// newFleet returns a fleet of full size with some settings in force.
 func newFleet(t testing.TB, seed uint64) *simulation {
 	s := newSimulation(seed, rules{})
-	s.raise(fleetServers, fleetNodes)
+	s.startAll(fleetServers, fleetNodes)
 	s.runFor(1)
-	p := s.edit("first")
+	p := s.newProposal("first")
 	for i := range 200 {
 		p.Entries = append(p.Entries, Entry{Key: fmt.Sprintf("setting.%03d", i), Value: `"a value of usual length"`})
 	}
 	s.propose(p, nil)
-	if took := s.lastInForce(inForceWithin); took > inForceWithin || len(s.yes) == 0 {
+	if took := s.lastInForce(inForceWithin); took > inForceWithin || len(s.accepted) == 0 {
 		t.Fatalf("no state in force at the start: %v", s.writer().core.notReady())
 	}
 	return s
@@ -60,8 +60,8 @@
 		{"the only server of a region stopped", func(*simulation) {}, func(s *simulation) { s.servers[4].stop() }},
 		{"a server cut off from the others", func(*simulation) {}, func(s *simulation) {
 			for _, other := range s.servers {
-				s.cut("c1", other.name, true)
-				s.cut(other.name, "c1", true)
+				s.setLinkCut("c1", other.name, true)
+				s.setLinkCut(other.name, "c1", true)
 			}
 		}},
 	}
@@ -70,10 +70,10 @@
 			s := newFleet(t, 1)
 			c.before(s)
 			s.runFor(0.5)
-			s.propose(s.edit("change"), nil)
+			s.propose(s.newProposal("change"), nil)
 			s.clock.After(latency+0.0015, func() { c.during(s) }) // the writer's disk has it, nobody else
-			took := s.lastInForce(settled)
-			if len(s.yes) != 2 {
+			took := s.lastInForce(observedSeconds)
+			if len(s.accepted) != 2 {
 				t.Fatal("the change was not accepted")
 			}
 			t.Logf("last in force after %.2f s", took)
@@ -81,7 +81,7 @@
 				t.Errorf("last in force after %.2f s, want %g at most; behind: %.3v", took, inForceWithin,
 					s.behind(s.writer().disk.State.Version))
 			}
-			s.report(t)
+			s.requireNoViolation(t)
 		})
 	}
 }
@@ -90,7 +90,7 @@
 // proposes another one from their start on until it is accepted.
 func TestFleetHasChangeInForceAfterAllServersRestarted(t *testing.T) {
 	s := newFleet(t, 2)
-	s.propose(s.edit("before"), nil)
+	s.propose(s.newProposal("before"), nil)
 	s.runFor(latency + 0.0015)
 	for _, server := range s.servers {
 		server.kill()
@@ -102,11 +102,11 @@
 	var retry func(Outcome)
 	retry = func(o Outcome) {
 		if o.Kind != Accepted {
-			s.clock.After(0.1, func() { s.propose(s.edit("after"), retry) })
+			s.clock.After(0.1, func() { s.propose(s.newProposal("after"), retry) })
 		}
 	}
-	s.propose(s.edit("after"), retry)
-	took := s.lastInForce(settled)
+	s.propose(s.newProposal("after"), retry)
+	took := s.lastInForce(observedSeconds)
 	t.Logf("last in force %.2f s after the servers' start", took)
 	if took > inForceWithin {
 		t.Errorf("last in force after %.2f s; not ready: %q", took, s.writer().core.notReady())
@@ -114,29 +114,29 @@
 	if revision := s.writer().disk.State.Version.Revision; revision != 3 {
 		t.Errorf("revision %d, want 3 with the changes before and after", revision)
 	}
-	s.report(t)
+	s.requireNoViolation(t)
 }
 
 func TestRegionHasChangeInForceInTimeAfterItsReturn(t *testing.T) {
 	for _, region := range []string{"south", "west"} {
 		t.Run(region, func(t *testing.T) {
 			s := newFleet(t, 3)
-			s.cutRegion(region, true)
+			s.setRegionCut(region, true)
 			s.runFor(20)
-			s.propose(s.edit("change"), nil)
+			s.propose(s.newProposal("change"), nil)
 			s.runFor(40)
 			for _, n := range s.nodes {
 				if behind := n.state.Version != s.writer().disk.State.Version; behind != (n.region == region) {
 					t.Fatalf("%s of %s at %s while %s is cut off", n.name, n.region, n.state.Version, region)
 				}
 			}
-			s.cutRegion(region, false)
-			took := s.lastInForce(settled)
+			s.setRegionCut(region, false)
+			took := s.lastInForce(observedSeconds)
 			t.Logf("last in force %.2f s after the return", took)
 			if took > inForceWithin {
 				t.Errorf("last in force after %.2f s", took)
 			}
-			s.report(t)
+			s.requireNoViolation(t)
 		})
 	}
 }
@@ -160,12 +160,12 @@
 	}
 	measure("at rest", 30)
 	for i := range 10 { // ten changes in ten seconds
-		s.clock.After(float64(i), func() { s.propose(s.edit(fmt.Sprint("burst", i)), nil) })
+		s.clock.After(float64(i), func() { s.propose(s.newProposal(fmt.Sprint("burst", i)), nil) })
 	}
 	measure("ten changes in ten seconds", 10)
-	s.cutRegion("west", true)
+	s.setRegionCut("west", true)
 	measure("a region cut off", 30)
-	s.report(t)
+	s.requireNoViolation(t)
 }
 
 // TestFollowersReturnToTheirRegion shows that the load of a region that lost a server for a while is spread again.
--- a/internal/configfeed/follower_test.go
+++ b/internal/configfeed/follower_test.go
@@ -11,7 +11,7 @@
 	return NewFollower(0, FollowerConfig{Name: "n", Region: "north", Servers: testServers, Seed: 1}, have)
 }
 
-// nextPoll gives the poll that the follower sends when it is due next, and when that is.
+// nextPoll returns the poll that the follower sends when it is due next, and when that is.
 func nextPoll(t *testing.T, f *Follower) (float64, SendPoll) {
 	t.Helper()
 	for range 4 {
@@ -35,7 +35,7 @@
 	return s
 }
 
-// leadingTo gives the update that leads from a state to another one.
+// leadingTo returns the update that leads from a state to another one.
 func leadingTo(from, to State) Update {
 	d := Delta{From: from.Version, To: to.Version, Digest: to.Digest}
 	d.Set, d.Delete = difference(from.Entries, to.Entries)
@@ -47,14 +47,14 @@
 	f := newTestFollower(first)
 	at, poll := nextPoll(t, f)
 	effects := f.Answered(at, poll.Request, leadingTo(first, second))
-	want(t, len(effects), 1)
-	want(t, effects[0].(Install).State, second)
-	want(t, effects[0].(Install).Changed, []string{"a", "b", "c"})
-	want(t, len(f.Tick(at+100)), 0)
-	want(t, f.View().Version, first.Version)
+	assertEqual(t, len(effects), 1)
+	assertEqual(t, effects[0].(Install).State, second)
+	assertEqual(t, effects[0].(Install).Changed, []string{"a", "b", "c"})
+	assertEqual(t, len(f.Tick(at+100)), 0)
+	assertEqual(t, f.View().Version, first.Version)
 	sent := f.Installed(at+100, second.Version)[0].(SendPoll)
-	want(t, sent.Poll.Have, second.Version)
-	want(t, f.View().Since, at+100)
+	assertEqual(t, sent.Poll.Have, second.Version)
+	assertEqual(t, f.View().InForceSince, at+100)
 }
 
 func TestDeltaThatDoesNotFitIsFollowedByAPollForASnapshot(t *testing.T) {
@@ -69,12 +69,12 @@
 		t.Run(name, func(t *testing.T) {
 			f := newTestFollower(first)
 			at, poll := nextPoll(t, f)
-			want(t, len(f.Answered(at, poll.Request, Update{Kind: Changes, Deltas: []Delta{d}})), 0)
+			assertEqual(t, len(f.Answered(at, poll.Request, Update{Kind: Changes, Deltas: []Delta{d}})), 0)
 			at, poll = nextPoll(t, f)
-			want(t, poll.Poll.Whole, true)
+			assertEqual(t, poll.Poll.NeedsSnapshot, true)
 			effects := f.Answered(at, poll.Request, Update{Kind: Snapshot, Version: second.Version, State: &second})
-			want(t, effects[0].(Install).State, second)
-			want(t, f.Installed(at, second.Version)[0].(SendPoll).Poll.Whole, false)
+			assertEqual(t, effects[0].(Install).State, second)
+			assertEqual(t, f.Installed(at, second.Version)[0].(SendPoll).Poll.NeedsSnapshot, false)
 		})
 	}
 }
@@ -89,10 +89,10 @@
 		t.Run(name, func(t *testing.T) {
 			f := newTestFollower(have)
 			at, poll := nextPoll(t, f)
-			want(t, len(f.Answered(at, poll.Request, Update{Kind: Snapshot, Version: state.Version, State: &state})), 0)
+			assertEqual(t, len(f.Answered(at, poll.Request, Update{Kind: Snapshot, Version: state.Version, State: &state})), 0)
 			_, next := nextPoll(t, f)
-			want(t, next.Poll.Have, have.Version)
-			want(t, next.Server != poll.Server, true)
+			assertEqual(t, next.Poll.Have, have.Version)
+			assertEqual(t, next.Server != poll.Server, true)
 		})
 	}
 }
@@ -104,13 +104,13 @@
 	f.Answered(at, poll.Request, leadingTo(first, second))
 	r := Refusal{Version: second.Version, Reason: "unknown key"}
 	sent := f.Refuse(at, r)[0].(SendPoll)
-	want(t, sent.Poll.Refused, &r)
-	want(t, sent.Poll.Have, first.Version)
-	want(t, len(f.Answered(at+2, sent.Request, leadingTo(first, second))), 0)
+	assertEqual(t, sent.Poll.Refused, &r)
+	assertEqual(t, sent.Poll.Have, first.Version)
+	assertEqual(t, len(f.Answered(at+2, sent.Request, leadingTo(first, second))), 0)
 	at, poll = nextPoll(t, f)
 	effects := f.Answered(at, poll.Request, leadingTo(first, third))
-	want(t, effects[0].(Install).State, third)
-	want(t, f.Installed(at, third.Version)[0].(SendPoll).Poll.Refused, nil)
+	assertEqual(t, effects[0].(Install).State, third)
+	assertEqual(t, f.Installed(at, third.Version)[0].(SendPoll).Poll.Refused, nil)
 }
 
 func TestOwnRegionComesFirstAndIsReturnedTo(t *testing.T) {
@@ -124,30 +124,30 @@
 			f.Failed(at, poll.Request)
 		}
 	}
-	want(t, order, []string{"north", "north", "south"})
+	assertEqual(t, order, []string{"north", "north", "south"})
 	begin := at
 	for poll.Server.Region == "south" {
-		want(t, at < begin+60, true)
+		assertEqual(t, at < begin+60, true)
 		send := f.Answered(at+poll.Poll.Wait, poll.Request, Update{Kind: Unchanged})[0].(SendPoll)
 		at, poll = at+poll.Poll.Wait, send
 	}
-	want(t, at > begin+shortestReturn, true)
+	assertEqual(t, at > begin+minPreferredRetryDelay, true)
 }
 
 func TestFirstPollAtAServerIsShortAndBackoffIsBounded(t *testing.T) {
 	f := newTestFollower(mustState(t, 1, Entry{"a", "1"}))
 	at, poll := nextPoll(t, f)
-	want(t, poll.Poll.Wait, 0)
-	want(t, poll.Timeout, answerTime)
+	assertEqual(t, poll.Poll.Wait, 0)
+	assertEqual(t, poll.Timeout, answerAllowance)
 	long := f.Answered(at, poll.Request, Update{Kind: Unchanged})[0].(SendPoll)
-	want(t, long.Poll.Wait, DefaultWait)
-	want(t, long.Timeout, DefaultWait+answerTime)
+	assertEqual(t, long.Poll.Wait, DefaultWait)
+	assertEqual(t, long.Timeout, DefaultWait+answerAllowance)
 	effects := f.Tick(at + long.Timeout)
-	want(t, effects[0].(CancelPoll).Request, long.Request)
+	assertEqual(t, effects[0].(CancelPoll).Request, long.Request)
 	for range 50 {
 		at, poll = nextPoll(t, f)
 		f.Failed(at, poll.Request)
-		if gap := f.Next() - at; gap > longestBackoff {
+		if gap := f.Next() - at; gap > maxBackoff {
 			t.Errorf("the next poll is %g s later", gap)
 		}
 	}
@@ -177,13 +177,13 @@
 	at, poll := nextPoll(t, f)
 	f.Answered(at, poll.Request, Update{Kind: Unchanged, Isolated: true})
 	_, next := nextPoll(t, f)
-	want(t, next.Server != poll.Server, true)
+	assertEqual(t, next.Server != poll.Server, true)
 }
 
 func TestCorruptStateIsNotStartedWith(t *testing.T) {
 	bad := mustState(t, 1, Entry{"a", "1"})
 	bad.Entries = []Entry{{"a", "2"}}
-	want(t, newTestFollower(bad).View().Version, Version{})
+	assertEqual(t, newTestFollower(bad).View().Version, Version{})
 }
 
 func TestApplyLeadsToTheSameStateAsTheEntries(t *testing.T) {
@@ -202,5 +202,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, got, to)
+	assertEqual(t, got, to)
 }
--- a/internal/configfeed/history.go
+++ b/internal/configfeed/history.go
@@ -12,9 +12,9 @@
 // history holds the newest revisions, oldest first. Those from index chain on lead to the server's version without a
 // gap.
 type history struct {
-	revisions []Revision
-	chain     int
-	proposals map[string]Version // by the ID of the proposal
+	revisions      []Revision
+	contiguousFrom int
+	proposals      map[string]Version // by the ID of the proposal
 }
 
 // newHistory takes the revisions that the disk held beside a state.
@@ -32,7 +32,7 @@
 			h.proposals[r.Proposal] = r.Delta.To
 		}
 	}
-	h.chain = h.gapBefore(len(h.revisions), have)
+	h.contiguousFrom = h.contiguousStart(len(h.revisions), have)
 	if excess := len(h.revisions) - HistoryRevisions; excess > 0 {
 		h.drop(excess)
 	}
@@ -46,11 +46,11 @@
 		}
 	}
 	h.revisions = slices.Clone(h.revisions[count:])
-	h.chain = max(h.chain-count, 0)
+	h.contiguousFrom = max(h.contiguousFrom-count, 0)
 }
 
-// gapBefore gives the index from which the revisions before the end lead to a state without a gap.
-func (h *history) gapBefore(end int, have State) int {
+// contiguousStart returns the index from which the revisions before the end lead to a state without a gap.
+func (h *history) contiguousStart(end int, have State) int {
 	v, d := have.Version, have.Digest
 	at := end
 	for at > 0 && h.revisions[at-1].Delta.To == v && (at < end || h.revisions[at-1].Delta.Digest == d) {
@@ -60,10 +60,10 @@
 	return at
 }
 
-// since gives the revisions that lead from a version to the server's, and whether there are such. same tells whether
+// since returns the revisions that lead from a version to the server's, and whether there are such. same tells whether
 // that version had the given digest here; it is true where that is not known.
 func (h *history) since(v Version, d Digest) (revisions []Revision, same, found bool) {
-	chain := h.revisions[h.chain:]
+	chain := h.revisions[h.contiguousFrom:]
 	at := sort.Search(len(chain), func(i int) bool { return chain[i].Delta.From.Compare(v) >= 0 })
 	if at == len(chain) || chain[at].Delta.From != v {
 		return nil, true, false
--- a/internal/configfeed/peer.go
+++ b/internal/configfeed/peer.go
@@ -1,37 +1,37 @@
 package configfeed
 
-// ownLine is why a writer that wrote since its start takes nothing from others: only it gives out revisions, so whatever
+// foreignRevisionReason is why a writer that wrote since its start takes nothing from others: only it gives out revisions, so whatever
 // is newer is of another line and would undo what it promised.
-const ownLine = "the writer gave out revisions since its start, and this is none of them"
+const foreignRevisionReason = "the writer gave out revisions since its start, and this is none of them"
 
 // peer is another control server: what it has, and the follower by which this server follows it.
 type peer struct {
 	ServerAddress
-	follower   *Follower
-	have       Version
-	heard      float64
-	known      bool    // heard since this server's start
-	divergedAt Version // this server's version when the two were found to differ
-	offer      *Install
+	follower        *Follower
+	have            Version
+	lastHeard       float64
+	heardSinceStart bool    // heard since this server's start
+	divergedAt      Version // this server's version when the two were found to differ
+	offer           *Install
 }
 
 func newPeer(now float64, s *Server, address ServerAddress, seed uint64, requests *uint64) *peer {
 	f := NewFollower(now, FollowerConfig{Name: s.config.Name, Server: true, Region: s.config.Region,
 		Servers: []ServerAddress{address}, Seed: seed}, s.state)
-	f.requests, f.pollAt = requests, now
+	f.lastRequest, f.pollAt = requests, now
 	return &peer{ServerAddress: address, follower: f}
 }
 
 func (p *peer) status(have Version) PeerStatus {
-	return PeerStatus{Name: p.Name, Region: p.Region, Have: p.have, Heard: p.heard, Silent: p.follower.silent,
+	return PeerStatus{Name: p.Name, Region: p.Region, Have: p.have, LastHeard: p.lastHeard, Unresponsive: p.follower.unresponsive,
 		Diverged: p.diverged(have)}
 }
 
-// diverged tells whether the peer was found to have other entries than a version's, which is this server's still.
+// diverged reports whether the peer was found to have other entries than a version's, which is this server's still.
 func (p *peer) diverged(have Version) bool { return have != (Version{}) && p.divergedAt == have }
 
-// peer gives the other server of a name, or nil.
-func (s *Server) peer(name string) *peer {
+// peerNamed returns the other server of a name, or nil.
+func (s *Server) peerNamed(name string) *peer {
 	for _, p := range s.peers {
 		if p.Name == name {
 			return p
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// polledBy gives the peer at which a poll of this server is open, or nil.
-func (s *Server) polledBy(request uint64) *peer {
+// peerOfPoll returns the peer at which a poll of this server is open, or nil.
+func (s *Server) peerOfPoll(request uint64) *peer {
 	for _, p := range s.peers {
 		if p.follower.awaits(request) {
 			return p
@@ -52,31 +52,31 @@
 
 // Answered takes another server's answer to a poll of this one.
 func (s *Server) Answered(now float64, request uint64, u Update) []ServerEffect {
-	if p := s.polledBy(request); p != nil {
-		s.hear(now, p, u.Version)
+	if p := s.peerOfPoll(request); p != nil {
+		s.recordPeerVersion(now, p, u.Version)
 		if u.Kind == Diverged {
 			p.divergedAt = s.state.Version
 		}
 		s.carryOut(now, p, p.follower.Answered(now, request, u))
 		s.checkIsolation()
-		s.proceed(now)
+		s.startNextSave(now)
 	}
-	return s.take()
+	return s.takeEffects()
 }
 
 // Failed takes that a poll of this server at another one got no answer.
 func (s *Server) Failed(now float64, request uint64) []ServerEffect {
-	if p := s.polledBy(request); p != nil {
+	if p := s.peerOfPoll(request); p != nil {
 		s.carryOut(now, p, p.follower.Failed(now, request))
 		s.checkIsolation()
 	}
-	return s.take()
+	return s.takeEffects()
 }
 
-// hear takes the version that a peer has.
-func (s *Server) hear(now float64, p *peer, v Version) {
-	p.have, p.heard, p.known = v, now, true
-	s.show(v)
+// recordPeerVersion takes the version that a peer has.
+func (s *Server) recordPeerVersion(now float64, p *peer, v Version) {
+	p.have, p.lastHeard, p.heardSinceStart = v, now, true
+	s.observeVersion(v)
 }
 
 // carryOut passes a peer's follower's effects on; what it is to put in force is an offer to this server.
@@ -89,21 +89,21 @@
 			s.emit(effect)
 		case Install:
 			p.offer = &effect
-			s.proceed(now)
+			s.startNextSave(now)
 		}
 	}
 }
 
-// bestOffer gives the peer that offers the newest state, and drops the offers that are of no use any more.
+// bestOffer returns the peer that offers the newest state, and drops the offers that are of no use any more.
 func (s *Server) bestOffer(now float64) (best *peer) {
 	for _, p := range s.peers {
 		switch {
 		case p.offer == nil:
-		case s.wrote:
+		case s.hasWritten:
 			version := p.offer.State.Version
 			p.offer = nil
-			s.carryOut(now, p, p.follower.Refuse(now, Refusal{Version: version, Reason: ownLine}))
-		case !s.useful(p.offer):
+			s.carryOut(now, p, p.follower.Refuse(now, Refusal{Version: version, Reason: foreignRevisionReason}))
+		case !s.isUseful(p.offer):
 			p.offer = nil
 			p.follower.abandon(now)
 			if s.state.Version.Compare(p.follower.state.Version) > 0 {
@@ -116,8 +116,8 @@
 	return best
 }
 
-// useful tells whether an offer leads from this server's state to a newer one.
-func (s *Server) useful(offer *Install) bool {
+// isUseful reports whether an offer leads from this server's state to a newer one.
+func (s *Server) isUseful(offer *Install) bool {
 	if !s.rules.mayReplace(s.state.Version, offer.State.Version) {
 		return false
 	}
@@ -132,12 +132,12 @@
 func (s *Server) checkIsolation() {
 	reached := 1
 	for _, p := range s.peers {
-		if !p.follower.silent {
+		if !p.follower.unresponsive {
 			reached++
 		}
 	}
 	was := s.isolated
 	if s.isolated = reached < s.majority(); s.isolated && !was {
-		s.answerAll()
+		s.answerPendingPolls()
 	}
 }
--- a/internal/configfeed/held.go
+++ b/internal/configfeed/pending.go
@@ -2,53 +2,53 @@
 
 import "container/heap"
 
-// heldPoll is a poll that waits for something new.
-type heldPoll struct {
+// pendingPoll is a poll that waits for something new.
+type pendingPoll struct {
 	request  uint64
 	poll     Poll
 	deadline float64
 	index    int // in the queue
 }
 
-// heldPolls holds polls by request and by deadline, and for each follower one at the most.
-type heldPolls struct {
+// pendingPolls holds polls by request and by deadline, and for each follower one at the most.
+type pendingPolls struct {
 	queue      deadlineQueue
-	byRequest  map[uint64]*heldPoll
-	byFollower map[string]*heldPoll
+	byRequest  map[uint64]*pendingPoll
+	byFollower map[string]*pendingPoll
 }
 
-func newHeldPolls() *heldPolls {
-	return &heldPolls{byRequest: map[uint64]*heldPoll{}, byFollower: map[string]*heldPoll{}}
+func newPendingPolls() *pendingPolls {
+	return &pendingPolls{byRequest: map[uint64]*pendingPoll{}, byFollower: map[string]*pendingPoll{}}
 }
 
-func (h *heldPolls) add(p *heldPoll) {
+func (h *pendingPolls) add(p *pendingPoll) {
 	h.byRequest[p.request], h.byFollower[p.poll.Follower] = p, p
 	heap.Push(&h.queue, p)
 }
 
-func (h *heldPolls) remove(p *heldPoll) {
+func (h *pendingPolls) remove(p *pendingPoll) {
 	delete(h.byRequest, p.request)
 	delete(h.byFollower, p.poll.Follower)
 	heap.Remove(&h.queue, p.index)
 }
 
-// first gives the poll with the earliest deadline, or nil.
-func (h *heldPolls) first() *heldPoll {
+// earliest returns the poll with the earliest deadline, or nil.
+func (h *pendingPolls) earliest() *pendingPoll {
 	if len(h.queue) == 0 {
 		return nil
 	}
 	return h.queue[0]
 }
 
-// takeAll gives all held polls, in an order that only their calls determine, and holds none any more.
-func (h *heldPolls) takeAll() []*heldPoll {
+// removeAll returns all held polls, in an order that only their calls determine, and holds none any more.
+func (h *pendingPolls) removeAll() []*pendingPoll {
 	all := h.queue
-	*h = *newHeldPolls()
+	*h = *newPendingPolls()
 	return all
 }
 
 // deadlineQueue is a heap by deadline.
-type deadlineQueue []*heldPoll
+type deadlineQueue []*pendingPoll
 
 func (q deadlineQueue) Len() int           { return len(q) }
 func (q deadlineQueue) Less(i, j int) bool { return q[i].deadline < q[j].deadline }
@@ -57,7 +57,7 @@
 	q[i].index, q[j].index = i, j
 }
 func (q *deadlineQueue) Push(x any) {
-	p := x.(*heldPoll)
+	p := x.(*pendingPoll)
 	p.index = len(*q)
 	*q = append(*q, p)
 }
--- a/internal/configfeed/rules.go
+++ b/internal/configfeed/rules.go
@@ -4,20 +4,20 @@
 // the tag oneserver for the rig's tests, switch single rules off, to show that their
 // checkers fire.
 type rules struct {
-	takeOlder       bool // a server that is behind sends what it has, and a follower takes it
-	skipDigest      bool // neither side looks at digests, nor a follower at where a delta starts
-	answerUnsaved   bool // a proposal is accepted before it is saved
-	skipMajority    bool // the writer does not wait for the other servers' versions
-	forgetProposals bool // a repeated proposal is applied again
-	neverMoveOn     bool // a follower polls one server only
+	acceptOlder       bool // a server that is behind sends what it has, and a follower takes it
+	skipDigest        bool // neither side looks at digests, nor a follower at where a delta starts
+	answerUnsaved     bool // a proposal is accepted before it is saved
+	skipMajority      bool // the writer does not wait for the other servers' versions
+	forgetProposals   bool // a repeated proposal is applied again
+	neverSwitchServer bool // a follower polls one server only
 }
 
-// mayReplace tells whether a version in force may be replaced by another.
+// mayReplace reports whether a version in force may be replaced by another.
 func (r rules) mayReplace(have, next Version) bool {
-	return next.Epoch <= MaxEpoch && (next.Compare(have) > 0 || r.takeOlder && next != have)
+	return next.Epoch <= MaxEpoch && (next.Compare(have) > 0 || r.acceptOlder && next != have)
 }
 
-// verify tells whether a state is what its digest says.
+// verify reports whether a state is what its digest says.
 func (r rules) verify(s State) error {
 	if r.skipDigest {
 		return nil
@@ -25,7 +25,7 @@
 	return s.Verify()
 }
 
-// apply gives a state after a delta, without the check of the digest.
+// apply returns a state after a delta, without the check of the digest.
 func (r rules) apply(s State, d Delta) (State, error) {
 	if r.skipDigest {
 		s.Version = d.From
--- a/internal/configfeed/rules_any_server.go
+++ b/internal/configfeed/rules_any_server.go
@@ -2,5 +2,5 @@
 
 package configfeed
 
-// oneServer is false in every build but the wrong one of the rig's tests.
-const oneServer = false
+// singleServerBuild is false in every build but the wrong one of the rig's tests.
+const singleServerBuild = false
--- a/internal/configfeed/server.go
+++ b/internal/configfeed/server.go
@@ -22,12 +22,12 @@
 
 // PeerStatus is what a server knows of another one.
 type PeerStatus struct {
-	Name     string  `json:"name"`
-	Region   string  `json:"region,omitempty"`
-	Have     Version `json:"have"`
-	Heard    float64 `json:"heard_s"`            // Unix time of its last poll or answer; zero for never since the start
-	Silent   bool    `json:"silent,omitempty"`   // it did not answer this server's last poll
-	Diverged bool    `json:"diverged,omitempty"` // it has other entries under a version that this server has too
+	Name         string  `json:"name"`
+	Region       string  `json:"region,omitempty"`
+	Have         Version `json:"have"`
+	LastHeard    float64 `json:"heard_s"`            // Unix time of its last poll or answer; zero for never since the start
+	Unresponsive bool    `json:"silent,omitempty"`   // it did not answer this server's last poll
+	Diverged     bool    `json:"diverged,omitempty"` // it has other entries under a version that this server has too
 }
 
 // ServerStatus is what a server shows to operators.
@@ -55,25 +55,25 @@
 	newest    Version // that any server or follower has shown
 	peers     []*peer
 	followers map[string]*FollowerStatus
-	held      *heldPolls
+	pending   *pendingPolls
 	updates   map[updateKey]Update // of the version in state, shared by followers that have the same
 	isolated  bool
 
-	saving    *saving
-	lastSave  uint64
-	proposals []*change // that wait for the save under way
-	wrote     bool      // it took a proposal or an epoch since its start
+	saving     *saveInProgress
+	lastSave   uint64
+	queue      []*change // that wait for the save under way
+	hasWritten bool      // it took a proposal or an epoch since its start
 
 	effects []ServerEffect // of the call under way
 }
 
-// NewServer gives a server with what its disk held. A state that is not of its own digest is not used.
+// NewServer returns a server with what its disk held. A state that is not of its own digest is not used.
 func NewServer(now float64, c ServerConfig, stored Stored) *Server {
 	if stored.State.Verify() != nil {
 		stored = Stored{}
 	}
 	s := &Server{config: c, state: stored.State, newest: stored.State.Version,
-		history: newHistory(stored.History, stored.State), followers: map[string]*FollowerStatus{}, held: newHeldPolls(),
+		history: newHistory(stored.History, stored.State), followers: map[string]*FollowerStatus{}, pending: newPendingPolls(),
 		updates: map[updateKey]Update{}}
 	requests := new(uint64)
 	for i, address := range c.Servers {
@@ -84,12 +84,12 @@
 	return s
 }
 
-// writer tells whether this server takes proposals.
-func (s *Server) writer() bool { return s.config.Writer == s.config.Name }
+// isWriter reports whether this server takes proposals.
+func (s *Server) isWriter() bool { return s.config.Writer == s.config.Name }
 
 // Next is when Tick is due.
 func (s *Server) Next() float64 {
-	next := s.held.deadline()
+	next := s.pending.nextDeadline()
 	for _, p := range s.peers {
 		next = min(next, p.follower.Next())
 	}
@@ -98,19 +98,19 @@
 
 // Tick does what is due.
 func (s *Server) Tick(now float64) []ServerEffect {
-	for first := s.held.first(); first != nil && now >= first.deadline; first = s.held.first() {
-		s.held.remove(first)
-		s.answer(first.request, s.unchanged())
+	for first := s.pending.earliest(); first != nil && now >= first.deadline; first = s.pending.earliest() {
+		s.pending.remove(first)
+		s.answerPoll(first.request, s.unchangedUpdate())
 	}
 	for _, p := range s.peers {
 		s.carryOut(now, p, p.follower.Tick(now))
 	}
 	s.checkIsolation()
-	return s.take()
+	return s.takeEffects()
 }
 
-// take gives the effects of the call under way and begins with none.
-func (s *Server) take() []ServerEffect {
+// takeEffects returns the effects of the call under way and begins with none.
+func (s *Server) takeEffects() []ServerEffect {
 	effects := s.effects
 	s.effects = nil
 	return effects
@@ -118,8 +118,8 @@
 
 func (s *Server) emit(e ServerEffect) { s.effects = append(s.effects, e) }
 
-// show takes a version that a server or follower has shown.
-func (s *Server) show(v Version) {
+// observeVersion takes a version that a server or follower has shown.
+func (s *Server) observeVersion(v Version) {
 	if s.newest = newest(s.newest, v); s.newest != v {
 		return
 	}
@@ -128,24 +128,24 @@
 	}
 }
 
-// History gives the revisions that the server keeps, oldest first. The caller must not change them.
+// History returns the revisions that the server keeps, oldest first. The caller must not change them.
 func (s *Server) History() []Revision { return slices.Clip(s.history.revisions) }
 
-// State gives the state that the server has on disk. The caller must not change it.
+// State returns the state that the server has on disk. The caller must not change it.
 func (s *Server) State() State { return s.state }
 
-// Status tells what the server knows.
+// Status describes what the server knows.
 func (s *Server) Status(now float64) ServerStatus {
 	status := ServerStatus{Name: s.config.Name, Region: s.config.Region, Writer: s.config.Writer,
 		Version: s.state.Version, Digest: s.state.Digest, Newest: s.newest, Isolated: s.isolated}
-	if s.writer() {
+	if s.isWriter() {
 		status.NotReady = s.notReady()
 	}
 	for _, p := range s.peers {
 		status.Peers = append(status.Peers, p.status(s.state.Version))
 	}
 	for _, f := range s.followers {
-		if now-f.Heard < statusAge {
+		if now-f.LastHeard < followerStatusAge {
 			status.Followers = append(status.Followers, *f)
 		}
 	}
--- a/internal/configfeed/server_test.go
+++ b/internal/configfeed/server_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// readyServer gives the writer of three servers, which has heard another one, with one revision on disk.
+// readyServer returns the writer of three servers, which has heard another one, with one revision on disk.
 func readyServer(t *testing.T) *Server {
 	t.Helper()
 	s := newTestServer(Stored{})
@@ -47,7 +47,7 @@
 	return Save{}
 }
 
-// outcomes gives the outcomes of proposals by request.
+// outcomes returns the outcomes of proposals by request.
 func outcomes(effects []ServerEffect) map[uint64]OutcomeKind {
 	kinds := map[uint64]OutcomeKind{}
 	for _, effect := range effects {
@@ -58,7 +58,7 @@
 	return kinds
 }
 
-// updatesOf gives the answers to polls by request.
+// updatesOf returns the answers to polls by request.
 func updatesOf(effects []ServerEffect) map[uint64]Update {
 	updates := map[uint64]Update{}
 	for _, effect := range effects {
@@ -69,7 +69,7 @@
 	return updates
 }
 
-func want[T any](t *testing.T, got, want T) {
+func assertEqual[T any](t *testing.T, got, want T) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
@@ -80,22 +80,22 @@
 	s := readyServer(t)
 	p := Proposal{ID: "second", IfVersion: s.State().Version, Entries: []Entry{{"a", "2"}}}
 	held := s.Polled(3, 50, Poll{Follower: "n", Have: s.State().Version, Digest: s.State().Digest, Wait: 2})
-	want(t, len(updatesOf(held)), 0)
+	assertEqual(t, len(updatesOf(held)), 0)
 	effects := s.Propose(3, 2, p)
-	want(t, outcomes(effects), map[uint64]OutcomeKind{})
+	assertEqual(t, outcomes(effects), map[uint64]OutcomeKind{})
 	effects = s.Saved(3, saveOf(t, effects).ID, nil)
-	want(t, outcomes(effects), map[uint64]OutcomeKind{2: Accepted})
+	assertEqual(t, outcomes(effects), map[uint64]OutcomeKind{2: Accepted})
 	u := updatesOf(effects)[50]
-	want(t, u.Kind, Changes)
-	want(t, u.Deltas[0].Set, []Entry{{"a", "2"}})
+	assertEqual(t, u.Kind, Changes)
+	assertEqual(t, u.Deltas[0].Set, []Entry{{"a", "2"}})
 }
 
 func TestFailedSaveLeavesTheStateAsItIs(t *testing.T) {
 	s := readyServer(t)
 	before := s.State()
 	save := saveOf(t, s.Propose(3, 2, Proposal{ID: "second", IfVersion: before.Version, Entries: []Entry{{"a", "2"}}}))
-	want(t, outcomes(s.Saved(3, save.ID, errors.New("disk is full"))), map[uint64]OutcomeKind{2: Failed})
-	want(t, s.State(), before)
+	assertEqual(t, outcomes(s.Saved(3, save.ID, errors.New("disk is full"))), map[uint64]OutcomeKind{2: Failed})
+	assertEqual(t, s.State(), before)
 	proposeAndSave(t, s, Proposal{ID: "second", Entries: []Entry{{"a", "2"}}})
 }
 
@@ -103,9 +103,9 @@
 	s := readyServer(t)
 	v := s.State().Version
 	save := saveOf(t, s.Propose(3, 2, Proposal{ID: "x", IfVersion: v, Entries: []Entry{{"a", "2"}}}))
-	want(t, len(s.Propose(3, 3, Proposal{ID: "y", IfVersion: v, Entries: []Entry{{"a", "3"}}})), 0)
-	want(t, len(s.Propose(3, 4, Proposal{ID: "x", IfVersion: v, Entries: []Entry{{"a", "2"}}})), 0)
-	want(t, outcomes(s.Saved(3, save.ID, nil)), map[uint64]OutcomeKind{2: Accepted, 3: Conflict, 4: Accepted})
+	assertEqual(t, len(s.Propose(3, 3, Proposal{ID: "y", IfVersion: v, Entries: []Entry{{"a", "3"}}})), 0)
+	assertEqual(t, len(s.Propose(3, 4, Proposal{ID: "x", IfVersion: v, Entries: []Entry{{"a", "2"}}})), 0)
+	assertEqual(t, outcomes(s.Saved(3, save.ID, nil)), map[uint64]OutcomeKind{2: Accepted, 3: Conflict, 4: Accepted})
 }
 
 func TestRepeatedProposalIsAppliedOnceAlsoAfterARestart(t *testing.T) {
@@ -114,7 +114,7 @@
 	proposeAndSave(t, s, Proposal{ID: "third", Entries: []Entry{{"a", "3"}}})
 	s = newTestServer(Stored{State: s.State(), History: s.History()})
 	effects := s.Propose(9, 7, Proposal{ID: "second", IfVersion: s.State().Version, Entries: []Entry{{"a", "2"}}})
-	want(t, effects, []ServerEffect{AnswerProposal{7, Outcome{Kind: Accepted, Version: v}}})
+	assertEqual(t, effects, []ServerEffect{AnswerProposal{7, Outcome{Kind: Accepted, Version: v}}})
 }
 
 func TestProposalsThatAreNotTaken(t *testing.T) {
@@ -134,7 +134,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := readyServer(t)
 			p := Proposal{ID: "second", IfVersion: s.State().Version, Entries: c.entries}
-			want(t, outcomes(s.Propose(3, 2, p)), map[uint64]OutcomeKind{2: c.want})
+			assertEqual(t, outcomes(s.Propose(3, 2, p)), map[uint64]OutcomeKind{2: c.want})
 		})
 	}
 }
@@ -142,7 +142,7 @@
 func TestOnlyTheWriterTakesProposals(t *testing.T) {
 	s := newTestServer(Stored{})
 	s.config.Writer = "b"
-	want(t, s.Propose(1, 2, Proposal{ID: "x"}), []ServerEffect{AnswerProposal{2, Outcome{Kind: NotWriter, Writer: "b"}}})
+	assertEqual(t, s.Propose(1, 2, Proposal{ID: "x"}), []ServerEffect{AnswerProposal{2, Outcome{Kind: NotWriter, Writer: "b"}}})
 }
 
 func TestWriterTakesProposalsOnlyWhileItKnowsToBeNewest(t *testing.T) {
@@ -171,7 +171,7 @@
 			for i, p := range c.polls {
 				s.Polled(1, uint64(i), p)
 			}
-			want(t, outcomes(s.Propose(2, 99, proposal))[99], c.want)
+			assertEqual(t, outcomes(s.Propose(2, 99, proposal))[99], c.want)
 			if status := s.Status(2); (status.NotReady != "") != (c.want == NotReady) {
 				t.Errorf("status says %q", status.NotReady)
 			}
@@ -182,14 +182,14 @@
 func TestNewEpochIsAboveAnySeen(t *testing.T) {
 	s := readyServer(t)
 	s.Polled(1, 2, Poll{Follower: "n", Have: Version{Epoch: 5, Revision: 3}})
-	want(t, outcomes(s.NewEpoch(2, 3, 5, "operator", "")), map[uint64]OutcomeKind{3: Invalid})
+	assertEqual(t, outcomes(s.NewEpoch(2, 3, 5, "operator", "")), map[uint64]OutcomeKind{3: Invalid})
 	save := saveOf(t, s.NewEpoch(2, 4, 0, "operator", "restored"))
-	want(t, save.State.Version, Version{Epoch: 6, Revision: 1})
-	want(t, save.State.Entries, []Entry{{"a", "1"}})
-	want(t, outcomes(s.Saved(2, save.ID, nil)), map[uint64]OutcomeKind{4: Accepted})
-	want(t, s.Status(2).NotReady, "")
+	assertEqual(t, save.State.Version, Version{Epoch: 6, Revision: 1})
+	assertEqual(t, save.State.Entries, []Entry{{"a", "1"}})
+	assertEqual(t, outcomes(s.Saved(2, save.ID, nil)), map[uint64]OutcomeKind{4: Accepted})
+	assertEqual(t, s.Status(2).NotReady, "")
 	u := updatesOf(s.Polled(3, 5, Poll{Follower: "n", Have: Version{Epoch: 5, Revision: 3}}))[5]
-	want(t, u.Kind, Snapshot)
+	assertEqual(t, u.Kind, Snapshot)
 }
 
 func TestWriterThatWroteTakesNothingFromOthers(t *testing.T) {
@@ -209,20 +209,20 @@
 			t.Errorf("want a poll that refuses the other line, got %+v", effect)
 		}
 	}
-	want(t, s.State().Version, Version{Epoch: 1, Revision: 1})
+	assertEqual(t, s.State().Version, Version{Epoch: 1, Revision: 1})
 }
 
 func TestOnePollIsHeldForAFollower(t *testing.T) {
 	s := readyServer(t)
 	poll := Poll{Follower: "n", Have: s.State().Version, Digest: s.State().Digest, Wait: 2}
 	s.Polled(3, 10, poll)
-	want(t, updatesOf(s.Polled(3.5, 11, poll))[10].Kind, Unchanged)
-	want(t, len(s.held.byRequest), 1)
-	want(t, updatesOf(s.Tick(5.4)), map[uint64]Update{})
-	want(t, updatesOf(s.Tick(5.5))[11].Kind, Unchanged)
+	assertEqual(t, updatesOf(s.Polled(3.5, 11, poll))[10].Kind, Unchanged)
+	assertEqual(t, len(s.pending.byRequest), 1)
+	assertEqual(t, updatesOf(s.Tick(5.4)), map[uint64]Update{})
+	assertEqual(t, updatesOf(s.Tick(5.5))[11].Kind, Unchanged)
 	s.Polled(6, 12, poll)
 	s.Closed(6, 12)
-	want(t, len(s.held.byRequest)+len(s.held.byFollower)+len(s.held.queue), 0)
+	assertEqual(t, len(s.pending.byRequest)+len(s.pending.byFollower)+len(s.pending.queue), 0)
 }
 
 func TestAnswersToFollowers(t *testing.T) {
@@ -243,7 +243,7 @@
 		{"two behind", Poll{Have: first.Version, Digest: first.Digest, Server: true}, Changes},
 		{"two behind, a snapshot is smaller", Poll{Have: first.Version, Digest: first.Digest}, Snapshot},
 		{"one behind", Poll{Have: second.Version, Digest: second.Digest}, Changes},
-		{"one behind, misfit", Poll{Have: second.Version, Digest: second.Digest, Whole: true}, Snapshot},
+		{"one behind, misfit", Poll{Have: second.Version, Digest: second.Digest, NeedsSnapshot: true}, Snapshot},
 		{"one behind on another line", Poll{Have: second.Version, Digest: 1}, Snapshot},
 		{"a server on another line", Poll{Have: second.Version, Digest: 1, Server: true}, Diverged},
 		{"other entries", Poll{Have: third.Version, Digest: 1}, Diverged},
@@ -254,8 +254,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			c.poll.Follower = "c"
 			u := updatesOf(s.Polled(4, 70, c.poll))[70]
-			want(t, u.Kind, c.want)
-			want(t, u.Version, third.Version)
+			assertEqual(t, u.Kind, c.want)
+			assertEqual(t, u.Version, third.Version)
 		})
 	}
 }
@@ -266,13 +266,13 @@
 	for i := range HistoryRevisions {
 		proposeAndSave(t, s, Proposal{ID: fmt.Sprint(i), Entries: []Entry{{"a", fmt.Sprint(i)}}})
 	}
-	want(t, len(s.History()), HistoryRevisions)
-	want(t, len(s.history.proposals), HistoryRevisions)
+	assertEqual(t, len(s.History()), HistoryRevisions)
+	assertEqual(t, len(s.history.proposals), HistoryRevisions)
 	u := updatesOf(s.Polled(4, 70, Poll{Follower: "c", Server: true, Have: first.Version, Digest: first.Digest}))[70]
-	want(t, u.Kind, Changes)
+	assertEqual(t, u.Kind, Changes)
 	proposeAndSave(t, s, Proposal{ID: "one more", Entries: []Entry{{"a", "0"}}})
 	u = updatesOf(s.Polled(4, 71, Poll{Follower: "c", Server: true, Have: first.Version, Digest: first.Digest}))[71]
-	want(t, u.Kind, Snapshot)
+	assertEqual(t, u.Kind, Snapshot)
 }
 
 func TestFollowersOfTheSameVersionShareAnUpdate(t *testing.T) {
@@ -284,7 +284,7 @@
 	}
 	effects := s.Propose(3, 2, Proposal{ID: "second", IfVersion: s.State().Version, Entries: []Entry{{"a", "2"}}})
 	updates := updatesOf(s.Saved(3, saveOf(t, effects).ID, nil))
-	want(t, len(updates), 3)
+	assertEqual(t, len(updates), 3)
 	if &updates[10].Deltas[0] != &updates[11].Deltas[0] || &updates[10].Deltas[0] != &updates[12].Deltas[0] {
 		t.Error("the deltas of an update are not shared")
 	}
@@ -295,8 +295,8 @@
 	for i := range maxFollowers + 10 {
 		s.Polled(float64(10+i), uint64(1000+i), Poll{Follower: fmt.Sprint("n", i)})
 	}
-	want(t, len(s.followers), maxFollowers)
-	want(t, s.followers["n0"] == nil, true)
+	assertEqual(t, len(s.followers), maxFollowers)
+	assertEqual(t, s.followers["n0"] == nil, true)
 }
 
 // BenchmarkPoll measures an idle poll of one of 172 followers, held and answered.
--- a/internal/configfeed/sim_node_test.go
+++ b/internal/configfeed/sim_node_test.go
@@ -5,17 +5,17 @@
 // simNode is a node's process. Its state is on its disk and outlives it.
 type simNode struct {
 	process
-	sim     *simulation
-	config  FollowerConfig
-	core    *Follower
-	state   State
-	since   float64 // when state was put in force
-	refuses func(State) string
-	timer   float64
+	sim           *simulation
+	config        FollowerConfig
+	core          *Follower
+	state         State
+	inForceSince  float64 // when state was put in force
+	refusalReason func(State) string
+	timer         float64
 }
 
 func (n *simNode) start() {
-	n.begin()
+	n.markRunning()
 	n.timer = 0
 	n.core = NewFollower(n.sim.clock.Now, n.config, n.state)
 	n.core.rules = n.sim.rules
@@ -28,7 +28,7 @@
 		return
 	}
 	n.timer = next
-	n.sim.do(max(next-n.sim.clock.Now, 0), &n.process, func() {
+	n.sim.runAfter(max(next-n.sim.clock.Now, 0), &n.process, func() {
 		if n.timer == next {
 			n.timer = 0
 			n.carryOut(n.core.Tick(n.sim.clock.Now))
@@ -63,20 +63,20 @@
 
 // install puts a state in force after a while, as a node does, and judges it.
 func (n *simNode) install(i Install) {
-	n.sim.do(0.005, &n.process, func() {
-		if n.refuses != nil {
-			if reason := n.refuses(i.State); reason != "" {
+	n.sim.runAfter(0.005, &n.process, func() {
+		if n.refusalReason != nil {
+			if reason := n.refusalReason(i.State); reason != "" {
 				n.carryOut(n.core.Refuse(n.sim.clock.Now, Refusal{Version: i.State.Version, Reason: reason}))
 				return
 			}
 		}
 		if i.State.Version.Compare(n.state.Version) <= 0 {
-			n.sim.broken("%s goes back from %s to %s", n.name, n.state.Version, i.State.Version)
+			n.sim.violated("%s goes back from %s to %s", n.name, n.state.Version, i.State.Version)
 		}
-		if !n.sim.holds(i.State) {
-			n.sim.broken("%s has entries under %s that never were accepted", n.name, i.State.Version)
+		if !n.sim.wasSaved(i.State) {
+			n.sim.violated("%s has entries under %s that never were accepted", n.name, i.State.Version)
 		}
-		n.state, n.since = i.State, n.sim.clock.Now
+		n.state, n.inForceSince = i.State, n.sim.clock.Now
 		n.carryOut(n.core.Installed(n.sim.clock.Now, i.State.Version))
 	})
 }
--- a/internal/configfeed/sim_server_test.go
+++ b/internal/configfeed/sim_server_test.go
@@ -10,18 +10,18 @@
 // simServer is a server's process with its disk.
 type simServer struct {
 	process
-	sim      *simulation
-	config   ServerConfig
-	core     *Server
-	disk     Stored
-	old      Stored // a copy of the disk to be put back
-	failSave bool
-	saveTime float64 // zero for one millisecond
-	requests uint64
-	pollers  map[uint64]func(Update)  // by request
-	callers  map[uint64]func(Outcome) // by request
-	timer    float64
-	encoded  map[encodedKey]int
+	sim          *simulation
+	config       ServerConfig
+	core         *Server
+	disk         Stored
+	backup       Stored // a copy of the disk to be put back
+	failSaves    bool
+	saveDuration float64 // zero for one millisecond
+	requests     uint64
+	pollers      map[uint64]func(Update)  // by request
+	callers      map[uint64]func(Outcome) // by request
+	timer        float64
+	encoded      map[encodedKey]int
 }
 
 // encodedKey is what makes two updates of a server equal.
@@ -34,7 +34,7 @@
 }
 
 func (n *simServer) start() {
-	n.begin()
+	n.markRunning()
 	n.pollers, n.callers = map[uint64]func(Update){}, map[uint64]func(Outcome){}
 	n.encoded, n.timer = map[encodedKey]int{}, 0
 	stored := Stored{State: n.disk.State, History: slices.Clone(n.disk.History)}
@@ -46,41 +46,41 @@
 	n.schedule()
 }
 
-// keepCopy keeps a copy of the disk.
-func (n *simServer) keepCopy() {
-	n.old = Stored{State: n.disk.State, History: slices.Clone(n.disk.History)}
+// backUpDisk keeps a copy of the disk.
+func (n *simServer) backUpDisk() {
+	n.backup = Stored{State: n.disk.State, History: slices.Clone(n.disk.History)}
 }
 
-// putBack kills the server and puts the copy of its disk back.
-func (n *simServer) putBack() {
+// killAndRestoreDisk kills the server and puts the copy of its disk back.
+func (n *simServer) killAndRestoreDisk() {
 	n.kill()
-	n.disk = Stored{State: n.old.State, History: slices.Clone(n.old.History)}
-	n.sim.releasePromises()
+	n.disk = Stored{State: n.backup.State, History: slices.Clone(n.backup.History)}
+	n.sim.dropLostProposals()
 }
 
-// wipe kills the server and empties its disk.
-func (n *simServer) wipe() {
-	n.old = Stored{}
-	n.putBack()
+// killAndWipeDisk kills the server and empties its disk.
+func (n *simServer) killAndWipeDisk() {
+	n.backup = Stored{}
+	n.killAndRestoreDisk()
 }
 
-// releasePromises forgets the promises that nobody has to keep any more: those that the writer's disk does not hold, and
+// dropLostProposals forgets the promises that nobody has to keep any more: those that the writer's disk does not hold, and
 // that so few others hold that a majority, the writer included, may lack them.
-func (s *simulation) releasePromises() {
-	s.yes = slices.DeleteFunc(s.yes, func(p promise) bool {
+func (s *simulation) dropLostProposals() {
+	s.accepted = slices.DeleteFunc(s.accepted, func(p acceptedProposal) bool {
 		holders := 0
 		for _, n := range s.servers[1:] {
-			if n.keeps(p) {
+			if n.stores(p) {
 				holders++
 			}
 		}
 		mayLack := len(s.servers) - 1 - holders
-		return !s.writer().keeps(p) && mayLack >= len(s.servers)/2
+		return !s.writer().stores(p) && mayLack >= len(s.servers)/2
 	})
 }
 
-// keeps tells whether the server's disk holds what was promised.
-func (n *simServer) keeps(p promise) bool {
+// stores reports whether the server's disk holds what was promised.
+func (n *simServer) stores(p acceptedProposal) bool {
 	return slices.ContainsFunc(n.disk.State.Entries, func(e Entry) bool { return e.Key == "mark."+p.id })
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	n.timer = next
-	n.sim.do(max(next-n.sim.clock.Now, 0), &n.process, func() {
+	n.sim.runAfter(max(next-n.sim.clock.Now, 0), &n.process, func() {
 		if n.timer == next {
 			n.timer = 0
 			n.carryOut(n.core.Tick(n.sim.clock.Now))
@@ -132,12 +132,12 @@
 
 // save writes to the disk after a while.
 func (n *simServer) save(save Save) {
-	took := n.saveTime
+	took := n.saveDuration
 	if took == 0 {
 		took = 0.001
 	}
-	fails := n.failSave
-	n.sim.do(took, &n.process, func() {
+	fails := n.failSaves
+	n.sim.runAfter(took, &n.process, func() {
 		if fails {
 			n.carryOut(n.core.Saved(n.sim.clock.Now, save.ID, errors.New("disk is full")))
 			return
@@ -145,10 +145,10 @@
 		n.disk.State = save.State
 		n.disk.History = append(n.disk.History, save.Revisions...)
 		n.disk.History = n.disk.History[max(len(n.disk.History)-HistoryRevisions, 0):]
-		if n == n.sim.writer() && !n.sim.holds(save.State) {
+		if n == n.sim.writer() && !n.sim.wasSaved(save.State) {
 			n.sim.saved[save.State.Version] = append(n.sim.saved[save.State.Version], save.State)
 		}
-		n.sim.do(took, &n.process, func() { n.carryOut(n.core.Saved(n.sim.clock.Now, save.ID, nil)) })
+		n.sim.runAfter(took, &n.process, func() { n.carryOut(n.core.Saved(n.sim.clock.Now, save.ID, nil)) })
 	})
 }
 
@@ -161,7 +161,7 @@
 	n.carryOut(n.core.Polled(n.sim.clock.Now, n.requests, p))
 }
 
-// size gives the bytes of an answer; equal updates are encoded once.
+// size returns the bytes of an answer; equal updates are encoded once.
 func (n *simServer) size(p Poll, u Update) int {
 	key := encodedKey{kind: u.Kind, version: u.Version, server: p.Server, isolated: u.Isolated}
 	if len(u.Deltas) > 0 {
@@ -186,11 +186,11 @@
 	if !n.up {
 		return
 	}
-	s.do(latency, &n.process, func() {
+	s.runAfter(latency, &n.process, func() {
 		n.requests++
 		n.callers[n.requests] = func(o Outcome) {
 			if o.Kind == Accepted {
-				s.yes = append(s.yes, promise{id: p.ID, version: o.Version})
+				s.accepted = append(s.accepted, acceptedProposal{id: p.ID, version: o.Version})
 			}
 			if answered != nil {
 				answered(o)
@@ -208,8 +208,8 @@
 	n.carryOut(n.core.NewEpoch(s.clock.Now, n.requests, 0, "operator", "after faults"))
 }
 
-// edit gives a proposal that sets a key of its own, and one that all proposals set, on top of what the writer has.
-func (s *simulation) edit(id string) Proposal {
+// newProposal returns a proposal that sets a key of its own, and one that all proposals set, on top of what the writer has.
+func (s *simulation) newProposal(id string) Proposal {
 	state := s.writer().core.State()
 	entries := map[string]string{}
 	for _, e := range state.Entries {
--- a/internal/configfeed/sim_test.go
+++ b/internal/configfeed/sim_test.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	simStart      = 1e6  // virtual Unix time at which a simulation begins
-	latency       = 0.01 // seconds one way within a region, and three times that between regions
-	headerBytes   = 300  // of an HTTP request or answer beside its body, as reckoned
-	inForceWithin = 6.0
-	stepsASecond  = 200 // of a process, at the most
+	simStart          = 1e6  // virtual Unix time at which a simulation begins
+	latency           = 0.01 // seconds one way within a region, and three times that between regions
+	headerBytes       = 300  // of an HTTP request or answer beside its body, as reckoned
+	inForceWithin     = 6.0
+	maxStepsPerSecond = 200 // of a process, at the most
 )
 
 // simulation is a set of servers and nodes on a virtual clock, with faults between them.
 type simulation struct {
-	clock   virtual.Clock
-	random  *rand.Rand
-	rules   rules
-	servers []*simServer
-	nodes   []*simNode
-	cuts    map[[2]string]bool // from, to
-	loss    float64
-	saved   map[Version][]State // every state that the writer's disk ever held
-	yes     []promise
-	breaks  []string
-}
-
-// promise is a proposal that was accepted.
-type promise struct {
+	clock      virtual.Clock
+	random     *rand.Rand
+	rules      rules
+	servers    []*simServer
+	nodes      []*simNode
+	cutLinks   map[[2]string]bool // from, to
+	loss       float64
+	saved      map[Version][]State // every state that the writer's disk ever held
+	accepted   []acceptedProposal
+	violations []string
+}
+
+// acceptedProposal is a proposal that was accepted.
+type acceptedProposal struct {
 	id      string
 	version Version
 }
@@ -48,21 +48,21 @@
 }
 
 func newSimulation(seed uint64, r rules) *simulation {
-	s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), rules: r, cuts: map[[2]string]bool{},
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), rules: r, cutLinks: map[[2]string]bool{},
 		saved: map[Version][]State{}}
 	s.clock.Now = simStart
 	return s
 }
 
-// regionsOf are the regions of the five servers: 2, 2 and 1.
-var regionsOf = []string{"north", "north", "south", "south", "west"}
+// serverRegions are the regions of the five servers: 2, 2 and 1.
+var serverRegions = []string{"north", "north", "south", "south", "west"}
 
-// raise starts servers and nodes.
-func (s *simulation) raise(servers, nodes int) {
+// startAll starts servers and nodes.
+func (s *simulation) startAll(servers, nodes int) {
 	var addresses []ServerAddress
 	for i := range servers {
 		name := fmt.Sprintf("c%d", i)
-		addresses = append(addresses, ServerAddress{Name: name, Address: name, Region: regionsOf[i]})
+		addresses = append(addresses, ServerAddress{Name: name, Address: name, Region: serverRegions[i]})
 	}
 	for _, a := range addresses {
 		c := ServerConfig{Name: a.Name, Region: a.Region, Servers: addresses, Writer: "c0", Seed: s.random.Uint64()}
@@ -85,7 +85,7 @@
 
 // runFor lets virtual time pass. More steps than any course should take are a loop, and end the test.
 func (s *simulation) runFor(seconds float64) {
-	limit := s.clock.Steps + int((seconds+1)*stepsASecond)*len(s.processes())
+	limit := s.clock.Steps + int((seconds+1)*maxStepsPerSecond)*len(s.processes())
 	for end := s.clock.Now + seconds; s.clock.Step(end); {
 		if s.clock.Steps > limit {
 			panic("more steps than any course should take")
@@ -93,12 +93,12 @@
 	}
 }
 
-func (s *simulation) broken(format string, args ...any) {
-	s.breaks = append(s.breaks, fmt.Sprintf("%.2f s: ", s.clock.Now-simStart)+fmt.Sprintf(format, args...))
+func (s *simulation) violated(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%.2f s: ", s.clock.Now-simStart)+fmt.Sprintf(format, args...))
 }
 
-// do has a process do something after a while, if it still runs then.
-func (s *simulation) do(after float64, p *process, run func()) {
+// runAfter has a process do something after a while, if it still runs then.
+func (s *simulation) runAfter(after float64, p *process, run func()) {
 	generation := p.generation
 	var step func()
 	step = func() {
@@ -115,21 +115,21 @@
 
 // send carries something from one process to another. Where the other one does not run, refused is called at the sender.
 func (s *simulation) send(from, to *process, arrived, refused func()) {
-	if s.lost(from, to) {
+	if s.drops(from, to) {
 		return
 	}
 	delay := s.delay(from, to)
 	s.clock.After(delay, func() {
 		if to.up {
-			s.do(0, to, arrived)
-		} else if !s.lost(to, from) {
-			s.do(delay, from, refused)
+			s.runAfter(0, to, arrived)
+		} else if !s.drops(to, from) {
+			s.runAfter(delay, from, refused)
 		}
 	})
 }
 
-func (s *simulation) lost(from, to *process) bool {
-	return s.cuts[[2]string{from.name, to.name}] || s.loss > 0 && s.random.Float64() < s.loss
+func (s *simulation) drops(from, to *process) bool {
+	return s.cutLinks[[2]string{from.name, to.name}] || s.loss > 0 && s.random.Float64() < s.loss
 }
 
 func (s *simulation) delay(from, to *process) float64 {
@@ -140,16 +140,16 @@
 	return delay
 }
 
-// cut cuts the way from one process to another, or mends it.
-func (s *simulation) cut(from, to string, cut bool) { s.cuts[[2]string{from, to}] = cut }
+// setLinkCut cuts the way from one process to another, or mends it.
+func (s *simulation) setLinkCut(from, to string, cut bool) { s.cutLinks[[2]string{from, to}] = cut }
 
-// cutRegion cuts a region off from the others, or mends that.
-func (s *simulation) cutRegion(region string, cut bool) {
+// setRegionCut cuts a region off from the others, or mends that.
+func (s *simulation) setRegionCut(region string, cut bool) {
 	all := s.processes()
 	for _, a := range all {
 		for _, b := range all {
 			if (a.region == region) != (b.region == region) {
-				s.cut(a.name, b.name, cut)
+				s.setLinkCut(a.name, b.name, cut)
 			}
 		}
 	}
@@ -165,8 +165,8 @@
 	return all
 }
 
-// begin marks the process as running.
-func (p *process) begin() {
+// markRunning marks the process as running.
+func (p *process) markRunning() {
 	p.up, p.stopped, p.backlog = true, false, nil
 	p.generation++
 }
@@ -190,7 +190,7 @@
 // writer is the server that takes proposals.
 func (s *simulation) writer() *simServer { return s.servers[0] }
 
-// behind gives the nodes that run and are not at a version.
+// behind returns the nodes that run and are not at a version.
 func (s *simulation) behind(v Version) (names []string) {
 	for _, n := range s.nodes {
 		if n.up && n.state.Version != v {
@@ -200,7 +200,7 @@
 	return names
 }
 
-// lastInForce runs for some seconds and gives how long the last of the nodes that run then took to put the writer's
+// lastInForce runs for some seconds and returns how long the last of the nodes that run then took to put the writer's
 // version in force, counted from the beginning; infinity where one has not.
 func (s *simulation) lastInForce(seconds float64) (took float64) {
 	begin := s.clock.Now
@@ -211,22 +211,22 @@
 		case n.state.Version != s.writer().disk.State.Version:
 			return math.Inf(1)
 		default:
-			took = max(took, n.since-begin)
+			took = max(took, n.inForceSince-begin)
 		}
 	}
 	return took
 }
 
-// report fails the test with what broke.
-func (s *simulation) report(t testing.TB) {
+// requireNoViolation fails the test with what broke.
+func (s *simulation) requireNoViolation(t testing.TB) {
 	t.Helper()
-	if len(s.breaks) > 0 {
-		t.Fatalf("%d broken, first: %s", len(s.breaks), s.breaks[0])
+	if len(s.violations) > 0 {
+		t.Fatalf("%d broken, first: %s", len(s.violations), s.violations[0])
 	}
 }
 
-// holds tells whether the writer's disk ever held exactly this state.
-func (s *simulation) holds(state State) bool {
+// wasSaved reports whether the writer's disk ever held exactly this state.
+func (s *simulation) wasSaved(state State) bool {
 	return slices.ContainsFunc(s.saved[state.Version], func(known State) bool {
 		return slices.Equal(known.Entries, state.Entries)
 	})
--- a/internal/configfeed/state.go
+++ b/internal/configfeed/state.go
@@ -14,10 +14,10 @@
 // Errors of states and deltas.
 var (
 	ErrTooLarge = errors.New("too large")
-	ErrMisfit   = errors.New("does not fit")
+	ErrMismatch = errors.New("does not fit")
 )
 
-// NewState gives a state of entries in any order, or an error where a key is empty or occurs twice, or where the
+// NewState returns a state of entries in any order, or an error where a key is empty or occurs twice, or where the
 // entries take more than MaxStateBytes.
 func NewState(v Version, entries []Entry) (State, error) {
 	sorted := slices.SortedFunc(slices.Values(entries), compareEntries)
@@ -27,7 +27,7 @@
 	return State{Version: v, Entries: sorted, Digest: digest(sorted)}, nil
 }
 
-// Verify tells whether the state's entries are sorted, within the limits and of its digest. The zero state is valid.
+// Verify reports whether the state's entries are sorted, within the limits and of its digest. The zero state is valid.
 func (s State) Verify() error {
 	if s.Version == (Version{}) && len(s.Entries) == 0 {
 		return nil
@@ -36,12 +36,12 @@
 		return err
 	}
 	if got := digest(s.Entries); got != s.Digest {
-		return fmt.Errorf("version %s: digest %016x, want %016x: %w", s.Version, got, s.Digest, ErrMisfit)
+		return fmt.Errorf("version %s: digest %016x, want %016x: %w", s.Version, got, s.Digest, ErrMismatch)
 	}
 	return nil
 }
 
-// Apply gives the state after a delta. It fails where the delta starts from another version or leads to an older one,
+// Apply returns the state after a delta. It fails where the delta starts from another version or leads to an older one,
 // or where the digest of the result is another one than the delta's.
 func (s State) Apply(d Delta) (State, error) {
 	next, err := s.apply(d)
@@ -54,7 +54,7 @@
 // apply is Apply without the check of the digest.
 func (s State) apply(d Delta) (State, error) {
 	if d.From != s.Version || d.To.Compare(d.From) <= 0 {
-		return State{}, fmt.Errorf("delta from %s to %s at version %s: %w", d.From, d.To, s.Version, ErrMisfit)
+		return State{}, fmt.Errorf("delta from %s to %s at version %s: %w", d.From, d.To, s.Version, ErrMismatch)
 	}
 	entries, err := merge(s.Entries, d.Set, d.Delete)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return State{Version: d.To, Entries: entries, Digest: d.Digest}, nil
 }
 
-// merge gives the entries with some set and others deleted. All are sorted.
+// merge returns the entries with some set and others deleted. All are sorted.
 func merge(entries, set []Entry, deleted []string) ([]Entry, error) {
 	merged := make([]Entry, 0, len(entries)+len(set))
 	for _, e := range entries {
@@ -82,12 +82,12 @@
 		}
 	}
 	if len(deleted) > 0 {
-		return nil, fmt.Errorf("delta deletes %q: %w", deleted[0], ErrMisfit)
+		return nil, fmt.Errorf("delta deletes %q: %w", deleted[0], ErrMismatch)
 	}
 	return append(merged, set...), nil
 }
 
-// difference gives what leads from one list of entries to another one, both sorted.
+// difference returns what leads from one list of entries to another one, both sorted.
 func difference(before, after []Entry) (set []Entry, deleted []string) {
 	for len(before) > 0 || len(after) > 0 {
 		switch {
@@ -107,7 +107,7 @@
 	return set, deleted
 }
 
-// changedKeys gives the keys that differ between two lists of entries, sorted.
+// changedKeys returns the keys that differ between two lists of entries, sorted.
 func changedKeys(before, after []Entry) []string {
 	set, keys := difference(before, after)
 	for _, e := range set {
@@ -138,14 +138,14 @@
 
 func compareEntries(a, b Entry) int { return strings.Compare(a.Key, b.Key) }
 
-// checkEntries tells whether entries are sorted by distinct keys and within MaxStateBytes.
+// checkEntries reports whether entries are sorted by distinct keys and within MaxStateBytes.
 func checkEntries(entries []Entry) error {
 	for i, e := range entries {
 		if e.Key == "" {
-			return fmt.Errorf("empty key: %w", ErrMisfit)
+			return fmt.Errorf("empty key: %w", ErrMismatch)
 		}
 		if i > 0 && cmp.Compare(entries[i-1].Key, e.Key) >= 0 {
-			return fmt.Errorf("key %q occurs twice or out of order: %w", e.Key, ErrMisfit)
+			return fmt.Errorf("key %q occurs twice or out of order: %w", e.Key, ErrMismatch)
 		}
 	}
 	if size := entryBytes(entries); size > MaxStateBytes {
--- a/internal/configfeed/types.go
+++ b/internal/configfeed/types.go
@@ -29,15 +29,15 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Compare gives -1, 0 or 1 as v is older than, equal to or newer than other.
+// Compare returns -1, 0 or 1 as v is older than, equal to or newer than other.
 func (v Version) Compare(other Version) int {
 	return cmp.Or(cmp.Compare(v.Epoch, other.Epoch), cmp.Compare(v.Revision, other.Revision))
 }
 
-// String gives the form in which operators see a version: epoch.revision.
+// String returns the form in which operators see a version: epoch.revision.
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Epoch, v.Revision) }
 
-// newest gives the newer of two versions. Epochs beyond MaxEpoch are nobody's and count as nothing, so that a broken
+// newest returns the newer of two versions. Epochs beyond MaxEpoch are nobody's and count as nothing, so that a broken
 // follower can't use the epochs up.
 func newest(a, b Version) Version {
 	if b.Epoch > MaxEpoch || b.Compare(a) <= 0 {
@@ -79,15 +79,15 @@
 
 // Poll is a follower's request: what it is, what it has, and how long the server may hold the answer back.
 type Poll struct {
-	Follower string   `json:"follower"`
-	Server   bool     `json:"server,omitempty"` // the follower is a control server itself
-	Region   string   `json:"region,omitempty"`
-	Have     Version  `json:"have"`
-	Digest   Digest   `json:"digest,string"`
-	Refused  *Refusal `json:"refused,omitempty"`
-	Whole    bool     `json:"whole,omitempty"` // a delta did not fit: a snapshot is wanted
-	Newest   Version  `json:"newest,omitzero"` // of all that the follower was told or shown
-	Wait     float64  `json:"wait_s"`
+	Follower      string   `json:"follower"`
+	Server        bool     `json:"server,omitempty"` // the follower is a control server itself
+	Region        string   `json:"region,omitempty"`
+	Have          Version  `json:"have"`
+	Digest        Digest   `json:"digest,string"`
+	Refused       *Refusal `json:"refused,omitempty"`
+	NeedsSnapshot bool     `json:"whole,omitempty"` // a delta did not fit: a snapshot is wanted
+	Newest        Version  `json:"newest,omitzero"` // of all that the follower was told or shown
+	Wait          float64  `json:"wait_s"`
 }
 
 // UpdateKind says what an Update carries.
@@ -158,11 +158,11 @@
 
 // FollowerStatus is what a server knows of one follower that polls it, or that another server reported.
 type FollowerStatus struct {
-	Name    string   `json:"name"`
-	Server  bool     `json:"server,omitempty"`
-	Region  string   `json:"region,omitempty"`
-	Have    Version  `json:"have"`
-	Since   float64  `json:"since_s"` // Unix time since which it has that version
-	Heard   float64  `json:"heard_s"` // Unix time of its last poll
-	Refused *Refusal `json:"refused,omitempty"`
+	Name      string   `json:"name"`
+	Server    bool     `json:"server,omitempty"`
+	Region    string   `json:"region,omitempty"`
+	Have      Version  `json:"have"`
+	HaveSince float64  `json:"since_s"` // Unix time since which it has that version
+	LastHeard float64  `json:"heard_s"` // Unix time of its last poll
+	Refused   *Refusal `json:"refused,omitempty"`
 }
--- a/internal/emulator/script.go
+++ b/internal/emulator/script.go
@@ -155,7 +155,7 @@
 		return s, err
 	}
 	if where, err := s.check(); err != nil {
-		return s, where.Wrong(path, text, err)
+		return s, where.Wrap(path, text, err)
 	}
 	return s, nil
 }
@@ -187,7 +187,7 @@
 		{rule("max_connects"), float64(r.MaxConnects), 1, 100}, {rule("retry_after"), r.RetryAfter, 0, 100},
 		{rule("ask_within"), r.AskWithin, 0, 1e4}, {rule("dial_timeout"), r.DialTimeout, 1e-3, 100}}
 	for i, t := range s.Traffic {
-		of := func(key string) strict.Place { return strict.Place{Table: "traffic", Nth: i, Key: key} }
+		of := func(key string) strict.Place { return strict.Place{Table: "traffic", Index: i, Key: key} }
 		if t.Name == "" || strings.ContainsAny(t.Name, " ,=\r\n") {
 			return of("name"), fmt.Errorf("a service type needs a name of one word, not %q", t.Name)
 		}
@@ -202,7 +202,7 @@
 			figure{of("heeds"), t.Heeds, 0, 1}, figure{of("memory_span"), t.Span, 0, 1e4})
 	}
 	for i, x := range s.Faults {
-		of := func(key string) strict.Place { return strict.Place{Table: "fault", Nth: i, Key: key} }
+		of := func(key string) strict.Place { return strict.Place{Table: "fault", Index: i, Key: key} }
 		needs, ok := kinds[x.Kind]
 		if !ok {
 			return of("kind"), fmt.Errorf("no fault is called %q; there are %s", x.Kind, strings.Join(Kinds(), ", "))
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -59,7 +59,7 @@
 		c.Period = usualPeriod
 	}
 	if where, err := c.check(); err != nil {
-		return c, where.Wrong(path, text, err)
+		return c, where.Wrap(path, text, err)
 	}
 	c.keys, _ = fleetkey.Decode(c.Key, c.OldKey)
 	return c, nil
--- a/internal/fleet/control_config.go
+++ b/internal/fleet/control_config.go
@@ -35,7 +35,7 @@
 	}
 	names, addresses := map[string]bool{}, map[netip.AddrPort]bool{}
 	for i, s := range c.Control {
-		place := func(key string) strict.Place { return strict.Place{Table: "control", Nth: i, Key: key} }
+		place := func(key string) strict.Place { return strict.Place{Table: "control", Index: i, Key: key} }
 		if err := checkName("name", s.Name); err != nil {
 			return place("name"), fmt.Errorf("control.%w", err)
 		}
--- a/internal/fleetkey/fleetkey.go
+++ b/internal/fleetkey/fleetkey.go
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("%s: wanted %d hexadecimal bytes or more", e.Setting, MinBytes)
 }
 
-// Decode gives the keys of a file's settings key and old_key, the one to sign with first. The old one may be empty.
+// Decode returns the keys of a file's settings key and old_key, the one to sign with first. The old one may be empty.
 func Decode(key, oldKey string) ([][]byte, *Error) {
 	current, err := hex.DecodeString(key)
 	if err != nil || len(current) < MinBytes {
--- a/internal/livesettings/documented_test.go
+++ b/internal/livesettings/documented_test.go
@@ -29,7 +29,7 @@
 	}
 	for _, k := range keys {
 		name := strings.NewReplacer("hosts.*", "hosts.ID", "*", "NAME").Replace(k.pattern)
-		row := fmt.Sprintf("| `%s` | %s | %s to %s", name, k.unit, plain(k.low), plain(k.high))
+		row := fmt.Sprintf("| `%s` | %s | %s to %s", name, k.unit, formatNumber(k.min), formatNumber(k.max))
 		if k.setText != nil {
 			row = fmt.Sprintf("| `%s` | host:port | port 1 to %d", name, MaxPort)
 		}
--- a/internal/livesettings/keys.go
+++ b/internal/livesettings/keys.go
@@ -8,34 +8,34 @@
 
 // Ranges of the figures. What lies outside is taken for a slip of the hand.
 const (
-	MaxRetryAdvice   = 600 // seconds
-	MinAskWithin     = 0.5 // seconds
-	MaxAskWithin     = 300
-	MinNodes         = 1 // nodes that share the hosts
-	MaxNodes         = 100_000
-	MinMaxConnects   = 1 // connects for one flow
-	MaxMaxConnects   = 64
-	MinSockets       = 32 // descriptors of a node
-	MaxSockets       = 4 << 20
-	MinSlowStartFrom = 0.001 // share of a host's capacity
-	MaxSlowStartFrom = 1
-	MinSlowStartFor  = 0.1 // seconds
-	MaxSlowStartFor  = 3600
-	MinFallMultiple  = 1 // times what a host bears
-	MaxFallMultiple  = 20
-	MinFallFor       = 0.01 // seconds
-	MaxFallFor       = 60
-	MaxConnections   = 1_000_000_000 // open connections of a tenant over all nodes
-	MinSetupTarget   = 0.001         // seconds
-	MaxSetupTarget   = 600
-	MinMessageTarget = 0.0001 // seconds
-	MaxMessageTarget = 60
-	MaxDisabledUntil = 4_102_444_800 // Unix seconds: the year 2100
-	MinWeight        = 0.001         // compared with the other hosts' weights
-	MaxWeight        = 1_000_000
-	MaxNameBytes     = 128 // of a tenant's, service type's or host's name
-	MaxAddressBytes  = 255 // of discovery's address
-	MaxPort          = 65535
+	MaxRetryAfter        = 600 // seconds
+	MinPollInterval      = 0.5 // seconds
+	MaxPollInterval      = 300
+	MinNodes             = 1 // nodes that share the hosts
+	MaxNodes             = 100_000
+	MinAttempts          = 1 // connects for one flow
+	MaxAttempts          = 64
+	MinDescriptors       = 32 // descriptors of a node
+	MaxDescriptors       = 4 << 20
+	MinSlowStartShare    = 0.001 // share of a host's capacity
+	MaxSlowStartShare    = 1
+	MinSlowStartDuration = 0.1 // seconds
+	MaxSlowStartDuration = 3600
+	MinOverloadMultiple  = 1 // times what a host bears
+	MaxOverloadMultiple  = 20
+	MinOverloadWindow    = 0.01 // seconds
+	MaxOverloadWindow    = 60
+	MaxConnections       = 1_000_000_000 // open connections of a tenant over all nodes
+	MinSetupObjective    = 0.001         // seconds
+	MaxSetupObjective    = 600
+	MinMessageObjective  = 0.0001 // seconds
+	MaxMessageObjective  = 60
+	MaxDisabledUntil     = 4_102_444_800 // Unix seconds: the year 2100
+	MinWeight            = 0.001         // compared with the other hosts' weights
+	MaxWeight            = 1_000_000
+	MaxNameBytes         = 128 // of a tenant's, service type's or host's name
+	MaxAddressBytes      = 255 // of discovery's address
+	MaxPort              = 65535
 )
 
 const wildcard = "*" // stands for a name in a pattern
@@ -43,10 +43,10 @@
 // key is one key of the document: its pattern, in which * stands for a name, the unit and range of its value, and how
 // the value gets into the settings. A key without a unit takes an address.
 type key struct {
-	pattern   string
-	unit      string
-	low, high float64
-	whole     bool // only whole numbers are taken
+	pattern  string
+	unit     string
+	min, max float64
+	integer  bool // only whole numbers are taken
 
 	setNumber func(s *Settings, name string, x float64)
 	setText   func(s *Settings, text string)
@@ -54,56 +54,56 @@
 
 // keys are all keys of the document.
 var keys = []key{
-	{pattern: "retry_advice_s", unit: "s", high: MaxRetryAdvice,
+	{pattern: "retry_advice_s", unit: "s", max: MaxRetryAfter,
 		setNumber: func(s *Settings, _ string, x float64) { s.MaxRetryAfter = &x }},
-	{pattern: "ask_within_s", unit: "s", low: MinAskWithin, high: MaxAskWithin,
+	{pattern: "ask_within_s", unit: "s", min: MinPollInterval, max: MaxPollInterval,
 		setNumber: func(s *Settings, _ string, x float64) { s.PollInterval = &x }},
-	{pattern: "nodes", unit: "nodes", low: MinNodes, high: MaxNodes, whole: true,
-		setNumber: func(s *Settings, _ string, x float64) { s.Nodes = count(x) }},
+	{pattern: "nodes", unit: "nodes", min: MinNodes, max: MaxNodes, integer: true,
+		setNumber: func(s *Settings, _ string, x float64) { s.Nodes = integerValue(x) }},
 	{pattern: "discovery",
 		setText: func(s *Settings, text string) { s.Discovery = &text }},
-	{pattern: "limits.max_connects", unit: "connects", low: MinMaxConnects, high: MaxMaxConnects, whole: true,
-		setNumber: func(s *Settings, _ string, x float64) { s.MaxAttempts = count(x) }},
-	{pattern: "limits.sockets", unit: "descriptors", low: MinSockets, high: MaxSockets, whole: true,
-		setNumber: func(s *Settings, _ string, x float64) { s.MaxDescriptors = count(x) }},
-	{pattern: "slow_start.from", unit: "share", low: MinSlowStartFrom, high: MaxSlowStartFrom,
+	{pattern: "limits.max_connects", unit: "connects", min: MinAttempts, max: MaxAttempts, integer: true,
+		setNumber: func(s *Settings, _ string, x float64) { s.MaxAttempts = integerValue(x) }},
+	{pattern: "limits.sockets", unit: "descriptors", min: MinDescriptors, max: MaxDescriptors, integer: true,
+		setNumber: func(s *Settings, _ string, x float64) { s.MaxDescriptors = integerValue(x) }},
+	{pattern: "slow_start.from", unit: "share", min: MinSlowStartShare, max: MaxSlowStartShare,
 		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.Share = &x }},
-	{pattern: "slow_start.for_s", unit: "s", low: MinSlowStartFor, high: MaxSlowStartFor,
+	{pattern: "slow_start.for_s", unit: "s", min: MinSlowStartDuration, max: MaxSlowStartDuration,
 		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.Duration = &x }},
-	{pattern: "slow_start.fall_multiple", unit: "times", low: MinFallMultiple, high: MaxFallMultiple,
+	{pattern: "slow_start.fall_multiple", unit: "times", min: MinOverloadMultiple, max: MaxOverloadMultiple,
 		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.OverloadMultiple = &x }},
-	{pattern: "slow_start.fall_for_s", unit: "s", low: MinFallFor, high: MaxFallFor,
+	{pattern: "slow_start.fall_for_s", unit: "s", min: MinOverloadWindow, max: MaxOverloadWindow,
 		setNumber: func(s *Settings, _ string, x float64) { s.SlowStart.OverloadWindow = &x }},
-	{pattern: "tenants.*.connections", unit: "connections", high: MaxConnections, whole: true,
+	{pattern: "tenants.*.connections", unit: "connections", max: MaxConnections, integer: true,
 		setNumber: func(s *Settings, name string, x float64) {
-			change(&s.Tenants, name, func(t *live.Tenant) { t.Connections = count(x) })
+			editRow(&s.Tenants, name, func(t *live.Tenant) { t.Connections = integerValue(x) })
 		}},
-	{pattern: "service_types.*.setup_target_s", unit: "s", low: MinSetupTarget, high: MaxSetupTarget,
+	{pattern: "service_types.*.setup_target_s", unit: "s", min: MinSetupObjective, max: MaxSetupObjective,
 		setNumber: func(s *Settings, name string, x float64) {
-			change(&s.Types, name, func(t *live.ServiceType) { t.SetupObjective = &x })
+			editRow(&s.Types, name, func(t *live.ServiceType) { t.SetupObjective = &x })
 		}},
-	{pattern: "service_types.*.message_target_s", unit: "s", low: MinMessageTarget, high: MaxMessageTarget,
+	{pattern: "service_types.*.message_target_s", unit: "s", min: MinMessageObjective, max: MaxMessageObjective,
 		setNumber: func(s *Settings, name string, x float64) {
-			change(&s.Types, name, func(t *live.ServiceType) { t.MessageObjective = &x })
+			editRow(&s.Types, name, func(t *live.ServiceType) { t.MessageObjective = &x })
 		}},
-	{pattern: "hosts.*.disabled_until_s", unit: "Unix s", high: MaxDisabledUntil,
+	{pattern: "hosts.*.disabled_until_s", unit: "Unix s", max: MaxDisabledUntil,
 		setNumber: func(s *Settings, name string, x float64) {
-			change(&s.Hosts, name, func(h *live.Host) { h.DisabledUntil = &x })
+			editRow(&s.Hosts, name, func(h *live.Host) { h.DisabledUntil = &x })
 		}},
-	{pattern: "hosts.*.weight", unit: "as listed", low: MinWeight, high: MaxWeight,
+	{pattern: "hosts.*.weight", unit: "as listed", min: MinWeight, max: MaxWeight,
 		setNumber: func(s *Settings, name string, x float64) {
-			change(&s.Hosts, name, func(h *live.Host) { h.Weight = &x })
+			editRow(&s.Hosts, name, func(h *live.Host) { h.Weight = &x })
 		}},
 }
 
-// count gives a whole number as the settings keep it.
-func count(x float64) *int {
+// integerValue returns a whole number as the settings keep it.
+func integerValue(x float64) *int {
 	n := int(x)
 	return &n
 }
 
-// change edits one named row of a table, which comes to be with its first row.
-func change[Row any](table *map[string]Row, name string, edit func(*Row)) {
+// editRow edits one named row of a table, which comes to be with its first row.
+func editRow[Row any](table *map[string]Row, name string, edit func(*Row)) {
 	if *table == nil {
 		*table = map[string]Row{}
 	}
@@ -112,7 +112,7 @@
 	(*table)[name] = row
 }
 
-// match tells whether a key is of the pattern, and which name stands in it. A name may itself have dots.
+// match reports whether a key is of the pattern, and which name stands in it. A name may itself have dots.
 func (k key) match(text string) (name string, ok bool) {
 	before, after, named := strings.Cut(k.pattern, wildcard)
 	if !named {
@@ -134,8 +134,8 @@
 	"service_types.*.memory_span_us",
 }
 
-// otherNames are figures that a start knows by another name than their live key.
-var otherNames = []struct{ pattern, liveKey string }{
+// startNames are figures that a start knows by another name than their live key.
+var startNames = []struct{ pattern, liveKey string }{
 	{"siblings", "nodes"},
 	{"limits.max_retry_after_us", "retry_advice_s"},
 	{"invariants.ask_within_us", "ask_within_s"},
@@ -146,8 +146,8 @@
 	{"service_types.*.setup_target_us", "service_types.*.setup_target_s"},
 }
 
-// below tells whether a key is of a pattern, or stands below it.
-func below(pattern, text string) bool {
+// isAtOrBelow reports whether a key is of a pattern, or stands below it.
+func isAtOrBelow(pattern, text string) bool {
 	if text == pattern || strings.HasPrefix(text, pattern+".") {
 		return true
 	}
@@ -160,15 +160,15 @@
 	unknown      = "unknown key"
 )
 
-// whyNotLive says why a key that is none of the document's is refused.
-func whyNotLive(text string) string {
-	for _, other := range otherNames {
-		if below(other.pattern, text) {
+// rejectionReason says why a key that is none of the document's is refused.
+func rejectionReason(text string) string {
+	for _, other := range startNames {
+		if isAtOrBelow(other.pattern, text) {
 			return needsRestart + "; the live key is " + other.liveKey
 		}
 	}
 	for _, pattern := range restartKeys {
-		if below(pattern, text) {
+		if isAtOrBelow(pattern, text) {
 			return needsRestart
 		}
 	}
--- a/internal/livesettings/livesettings.go
+++ b/internal/livesettings/livesettings.go
@@ -28,13 +28,13 @@
 type Settings = live.Settings
 
 // KeyError says which key of a document is refused, and why.
-type KeyError struct{ Key, Why string }
+type KeyError struct{ Key, Reason string }
 
 func (e *KeyError) Error() string {
 	if strings.ContainsFunc(e.Key, unicode.IsControl) { // an error stays on one line
-		return strconv.Quote(e.Key) + ": " + e.Why
+		return strconv.Quote(e.Key) + ": " + e.Reason
 	}
-	return e.Key + ": " + e.Why
+	return e.Key + ": " + e.Reason
 }
 
 // Parse reads a document to entries, sorted by key. What is refused is an error of one line with the path, the line, the
@@ -61,8 +61,8 @@
 		entries = append(entries, entry)
 	}
 	slices.SortFunc(entries, func(a, b configfeed.Entry) int { return strings.Compare(a.Key, b.Key) })
-	if size := sizeOf(entries); size > configfeed.MaxStateBytes {
-		return nil, fmt.Errorf("%s:1: %w", path, tooLarge(size))
+	if size := entryBytes(entries); size > configfeed.MaxStateBytes {
+		return nil, fmt.Errorf("%s:1: %w", path, tooLargeError(size))
 	}
 	return entries, nil
 }
@@ -74,17 +74,17 @@
 		if isLiveTable(leaf.Key) {
 			return configfeed.Entry{}, &KeyError{key, "nothing stands in this table"}
 		}
-		return configfeed.Entry{}, &KeyError{key, whyNotLive(key)}
+		return configfeed.Entry{}, &KeyError{key, rejectionReason(key)}
 	}
 	value, err := json.Marshal(leaf.Value)
 	if err != nil { // such as nan and inf, which JSON has no word for
 		value = []byte("null")
 	}
 	entry := configfeed.Entry{Key: key, Value: string(value)}
-	return entry, set(&Settings{}, entry)
+	return entry, setEntry(&Settings{}, entry)
 }
 
-// isLiveTable tells whether live keys may stand in a table.
+// isLiveTable reports whether live keys may stand in a table.
 func isLiveTable(key []string) bool {
 	for _, k := range keys {
 		pattern := strings.Split(k.pattern, ".")
@@ -95,7 +95,7 @@
 	return false
 }
 
-// Check tells whether a node could take the entries: sorted, each key once and known, each value of its type and in its
+// Check reports whether a node could take the entries: sorted, each key once and known, each value of its type and in its
 // range. An error names the first key at fault.
 func Check(entries []configfeed.Entry) error {
 	_, err := Decode(entries)
@@ -105,33 +105,33 @@
 // Decode turns entries into settings. An error names the first key at fault.
 func Decode(entries []configfeed.Entry) (Settings, error) {
 	var s Settings
-	if size := sizeOf(entries); size > configfeed.MaxStateBytes {
-		return Settings{}, tooLarge(size)
+	if size := entryBytes(entries); size > configfeed.MaxStateBytes {
+		return Settings{}, tooLargeError(size)
 	}
 	for i, entry := range entries {
 		if i > 0 && entry.Key <= entries[i-1].Key {
 			return Settings{}, &KeyError{entry.Key, "is not sorted, or stands there twice"}
 		}
-		if err := set(&s, entry); err != nil {
+		if err := setEntry(&s, entry); err != nil {
 			return Settings{}, err
 		}
 	}
 	return s, nil
 }
 
-func sizeOf(entries []configfeed.Entry) (bytes int) {
+func entryBytes(entries []configfeed.Entry) (bytes int) {
 	for _, entry := range entries {
 		bytes += len(entry.Key) + len(entry.Value)
 	}
 	return bytes
 }
 
-func tooLarge(size int) error {
+func tooLargeError(size int) error {
 	return fmt.Errorf("%d bytes of keys and values, and %d do", size, configfeed.MaxStateBytes)
 }
 
-// set puts one entry into the settings.
-func set(s *Settings, entry configfeed.Entry) error {
+// setEntry puts one entry into the settings.
+func setEntry(s *Settings, entry configfeed.Entry) error {
 	for _, k := range keys {
 		name, ok := k.match(entry.Key)
 		if !ok {
@@ -146,10 +146,10 @@
 		}
 		return nil
 	}
-	return &KeyError{entry.Key, whyNotLive(entry.Key)}
+	return &KeyError{entry.Key, rejectionReason(entry.Key)}
 }
 
-// checkName tells whether a name can be one of a tenant, service type or host; a key without a name has the empty one.
+// checkName reports whether a name can be one of a tenant, service type or host; a key without a name has the empty one.
 func checkName(name string) error {
 	switch {
 	case len(name) > MaxNameBytes:
@@ -190,25 +190,25 @@
 	if json.Unmarshal([]byte(value), &x) != nil || value == "null" {
 		return 0, fmt.Errorf("wanted %s", k.kind())
 	}
-	if k.whole && (x != math.Trunc(x) || strings.ContainsAny(value, ".eE")) {
+	if k.integer && (x != math.Trunc(x) || strings.ContainsAny(value, ".eE")) {
 		return 0, fmt.Errorf("wanted %s", k.kind())
 	}
-	if x < k.low || x > k.high {
-		return 0, fmt.Errorf("%s is not between %s and %s %s", value, plain(k.low), plain(k.high), k.unit)
+	if x < k.min || x > k.max {
+		return 0, fmt.Errorf("%s is not between %s and %s %s", value, formatNumber(k.min), formatNumber(k.max), k.unit)
 	}
 	return x, nil
 }
 
 func (k key) kind() string {
-	if k.whole {
+	if k.integer {
 		return "a whole number"
 	}
 	return "a number"
 }
 
-func plain(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
+func formatNumber(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 
-// checkAddress tells whether a text is a host and a port.
+// checkAddress reports whether a text is a host and a port.
 func checkAddress(text string) error {
 	host, port, err := net.SplitHostPort(text)
 	number, notNumber := strconv.Atoi(port)
--- a/internal/livesettings/livesettings_golden_test.go
+++ b/internal/livesettings/livesettings_golden_test.go
@@ -178,8 +178,8 @@
 func TestKeysMatchGoldenFile(t *testing.T) {
 	var text bytes.Buffer
 	for _, k := range keys {
-		fmt.Fprintf(&text, "%s unit=%q low=%s high=%s whole=%t number=%t text=%t\n", k.pattern, k.unit, plain(k.low),
-			plain(k.high), k.whole, k.setNumber != nil, k.setText != nil)
+		fmt.Fprintf(&text, "%s unit=%q low=%s high=%s whole=%t number=%t text=%t\n", k.pattern, k.unit, formatNumber(k.min),
+			formatNumber(k.max), k.integer, k.setNumber != nil, k.setText != nil)
 	}
 	requireGolden(t, "keys.txt", text.Bytes())
 }
@@ -194,7 +194,7 @@
 		"service_types.chat.give_up_us", "service_types.chat.memory_span_us", "siblings", "limits.max_retry_after_us",
 		"invariants.ask_within_us", "invariants.cold_from", "invariants.cold_us", "invariants.fall_multiple",
 		"invariants.fall_us", "service_types.chat.setup_target_us", "zones.east", "none", "limits.none", "limits", "hosts"} {
-		fmt.Fprintf(&text, "%s: %s\n", key, whyNotLive(key))
+		fmt.Fprintf(&text, "%s: %s\n", key, rejectionReason(key))
 	}
 	requireGolden(t, "not_live.txt", text.Bytes())
 }
--- a/internal/livesettings/livesettings_test.go
+++ b/internal/livesettings/livesettings_test.go
@@ -12,7 +12,7 @@
 	"gorseledge/internal/configfeed"
 )
 
-const whole = `# every key of the document
+const completeDocument = `# every key of the document
 retry_advice_s = 12.5
 ask_within_s = 8
 nodes = 860
@@ -45,7 +45,7 @@
 
 // Every key of the table is read, sorted, under its dotted name, and gets into the settings.
 func TestDocumentWithEveryKey(t *testing.T) {
-	entries, err := Parse("live.toml", []byte(whole))
+	entries, err := Parse("live.toml", []byte(completeDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(whole)
+	f.Add(completeDocument)
 	f.Add("limits = { sockets = 3 }\n[hosts.\"a\\nb\"]\nweight = nan\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		entries, err := Parse("live.toml", []byte(text))
--- a/internal/rig/script.go
+++ b/internal/rig/script.go
@@ -134,7 +134,7 @@
 		s.Liveness = s.Settle
 	}
 	if where, err := s.check(); err != nil {
-		return nil, where.Wrong(path, text, err)
+		return nil, where.Wrap(path, text, err)
 	}
 	return s, nil
 }
@@ -175,7 +175,7 @@
 	}
 	for i, f := range s.Faults {
 		if key, err := s.checkFault(f); err != nil {
-			return strict.Place{Table: "fault", Nth: i, Key: key}, err
+			return strict.Place{Table: "fault", Index: i, Key: key}, err
 		}
 	}
 	if s.Control > 0 && s.Control%2 == 0 || s.Control == 1 {
@@ -183,7 +183,7 @@
 	}
 	for i, f := range s.ControlFaults {
 		if key, err := s.checkControlFault(f); err != nil {
-			return strict.Place{Table: "control_fault", Nth: i, Key: key}, err
+			return strict.Place{Table: "control_fault", Index: i, Key: key}, err
 		}
 	}
 	return strict.Place{}, nil
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	if where, err := s.check(); err != nil {
-		return nil, where.Wrong(path, text, err)
+		return nil, where.Wrap(path, text, err)
 	}
 	return s, nil
 }
@@ -129,7 +129,7 @@
 		return top("control"), errors.New("control: for each region a number, together an odd one from 3 to 9")
 	}
 	for i, a := range s.Events {
-		at := func(key string) strict.Place { return strict.Place{Table: "event", Nth: i, Key: key} }
+		at := func(key string) strict.Place { return strict.Place{Table: "event", Index: i, Key: key} }
 		switch {
 		case !slices.Contains([]ActionKind{KillOne, RestartSome, KillRack, KillZone, CutRegion, Change}, a.Kind):
 			return at("kind"), fmt.Errorf("kind: no event is called %q", a.Kind)
--- a/internal/strict/leaves.go
+++ b/internal/strict/leaves.go
@@ -15,7 +15,7 @@
 	Line  int // at which the key stands
 }
 
-// Leaves gives all values of a document whose keys are not known beforehand, in the order of their lines. An error has
+// Leaves returns all values of a document whose keys are not known beforehand, in the order of their lines. An error has
 // the file and the row.
 func Leaves(path string, text []byte) ([]Leaf, error) {
 	var document map[string]any
@@ -44,7 +44,7 @@
 
 func lineKey(key []string) string { return strings.Join(key, "\x00") }
 
-// keyLines gives the first line of each key of a document that parses.
+// keyLines returns the first line of each key of a document that parses.
 func keyLines(text []byte) map[string]int {
 	k := keyFinder{lines: map[string]int{}}
 	for at, c := range text {
@@ -58,9 +58,9 @@
 	for parser.NextExpression() {
 		switch e := parser.Expression(); e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table = k.key(nil, e.Key())
+			table = k.addKey(nil, e.Key())
 		case unstable.KeyValue:
-			k.pair(table, e)
+			k.addPair(table, e)
 		}
 	}
 	return k.lines
@@ -72,8 +72,8 @@
 	lineEnds []int // offsets
 }
 
-// key notes a dotted key below a table, and each table that it passes.
-func (k *keyFinder) key(table []string, parts unstable.Iterator) []string {
+// addKey notes a dotted key below a table, and each table that it passes.
+func (k *keyFinder) addKey(table []string, parts unstable.Iterator) []string {
 	key := slices.Clone(table)
 	for parts.Next() {
 		part := parts.Node()
@@ -86,13 +86,13 @@
 	return key
 }
 
-// pair notes a key and, where its value is a table in braces, the keys in it.
-func (k *keyFinder) pair(table []string, pair *unstable.Node) {
-	key := k.key(table, pair.Key())
+// addPair notes a key and, where its value is a table in braces, the keys in it.
+func (k *keyFinder) addPair(table []string, pair *unstable.Node) {
+	key := k.addKey(table, pair.Key())
 	if pair.Value().Kind != unstable.InlineTable {
 		return
 	}
 	for inner := pair.Value().Children(); inner.Next(); {
-		k.pair(key, inner.Node())
+		k.addPair(key, inner.Node())
 	}
 }
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -32,31 +32,31 @@
 // Place names a key in a file: the n-th table of a name, from 0 on, and a key in it; no table for the top.
 type Place struct {
 	Table string
-	Nth   int
+	Index int
 	Key   string
 }
 
-// Wrong gives an error the file and the row of what it is about.
-func (p Place) Wrong(path string, text []byte, err error) error {
-	return fmt.Errorf("%s:%d: %w", path, p.row(text), err)
+// Wrap returns an error the file and the row of what it is about.
+func (p Place) Wrap(path string, text []byte, err error) error {
+	return fmt.Errorf("%s:%d: %w", path, p.line(text), err)
 }
 
-// row finds a place in the text; the table's own row where the key is not written, 1 where neither is.
-func (p Place) row(text []byte) int {
+// line finds a place in the text; the table's own row where the key is not written, 1 where neither is.
+func (p Place) line(text []byte) int {
 	best, nth, in := 1, -1, p.Table == ""
 	for i, row := range strings.Split(string(text), "\n") {
 		row = strings.TrimSpace(row)
 		if strings.HasPrefix(row, "[") {
 			name := strings.Trim(strings.TrimSpace(strings.SplitN(row, "#", 2)[0]), "[] ")
 			if in = name == p.Table; in {
-				if nth++; nth == p.Nth {
+				if nth++; nth == p.Index {
 					best = i + 1
 				}
 			}
 			continue
 		}
 		key, _, found := strings.Cut(row, "=")
-		if found && in && strings.TrimSpace(key) == p.Key && (p.Table == "" || nth == p.Nth) {
+		if found && in && strings.TrimSpace(key) == p.Key && (p.Table == "" || nth == p.Index) {
 			return i + 1
 		}
 	}
