--- a/internal/configfeed/effects.go
+++ b/internal/configfeed/effects.go
@@ -1,33 +1,30 @@
 package configfeed
 
-// FollowerEffect is one thing that a Follower asks its caller to do: SendPoll, CancelPoll or Install.
+// FollowerEffect is an action that a Follower asks its caller for: SendPoll, CancelPoll or Install.
 type FollowerEffect interface{ followerEffect() }
 
-// ServerEffect is one thing that a Server asks its caller to do: SendPoll, CancelPoll, AnswerPoll, AnswerProposal or
-// Save.
+// ServerEffect is an action that a Server asks its caller for: SendPoll, CancelPoll, AnswerPoll, AnswerProposal or Save.
 type ServerEffect interface{ serverEffect() }
 
 type (
-	// SendPoll asks for a poll to be sent. Its answer goes to Answered, any failure to Failed, under Request. After
-	// Timeout seconds the caller may give up by itself.
+	// SendPoll asks for a poll to be sent. Its answer is reported to Answered, any failure to Failed, with Request.
 	SendPoll struct {
 		Request uint64
 		Server  ServerAddress
 		Poll    Poll
-		Timeout float64
+		Timeout float64 // seconds after which the caller may give up by itself
 	}
-	// CancelPoll ends a poll whose answer is not waited for any more. Nothing needs to be reported of it.
+	// CancelPoll ends a poll whose answer is not awaited any more. Nothing needs to be reported of it.
 	CancelPoll struct{ Request uint64 }
-	// Install asks for a state to be put in force. The caller reports by Installed or Refuse. Changed holds the keys
-	// that differ from the state in force, sorted.
+	// Install asks for a state to be put in force. The caller reports the result to Installed or Refuse.
 	Install struct {
 		State     State
-		Changed   []string
-		revisions []Revision // that lead there, where the follower is a server and got them
+		Changed   []string   // keys that differ from the state in force, sorted
+		revisions []Revision // that lead to State, where the follower is a server and was sent them
 	}
-	// AnswerPoll answers a poll that came by Polled. Updates of one server that agree in Kind, Version, Isolated, the
-	// From of their first delta, and in whether they hold Deltas or Revisions, are equal and share their memory: the
-	// caller may keep one encoded form for all of them, and must not change them.
+	// AnswerPoll answers a poll that Polled took. Updates of one server that agree in Kind, Version, Isolated, the From
+	// of their first delta, and in whether they hold Deltas or Revisions, are equal and share their memory: the caller
+	// may cache one encoded form for all of them, and must not change them.
 	AnswerPoll struct {
 		Request uint64
 		Update  Update
@@ -37,13 +34,14 @@
 		Request uint64
 		Outcome Outcome
 	}
-	// Save asks for a durable write, in one transaction. State is the whole state after it. Where Revisions are
-	// given, they lead from the state on disk to it, in order, and are added to the history; where there are none, the
-	// state replaces the one on disk and the history stays as it is. The caller keeps the newest HistoryRevisions
-	// revisions and reports by Saved. There is only one Save at a time.
+	// Save asks for a durable write, in one transaction. The caller keeps the newest HistoryRevisions revisions and
+	// reports the result to Saved, with ID. There is only one Save at a time.
 	Save struct {
-		ID        uint64
-		State     State
+		ID uint64
+		// State is the complete state after the write.
+		State State
+		// Revisions lead from the state on disk to State, in order, and are added to the history. Without any, State
+		// replaces the state on disk and the history stays as it is.
 		Revisions []Revision
 	}
 )
--- a/internal/configfeed/follower.go
+++ b/internal/configfeed/follower.go
@@ -1,114 +1,71 @@
 package configfeed
 
 import (
-	"cmp"
 	"errors"
 	"math"
 	"math/rand/v2"
 	"slices"
 )
 
-// Times of a follower, in seconds.
 const (
-	DefaultWait            = 2.0
-	answerAllowance        = 1.0  // for an answer, beyond the time that the server may hold it back
-	startSpread            = 0.2  // a fleet that starts together does not poll together
-	minPreferredRetryDelay = 15.0 // until the preferred server is tried again; doubles each time that it fails
-	maxPreferredRetryDelay = 300.0
-	preferredRetryJitter   = 0.5
+	// followerStream is the stream of the random numbers of a follower's seed.
+	followerStream = 17
+	// fullTimeoutOdds is in how many first polls, on average, one takes the full timeout while all servers fail.
+	fullTimeoutOdds = 4
 )
 
-// ServerAddress is a control server: its name, where it is reached, and its region.
-type ServerAddress struct{ Name, Address, Region string }
-
-// FollowerConfig is what a follower is told at its start. Times are in seconds.
-type FollowerConfig struct {
-	Name    string // of this follower
-	Server  bool   // it is a control server itself
-	Region  string
-	Servers []ServerAddress
-	Seed    uint64
-	Wait    float64 // that a server may hold a poll back; zero for DefaultWait
-	Timeout float64 // of a poll, from its sending to its whole answer; zero for a second beyond Wait
-}
-
-// FollowerView is what a follower knows at the moment. Times are the caller's.
-type FollowerView struct {
-	Version      Version
-	Digest       Digest
-	InForceSince float64 // when Version was put in force
-	LastHeard    float64 // when any server answered last; zero for never
-	Server       string  // whom it polls
-	Refused      *Refusal
-	Newest       Version // that any server told of
-}
-
 // openPoll is a poll that is not answered yet.
 type openPoll struct {
-	request          uint64
-	have             Version
-	wait             float64
-	sentAt, deadline float64
+	request  uint64
+	have     Version
+	wait     float64 // seconds
+	sentAt   float64
+	deadline float64
 }
 
-// Follower keeps one state up to date from the control servers. After each call, Next says anew when Tick is due.
-// It has one poll open at one server at a time. The first
-// poll at a server is to be answered at once, so that a dead server costs little time; the next ones are held back
-// there until something is new.
+// Follower keeps one state up to date from the control servers. It has one poll open at one server at a time. The first
+// poll at a server asks for an answer at once, so that a dead server costs little time; the next ones are held there
+// until there is something new. After each call, Next says anew when Tick is due.
 type Follower struct {
 	config      FollowerConfig
 	random      *rand.Rand
-	lastRequest *uint64 // given out so far
+	servers     serverSelection
+	lastRequest *uint64 // shared by the followers of one server, so that requests have distinct numbers
 	rules       rules
 
 	state         State
 	inForceSince  float64
 	lastHeard     float64
-	newest        Version
-	refusal       *Refusal
-	needsSnapshot bool // a delta did not fit
-	poll          *openPoll
-	installing    *Install
+	newest        Version  // that any server has reported
+	refusal       *Refusal // of a version newer than the one in force, or nil
+	needsSnapshot bool     // a delta did not lead on from the state
+	unresponsive  bool     // the last poll got no answer
 
-	serverIndex         int     // index of the server that is polled
-	serverAnswered      bool    // it answered the last poll
-	unresponsive        bool    // no answer came to the last poll
-	failures            int     // in a row
-	pollAt              float64 // when the next poll goes out
-	preferredRetryAt    float64 // when the preferred server is tried again
-	preferredRetryDelay float64
+	poll       *openPoll // or nil
+	installing *Install  // that the caller has not reported on, or nil
 }
 
-// NewFollower returns a follower that has a state already, or the zero State. A state that is not of its own digest is
-// not used.
+// NewFollower returns a follower that starts with a state in force, or with the zero State. A state that does not have
+// its own digest is ignored.
 func NewFollower(now float64, c FollowerConfig, have State) *Follower {
-	c.Wait = cmp.Or(c.Wait, DefaultWait)
-	c.Timeout = cmp.Or(c.Timeout, c.Wait+answerAllowance)
+	c = c.withDefaults()
 	if have.Verify() != nil {
 		have = State{}
 	}
-	random := rand.New(rand.NewPCG(c.Seed, 17))
-	c.Servers = orderServers(c.Servers, c.Region, random)
-	return &Follower{config: c, random: random, lastRequest: new(uint64), rules: rules{neverSwitchServer: singleServerBuild}, state: have, inForceSince: now, newest: have.Version,
-		pollAt: now + random.Float64()*startSpread, preferredRetryAt: math.Inf(1), preferredRetryDelay: minPreferredRetryDelay}
-}
-
-// orderServers returns the servers in the order in which a follower tries them: those of its region first, each part in an
-// order that is drawn.
-func orderServers(servers []ServerAddress, region string, random *rand.Rand) []ServerAddress {
-	order := slices.Clone(servers)
-	random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	abroad := func(s ServerAddress) int {
-		if s.Region == region {
-			return 0
-		}
-		return 1
+	random := rand.New(rand.NewPCG(c.Seed, followerStream))
+	return &Follower{
+		config:       c,
+		random:       random,
+		servers:      newServerSelection(now, c.Servers, c.Region, random),
+		lastRequest:  new(uint64),
+		rules:        rules{neverSwitchServer: singleServerBuild},
+		state:        have,
+		inForceSince: now,
+		newest:       have.Version,
 	}
-	slices.SortStableFunc(order, func(a, b ServerAddress) int { return cmp.Compare(abroad(a), abroad(b)) })
-	return order
 }
 
-// Next is when Tick is due.
+// Next returns when Tick is due, in seconds; infinity while there is nothing to wait for.
 func (f *Follower) Next() float64 {
 	switch {
 	case len(f.config.Servers) == 0 || f.installing != nil:
@@ -116,10 +73,10 @@
 	case f.poll != nil:
 		return f.poll.deadline
 	}
-	return f.pollAt
+	return f.servers.pollAt
 }
 
-// Tick does what is due.
+// Tick does what is due: it gives up a poll whose time is over, and sends the next one.
 func (f *Follower) Tick(now float64) []FollowerEffect {
 	var effects []FollowerEffect
 	if f.poll != nil && now >= f.poll.deadline {
@@ -134,32 +91,38 @@
 
 // send opens a poll at the server whose turn it is.
 func (f *Follower) send(now float64) SendPoll {
-	if now >= f.preferredRetryAt && f.serverIndex != 0 {
-		f.serverIndex, f.serverAnswered = 0, false
+	f.servers.returnToPreferred(now)
+	p := Poll{
+		Follower:      f.config.Name,
+		Server:        f.config.Server,
+		Region:        f.config.Region,
+		Have:          f.state.Version,
+		Digest:        f.state.Digest,
+		Refused:       f.refusal,
+		NeedsSnapshot: f.needsSnapshot,
+		Newest:        f.newest,
 	}
-	p := Poll{Follower: f.config.Name, Server: f.config.Server, Region: f.config.Region, Have: f.state.Version,
-		Digest: f.state.Digest, Refused: f.refusal, NeedsSnapshot: f.needsSnapshot, Newest: f.newest}
 	timeout := f.config.Timeout
-	if f.serverAnswered {
+	if f.servers.answered {
 		p.Wait = f.config.Wait
 	} else if !f.usesFullTimeout() {
 		timeout -= f.config.Wait
 	}
 	*f.lastRequest++
 	f.poll = &openPoll{request: *f.lastRequest, have: p.Have, wait: p.Wait, sentAt: now, deadline: now + timeout}
-	return SendPoll{Request: f.poll.request, Server: f.config.Servers[f.serverIndex], Poll: p, Timeout: timeout}
+	return SendPoll{Request: f.poll.request, Server: f.servers.current(), Poll: p, Timeout: timeout}
 }
 
-// usesFullTimeout reports whether the first poll at a server may take as long as any: its answer may be large. After failures all
-// around that is drawn, as a server that can't be reached looks like one that needs longer.
+// usesFullTimeout reports whether the first poll at a server may take as long as any: its answer may be large. While all
+// servers fail this is chosen at random, as a server that cannot be reached looks like one that needs longer.
 func (f *Follower) usesFullTimeout() bool {
 	if f.state.Version == (Version{}) || f.needsSnapshot {
 		return true
 	}
-	return f.failures >= len(f.config.Servers) && f.random.IntN(4) == 0
+	return f.servers.allFailed() && f.random.IntN(fullTimeoutOdds) == 0
 }
 
-// Failed takes that a poll got no answer.
+// Failed reports that a poll got no answer.
 func (f *Follower) Failed(now float64, request uint64) []FollowerEffect {
 	if f.awaits(request) {
 		f.giveUpPoll(now)
@@ -170,49 +133,25 @@
 // awaits reports whether a request is the open poll.
 func (f *Follower) awaits(request uint64) bool { return f.poll != nil && f.poll.request == request }
 
-// giveUpPoll returns the open poll up.
+// giveUpPoll gives up the open poll and its server.
 func (f *Follower) giveUpPoll(now float64) {
 	f.poll = nil
 	f.unresponsive = true
 	f.switchServer(now)
 }
 
-// switchServer has the next poll go to the next server after a while.
-func (f *Follower) switchServer(now float64) {
-	if f.serverIndex == 0 {
-		f.preferredRetryDelay = min(2*f.preferredRetryDelay, maxPreferredRetryDelay)
-		f.preferredRetryAt = math.Inf(1)
-	}
-	if !f.rules.neverSwitchServer {
-		f.serverIndex = (f.serverIndex + 1) % len(f.config.Servers)
-	}
-	f.scheduleRetry(now)
-	f.serverAnswered = false
-}
-
-// scheduleRetry has the next poll go out after a while.
-func (f *Follower) scheduleRetry(now float64) {
-	f.failures++
-	f.pollAt = now + backoff(f.random, f.failures)
-}
+// switchServer selects another server for the next poll, with a backoff.
+func (f *Follower) switchServer(now float64) { f.servers.advance(now, f.rules.neverSwitchServer) }
 
-// keepServer has the next poll go to the same server at once.
-func (f *Follower) keepServer(now float64) {
-	f.failures, f.serverAnswered, f.pollAt = 0, true, now
-	if f.serverIndex == 0 {
-		f.preferredRetryDelay, f.preferredRetryAt = minPreferredRetryDelay, math.Inf(1)
-	} else if math.IsInf(f.preferredRetryAt, 1) {
-		f.preferredRetryAt = now + f.preferredRetryDelay*(1+preferredRetryJitter*(f.random.Float64()-0.5))
-	}
-}
-
-// Answered takes the answer to a poll. The answer to a poll that was given up is ignored.
+// Answered reports the answer to a poll. The answer to a poll that was given up is ignored.
 func (f *Follower) Answered(now float64, request uint64, u Update) []FollowerEffect {
 	if !f.awaits(request) {
 		return f.Tick(now)
 	}
 	poll := f.poll
-	f.poll, f.unresponsive, f.lastHeard = nil, false, now
+	f.poll = nil
+	f.unresponsive = false
+	f.lastHeard = now
 	f.newest = newest(f.newest, u.Version)
 	switch {
 	case u.Kind == Changes || u.Kind == Snapshot:
@@ -222,31 +161,33 @@
 		}
 	case u.Kind != Unchanged || u.Isolated:
 		f.switchServer(now)
-	case now-poll.sentAt < poll.wait/2: // sooner than agreed: another process polls under this name
-		f.scheduleRetry(now)
+	case now-poll.sentAt < poll.wait/2:
+		// The server answered sooner than agreed because another process polls under the same name: without a
+		// backoff the two would end each other's polls in a loop.
+		f.servers.retry(now)
 	default:
-		f.keepServer(now)
+		f.servers.keep(now)
 	}
 	return f.Tick(now)
 }
 
-// acceptUpdate returns what is to be put in force after an update, or nil and when to poll again.
+// acceptUpdate returns what is to be put in force after an update, or nil. It also decides on the next poll.
 func (f *Follower) acceptUpdate(now float64, poll *openPoll, u Update) *Install {
-	if poll.have != f.state.Version { // moved on meanwhile by another way
-		f.keepServer(now)
+	if poll.have != f.state.Version { // another state was adopted since the poll was sent
+		f.servers.keep(now)
 		return nil
 	}
 	next, err := f.stateAfter(u)
 	switch {
 	case errors.Is(err, ErrMismatch) && u.Kind == Changes:
 		f.needsSnapshot = true
-		f.scheduleRetry(now)
+		f.servers.retry(now)
 		return nil
 	case err != nil, !f.rules.mayReplace(f.state.Version, next.Version), f.hasRefused(next.Version):
 		f.switchServer(now)
 		return nil
 	}
-	f.keepServer(now)
+	f.servers.keep(now)
 	return &Install{State: next, Changed: changedKeys(f.state.Entries, next.Entries), revisions: u.Revisions}
 }
 
@@ -268,18 +209,19 @@
 	next := f.state
 	for _, d := range deltas {
 		var err error
-		if next, err = f.rules.apply(next, d); err != nil {
+		next, err = f.rules.apply(next, d)
+		if err != nil {
 			return State{}, err
 		}
 	}
 	return next, f.rules.verify(next)
 }
 
-// hasRefused reports whether a version was refused.
+// hasRefused reports whether a version is the one that was refused last.
 func (f *Follower) hasRefused(v Version) bool { return f.refusal != nil && f.refusal.Version == v }
 
-// Installed takes that the caller has put the state of an Install in force. Only then the next poll goes out, so that
-// the version of a poll is in force.
+// Installed reports that the state of an Install is in force. Only then the next poll is sent, so that the version of a
+// poll is always in force.
 func (f *Follower) Installed(now float64, v Version) []FollowerEffect {
 	if f.installing != nil && f.installing.State.Version == v {
 		f.adopt(now, f.installing.State)
@@ -287,34 +229,46 @@
 	return f.Tick(now)
 }
 
-// adopt takes a state that is in force.
+// adopt records a state that is in force.
 func (f *Follower) adopt(now float64, s State) {
-	f.state, f.inForceSince, f.newest = s, now, newest(f.newest, s.Version)
-	f.refusal, f.needsSnapshot, f.installing = nil, false, nil
+	f.state = s
+	f.inForceSince = now
+	f.newest = newest(f.newest, s.Version)
+	f.refusal = nil
+	f.needsSnapshot = false
+	f.installing = nil
 }
 
-// Refuse takes that the caller could not put a state in force. The follower keeps the one that it has and does not ask
-// for the refused version again; the servers are told of it.
+// Refuse reports that a state could not be put in force. The follower keeps the one that it has and does not ask for the
+// refused version again; the next polls carry the refusal.
 func (f *Follower) Refuse(now float64, r Refusal) []FollowerEffect {
 	if f.installing != nil && f.installing.State.Version == r.Version {
 		r.Reason = r.Reason[:min(len(r.Reason), MaxReasonBytes)]
-		f.refusal, f.installing, f.needsSnapshot = &r, nil, false
+		f.refusal = &r
+		f.installing = nil
+		f.needsSnapshot = false
 	}
 	return f.Tick(now)
 }
 
-// abandon drops a state that was to be put in force, without blame; the next poll goes out after a while.
+// abandon drops a state that was to be put in force without refusing it; the next poll is sent after a backoff.
 func (f *Follower) abandon(now float64) {
 	f.installing = nil
-	f.scheduleRetry(now)
+	f.servers.retry(now)
 }
 
-// View describes what the follower knows.
+// View returns what the follower knows. The caller must not change what it points to.
 func (f *Follower) View() FollowerView {
-	v := FollowerView{Version: f.state.Version, Digest: f.state.Digest, InForceSince: f.inForceSince, LastHeard: f.lastHeard,
-		Refused: f.refusal, Newest: f.newest}
+	v := FollowerView{
+		Version:      f.state.Version,
+		Digest:       f.state.Digest,
+		InForceSince: f.inForceSince,
+		LastHeard:    f.lastHeard,
+		Refused:      f.refusal,
+		Newest:       f.newest,
+	}
 	if len(f.config.Servers) > 0 {
-		v.Server = f.config.Servers[f.serverIndex].Name
+		v.Server = f.servers.current().Name
 	}
 	return v
 }
--- a/internal/configfeed/history.go
+++ b/internal/configfeed/history.go
@@ -5,26 +5,25 @@
 	"sort"
 )
 
-// HistoryRevisions is how many revisions a server keeps. A follower that is further behind gets a snapshot, and a
-// proposal that is repeated after so many others is not recognised.
+// HistoryRevisions is how many revisions a server keeps. A follower that is further behind is sent a snapshot, and a
+// proposal that is repeated after so many others is not recognized.
 const HistoryRevisions = 2048
 
-// history holds the newest revisions, oldest first. Those from index chain on lead to the server's version without a
-// gap.
+// history holds the newest revisions.
 type history struct {
-	revisions      []Revision
-	contiguousFrom int
-	proposals      map[string]Version // by the ID of the proposal
+	revisions      []Revision         // oldest first
+	contiguousFrom int                // index from which revisions lead to the server's version without a gap
+	proposals      map[string]Version // versions of the applied proposals, by ID
 }
 
-// newHistory takes the revisions that the disk held beside a state.
+// newHistory returns the history of the revisions that the disk held with a state.
 func newHistory(revisions []Revision, have State) *history {
 	h := &history{proposals: map[string]Version{}}
 	h.append(revisions, have)
 	return h
 }
 
-// append adds revisions and finds out how far back they lead to the state that the server has now.
+// append adds revisions, which lead to the state that the server has now.
 func (h *history) append(revisions []Revision, have State) {
 	h.revisions = append(h.revisions, revisions...)
 	for _, r := range revisions {
@@ -38,7 +37,7 @@
 	}
 }
 
-// drop forgets the oldest revisions.
+// drop removes the oldest revisions.
 func (h *history) drop(count int) {
 	for _, r := range h.revisions[:count] {
 		if h.proposals[r.Proposal] == r.Delta.To {
@@ -49,25 +48,38 @@
 	h.contiguousFrom = max(h.contiguousFrom-count, 0)
 }
 
-// contiguousStart returns the index from which the revisions before the end lead to a state without a gap.
+// contiguousStart returns the index from which the revisions before end lead to a state without a gap.
 func (h *history) contiguousStart(end int, have State) int {
-	v, d := have.Version, have.Digest
-	at := end
-	for at > 0 && h.revisions[at-1].Delta.To == v && (at < end || h.revisions[at-1].Delta.Digest == d) {
-		at--
-		v = h.revisions[at].Delta.From
+	start := end
+	version := have.Version
+	for start > 0 {
+		delta := h.revisions[start-1].Delta
+		if delta.To != version {
+			break
+		}
+		if start == end && delta.Digest != have.Digest {
+			break
+		}
+		start--
+		version = delta.From
 	}
-	return at
+	return start
+}
+
+// revisionPath is what the history knows of the way from one version to the server's.
+type revisionPath struct {
+	found      bool       // the history reaches back to the version
+	revisions  []Revision // that lead on from it, oldest first
+	sameDigest bool       // the version had the given digest here; set as well where that is not known
 }
 
-// since returns the revisions that lead from a version to the server's, and whether there are such. same tells whether
-// that version had the given digest here; it is true where that is not known.
-func (h *history) since(v Version, d Digest) (revisions []Revision, same, found bool) {
-	chain := h.revisions[h.contiguousFrom:]
-	at := sort.Search(len(chain), func(i int) bool { return chain[i].Delta.From.Compare(v) >= 0 })
-	if at == len(chain) || chain[at].Delta.From != v {
-		return nil, true, false
+// since returns the path from a version with a digest to the server's version.
+func (h *history) since(v Version, d Digest) revisionPath {
+	contiguous := h.revisions[h.contiguousFrom:]
+	start := sort.Search(len(contiguous), func(i int) bool { return contiguous[i].Delta.From.Compare(v) >= 0 })
+	if start == len(contiguous) || contiguous[start].Delta.From != v {
+		return revisionPath{sameDigest: true}
 	}
-	same = at == 0 || chain[at-1].Delta.Digest == d
-	return chain[at:], same, true
+	same := start == 0 || contiguous[start-1].Delta.Digest == d
+	return revisionPath{found: true, revisions: contiguous[start:], sameDigest: same}
 }
--- a/internal/configfeed/peer.go
+++ b/internal/configfeed/peer.go
@@ -1,36 +1,51 @@
 package configfeed
 
-// foreignRevisionReason is why a writer that wrote since its start takes nothing from others: only it gives out revisions, so whatever
-// is newer is of another line and would undo what it promised.
+// foreignRevisionReason is why a writer that has written since its start takes nothing from other servers: only it
+// creates revisions, so whatever is newer comes from another history and would undo what the writer accepted.
 const foreignRevisionReason = "the writer gave out revisions since its start, and this is none of them"
 
 // peer is another control server: what it has, and the follower by which this server follows it.
 type peer struct {
 	ServerAddress
 	follower        *Follower
-	have            Version
-	lastHeard       float64
-	heardSinceStart bool    // heard since this server's start
-	divergedAt      Version // this server's version when the two were found to differ
-	offer           *Install
+	have            Version  // as of its last poll or answer
+	lastHeard       float64  // time of its last poll or answer
+	heardSinceStart bool     // have and lastHeard are set
+	divergedAt      Version  // this server's version when the two were found to differ; zero for never
+	offer           *Install // that the follower asks for, or nil
 }
 
-func newPeer(now float64, s *Server, address ServerAddress, seed uint64, requests *uint64) *peer {
-	f := NewFollower(now, FollowerConfig{Name: s.config.Name, Server: true, Region: s.config.Region,
-		Servers: []ServerAddress{address}, Seed: seed}, s.state)
-	f.lastRequest, f.pollAt = requests, now
+// newPeer returns a peer that is polled at once.
+func newPeer(now float64, s *Server, address ServerAddress, seed uint64, lastRequest *uint64) *peer {
+	config := FollowerConfig{
+		Name:    s.config.Name,
+		Server:  true,
+		Region:  s.config.Region,
+		Servers: []ServerAddress{address},
+		Seed:    seed,
+	}
+	f := NewFollower(now, config, s.state)
+	f.lastRequest = lastRequest
+	f.servers.pollAt = now
 	return &peer{ServerAddress: address, follower: f}
 }
 
+// status returns what operators are shown of the peer, at a server that has a version.
 func (p *peer) status(have Version) PeerStatus {
-	return PeerStatus{Name: p.Name, Region: p.Region, Have: p.have, LastHeard: p.lastHeard, Unresponsive: p.follower.unresponsive,
-		Diverged: p.diverged(have)}
+	return PeerStatus{
+		Name:         p.Name,
+		Region:       p.Region,
+		Have:         p.have,
+		LastHeard:    p.lastHeard,
+		Unresponsive: p.follower.unresponsive,
+		Diverged:     p.diverged(have),
+	}
 }
 
-// diverged reports whether the peer was found to have other entries than a version's, which is this server's still.
+// diverged reports whether the peer was found to have other entries under a version that this server still has.
 func (p *peer) diverged(have Version) bool { return have != (Version{}) && p.divergedAt == have }
 
-// peerNamed returns the other server of a name, or nil.
+// peerNamed returns the other server with a name, or nil.
 func (s *Server) peerNamed(name string) *peer {
 	for _, p := range s.peers {
 		if p.Name == name {
@@ -50,7 +65,7 @@
 	return nil
 }
 
-// Answered takes another server's answer to a poll of this one.
+// Answered reports another server's answer to a poll of this one. The answer to a poll that was given up is ignored.
 func (s *Server) Answered(now float64, request uint64, u Update) []ServerEffect {
 	if p := s.peerOfPoll(request); p != nil {
 		s.recordPeerVersion(now, p, u.Version)
@@ -64,7 +79,7 @@
 	return s.takeEffects()
 }
 
-// Failed takes that a poll of this server at another one got no answer.
+// Failed reports that a poll of this server at another one got no answer.
 func (s *Server) Failed(now float64, request uint64) []ServerEffect {
 	if p := s.peerOfPoll(request); p != nil {
 		s.carryOut(now, p, p.follower.Failed(now, request))
@@ -73,13 +88,15 @@
 	return s.takeEffects()
 }
 
-// recordPeerVersion takes the version that a peer has.
+// recordPeerVersion records the version that a peer has reported.
 func (s *Server) recordPeerVersion(now float64, p *peer, v Version) {
-	p.have, p.lastHeard, p.heardSinceStart = v, now, true
+	p.have = v
+	p.lastHeard = now
+	p.heardSinceStart = true
 	s.observeVersion(v)
 }
 
-// carryOut passes a peer's follower's effects on; what it is to put in force is an offer to this server.
+// carryOut passes on the effects of a peer's follower. A state that is to be installed becomes an offer to this server.
 func (s *Server) carryOut(now float64, p *peer, effects []FollowerEffect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -94,21 +111,16 @@
 	}
 }
 
-// bestOffer returns the peer that offers the newest state, and drops the offers that are of no use any more.
-func (s *Server) bestOffer(now float64) (best *peer) {
+// bestOffer returns the peer that offers the newest state, or nil, and drops the offers that are of no use any more.
+func (s *Server) bestOffer(now float64) *peer {
+	var best *peer
 	for _, p := range s.peers {
 		switch {
 		case p.offer == nil:
 		case s.hasWritten:
-			version := p.offer.State.Version
-			p.offer = nil
-			s.carryOut(now, p, p.follower.Refuse(now, Refusal{Version: version, Reason: foreignRevisionReason}))
+			s.refuseOffer(now, p)
 		case !s.isUseful(p.offer):
-			p.offer = nil
-			p.follower.abandon(now)
-			if s.state.Version.Compare(p.follower.state.Version) > 0 {
-				p.follower.adopt(now, s.state)
-			}
+			s.dropOffer(now, p)
 		case best == nil || p.offer.State.Version.Compare(best.offer.State.Version) > 0:
 			best = p
 		}
@@ -116,6 +128,22 @@
 	return best
 }
 
+// refuseOffer refuses a peer's offer for good.
+func (s *Server) refuseOffer(now float64, p *peer) {
+	refusal := Refusal{Version: p.offer.State.Version, Reason: foreignRevisionReason}
+	p.offer = nil
+	s.carryOut(now, p, p.follower.Refuse(now, refusal))
+}
+
+// dropOffer drops an offer that does not lead on from this server's state.
+func (s *Server) dropOffer(now float64, p *peer) {
+	p.offer = nil
+	p.follower.abandon(now)
+	if s.state.Version.Compare(p.follower.state.Version) > 0 {
+		p.follower.adopt(now, s.state)
+	}
+}
+
 // isUseful reports whether an offer leads from this server's state to a newer one.
 func (s *Server) isUseful(offer *Install) bool {
 	if !s.rules.mayReplace(s.state.Version, offer.State.Version) {
@@ -124,20 +152,21 @@
 	return len(offer.revisions) == 0 || offer.revisions[0].Delta.From == s.state.Version
 }
 
-// majority is how many servers, this one included, are more than half of them.
+// majority returns the smallest number of servers, this one included, that is more than half of them.
 func (s *Server) majority() int { return (len(s.peers)+1)/2 + 1 }
 
-// checkIsolation finds out whether this server reaches a majority. Where it ceases to, its followers are told at once,
-// so that they look for another server.
+// checkIsolation determines whether this server reaches a majority. When it ceases to, its followers are answered at
+// once, so that they select another server.
 func (s *Server) checkIsolation() {
-	reached := 1
+	reached := 1 // this server itself
 	for _, p := range s.peers {
 		if !p.follower.unresponsive {
 			reached++
 		}
 	}
-	was := s.isolated
-	if s.isolated = reached < s.majority(); s.isolated && !was {
+	wasIsolated := s.isolated
+	s.isolated = reached < s.majority()
+	if s.isolated && !wasIsolated {
 		s.answerPendingPolls()
 	}
 }
--- a/internal/configfeed/pending.go
+++ b/internal/configfeed/pending.go
@@ -1,8 +1,11 @@
 package configfeed
 
-import "container/heap"
+import (
+	"container/heap"
+	"math"
+)
 
-// pendingPoll is a poll that waits for something new.
+// pendingPoll is a poll that is held until there is something new or its deadline has come.
 type pendingPoll struct {
 	request  uint64
 	poll     Poll
@@ -10,7 +13,8 @@
 	index    int // in the queue
 }
 
-// pendingPolls holds polls by request and by deadline, and for each follower one at the most.
+// pendingPolls indexes the polls that are held by request, by follower and by deadline. There is at most one for each
+// follower.
 type pendingPolls struct {
 	queue      deadlineQueue
 	byRequest  map[uint64]*pendingPoll
@@ -21,11 +25,14 @@
 	return &pendingPolls{byRequest: map[uint64]*pendingPoll{}, byFollower: map[string]*pendingPoll{}}
 }
 
+// add holds a poll of a follower that has none.
 func (h *pendingPolls) add(p *pendingPoll) {
-	h.byRequest[p.request], h.byFollower[p.poll.Follower] = p, p
+	h.byRequest[p.request] = p
+	h.byFollower[p.poll.Follower] = p
 	heap.Push(&h.queue, p)
 }
 
+// remove ends the holding of a poll.
 func (h *pendingPolls) remove(p *pendingPoll) {
 	delete(h.byRequest, p.request)
 	delete(h.byFollower, p.poll.Follower)
@@ -40,27 +47,39 @@
 	return h.queue[0]
 }
 
-// removeAll returns all held polls, in an order that only their calls determine, and holds none any more.
+// nextDeadline returns the earliest deadline, in seconds; infinity without polls.
+func (h *pendingPolls) nextDeadline() float64 {
+	if first := h.earliest(); first != nil {
+		return first.deadline
+	}
+	return math.Inf(1)
+}
+
+// removeAll removes and returns all polls, in an order that only the calls before determine.
 func (h *pendingPolls) removeAll() []*pendingPoll {
 	all := h.queue
 	*h = *newPendingPolls()
 	return all
 }
 
-// deadlineQueue is a heap by deadline.
+// deadlineQueue is a heap by deadline. Its methods are those of heap.Interface.
 type deadlineQueue []*pendingPoll
 
 func (q deadlineQueue) Len() int           { return len(q) }
 func (q deadlineQueue) Less(i, j int) bool { return q[i].deadline < q[j].deadline }
+
 func (q deadlineQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].index, q[j].index = i, j
+	q[i].index = i
+	q[j].index = j
 }
+
 func (q *deadlineQueue) Push(x any) {
 	p := x.(*pendingPoll)
 	p.index = len(*q)
 	*q = append(*q, p)
 }
+
 func (q *deadlineQueue) Pop() any {
 	last := len(*q) - 1
 	p := (*q)[last]
--- a/internal/configfeed/rules_single_server.go
+++ b/internal/configfeed/rules_single_server.go
@@ -2,5 +2,5 @@
 
 package configfeed
 
-// singleServerBuild builds followers that poll one server only, to show that the rig finds it out.
+// singleServerBuild makes this a mutant build, whose followers poll a single server: the rig's tests have to detect it.
 const singleServerBuild = true
--- /dev/null
+++ b/internal/configfeed/saves.go
@@ -0,0 +1,94 @@
+package configfeed
+
+// saveInProgress is the save that the caller has not reported on. Either change or peer is set.
+type saveInProgress struct {
+	save   Save
+	change *change // that is saved, or nil
+	peer   *peer   // whose offer is saved, or nil
+}
+
+// startNextSave starts the next save if none is in progress: of what another server offers, else of the next change.
+func (s *Server) startNextSave(now float64) {
+	for s.saving == nil {
+		if p := s.bestOffer(now); p != nil {
+			s.startSave(saveInProgress{save: Save{State: p.offer.State, Revisions: p.offer.revisions}, peer: p})
+			return
+		}
+		if len(s.queue) == 0 {
+			return
+		}
+		c := s.queue[0]
+		s.queue = s.queue[1:]
+		s.saveChange(now, c)
+	}
+}
+
+// saveChange starts the save of a change, or answers a change that leads to no revision.
+func (s *Server) saveChange(now float64, c *change) {
+	next, refused := s.revise(now, c)
+	if refused != nil {
+		s.answerChange(c, *refused)
+		return
+	}
+	s.startSave(saveInProgress{save: Save{State: next.state, Revisions: []Revision{next.revision}}, change: c})
+	if s.rules.answerUnsaved {
+		s.answerChange(c, Outcome{Kind: Accepted, Version: next.state.Version})
+	}
+}
+
+// startSave asks the caller for a save.
+func (s *Server) startSave(next saveInProgress) {
+	s.lastSave++
+	next.save.ID = s.lastSave
+	s.saving = &next
+	s.emit(next.save)
+}
+
+// Saved reports the result of a Save. Only after it a proposal is accepted, and followers are answered with the new
+// state. After an error the state stays as it is.
+func (s *Server) Saved(now float64, save uint64, err error) []ServerEffect {
+	if s.saving == nil || s.saving.save.ID != save {
+		return nil
+	}
+	done := s.saving
+	s.saving = nil
+	if err != nil {
+		s.saveFailed(now, done, err)
+	} else {
+		s.commitSave(now, done)
+	}
+	s.startNextSave(now)
+	return s.takeEffects()
+}
+
+// saveFailed answers the change of a save that failed, or drops the peer's offer.
+func (s *Server) saveFailed(now float64, done *saveInProgress, err error) {
+	if done.change != nil {
+		s.answerChange(done.change, Outcome{Kind: Failed, Detail: err.Error()})
+	}
+	if done.peer != nil {
+		done.peer.offer = nil
+		done.peer.follower.abandon(now)
+	}
+}
+
+// commitSave adopts a state that is on disk: followers are answered with it, servers first.
+func (s *Server) commitSave(now float64, done *saveInProgress) {
+	s.state = done.save.State
+	s.history.append(done.save.Revisions, s.state)
+	s.observeVersion(s.state.Version)
+	clear(s.updates)
+	s.answerPendingPolls()
+	if done.change != nil {
+		s.hasWritten = true
+		s.answerChange(done.change, Outcome{Kind: Accepted, Version: s.state.Version})
+	}
+	for _, p := range s.peers {
+		if p.offer == nil {
+			p.follower.adopt(now, s.state)
+		} else if p == done.peer {
+			p.offer = nil
+			s.carryOut(now, p, p.follower.Installed(now, s.state.Version))
+		}
+	}
+}
--- a/internal/configfeed/server.go
+++ b/internal/configfeed/server.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// ServerConfig is what a server is told at its start. Servers are all of them, this one included.
+// ServerConfig configures a server.
 type ServerConfig struct {
-	Name, Region string
-	Servers      []ServerAddress
-	Writer       string // name of the server that takes proposals
-	Seed         uint64
+	Name    string // of this server, among Servers
+	Region  string
+	Servers []ServerAddress // all servers, this one included
+	Writer  string          // name of the server that accepts proposals
+	Seed    uint64          // of the server's random choices
 }
 
 // Stored is what the disk held at the start. The zero value is an empty disk.
@@ -24,8 +25,8 @@
 type PeerStatus struct {
 	Name         string  `json:"name"`
 	Region       string  `json:"region,omitempty"`
-	Have         Version `json:"have"`
-	LastHeard    float64 `json:"heard_s"`            // Unix time of its last poll or answer; zero for never since the start
+	Have         Version `json:"have"`               // as of its last poll or answer
+	LastHeard    float64 `json:"heard_s"`            // Unix seconds of its last poll or answer; zero for none since the start
 	Unresponsive bool    `json:"silent,omitempty"`   // it did not answer this server's last poll
 	Diverged     bool    `json:"diverged,omitempty"` // it has other entries under a version that this server has too
 }
@@ -34,60 +35,67 @@
 type ServerStatus struct {
 	Name      string           `json:"name"`
 	Region    string           `json:"region,omitempty"`
-	Writer    string           `json:"writer"`
-	Version   Version          `json:"version"`
-	Digest    Digest           `json:"digest,string"`
-	Newest    Version          `json:"newest"`              // that any server or follower has shown
+	Writer    string           `json:"writer"`              // name of the server that accepts proposals
+	Version   Version          `json:"version"`             // of the state on disk
+	Digest    Digest           `json:"digest,string"`       // of the state on disk
+	Newest    Version          `json:"newest"`              // that any server or follower has reported
 	Isolated  bool             `json:"isolated,omitempty"`  // it does not reach a majority of the servers
-	NotReady  string           `json:"not_ready,omitempty"` // why the writer takes no proposals; empty at the others
-	Peers     []PeerStatus     `json:"peers"`
-	Followers []FollowerStatus `json:"followers"` // that poll this server, by name, servers included
+	NotReady  string           `json:"not_ready,omitempty"` // why the writer takes no proposals; empty at other servers
+	Peers     []PeerStatus     `json:"peers"`               // the other servers, by name
+	Followers []FollowerStatus `json:"followers"`           // that poll this server, by name, servers included
 }
 
-// Server is one control server. After each call, Next says anew when Tick is due.
-// It has a poll open at each other server, so that a revision reaches it by any way that
-// is left, and holds the polls of its followers until it has something newer for them.
+// Server is one control server. It has a poll open at each other server, so that a revision reaches it by any way that
+// is left, and holds the polls of its followers until it has something newer for them. After each call, Next says anew
+// when Tick is due.
 type Server struct {
 	config    ServerConfig
 	rules     rules
 	state     State // as it is on disk
 	history   *history
-	newest    Version // that any server or follower has shown
+	newest    Version // that any server or follower has reported
 	peers     []*peer
-	followers map[string]*FollowerStatus
+	followers map[string]*FollowerStatus // by name
 	pending   *pendingPolls
-	updates   map[updateKey]Update // of the version in state, shared by followers that have the same
-	isolated  bool
+	updates   map[updateKey]Update // that lead to state
+	isolated  bool                 // it does not reach a majority of the servers
 
-	saving     *saveInProgress
+	saving     *saveInProgress // or nil
 	lastSave   uint64
-	queue      []*change // that wait for the save under way
-	hasWritten bool      // it took a proposal or an epoch since its start
+	queue      []*change // that wait for the save in progress
+	hasWritten bool      // it has accepted a proposal or an epoch since its start
 
-	effects []ServerEffect // of the call under way
+	effects []ServerEffect // of the call in progress
 }
 
-// NewServer returns a server with what its disk held. A state that is not of its own digest is not used.
+// NewServer returns a server that starts with what its disk held. A state that does not have its own digest is ignored,
+// with the history.
 func NewServer(now float64, c ServerConfig, stored Stored) *Server {
 	if stored.State.Verify() != nil {
 		stored = Stored{}
 	}
-	s := &Server{config: c, state: stored.State, newest: stored.State.Version,
-		history: newHistory(stored.History, stored.State), followers: map[string]*FollowerStatus{}, pending: newPendingPolls(),
-		updates: map[updateKey]Update{}}
-	requests := new(uint64)
+	s := &Server{
+		config:    c,
+		state:     stored.State,
+		newest:    stored.State.Version,
+		history:   newHistory(stored.History, stored.State),
+		followers: map[string]*FollowerStatus{},
+		pending:   newPendingPolls(),
+		updates:   map[updateKey]Update{},
+	}
+	lastRequest := new(uint64)
 	for i, address := range c.Servers {
 		if address.Name != c.Name {
-			s.peers = append(s.peers, newPeer(now, s, address, c.Seed+uint64(i), requests))
+			s.peers = append(s.peers, newPeer(now, s, address, c.Seed+uint64(i), lastRequest))
 		}
 	}
 	return s
 }
 
-// isWriter reports whether this server takes proposals.
+// isWriter reports whether this server accepts proposals.
 func (s *Server) isWriter() bool { return s.config.Writer == s.config.Name }
 
-// Next is when Tick is due.
+// Next returns when Tick is due, in seconds.
 func (s *Server) Next() float64 {
 	next := s.pending.nextDeadline()
 	for _, p := range s.peers {
@@ -96,9 +104,10 @@
 	return next
 }
 
-// Tick does what is due.
+// Tick does what is due: it answers the polls that were held long enough, and sends the polls at other servers.
 func (s *Server) Tick(now float64) []ServerEffect {
-	for first := s.pending.earliest(); first != nil && now >= first.deadline; first = s.pending.earliest() {
+	for now >= s.pending.nextDeadline() {
+		first := s.pending.earliest()
 		s.pending.remove(first)
 		s.answerPoll(first.request, s.unchangedUpdate())
 	}
@@ -109,22 +118,24 @@
 	return s.takeEffects()
 }
 
-// takeEffects returns the effects of the call under way and begins with none.
+// takeEffects returns the effects of the call in progress, for the caller to carry out.
 func (s *Server) takeEffects() []ServerEffect {
 	effects := s.effects
 	s.effects = nil
 	return effects
 }
 
+// emit adds an effect of the call in progress.
 func (s *Server) emit(e ServerEffect) { s.effects = append(s.effects, e) }
 
-// observeVersion takes a version that a server or follower has shown.
+// observeVersion records a version that a server or follower has reported. The next polls pass on the newest one.
 func (s *Server) observeVersion(v Version) {
-	if s.newest = newest(s.newest, v); s.newest != v {
+	s.newest = newest(s.newest, v)
+	if s.newest != v {
 		return
 	}
 	for _, p := range s.peers {
-		p.follower.newest = s.newest // the next poll tells the others
+		p.follower.newest = s.newest
 	}
 }
 
@@ -134,10 +145,17 @@
 // State returns the state that the server has on disk. The caller must not change it.
 func (s *Server) State() State { return s.state }
 
-// Status describes what the server knows.
+// Status returns what the server knows. Followers that have not polled for an hour are left out.
 func (s *Server) Status(now float64) ServerStatus {
-	status := ServerStatus{Name: s.config.Name, Region: s.config.Region, Writer: s.config.Writer,
-		Version: s.state.Version, Digest: s.state.Digest, Newest: s.newest, Isolated: s.isolated}
+	status := ServerStatus{
+		Name:     s.config.Name,
+		Region:   s.config.Region,
+		Writer:   s.config.Writer,
+		Version:  s.state.Version,
+		Digest:   s.state.Digest,
+		Newest:   s.newest,
+		Isolated: s.isolated,
+	}
 	if s.isWriter() {
 		status.NotReady = s.notReady()
 	}
--- a/internal/configfeed/state.go
+++ b/internal/configfeed/state.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"encoding/binary"
-	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -11,14 +10,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Errors of states and deltas.
-var (
-	ErrTooLarge = errors.New("too large")
-	ErrMismatch = errors.New("does not fit")
-)
+// Digest is a hash of a state's entries: equal entries have the same digest at every server and node.
+type Digest uint64
+
+// Entry is one setting: a dotted key and its value as compact JSON.
+type Entry struct {
+	Key   string `json:"key"`
+	Value string `json:"value"`
+}
+
+// State is a complete configuration with its version. Entries are sorted by key, and no key occurs twice. The zero state
+// stands for "nothing yet" and is valid. States share their entries: they must not be changed.
+type State struct {
+	Version Version `json:"version"`
+	Entries []Entry `json:"entries"`
+	Digest  Digest  `json:"digest,string"` // of Entries
+}
 
-// NewState returns a state of entries in any order, or an error where a key is empty or occurs twice, or where the
-// entries take more than MaxStateBytes.
+// Delta leads from one version to a newer one. Set and Delete are sorted by key.
+type Delta struct {
+	From   Version  `json:"from"`
+	To     Version  `json:"to"`
+	Set    []Entry  `json:"set,omitempty"`
+	Delete []string `json:"delete,omitempty"` // keys
+	Digest Digest   `json:"digest,string"`    // of the entries after the delta
+}
+
+// NewState returns a state of entries that come in any order. The error is ErrMismatch where a key is empty or occurs
+// twice, and ErrTooLarge where the entries take more than MaxStateBytes.
 func NewState(v Version, entries []Entry) (State, error) {
 	sorted := slices.SortedFunc(slices.Values(entries), compareEntries)
 	if err := checkEntries(sorted); err != nil {
@@ -27,7 +46,8 @@
 	return State{Version: v, Entries: sorted, Digest: digest(sorted)}, nil
 }
 
-// Verify reports whether the state's entries are sorted, within the limits and of its digest. The zero state is valid.
+// Verify returns an error unless the state's entries are sorted, within MaxStateBytes and have its digest. The error is
+// ErrMismatch or ErrTooLarge. The zero state is valid.
 func (s State) Verify() error {
 	if s.Version == (Version{}) && len(s.Entries) == 0 {
 		return nil
@@ -41,8 +61,8 @@
 	return nil
 }
 
-// Apply returns the state after a delta. It fails where the delta starts from another version or leads to an older one,
-// or where the digest of the result is another one than the delta's.
+// Apply returns the state after a delta. The error is ErrMismatch where the delta starts from another version, does not
+// lead to a newer one, or leads to entries without the delta's digest, and ErrTooLarge where these are too large.
 func (s State) Apply(d Delta) (State, error) {
 	next, err := s.apply(d)
 	if err != nil {
@@ -63,7 +83,7 @@
 	return State{Version: d.To, Entries: entries, Digest: d.Digest}, nil
 }
 
-// merge returns the entries with some set and others deleted. All are sorted.
+// merge returns the entries with some set and others deleted. All lists are sorted by key.
 func merge(entries, set []Entry, deleted []string) ([]Entry, error) {
 	merged := make([]Entry, 0, len(entries)+len(set))
 	for _, e := range entries {
@@ -87,21 +107,22 @@
 	return append(merged, set...), nil
 }
 
-// difference returns what leads from one list of entries to another one, both sorted.
+// difference returns what leads from one list of entries to another one, both sorted by key.
 func difference(before, after []Entry) (set []Entry, deleted []string) {
 	for len(before) > 0 || len(after) > 0 {
 		switch {
-		case len(after) == 0 || len(before) > 0 && before[0].Key < after[0].Key:
+		case len(after) == 0, len(before) > 0 && before[0].Key < after[0].Key:
 			deleted = append(deleted, before[0].Key)
 			before = before[1:]
-		case len(before) == 0 || after[0].Key < before[0].Key:
+		case len(before) == 0, after[0].Key < before[0].Key:
 			set = append(set, after[0])
 			after = after[1:]
 		default:
 			if before[0].Value != after[0].Value {
 				set = append(set, after[0])
 			}
-			before, after = before[1:], after[1:]
+			before = before[1:]
+			after = after[1:]
 		}
 	}
 	return set, deleted
@@ -117,10 +138,10 @@
 	return keys
 }
 
-// bytes is the size of the state's entries.
+// bytes returns the size of the state's keys and values.
 func (s State) bytes() int { return entryBytes(s.Entries) }
 
-// bytes is the size of what the delta sets and deletes.
+// bytes returns the size of the keys and values that the delta sets, and of the keys that it deletes.
 func (d Delta) bytes() int {
 	sum := entryBytes(d.Set)
 	for _, key := range d.Delete {
@@ -129,16 +150,19 @@
 	return sum
 }
 
-func entryBytes(entries []Entry) (sum int) {
+// entryBytes returns the size of the keys and values of entries.
+func entryBytes(entries []Entry) int {
+	sum := 0
 	for _, e := range entries {
 		sum += len(e.Key) + len(e.Value)
 	}
 	return sum
 }
 
+// compareEntries orders entries by key.
 func compareEntries(a, b Entry) int { return strings.Compare(a.Key, b.Key) }
 
-// checkEntries reports whether entries are sorted by distinct keys and within MaxStateBytes.
+// checkEntries returns an error unless entries are sorted by distinct keys and within MaxStateBytes.
 func checkEntries(entries []Entry) error {
 	for i, e := range entries {
 		if e.Key == "" {
@@ -154,7 +178,7 @@
 	return nil
 }
 
-// digest hashes sorted entries, each string with its length before it.
+// digest hashes sorted entries. The length of each string precedes it, so that no two lists hash the same bytes.
 func digest(entries []Entry) Digest {
 	hash := xxhash.New()
 	var length [8]byte
