--- a/internal/configfeed/fleet_test.go
+++ b/internal/configfeed/fleet_test.go
@@ -14,7 +14,7 @@
 	observedSeconds = 8     // seconds that are looked at after a change
 )
 
-// newFleet returns a fleet of full size with some settings in force.
+// newFleet returns a fleet of full size with 200 settings in force.
 func newFleet(t testing.TB, seed uint64) *simulation {
 	s := newSimulation(seed, rules{})
 	s.startAll(fleetServers, fleetNodes)
@@ -30,8 +30,7 @@
 	return s
 }
 
-// TestFleetHasChangeInForceInTime plays each fault that is foreseen on a fleet of full size. A change is proposed in its
-// midst, and all nodes that can be reached have to have it in time.
+// A change that is proposed in the midst of a fault is in force in time at all nodes that can be reached.
 func TestFleetHasChangeInForceInTime(t *testing.T) {
 	restart := func(s *simulation, nodes []*simNode, within float64) {
 		for _, n := range nodes {
@@ -49,16 +48,16 @@
 		{"at rest", func(*simulation) {}, func(*simulation) {}},
 		{"2% restarting", func(s *simulation) { restart(s, s.nodes[:fleetNodes/50], 3) }, func(*simulation) {}},
 		{"107 restarting at once", func(s *simulation) { restart(s, s.nodes[:zoneNodes], 0.01) }, func(*simulation) {}},
-		{"107 restarting at once with nothing kept", func(s *simulation) {
+		{"107 restarting at once with empty disks", func(s *simulation) {
 			restart(s, s.nodes[:zoneNodes], 0.01)
 			for _, n := range s.nodes[:zoneNodes] {
 				s.clock.After(0.02, func() { n.state = State{} })
 			}
 		}, func(*simulation) {}},
-		{"a server killed", func(*simulation) {}, func(s *simulation) { s.servers[1].kill() }},
-		{"a server stopped", func(*simulation) {}, func(s *simulation) { s.servers[3].stop() }},
-		{"the only server of a region stopped", func(*simulation) {}, func(s *simulation) { s.servers[4].stop() }},
-		{"a server cut off from the others", func(*simulation) {}, func(s *simulation) {
+		{"server killed", func(*simulation) {}, func(s *simulation) { s.servers[1].kill() }},
+		{"server stopped", func(*simulation) {}, func(s *simulation) { s.servers[3].stop() }},
+		{"only server of a region stopped", func(*simulation) {}, func(s *simulation) { s.servers[4].stop() }},
+		{"server cut off from the others", func(*simulation) {}, func(s *simulation) {
 			for _, other := range s.servers {
 				s.setLinkCut("c1", other.name, true)
 				s.setLinkCut(other.name, "c1", true)
@@ -86,8 +85,8 @@
 	}
 }
 
-// TestFleetHasChangeInForceAfterAllServersRestarted kills all servers as soon as a change is on the writer's disk, and
-// proposes another one from their start on until it is accepted.
+// All servers are killed as soon as a change is on the writer's disk. The next change is proposed from their start on
+// until it is accepted.
 func TestFleetHasChangeInForceAfterAllServersRestarted(t *testing.T) {
 	s := newFleet(t, 2)
 	s.propose(s.newProposal("before"), nil)
@@ -141,7 +140,7 @@
 	}
 }
 
-func TestFleetStaysInsideBudgetOfBytes(t *testing.T) {
+func TestFleetStaysWithinItsBandwidthBudget(t *testing.T) {
 	s := newFleet(t, 4)
 	measure := func(name string, seconds float64) {
 		for _, n := range s.nodes {
@@ -168,7 +167,7 @@
 	s.requireNoViolation(t)
 }
 
-// TestFollowersReturnToTheirRegion shows that the load of a region that lost a server for a while is spread again.
+// The followers of a region that was without its servers for a while return to them.
 func TestFollowersReturnToTheirRegion(t *testing.T) {
 	s := newFleet(t, 5)
 	s.servers[1].kill()
--- a/internal/configfeed/follower_test.go
+++ b/internal/configfeed/follower_test.go
@@ -11,7 +11,7 @@
 	return NewFollower(0, FollowerConfig{Name: "n", Region: "north", Servers: testServers, Seed: 1}, have)
 }
 
-// nextPoll returns the poll that the follower sends when it is due next, and when that is.
+// nextPoll returns when the follower sends its next poll, and that poll.
 func nextPoll(t *testing.T, f *Follower) (float64, SendPoll) {
 	t.Helper()
 	for range 4 {
@@ -35,7 +35,7 @@
 	return s
 }
 
-// leadingTo returns the update that leads from a state to another one.
+// leadingTo returns the update that leads from one state to another.
 func leadingTo(from, to State) Update {
 	d := Delta{From: from.Version, To: to.Version, Digest: to.Digest}
 	d.Set, d.Delete = difference(from.Entries, to.Entries)
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestStatesThatAreNotTaken(t *testing.T) {
+func TestFollowerIgnoresOlderAndInvalidStates(t *testing.T) {
 	have := mustState(t, 5, Entry{"a", "1"})
 	older, same, bad := mustState(t, 4, Entry{"a", "2"}), mustState(t, 5, Entry{"a", "2"}), mustState(t, 6, Entry{"a", "2"})
 	bad.Digest++
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestRefusedVersionIsToldAndNotTakenAgain(t *testing.T) {
+func TestRefusedVersionIsReportedAndNotAcceptedAgain(t *testing.T) {
 	first, second, third := mustState(t, 1, Entry{"a", "1"}), mustState(t, 2, Entry{"a", "2"}), mustState(t, 3, Entry{"a", "3"})
 	f := newTestFollower(first)
 	at, poll := nextPoll(t, f)
@@ -113,7 +113,7 @@
 	assertEqual(t, f.Installed(at, third.Version)[0].(SendPoll).Poll.Refused, nil)
 }
 
-func TestOwnRegionComesFirstAndIsReturnedTo(t *testing.T) {
+func TestFollowerPrefersAndReturnsToItsRegion(t *testing.T) {
 	f := newTestFollower(mustState(t, 1, Entry{"a", "1"}))
 	var order []string
 	at, poll := 0.0, SendPoll{}
@@ -153,16 +153,15 @@
 	}
 }
 
-// TestTwoProcessesOfOneNameDoNotPollInALoop shows what holds back two processes that a server answers in turn, because
-// each one's poll ends the other's.
-func TestTwoProcessesOfOneNameDoNotPollInALoop(t *testing.T) {
+// A server answers two processes of one name in turn, since the poll of each ends the other's. Backoff bounds the rate.
+func TestTwoFollowersOfOneNameDoNotPollInALoop(t *testing.T) {
 	f := newTestFollower(mustState(t, 1, Entry{"a", "1"}))
 	at, poll := nextPoll(t, f)
 	f.Answered(at, poll.Request, Update{Kind: Unchanged})
 	begin, polls := at, 0
 	request := f.poll.request
 	for at < begin+60 {
-		f.Answered(at, request, Update{Kind: Unchanged}) // at once, though it may have been held back
+		f.Answered(at, request, Update{Kind: Unchanged}) // at once, although the server may hold it
 		at, poll = nextPoll(t, f)
 		request = poll.Request
 		polls++
@@ -172,7 +171,7 @@
 	}
 }
 
-func TestIsolatedServerIsLeft(t *testing.T) {
+func TestFollowerSwitchesFromIsolatedServer(t *testing.T) {
 	f := newTestFollower(mustState(t, 1, Entry{"a", "1"}))
 	at, poll := nextPoll(t, f)
 	f.Answered(at, poll.Request, Update{Kind: Unchanged, Isolated: true})
@@ -180,7 +179,7 @@
 	assertEqual(t, next.Server != poll.Server, true)
 }
 
-func TestCorruptStateIsNotStartedWith(t *testing.T) {
+func TestFollowerIgnoresCorruptStateAtItsStart(t *testing.T) {
 	bad := mustState(t, 1, Entry{"a", "1"})
 	bad.Entries = []Entry{{"a", "2"}}
 	assertEqual(t, newTestFollower(bad).View().Version, Version{})
--- /dev/null
+++ b/internal/configfeed/helpers_test.go
@@ -0,0 +1,74 @@
+package configfeed
+
+import (
+	"reflect"
+	"testing"
+)
+
+// readyServer returns the writer of three servers, which has heard a second one and has one revision on disk.
+func readyServer(t *testing.T) *Server {
+	t.Helper()
+	s := newTestServer(Stored{})
+	s.Polled(1, 100, Poll{Follower: "b", Server: true})
+	proposeAndSave(t, s, Proposal{ID: "first", Entries: []Entry{{"a", "1"}}})
+	return s
+}
+
+func newTestServer(stored Stored) *Server {
+	servers := []ServerAddress{{Name: "a"}, {Name: "b"}, {Name: "c"}}
+	return NewServer(0, ServerConfig{Name: "a", Servers: servers, Writer: "a"}, stored)
+}
+
+// proposeAndSave has a proposal accepted.
+func proposeAndSave(t *testing.T, s *Server, p Proposal) Version {
+	t.Helper()
+	p.IfVersion = s.State().Version
+	save := saveOf(t, s.Propose(2, 1, p))
+	for _, effect := range s.Saved(2, save.ID, nil) {
+		if answer, ok := effect.(AnswerProposal); ok && answer.Outcome.Kind == Accepted {
+			return answer.Outcome.Version
+		}
+	}
+	t.Fatal("not accepted")
+	return Version{}
+}
+
+func saveOf(t *testing.T, effects []ServerEffect) Save {
+	t.Helper()
+	for _, effect := range effects {
+		if save, ok := effect.(Save); ok {
+			return save
+		}
+	}
+	t.Fatalf("no save among %+v", effects)
+	return Save{}
+}
+
+// outcomes returns the outcomes of proposals by request.
+func outcomes(effects []ServerEffect) map[uint64]OutcomeKind {
+	kinds := map[uint64]OutcomeKind{}
+	for _, effect := range effects {
+		if answer, ok := effect.(AnswerProposal); ok {
+			kinds[answer.Request] = answer.Outcome.Kind
+		}
+	}
+	return kinds
+}
+
+// updatesOf returns the answers to polls by request.
+func updatesOf(effects []ServerEffect) map[uint64]Update {
+	updates := map[uint64]Update{}
+	for _, effect := range effects {
+		if answer, ok := effect.(AnswerPoll); ok {
+			updates[answer.Request] = answer.Update
+		}
+	}
+	return updates
+}
+
+func assertEqual[T any](t *testing.T, got, want T) {
+	t.Helper()
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
--- a/internal/configfeed/mutants_test.go
+++ b/internal/configfeed/mutants_test.go
@@ -5,46 +5,46 @@
 	"testing"
 )
 
-// TestCheckersFireOnWrongCores plays, for each rule of safety, what it guards against: the right core passes, and the
-// core without the rule is found out.
-func TestCheckersFireOnWrongCores(t *testing.T) {
+// Each safety rule has a scenario that needs it: a fleet with all rules passes, and a mutant without the rule violates
+// what the simulation checks.
+func TestScenariosDetectMutants(t *testing.T) {
 	cases := []struct {
-		name  string
-		wrong rules
-		play  func(*simulation)
-		finds string
+		name      string
+		mutant    rules
+		scenario  func(*simulation)
+		violation string
 	}{
-		{"a follower takes an older version", rules{acceptOlder: true}, restoreOldServerDisk, "goes back"},
-		{"digests are not looked at", rules{skipDigest: true}, followTwoHistories, "never were accepted"},
-		{"accepted before it is saved", rules{answerUnsaved: true}, killWriterBeforeSave, "is lost"},
-		{"the writer does not wait for a majority", rules{skipMajority: true}, restoreOldWriterDisk, "is lost"},
-		{"a repeated proposal is applied again", rules{forgetProposals: true}, repeatProposal, "more than once"},
-		{"a follower does not look for another server", rules{neverSwitchServer: true}, stopOneServer, "not in force"},
+		{"follower accepts an older version", rules{acceptOlder: true}, restoreOldServerDisk, "goes back"},
+		{"digests are not compared", rules{skipDigest: true}, followTwoHistories, "never were accepted"},
+		{"proposal is accepted before it is saved", rules{answerUnsaved: true}, killWriterBeforeSave, "is lost"},
+		{"writer does not wait for a majority", rules{skipMajority: true}, restoreOldWriterDisk, "is lost"},
+		{"retried proposal is applied again", rules{forgetProposals: true}, repeatProposal, "more than once"},
+		{"follower never switches its server", rules{neverSwitchServer: true}, stopOneServer, "not in force"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			runScenario(rules{}, c.play).requireNoViolation(t)
-			breaks := runScenario(c.wrong, c.play).violations
-			if !strings.Contains(strings.Join(breaks, "\n"), c.finds) {
-				t.Errorf("the wrong core is not found out by %q: %q", c.finds, breaks)
+			runScenario(rules{}, c.scenario).requireNoViolation(t)
+			violations := runScenario(c.mutant, c.scenario).violations
+			if !strings.Contains(strings.Join(violations, "\n"), c.violation) {
+				t.Errorf("the mutant is not detected by %q: %q", c.violation, violations)
 			}
 		})
 	}
 }
 
-// runScenario plays a scene with a core and judges it.
-func runScenario(r rules, scene func(*simulation)) *simulation {
+// runScenario runs a scenario under rules on a fleet with one revision, and the checks after it.
+func runScenario(r rules, scenario func(*simulation)) *simulation {
 	s := newSimulation(1, r)
 	s.startAll(5, 9)
 	s.runFor(1)
 	s.propose(s.newProposal("first"), nil)
 	s.runFor(1)
-	scene(s)
+	scenario(s)
 	s.endFaultsAndCheck()
 	return s
 }
 
-// restoreOldServerDisk puts a server's disk back to an older state while it reaches no other one.
+// restoreOldServerDisk restores an older state of a server's disk while the server reaches no other one.
 func restoreOldServerDisk(s *simulation) {
 	s.servers[1].backUpDisk()
 	s.propose(s.newProposal("second"), nil)
@@ -57,13 +57,13 @@
 	s.runFor(60)
 }
 
-// followTwoHistories has a node see a revision of a line that is given up afterwards, and come back to a fleet in which the
-// other line went on.
+// followTwoHistories has a node see a revision of a history that is abandoned by restoring older disks, and return to a
+// fleet that has continued with other revisions.
 func followTwoHistories(s *simulation) {
 	for _, server := range s.servers {
 		server.backUpDisk()
 	}
-	s.propose(s.newProposal("given up"), nil)
+	s.propose(s.newProposal("abandoned"), nil)
 	s.runFor(1)
 	s.nodes[0].stop()
 	for _, server := range s.servers {
@@ -86,7 +86,7 @@
 	s.runFor(1)
 }
 
-// killWriterBeforeSave kills the writer between a proposal and its save.
+// killWriterBeforeSave kills the writer after a proposal and before its save.
 func killWriterBeforeSave(s *simulation) {
 	s.writer().saveDuration = 0.5
 	s.propose(s.newProposal("second"), nil)
@@ -94,7 +94,7 @@
 	s.writer().kill()
 }
 
-// restoreOldWriterDisk puts the writer's disk back and proposes at once.
+// restoreOldWriterDisk restores an older state of the writer's disk and proposes at once.
 func restoreOldWriterDisk(s *simulation) {
 	s.writer().backUpDisk()
 	s.propose(s.newProposal("second"), nil)
@@ -105,7 +105,7 @@
 	s.runFor(1)
 }
 
-// repeatProposal repeats a proposal with the version of now, as a caller does that did not hear the answer.
+// repeatProposal repeats a proposal under the present version, as a caller does that got no answer.
 func repeatProposal(s *simulation) {
 	s.propose(s.newProposal("second"), nil)
 	s.runFor(1)
@@ -115,7 +115,7 @@
 	s.runFor(1)
 }
 
-// stopOneServer has nodes unable to reach a server that goes on; the change has to reach them by another one.
+// stopOneServer stops a server: a change has to reach its followers by another one.
 func stopOneServer(s *simulation) {
 	s.servers[4].stop()
 	s.propose(s.newProposal("second"), nil)
--- a/internal/configfeed/properties_test.go
+++ b/internal/configfeed/properties_test.go
@@ -7,20 +7,20 @@
 	"pgregory.net/rapid"
 )
 
-// fault is one thing that befalls a simulation.
+// fault is a fault or a proposal that is injected into a simulation.
 type fault struct {
-	after  float64 // seconds since the last one
+	after  float64 // seconds since the one before
 	name   string
 	inject func(*simulation)
 }
 
-// drawFault draws a step for so many servers and nodes.
+// drawFault draws a fault; the number makes the identifiers of its proposals unique.
 func drawFault(t *rapid.T, s *simulation, number int) fault {
 	server := s.servers[rapid.IntRange(0, len(s.servers)-1).Draw(t, "server")]
 	node := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
 	other := s.servers[rapid.IntRange(0, len(s.servers)-1).Draw(t, "other")]
 	on := rapid.Bool().Draw(t, "on")
-	steps := []fault{
+	faults := []fault{
 		{name: "propose", inject: func(s *simulation) { s.propose(s.newProposal(fmt.Sprint("p", number)), nil) }},
 		{name: "propose two at once", inject: func(s *simulation) {
 			s.propose(s.newProposal(fmt.Sprint("p", number, "a")), nil)
@@ -29,7 +29,7 @@
 		{name: "repeat a proposal", inject: func(s *simulation) {
 			p := s.newProposal(fmt.Sprint("p", number))
 			s.propose(p, nil)
-			s.clock.After(0.3, func() { // as a caller that heard nothing and looks what is in force now
+			s.clock.After(0.3, func() { // as a caller does that got no answer and reads what is in force
 				again := s.newProposal(p.ID)
 				again.Entries = append(again.Entries, Entry{Key: "again." + p.ID, Value: "1"})
 				s.propose(again, nil)
@@ -54,7 +54,7 @@
 		{name: "stop " + node.name, inject: func(*simulation) { node.stop() }},
 		{name: "continue " + node.name, inject: func(*simulation) { node.resume() }},
 	}
-	chosen := steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]
+	chosen := faults[rapid.IntRange(0, len(faults)-1).Draw(t, "step")]
 	chosen.after = rapid.Float64Range(0, 2).Draw(t, "after")
 	return chosen
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// endFaults mends everything.
+// endFaults ends all faults, and starts or resumes what does not run.
 func (s *simulation) endFaults() {
 	s.loss = 0
 	clear(s.cutLinks)
@@ -83,8 +83,8 @@
 	}
 }
 
-// endFaultsAndCheck ends all faults and checks what has to hold then: the writer's state is in force everywhere in time, where need
-// be after an operator drew a new epoch; it holds every proposal that was accepted, once; and a new change goes through.
+// endFaultsAndCheck ends all faults and checks that the writer's state is in force everywhere in time, if necessary after
+// a new epoch; that it holds every accepted proposal, once; and that a further proposal is accepted and put in force.
 func (s *simulation) endFaultsAndCheck() {
 	s.endFaults()
 	took := s.lastInForce(inForceWithin)
@@ -107,7 +107,7 @@
 	}
 }
 
-// checkAcceptedProposals checks that the writer's state holds what was accepted, and each proposal once.
+// checkAcceptedProposals checks that the writer's state holds every accepted proposal, and that each was applied once.
 func (s *simulation) checkAcceptedProposals() {
 	for _, p := range s.accepted {
 		if !s.writer().stores(p) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// runWithDrawnFaults draws faults and judges what comes of them.
+// runWithDrawnFaults draws faults, injects them and runs the checks after them.
 func runWithDrawnFaults(t *rapid.T, r rules) *simulation {
 	s := newSimulation(rapid.Uint64().Draw(t, "seed"), r)
 	s.startAll(5, 9)
@@ -139,12 +139,12 @@
 	return s
 }
 
-// TestSafetyAndConvergenceUnderDrawnFaults checks that no node goes back or holds half a change, that nothing accepted
-// is lost while the writer's disk lives, and that all is in force in time after the faults.
+// No node goes back or holds half a change, no accepted proposal is lost while the writer's disk is not, and the newest
+// state is in force everywhere in time after the faults.
 func TestSafetyAndConvergenceUnderDrawnFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if s := runWithDrawnFaults(t, rules{}); len(s.violations) > 0 {
-			t.Fatalf("%d broken, first: %s", len(s.violations), s.violations[0])
+			t.Fatalf("%d violations, first: %s", len(s.violations), s.violations[0])
 		}
 	})
 }
--- a/internal/configfeed/sim_node_test.go
+++ b/internal/configfeed/sim_node_test.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// simNode is a node's process. Its state is on its disk and outlives it.
+// simNode is a node's simulated process. Its state is on disk and outlives it.
 type simNode struct {
 	process
 	sim           *simulation
@@ -14,6 +14,7 @@
 	timer         float64
 }
 
+// start starts the process with the state on its disk.
 func (n *simNode) start() {
 	n.markRunning()
 	n.timer = 0
@@ -22,6 +23,7 @@
 	n.schedule()
 }
 
+// schedule arranges for Tick to be called when it is due.
 func (n *simNode) schedule() {
 	next := n.core.Next()
 	if n.timer > n.sim.clock.Now && n.timer <= next {
@@ -36,6 +38,7 @@
 	})
 }
 
+// carryOut carries out the effects of a call.
 func (n *simNode) carryOut(effects []FollowerEffect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -48,6 +51,7 @@
 	n.schedule()
 }
 
+// poll sends a poll to its server.
 func (n *simNode) poll(p SendPoll) {
 	text, err := json.Marshal(p.Poll)
 	if err != nil {
@@ -61,7 +65,7 @@
 	})
 }
 
-// install puts a state in force after a while, as a node does, and judges it.
+// install puts a state in force after a delay, as a node does, and checks that the node may have it.
 func (n *simNode) install(i Install) {
 	n.sim.runAfter(0.005, &n.process, func() {
 		if n.refusalReason != nil {
@@ -81,7 +85,8 @@
 	})
 }
 
-// poll carries a poll to a server and its answer back. Once answered or failed, nothing more comes of it.
+// poll delivers a poll to a server and its answer to the sender. Either answered or failed is called once, or neither
+// where a message is lost.
 func (s *simulation) poll(from *process, p SendPoll, answered func(Update), failed func()) {
 	for _, server := range s.servers {
 		if server.name != p.Server.Name {
--- a/internal/configfeed/sim_server_test.go
+++ b/internal/configfeed/sim_server_test.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// simServer is a server's process with its disk.
+// simServer is a server's simulated process and its disk.
 type simServer struct {
 	process
 	sim          *simulation
@@ -24,7 +24,7 @@
 	encoded      map[encodedKey]int
 }
 
-// encodedKey is what makes two updates of a server equal.
+// encodedKey identifies equal updates of a server.
 type encodedKey struct {
 	kind     UpdateKind
 	version  Version
@@ -33,6 +33,7 @@
 	isolated bool
 }
 
+// start starts the process with what its disk holds.
 func (n *simServer) start() {
 	n.markRunning()
 	n.pollers, n.callers = map[uint64]func(Update){}, map[uint64]func(Outcome){}
@@ -51,7 +52,7 @@
 	n.backup = Stored{State: n.disk.State, History: slices.Clone(n.disk.History)}
 }
 
-// killAndRestoreDisk kills the server and puts the copy of its disk back.
+// killAndRestoreDisk kills the server and restores the copy of its disk.
 func (n *simServer) killAndRestoreDisk() {
 	n.kill()
 	n.disk = Stored{State: n.backup.State, History: slices.Clone(n.backup.History)}
@@ -64,8 +65,8 @@
 	n.killAndRestoreDisk()
 }
 
-// dropLostProposals forgets the promises that nobody has to keep any more: those that the writer's disk does not hold, and
-// that so few others hold that a majority, the writer included, may lack them.
+// dropLostProposals drops the accepted proposals that may be lost now that a disk was: those that the writer's disk does
+// not hold, and that so few other disks hold that a majority, the writer included, may lack them.
 func (s *simulation) dropLostProposals() {
 	s.accepted = slices.DeleteFunc(s.accepted, func(p acceptedProposal) bool {
 		holders := 0
@@ -79,12 +80,12 @@
 	})
 }
 
-// stores reports whether the server's disk holds what was promised.
+// stores reports whether the server's disk holds an accepted proposal.
 func (n *simServer) stores(p acceptedProposal) bool {
 	return slices.ContainsFunc(n.disk.State.Entries, func(e Entry) bool { return e.Key == "mark."+p.id })
 }
 
-// schedule has Tick called when it is due.
+// schedule arranges for Tick to be called when it is due.
 func (n *simServer) schedule() {
 	next := n.core.Next()
 	if n.timer > n.sim.clock.Now && n.timer <= next {
@@ -99,6 +100,7 @@
 	})
 }
 
+// carryOut carries out the effects of a call.
 func (n *simServer) carryOut(effects []ServerEffect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -121,7 +123,7 @@
 	n.schedule()
 }
 
-// poll sends a poll of this server to another one.
+// poll sends this server's poll to another one.
 func (n *simServer) poll(p SendPoll) {
 	n.sim.poll(&n.process, p, func(u Update) {
 		n.carryOut(n.core.Answered(n.sim.clock.Now, p.Request, u))
@@ -130,7 +132,7 @@
 	})
 }
 
-// save writes to the disk after a while.
+// save writes to the disk after a delay, and reports it after another one.
 func (n *simServer) save(save Save) {
 	took := n.saveDuration
 	if took == 0 {
@@ -152,7 +154,7 @@
 	})
 }
 
-// polled takes a poll that arrived; answer is called with the bytes of the answer.
+// polled passes a poll to the core; answer is called with the answer and its size in bytes.
 func (n *simServer) polled(p Poll, answer func(Update, int)) {
 	n.requests++
 	n.pollers[n.requests] = func(u Update) {
@@ -161,7 +163,7 @@
 	n.carryOut(n.core.Polled(n.sim.clock.Now, n.requests, p))
 }
 
-// size returns the bytes of an answer; equal updates are encoded once.
+// size returns the size of an answer in bytes; equal updates are encoded once.
 func (n *simServer) size(p Poll, u Update) int {
 	key := encodedKey{kind: u.Kind, version: u.Version, server: p.Server, isolated: u.Isolated}
 	if len(u.Deltas) > 0 {
@@ -180,7 +182,7 @@
 	return n.encoded[key]
 }
 
-// propose sends a proposal to the writer and notes what was promised.
+// propose sends a proposal to the writer and records that it was accepted.
 func (s *simulation) propose(p Proposal, answered func(Outcome)) {
 	n := s.writer()
 	if !n.up {
@@ -200,7 +202,7 @@
 	})
 }
 
-// newEpoch is an operator's act at the writer.
+// newEpoch begins an epoch at the writer, as an operator does.
 func (s *simulation) newEpoch() {
 	n := s.writer()
 	n.requests++
@@ -208,7 +210,8 @@
 	n.carryOut(n.core.NewEpoch(s.clock.Now, n.requests, 0, "operator", "after faults"))
 }
 
-// newProposal returns a proposal that sets a key of its own, and one that all proposals set, on top of what the writer has.
+// newProposal returns a proposal that adds a key of its own to the writer's entries, and sets a key that all proposals
+// set.
 func (s *simulation) newProposal(id string) Proposal {
 	state := s.writer().core.State()
 	entries := map[string]string{}
--- a/internal/configfeed/sim_test.go
+++ b/internal/configfeed/sim_test.go
@@ -18,7 +18,7 @@
 	maxStepsPerSecond = 200 // of a process, at the most
 )
 
-// simulation is a set of servers and nodes on a virtual clock, with faults between them.
+// simulation runs servers and nodes on a virtual clock, with faults of processes, disks and the network.
 type simulation struct {
 	clock      virtual.Clock
 	random     *rand.Rand
@@ -38,7 +38,7 @@
 	version Version
 }
 
-// process is one that may be killed, or stopped and continued. What comes while it is stopped waits.
+// process is a simulated process, which may be killed, or stopped and resumed. While it is stopped its input waits.
 type process struct {
 	name, region string
 	up, stopped  bool
@@ -57,7 +57,7 @@
 // serverRegions are the regions of the five servers: 2, 2 and 1.
 var serverRegions = []string{"north", "north", "south", "south", "west"}
 
-// startAll starts servers and nodes.
+// startAll starts that many servers and nodes.
 func (s *simulation) startAll(servers, nodes int) {
 	var addresses []ServerAddress
 	for i := range servers {
@@ -83,21 +83,22 @@
 	}
 }
 
-// runFor lets virtual time pass. More steps than any course should take are a loop, and end the test.
+// runFor advances the virtual clock. It panics after more steps than any run should take, since that is a loop.
 func (s *simulation) runFor(seconds float64) {
 	limit := s.clock.Steps + int((seconds+1)*maxStepsPerSecond)*len(s.processes())
 	for end := s.clock.Now + seconds; s.clock.Step(end); {
 		if s.clock.Steps > limit {
-			panic("more steps than any course should take")
+			panic("more steps than any run should take")
 		}
 	}
 }
 
+// violated records that a property does not hold.
 func (s *simulation) violated(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%.2f s: ", s.clock.Now-simStart)+fmt.Sprintf(format, args...))
 }
 
-// runAfter has a process do something after a while, if it still runs then.
+// runAfter runs a function in a process after some seconds, unless the process has ended by then.
 func (s *simulation) runAfter(after float64, p *process, run func()) {
 	generation := p.generation
 	var step func()
@@ -113,7 +114,8 @@
 	s.clock.After(after, step)
 }
 
-// send carries something from one process to another. Where the other one does not run, refused is called at the sender.
+// send delivers a message: arrived runs in the receiver, or refused in the sender where the receiver does not run. A
+// message that is lost has neither effect.
 func (s *simulation) send(from, to *process, arrived, refused func()) {
 	if s.drops(from, to) {
 		return
@@ -128,10 +130,15 @@
 	})
 }
 
+// drops reports whether a message is lost.
 func (s *simulation) drops(from, to *process) bool {
-	return s.cutLinks[[2]string{from.name, to.name}] || s.loss > 0 && s.random.Float64() < s.loss
+	if s.cutLinks[[2]string{from.name, to.name}] {
+		return true
+	}
+	return s.loss > 0 && s.random.Float64() < s.loss
 }
 
+// delay draws the seconds that a message takes.
 func (s *simulation) delay(from, to *process) float64 {
 	delay := latency * (0.5 + s.random.Float64())
 	if from.region != to.region {
@@ -140,10 +147,10 @@
 	return delay
 }
 
-// setLinkCut cuts the way from one process to another, or mends it.
+// setLinkCut cuts the link from one process to another, or restores it.
 func (s *simulation) setLinkCut(from, to string, cut bool) { s.cutLinks[[2]string{from, to}] = cut }
 
-// setRegionCut cuts a region off from the others, or mends that.
+// setRegionCut cuts all links between a region and the others, or restores them.
 func (s *simulation) setRegionCut(region string, cut bool) {
 	all := s.processes()
 	for _, a := range all {
@@ -155,6 +162,7 @@
 	}
 }
 
+// processes returns all servers, then all nodes.
 func (s *simulation) processes() (all []*process) {
 	for _, server := range s.servers {
 		all = append(all, &server.process)
@@ -174,10 +182,10 @@
 // kill ends the process.
 func (p *process) kill() { p.up, p.stopped, p.backlog = false, false, nil }
 
-// stop holds the process up.
+// stop suspends the process if it runs.
 func (p *process) stop() { p.stopped = p.up }
 
-// resume has a process that was stopped go on with what came meanwhile.
+// resume continues a process that was stopped, with the input that has waited.
 func (p *process) resume() {
 	p.stopped = false
 	backlog := p.backlog
@@ -190,7 +198,7 @@
 // writer is the server that takes proposals.
 func (s *simulation) writer() *simServer { return s.servers[0] }
 
-// behind returns the nodes that run and are not at a version.
+// behind describes the running nodes that do not have a version.
 func (s *simulation) behind(v Version) (names []string) {
 	for _, n := range s.nodes {
 		if n.up && n.state.Version != v {
@@ -200,8 +208,8 @@
 	return names
 }
 
-// lastInForce runs for some seconds and returns how long the last of the nodes that run then took to put the writer's
-// version in force, counted from the beginning; infinity where one has not.
+// lastInForce advances the clock and returns after how many seconds the last running node had the writer's version in
+// force; infinity if one has not.
 func (s *simulation) lastInForce(seconds float64) (took float64) {
 	begin := s.clock.Now
 	s.runFor(seconds)
@@ -217,11 +225,11 @@
 	return took
 }
 
-// requireNoViolation fails the test with what broke.
+// requireNoViolation ends the test unless all checked properties hold.
 func (s *simulation) requireNoViolation(t testing.TB) {
 	t.Helper()
 	if len(s.violations) > 0 {
-		t.Fatalf("%d broken, first: %s", len(s.violations), s.violations[0])
+		t.Fatalf("%d violations, first: %s", len(s.violations), s.violations[0])
 	}
 }
 
