--- a/placement/figures.go
+++ b/placement/figures.go
@@ -38,21 +38,21 @@
 // ApplySettings takes new figures for all decisions from here on; what was decided stands. There are as many targets and
 // quotas as the rundown has service types and quotas. Nothing in them is shared with the balancer.
 func (b *Balancer) ApplySettings(f LiveSettings) {
-	b.MaxAttempts, b.MaxRetryAfter, b.PollInterval = f.MaxAttempts, f.MaxRetryAfter, cmp.Or(f.PollInterval, longestHold)
+	b.MaxAttempts, b.MaxRetryAfter, b.PollInterval = f.MaxAttempts, f.MaxRetryAfter, cmp.Or(f.PollInterval, maxEjectionTime)
 	b.SlowStartShare, b.SlowStartTime, b.OverloadMultiple, b.OverloadWindow = f.SlowStartShare, f.SlowStartTime, f.OverloadMultiple, f.OverloadWindow
 	b.ServiceTypes = slices.Clone(b.ServiceTypes) // the caller's rundown keeps its own
-	b.aim = math.Inf(1)
+	b.messageObjective = math.Inf(1)
 	for i, t := range f.Objectives[:min(len(f.Objectives), len(b.ServiceTypes))] {
 		b.ServiceTypes[i].SetupObjective, b.ServiceTypes[i].MessageObjective = t.Setup, t.Message
-		b.aim = min(b.aim, cmp.Or(t.Message, b.aim))
+		b.messageObjective = min(b.messageObjective, cmp.Or(t.Message, b.messageObjective))
 	}
 	if len(f.Quotas) == len(b.Quotas) {
 		b.Quotas = slices.Clone(f.Quotas)
 	}
-	if b.widest > 0 {
-		b.due = 0
+	if b.longestList > 0 {
+		b.quotaPerServer = 0
 		for _, quota := range b.Quotas {
-			b.due += quota / b.widest / float64(b.Nodes)
+			b.quotaPerServer += quota / b.longestList / float64(b.Nodes)
 		}
 	}
 }
--- a/placement/hand_test.go
+++ b/placement/hand_test.go
@@ -7,45 +7,45 @@
 func TestByHand(t *testing.T) {
 	key := keyFor(2, 5)
 	const n = 5
-	since := func(g *rig, at float64, st EndpointState) {
-		it := g.entry(2, st)
+	since := func(g *fixture, at float64, st EndpointState) {
+		it := g.endpoint(2, st)
 		it.StartedAt = at
 		g.UpdateEndpoints(g.now, ListChanges, []Endpoint{it})
 	}
-	hand := func(out bool) func(*rig) { return func(g *rig) { g.SetDisabled(g.now, g.index(2), out) } }
-	whole := func(g *rig) {
+	hand := func(out bool) func(*fixture) { return func(g *fixture) { g.SetDisabled(g.now, g.serverIndex(2), out) } }
+	whole := func(g *fixture) {
 		var all []Endpoint
 		for i := range n {
-			all = append(all, g.entry(i, Ready))
+			all = append(all, g.endpoint(i, Ready))
 		}
 		g.UpdateEndpoints(g.now, ListFull, all)
 	}
 	cases := []struct {
 		name  string
-		steps []func(*rig)
+		steps []func(*fixture)
 		takes bool
 	}{
-		{"out", []func(*rig){hand(true)}, false},
-		{"out, and back", []func(*rig){hand(true), hand(false)}, true},
-		{"out twice, one call back undoes both", []func(*rig){hand(true), hand(true), hand(false)}, true},
-		{"back without having been out", []func(*rig){hand(false)}, true},
-		{"out, a whole list", []func(*rig){hand(true), whole}, false},
-		{"out, a new start", []func(*rig){hand(true), func(g *rig) { since(g, g.now+1, Ready) }}, false},
-		{"out, drains, serves again", []func(*rig){hand(true), func(g *rig) { since(g, 0, Draining) }, whole}, false},
-		{"out, gone, listed anew", []func(*rig){hand(true), func(g *rig) { since(g, 0, Removed) },
-			func(g *rig) { since(g, g.now, Ready) }}, false},
-		{"back, but it drains", []func(*rig){hand(true), func(g *rig) { since(g, 0, Draining) }, hand(false)}, false},
-		{"out when it was set aside, and probes are answered", []func(*rig){
-			func(g *rig) { g.servers[g.index(2)].aside = true }, hand(true), func(g *rig) {
+		{"out", []func(*fixture){hand(true)}, false},
+		{"out, and back", []func(*fixture){hand(true), hand(false)}, true},
+		{"out twice, one call back undoes both", []func(*fixture){hand(true), hand(true), hand(false)}, true},
+		{"back without having been out", []func(*fixture){hand(false)}, true},
+		{"out, a whole list", []func(*fixture){hand(true), whole}, false},
+		{"out, a new start", []func(*fixture){hand(true), func(g *fixture) { since(g, g.now+1, Ready) }}, false},
+		{"out, drains, serves again", []func(*fixture){hand(true), func(g *fixture) { since(g, 0, Draining) }, whole}, false},
+		{"out, gone, listed anew", []func(*fixture){hand(true), func(g *fixture) { since(g, 0, Removed) },
+			func(g *fixture) { since(g, g.now, Ready) }}, false},
+		{"back, but it drains", []func(*fixture){hand(true), func(g *fixture) { since(g, 0, Draining) }, hand(false)}, false},
+		{"out when it was set aside, and probes are answered", []func(*fixture){
+			func(g *fixture) { g.servers[g.serverIndex(2)].ejected = true }, hand(true), func(g *fixture) {
 				for range 3 {
-					g.HealthChecked(g.now, g.index(2), Served, LoadReport{Load: -1})
+					g.HealthChecked(g.now, g.serverIndex(2), Served, LoadReport{Load: -1})
 				}
 			}}, false},
-		{"set aside, out and back: its operators vouch for it", []func(*rig){
-			func(g *rig) { g.servers[g.index(2)].aside = true }, hand(true), hand(false)}, true},
+		{"set aside, out and back: its operators vouch for it", []func(*fixture){
+			func(g *fixture) { g.servers[g.serverIndex(2)].ejected = true }, hand(true), hand(false)}, true},
 	}
 	for _, c := range cases {
-		g := newRig(n, nil)
+		g := newFixture(n, nil)
 		for _, step := range c.steps {
 			step(g)
 		}
@@ -64,14 +64,14 @@
 // Its clients are moved at once, at the pace of a drain; nothing probes it; the last one out leaves an answer with
 // a retry time.
 func TestOutMovesAndAnswers(t *testing.T) {
-	g := newRig(1, nil)
-	g.fill(0, 20)
+	g := newFixture(1, nil)
+	g.establish(0, 20)
 	for id := range 20 {
 		g.ReportLoad(id, 0.02)
 	}
-	g.SetDisabled(g.now, g.index(0), true)
+	g.SetDisabled(g.now, g.serverIndex(0), true)
 	moved, first := 0, 0
-	for i, d := range g.pass(6) {
+	for i, d := range g.advance(6) {
 		switch d.Action {
 		case Migrate:
 			if moved++; i == 0 {
@@ -95,17 +95,17 @@
 	const n = 8
 	used, soon, warm := 0, 0, 0
 	for seed := range uint64(60) {
-		g := newRig(n, func(r *Settings) { r.Seed, r.Nodes = seed, 3 })
-		g.fill(0, 4*n)
-		g.SetDisabled(g.now, g.index(2), true)
+		g := newFixture(n, func(r *Settings) { r.Seed, r.Nodes = seed, 3 })
+		g.establish(0, 4*n)
+		g.SetDisabled(g.now, g.serverIndex(2), true)
 		for id := range g.flows {
-			if g.flows[id].out && g.flows[id].at == g.index(2) {
+			if g.flows[id].inFlight && g.flows[id].server == g.serverIndex(2) {
 				g.AttemptEnded(g.now, id, 0, Canceled, true)
 			}
 		}
 		g.now += 3
-		g.SetDisabled(g.now, g.index(2), false)
-		if w := g.warmth(g.now, &g.servers[g.index(2)]); w != g.SlowStartShare {
+		g.SetDisabled(g.now, g.serverIndex(2), false)
+		if w := g.slowStartWeight(g.now, &g.servers[g.serverIndex(2)]); w != g.SlowStartShare {
 			t.Fatalf("warmth %v", w)
 		}
 		at := 0
@@ -121,10 +121,10 @@
 		if at > 1 {
 			soon++
 		}
-		it := g.entry(2, Ready) // the list tells its start at last: that counts, not the call
+		it := g.endpoint(2, Ready) // the list tells its start at last: that counts, not the call
 		it.StartedAt = 990
 		g.UpdateEndpoints(g.now, ListChanges, []Endpoint{it})
-		if g.warmth(g.now, &g.servers[g.index(2)]) >= 1 {
+		if g.slowStartWeight(g.now, &g.servers[g.serverIndex(2)]) >= 1 {
 			warm++
 		}
 	}
@@ -144,11 +144,11 @@
 	for _, nodes := range []int{1, 3, 80, 1000} {
 		sent, windows := 0, map[int]int{}
 		for node := range nodes {
-			g := newRig(12, func(r *Settings) { r.Seed, r.Nodes, r.NodeNumber = uint64(node), nodes, node })
-			g.fill(0, 6) // half a connection a server
-			g.SetDisabled(g.now, g.index(2), true)
+			g := newFixture(12, func(r *Settings) { r.Seed, r.Nodes, r.NodeNumber = uint64(node), nodes, node })
+			g.establish(0, 6) // half a connection a server
+			g.SetDisabled(g.now, g.serverIndex(2), true)
 			g.now += 3
-			g.SetDisabled(g.now, g.index(2), false)
+			g.SetDisabled(g.now, g.serverIndex(2), false)
 			from := g.now
 			for i := range 10 {
 				g.now += 0.25
--- a/placement/helper_test.go
+++ b/placement/helper_test.go
@@ -2,45 +2,45 @@
 
 import "slices"
 
-// rig is a balancer with n ready servers whose ids are 100, 101, ... and whose indices run the other way.
-type rig struct {
+// fixture is a balancer with n ready servers whose ids are 100, 101, ... and whose indices run the other way.
+type fixture struct {
 	*Balancer
 	now float64
 }
 
-func newRig(n int, tune func(*Settings)) *rig {
+func newFixture(n int, tune func(*Settings)) *fixture {
 	r := Settings{Seed: 7, Nodes: 2, Tick: 0.002, MaxAttempts: 3, HealthChecks: true, MaxRetryAfter: 2, SlowStartShare: 0.2,
 		SlowStartTime: 10, OverloadMultiple: 3, OverloadWindow: 2, ServiceTypes: []ServiceType{
 			{Idempotency: Idempotent, SetupObjective: 0.3, MessageObjective: 0.1}}}
 	if tune != nil {
 		tune(&r)
 	}
-	g := &rig{New(r), 1000}
-	g.strain, g.blind = 0, 0 // as after some quiet minutes, with many connections
+	g := &fixture{New(r), 1000}
+	g.level, g.uncertainty = 0, 0 // as after some quiet minutes, with many connections
 	var list []Endpoint
 	for i := range n {
-		list = append(list, g.entry(i, Ready))
+		list = append(list, g.endpoint(i, Ready))
 	}
 	g.UpdateEndpoints(g.now, ListFull, list)
-	g.pull()
+	g.decisions()
 	return g
 }
 
-// entry lists the server that is i-th by id.
-func (g *rig) entry(i int, st EndpointState) Endpoint {
-	return Endpoint{Server: g.index(i), ID: uint32(100 + i), State: st, Zone: i % 2, Cell: i / 2}
+// endpoint lists the server that is i-th by id.
+func (g *fixture) endpoint(i int, st EndpointState) Endpoint {
+	return Endpoint{Server: g.serverIndex(i), ID: uint32(100 + i), State: st, Zone: i % 2, Cell: i / 2}
 }
 
-// index is the door's index of the server that is i-th by id.
-func (g *rig) index(i int) int {
+// serverIndex is the door's index of the server that is i-th by id.
+func (g *fixture) serverIndex(i int) int {
 	if i > 20 {
 		return i
 	}
 	return 20 - i
 }
 
-// pull returns the decisions of now, without wakes and log lines.
-func (g *rig) pull() (out []Decision) {
+// decisions returns the decisions of now, without wakes and log lines.
+func (g *fixture) decisions() (out []Decision) {
 	for {
 		d, ok := g.Next(g.now)
 		if !ok {
@@ -53,21 +53,21 @@
 }
 
 // arrive brings a flow and returns what was decided for it and, for a connect, the place by id.
-func (g *rig) arrive(id int, a Arrival) (Decision, int) {
+func (g *fixture) arrive(id int, a Arrival) (Decision, int) {
 	if a.Timeout == 0 {
 		a.Timeout = 3
 	}
 	g.AddFlow(g.now, id, a)
-	for _, d := range g.pull() {
+	for _, d := range g.decisions() {
 		if d.Flow == id && d.Action <= Abort {
-			return d, g.index(d.Server)
+			return d, g.serverIndex(d.Server)
 		}
 	}
 	return Decision{Action: Log}, -1
 }
 
-// fill establishes n connections with the keys that follow from.
-func (g *rig) fill(from, n int) {
+// establish establishes n connections with the keys that follow from.
+func (g *fixture) establish(from, n int) {
 	for id := from; id < from+n; id++ {
 		if d, _ := g.arrive(id, Arrival{ClientKey: uint64(id + 1)}); d.Action == Connect {
 			g.Established(id, 0)
@@ -75,12 +75,12 @@
 	}
 }
 
-// pass lets time go by in steps of the housekeeping and collects what was decided.
-func (g *rig) pass(seconds float64) (out []Decision) {
+// advance lets time go by in steps of the housekeeping and collects what was decided.
+func (g *fixture) advance(seconds float64) (out []Decision) {
 	for end := g.now + seconds; g.now < end; {
-		g.now += beat
+		g.now += housekeepingInterval
 		g.Woken(g.now)
-		out = append(out, g.pull()...)
+		out = append(out, g.decisions()...)
 	}
 	return out
 }
@@ -88,7 +88,7 @@
 // keyFor finds a client key whose primary among n is the one at place.
 func keyFor(place, n int) uint64 {
 	for key := uint64(1); ; key++ {
-		if int(mix(key)%uint64(n)) == place {
+		if int(hash64(key)%uint64(n)) == place {
 			return key
 		}
 	}
@@ -96,7 +96,7 @@
 
 // groupFor finds a group whose first home among n servers is the one at place, and whose further ones follow.
 func groupFor(place, n int, further ...int) uint64 {
-	g := newRig(n, nil)
+	g := newFixture(n, nil)
 	want := append([]int{place}, further...)
 	for group := uint64(1); ; group++ {
 		if slices.Equal(g.homes(group, len(want)), want) {
@@ -106,10 +106,10 @@
 }
 
 // homes gives a group's first homes by their places.
-func (g *rig) homes(group uint64, n int) (out []int) {
-	g.survey(g.now, false)
+func (g *fixture) homes(group uint64, n int) (out []int) {
+	g.updateUsable(g.now, false)
 	for after := -1.0; len(out) < n; {
-		place, draw := g.homeOf(mix(group), after)
+		place, draw := g.nextHome(hash64(group), after)
 		out, after = append(out, place), draw
 	}
 	return out
--- a/placement/legacy.go
+++ b/placement/legacy.go
@@ -54,16 +54,16 @@
 
 // HandoverState gives what a successor is left. Nothing in it is shared with this balancer.
 func (b *Balancer) HandoverState() HandoverState {
-	l := HandoverState{UsualLoads: append([]float64(nil), b.typical...), ClientLoads: map[uint64]float64{}, ConcurrencyLimit: finite(b.gate), LimitLoweredAt: b.gateAt, ShortestCheck: b.least, OverloadLevel: b.strain}
+	l := HandoverState{UsualLoads: append([]float64(nil), b.usual...), ClientLoads: map[uint64]float64{}, ConcurrencyLimit: finite(b.limit), LimitLoweredAt: b.limitLoweredAt, ShortestCheck: b.shortestRoundTrip, OverloadLevel: b.level}
 	maps.Copy(l.ClientLoads, b.older)
-	maps.Copy(l.ClientLoads, b.loads)
+	maps.Copy(l.ClientLoads, b.recent)
 	for i := range b.servers {
 		s := &b.servers[i]
-		l.Servers = append(l.Servers, ServerState{LoadThreshold: finite(s.ceiling), LoweredAt: s.cutAt,
-			ReportedAt: s.toldAt, DrainingAt: s.drainAt, Load: s.load,
-			OverloadedAt: s.jamAt, RejectedAt: s.fullAt, Failures: s.bad, Successes: s.good, EjectionTime: s.hold,
-			NextCheckAt: s.probeAt, ShortestCheck: s.least, Ejected: s.aside, Disabled: s.byHand, DisabledAt: s.handAt, EnterFrom: s.wanted,
-			ChecksPassed: s.answers, RoundingDraw: s.round})
+		l.Servers = append(l.Servers, ServerState{LoadThreshold: finite(s.threshold), LoweredAt: s.loweredAt,
+			ReportedAt: s.reportedAt, DrainingAt: s.drainingAt, Load: s.reportedLoad,
+			OverloadedAt: s.overloadedAt, RejectedAt: s.rejectedAt, Failures: s.failures, Successes: s.successes, EjectionTime: s.ejectionTime,
+			NextCheckAt: s.nextCheckAt, ShortestCheck: s.shortestCheck, Ejected: s.ejected, Disabled: s.disabled, DisabledAt: s.changedAt, EnterFrom: s.enterFrom,
+			ChecksPassed: s.checksPassed, RoundingDraw: s.roundingDraw})
 	}
 	return l
 }
@@ -71,21 +71,21 @@
 // Restore takes what a predecessor has left, in place of what is known. It is called before any flow comes, after
 // the list was told; the servers go by this balancer's own indices.
 func (b *Balancer) Restore(l HandoverState) {
-	if len(l.UsualLoads) == len(b.typical) { // the settings may have changed with the version
-		copy(b.typical, l.UsualLoads)
+	if len(l.UsualLoads) == len(b.usual) { // the settings may have changed with the version
+		copy(b.usual, l.UsualLoads)
 	}
-	b.loads = map[uint64]float64{}
-	maps.Copy(b.loads, l.ClientLoads)
-	b.gate, b.gateAt, b.least = infinite(l.ConcurrencyLimit), l.LimitLoweredAt, l.ShortestCheck
-	b.strain = min(max(l.OverloadLevel, 0), 1)
+	b.recent = map[uint64]float64{}
+	maps.Copy(b.recent, l.ClientLoads)
+	b.limit, b.limitLoweredAt, b.shortestRoundTrip = infinite(l.ConcurrencyLimit), l.LimitLoweredAt, l.ShortestCheck
+	b.level = min(max(l.OverloadLevel, 0), 1)
 	for i, t := range l.Servers {
 		s := b.server(i)
-		s.ceiling, s.cutAt, s.toldAt, s.drainAt = infinite(t.LoadThreshold), t.LoweredAt, t.ReportedAt, t.DrainingAt
-		s.load = t.Load
-		s.jamAt, s.fullAt, s.bad, s.good, s.hold = t.OverloadedAt, t.RejectedAt, max(t.Failures, 0), max(t.Successes, 0), max(t.EjectionTime, firstHold)
-		s.probeAt, s.least, s.aside, s.answers = t.NextCheckAt, t.ShortestCheck, t.Ejected, t.ChecksPassed
-		s.byHand, s.handAt, s.wanted = t.Disabled, t.DisabledAt, t.EnterFrom
-		s.round = t.RoundingDraw
+		s.threshold, s.loweredAt, s.reportedAt, s.drainingAt = infinite(t.LoadThreshold), t.LoweredAt, t.ReportedAt, t.DrainingAt
+		s.reportedLoad = t.Load
+		s.overloadedAt, s.rejectedAt, s.failures, s.successes, s.ejectionTime = t.OverloadedAt, t.RejectedAt, max(t.Failures, 0), max(t.Successes, 0), max(t.EjectionTime, firstEjectionTime)
+		s.nextCheckAt, s.shortestCheck, s.ejected, s.checksPassed = t.NextCheckAt, t.ShortestCheck, t.Ejected, t.ChecksPassed
+		s.disabled, s.changedAt, s.enterFrom = t.Disabled, t.DisabledAt, t.EnterFrom
+		s.roundingDraw = t.RoundingDraw
 	}
 }
 
@@ -93,10 +93,10 @@
 // this one's own.
 func (b *Balancer) AddPeerLoad(at, count int, load float64) {
 	s := b.server(at)
-	s.held += count
-	s.work += load
+	s.inFlight += count
+	s.assignedLoad += load
 }
 
 // SetHandedOver says that a successor takes the flows from now on, and with them the budgets of cold servers: this one
 // has none until it is said otherwise.
-func (b *Balancer) SetHandedOver(given bool) { b.given = given }
+func (b *Balancer) SetHandedOver(given bool) { b.handedOver = given }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -11,58 +11,58 @@
 	key := keyFor(2, 5)
 	cases := []struct {
 		name  string
-		setup func(*rig)
+		setup func(*fixture)
 		a     Arrival
 		want  int // place by id, -1 for a reject
 	}{
 		{"primary", nil, Arrival{ClientKey: key}, 2},
-		{"draining primary: its keys are re-spread over the usable", func(g *rig) {
-			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(2, Draining)})
-		}, Arrival{ClientKey: key}, []int{0, 1, 3, 4}[mix(key)%4]},
-		{"another one draining: the primary stays", func(g *rig) {
-			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(0, Draining)})
+		{"draining primary: its keys are re-spread over the usable", func(g *fixture) {
+			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.endpoint(2, Draining)})
+		}, Arrival{ClientKey: key}, []int{0, 1, 3, 4}[hash64(key)%4]},
+		{"another one draining: the primary stays", func(g *fixture) {
+			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.endpoint(0, Draining)})
 		}, Arrival{ClientKey: key}, 2},
-		{"over the cap of two: next by id", func(g *rig) { g.load(2, 3) }, Arrival{ClientKey: key}, 3},
-		{"at the cap of two: primary", func(g *rig) { g.load(2, 2) }, Arrival{ClientKey: key}, 2},
-		{"over the cap, in a group: the group's home", func(g *rig) { g.load(2, 3) },
+		{"over the cap of two: next by id", func(g *fixture) { g.restoreFlows(2, 3) }, Arrival{ClientKey: key}, 3},
+		{"at the cap of two: primary", func(g *fixture) { g.restoreFlows(2, 2) }, Arrival{ClientKey: key}, 2},
+		{"over the cap, in a group: the group's home", func(g *fixture) { g.restoreFlows(2, 3) },
 			Arrival{ClientKey: key, GroupKey: groupFor(0, 5)}, 0},
 		{"back after a break: the group's home", nil, Arrival{ClientKey: key, GroupKey: groupFor(4, 5), Returning: true}, 4},
-		{"jams seen: the group's home at once", func(g *rig) { g.strain = 1 },
+		{"jams seen: the group's home at once", func(g *fixture) { g.level = 1 },
 			Arrival{ClientKey: key, GroupKey: groupFor(4, 5)}, 4},
-		{"jams seen, this node has one at the home of few: it goes on", func(g *rig) {
-			g.strain, g.blind = 1, 0.5
-			g.load(4, 1)
+		{"jams seen, this node has one at the home of few: it goes on", func(g *fixture) {
+			g.level, g.uncertainty = 1, 0.5
+			g.restoreFlows(4, 1)
 		}, Arrival{ClientKey: key, GroupKey: groupFor(4, 5, 1)}, 1},
-		{"the group's first two homes are full: the third, whatever the ids", func(g *rig) {
-			g.strain, g.blind = 1, 0.5
-			g.servers[g.index(4)].ceiling, g.servers[g.index(1)].ceiling = 0, 0
+		{"the group's first two homes are full: the third, whatever the ids", func(g *fixture) {
+			g.level, g.uncertainty = 1, 0.5
+			g.servers[g.serverIndex(4)].threshold, g.servers[g.serverIndex(1)].threshold = 0, 0
 		}, Arrival{ClientKey: key, GroupKey: groupFor(4, 5, 1, 3)}, 3},
-		{"the same, and this node sees much: the first home, then on by id", func(g *rig) {
-			g.strain, g.blind = 1, 0
-			g.servers[g.index(4)].ceiling, g.servers[g.index(0)].ceiling = 0, 0
+		{"the same, and this node sees much: the first home, then on by id", func(g *fixture) {
+			g.level, g.uncertainty = 1, 0
+			g.servers[g.serverIndex(4)].threshold, g.servers[g.serverIndex(0)].threshold = 0, 0
 		}, Arrival{ClientKey: key, GroupKey: groupFor(4, 5, 3)}, 1},
 		{"quiet for long: the primary, group or not", nil, Arrival{ClientKey: key, GroupKey: groupFor(4, 5)}, 2},
 		{"mid-flow, quiet for long: the primary, where it was most likely placed", nil,
 			Arrival{ClientKey: key, GroupKey: groupFor(4, 5), MidFlow: true}, 2},
-		{"mid-flow, strain: its group's home", func(g *rig) { g.strain = 1 },
+		{"mid-flow, strain: its group's home", func(g *fixture) { g.level = 1 },
 			Arrival{ClientKey: key, GroupKey: groupFor(4, 5), MidFlow: true}, 4},
-		{"mid-flow skips the spill", func(g *rig) { g.load(2, 9) }, Arrival{ClientKey: key, MidFlow: true}, 2},
-		{"mid-flow skips the ceiling", func(g *rig) { g.servers[18].ceiling = 0 },
+		{"mid-flow skips the spill", func(g *fixture) { g.restoreFlows(2, 9) }, Arrival{ClientKey: key, MidFlow: true}, 2},
+		{"mid-flow skips the ceiling", func(g *fixture) { g.servers[18].threshold = 0 },
 			Arrival{ClientKey: key, MidFlow: true}, 2},
-		{"no room under its ceiling: next by id", func(g *rig) { g.servers[18].ceiling = 0 }, Arrival{ClientKey: key}, 3},
-		{"all draining: rejected", func(g *rig) {
+		{"no room under its ceiling: next by id", func(g *fixture) { g.servers[18].threshold = 0 }, Arrival{ClientKey: key}, 3},
+		{"all draining: rejected", func(g *fixture) {
 			for i := range 5 {
-				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(i, Draining)})
+				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.endpoint(i, Draining)})
 			}
 		}, Arrival{ClientKey: key}, -1},
-		{"empty list: rejected", func(g *rig) { g.UpdateEndpoints(g.now, ListFull, nil) }, Arrival{ClientKey: key}, -1},
-		{"no connect allowed: rejected", func(g *rig) { g.MaxAttempts = 0 }, Arrival{ClientKey: key}, -1},
+		{"empty list: rejected", func(g *fixture) { g.UpdateEndpoints(g.now, ListFull, nil) }, Arrival{ClientKey: key}, -1},
+		{"no connect allowed: rejected", func(g *fixture) { g.MaxAttempts = 0 }, Arrival{ClientKey: key}, -1},
 		{"without a key the group decides", nil, Arrival{GroupKey: key}, 2},
 		{"too late for a connect: rejected", nil, Arrival{ClientKey: key, Timeout: 0.003}, -1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(5, nil)
+			g := newFixture(5, nil)
 			if c.setup != nil {
 				c.setup(g)
 			}
@@ -78,10 +78,10 @@
 	}
 }
 
-// load carries n connections on the server at a place.
-func (g *rig) load(place, n int) {
+// restoreFlows carries n connections on the server at a place.
+func (g *fixture) restoreFlows(place, n int) {
 	for i := range n {
-		g.RestoreFlow(g.now, 900+i, Arrival{ClientKey: 1}, g.index(place))
+		g.RestoreFlow(g.now, 900+i, Arrival{ClientKey: 1}, g.serverIndex(place))
 	}
 }
 
@@ -118,22 +118,22 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(6, func(r *Settings) {
+			g := newFixture(6, func(r *Settings) {
 				r.ServiceTypes[0].Idempotency, r.ServiceTypes[0].KeyScope, r.ServiceTypes[0].KeyLifetime = c.effect, c.group, 1
 				r.DialTimeout = c.dial
 			})
 			_, first := g.arrive(0, Arrival{ClientKey: 5, Timeout: 4})
 			g.now += c.after
 			g.AttemptEnded(g.now, 0, 0, c.how, false)
-			out := g.pull()
+			out := g.decisions()
 			if len(out) == 0 || out[0].Action != c.want {
 				t.Fatalf("%v after outcome %d: got %+v", c.want, c.how, out)
 			}
-			if c.want == Connect && c.same != nil && !c.same(g.entry(first, Ready), g.entry(g.index(out[0].Server), Ready)) {
-				t.Fatalf("further connect left the group: %d then %d", first, g.index(out[0].Server))
+			if c.want == Connect && c.same != nil && !c.same(g.endpoint(first, Ready), g.endpoint(g.serverIndex(out[0].Server), Ready)) {
+				t.Fatalf("further connect left the group: %d then %d", first, g.serverIndex(out[0].Server))
 			}
 			g.AttemptEnded(g.now, 0, 1, TimedOut, true)
-			if again := g.pull(); c.want != Connect && len(again) > 0 && again[0].Action <= Abort {
+			if again := g.decisions(); c.want != Connect && len(again) > 0 && again[0].Action <= Abort {
 				t.Fatalf("something sent after the final answer: %+v", again)
 			}
 		})
@@ -143,14 +143,14 @@
 // Every connect fails: the flow ends in one answer, in time, after the most connects allowed.
 func TestOneAnswerInTime(t *testing.T) {
 	for _, e := range []Idempotency{Idempotent, IdempotentWithKey, AtMostOnce} {
-		g := newRig(6, func(r *Settings) { r.ServiceTypes[0].Idempotency, r.ServiceTypes[0].KeyLifetime = e, 5 })
+		g := newFixture(6, func(r *Settings) { r.ServiceTypes[0].Idempotency, r.ServiceTypes[0].KeyLifetime = e, 5 })
 		d, _ := g.arrive(0, Arrival{ClientKey: 9, Timeout: 1.8})
 		answers, connects := 0, 0
 		for d.Action == Connect {
 			connects++
 			g.now += d.Seconds
 			g.AttemptEnded(g.now, 0, connects-1, TimedOut, false)
-			for _, d = range g.pull() {
+			for _, d = range g.decisions() {
 				if d.Action == Reject || d.Action == Abort {
 					answers++
 				}
@@ -183,15 +183,15 @@
 			const seeds = 20 // one window's part is rounded by one draw: none may be over, and the mean not under
 			sum := 0
 			for seed := range uint64(seeds) {
-				g := newRig(5, func(r *Settings) { r.Seed, r.NodeNumber = seed, int(seed) })
+				g := newFixture(5, func(r *Settings) { r.Seed, r.NodeNumber = seed, int(seed) })
 				g.now += float64(seed / 2) // both nodes have their part of each window
-				g.fill(0, 50)
-				fresh := g.entry(5, Ready)
+				g.establish(0, 50)
+				fresh := g.endpoint(5, Ready)
 				fresh.StartedAt = g.now - c.age
 				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{fresh})
 				for i := range 5 {
 					if c.all {
-						g.servers[g.index(i)].fullAt = g.now
+						g.servers[g.serverIndex(i)].rejectedAt = g.now
 					}
 				}
 				got := 0
@@ -217,9 +217,9 @@
 		for _, mid := range []bool{false, true} {
 			sent, most := 0, 0.0
 			for seed := range max(nodes, 30) { // a few single nodes stand for one, so that chance evens out
-				g := newRig(5, func(r *Settings) { r.Nodes, r.Seed, r.NodeNumber = nodes, uint64(seed), seed })
-				g.fill(0, max(1, 60/nodes))
-				fresh := g.entry(5, Ready)
+				g := newFixture(5, func(r *Settings) { r.Nodes, r.Seed, r.NodeNumber = nodes, uint64(seed), seed })
+				g.establish(0, max(1, 60/nodes))
+				fresh := g.endpoint(5, Ready)
 				fresh.StartedAt = g.now
 				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{fresh})
 				for id := 100; id < 110; id++ {
@@ -229,7 +229,7 @@
 				}
 				held := 0.0 // connections a warm server holds
 				for i := range g.servers {
-					held += float64(g.servers[i].held) / 5
+					held += float64(g.servers[i].inFlight) / 5
 				}
 				most += max(g.SlowStartShare, 1/float64(nodes), g.SlowStartShare*held*g.OverloadMultiple/2*g.OverloadWindow/g.SlowStartTime)
 			}
@@ -260,7 +260,7 @@
 		{"300 nodes", 300, false, nil, false},
 		{"30 nodes, some begin anew", 30, true, nil, false},
 		{"300 nodes, some begin anew", 300, true, nil, false},
-		{"30 nodes that draw by themselves", 30, false, func(node int) int { return int(mix(uint64(node))) & math.MaxInt32 }, true},
+		{"30 nodes that draw by themselves", 30, false, func(node int) int { return int(hash64(uint64(node))) & math.MaxInt32 }, true},
 	} {
 		worst, least, stray, last := 0.0, math.Inf(1), 0.0, 0.0
 		for window := range 300 {
@@ -276,13 +276,13 @@
 					b.StartedAt = now - span/4
 				}
 				s := b.server(0)
-				s.StartedAt, s.mark = 999, 7
+				s.StartedAt, s.idHash = 999, 7
 				mean := 10.0 / float64(c.nodes) * (0.2 + 1.6*float64(node%2)) // some nodes see nine times what others do
 				part := max(1/float64(c.nodes), b.SlowStartShare*mean*multiple/2*span/b.SlowStartTime)
 				parts += part
 				for range 20 {
-					if b.mayTake(now, s, b.SlowStartShare, mean, 0) {
-						s.spent++
+					if b.withinSlowStartBudget(now, s, b.SlowStartShare, mean, 0) {
+						s.windowAttempts++
 						sent++
 					}
 				}
@@ -319,20 +319,20 @@
 		const windows = 100                   // one strays by a twentieth: which nodes have a part at several servers hangs on its draws
 		sent, asked := 0, max(2*c.nodes, 200) // by all nodes in each of some windows
 		for seed := range windows * c.nodes {
-			g := newRig(n, func(r *Settings) { r.Nodes, r.Seed, r.NodeNumber = c.nodes, uint64(seed), seed%c.nodes })
+			g := newFixture(n, func(r *Settings) { r.Nodes, r.Seed, r.NodeNumber = c.nodes, uint64(seed), seed%c.nodes })
 			g.now += g.OverloadWindow * float64(seed/c.nodes)
 			var list []Endpoint
 			for i := range n {
-				if it := g.entry(i, Ready); i < fresh {
+				if it := g.endpoint(i, Ready); i < fresh {
 					it.StartedAt = g.now - 5 // half warm by now: 0.6
 					list = append(list, it)
 				} else if c.full {
-					g.server(it.Server).fullAt = g.now
+					g.server(it.Server).rejectedAt = g.now
 				}
 			}
 			g.UpdateEndpoints(g.now, ListChanges, list)
 			for id := range asked / c.nodes {
-				if d, at := g.arrive(id, Arrival{ClientKey: mix(uint64(seed*1000 + id))}); d.Action == Connect && at < fresh {
+				if d, at := g.arrive(id, Arrival{ClientKey: hash64(uint64(seed*1000 + id))}); d.Action == Connect && at < fresh {
 					sent++
 				}
 			}
@@ -354,11 +354,11 @@
 	const n, clients = 12, 600
 	met, at := 0, map[int]int{}
 	for i := range clients {
-		placed, looks := newRig(n, func(r *Settings) { r.Nodes, r.Seed = 300, uint64(2*i) }), newRig(n, func(r *Settings) {
+		placed, looks := newFixture(n, func(r *Settings) { r.Nodes, r.Seed = 300, uint64(2*i) }), newFixture(n, func(r *Settings) {
 			r.Nodes, r.Seed = 300, uint64(2*i+1)
 		})
-		placed.blind, looks.blind, looks.strain = 0.93, 0.9, 1 // one has run for a while, the other has just begun
-		a := Arrival{ClientKey: mix(uint64(i)), GroupKey: 77}
+		placed.uncertainty, looks.uncertainty, looks.level = 0.93, 0.9, 1 // one has run for a while, the other has just begun
+		a := Arrival{ClientKey: hash64(uint64(i)), GroupKey: 77}
 		a.Returning = true
 		_, was := placed.arrive(1, a)
 		a.Returning, a.MidFlow = false, true
@@ -393,14 +393,14 @@
 	} {
 		moved := 0
 		for seed := range nodes {
-			g := newRig(10, func(r *Settings) { r.Nodes, r.Seed = nodes, uint64(seed) })
+			g := newFixture(10, func(r *Settings) { r.Nodes, r.Seed = nodes, uint64(seed) })
 			g.arrive(0, Arrival{ClientKey: keyFor(at, 10)})
 			g.Established(0, 0)
 			g.ReportLoad(0, 0.02)
-			g.pass(1)
+			g.advance(1)
 			for range c.notes {
-				g.ReportDelay(g.now, 0, c.delay*g.aim)
-				for _, d := range g.pass(1.25) {
+				g.ReportDelay(g.now, 0, c.delay*g.messageObjective)
+				for _, d := range g.advance(1.25) {
 					if d.Action == Migrate {
 						moved++
 						g.AttemptEnded(g.now, 0, 0, Canceled, true)
@@ -428,8 +428,8 @@
 		{"jam, sees its servers, back", 1, 0.04, true, 1, 25},
 		{"no jam, blind, back", 0, 1, true, 0, 0},
 	} {
-		g := newRig(40, nil)
-		g.tight, g.blind = c.tight, c.blind
+		g := newFixture(40, nil)
+		g.slowShare, g.uncertainty = c.tight, c.blind
 		rejects := 0
 		for id := range 100 {
 			d, _ := g.arrive(id, Arrival{ClientKey: uint64(id + 1), GroupKey: 7, Returning: c.back})
@@ -445,35 +445,35 @@
 
 // With 200 servers a further connect goes to another one; two ids 64 apart were taken for the same once.
 func TestAskedServers(t *testing.T) {
-	g := newRig(200, func(r *Settings) { r.MaxAttempts = 200 })
+	g := newFixture(200, func(r *Settings) { r.MaxAttempts = 200 })
 	_, first := g.arrive(0, Arrival{ClientKey: 9, Timeout: 1e6})
 	seen := map[int]bool{first: true}
 	for try := range 199 {
 		g.now += 0.001
 		g.AttemptEnded(g.now, 0, try, NotSent, false)
-		out := g.pull()
-		if len(out) != 1 || out[0].Action != Connect || seen[g.index(out[0].Server)] {
+		out := g.decisions()
+		if len(out) != 1 || out[0].Action != Connect || seen[g.serverIndex(out[0].Server)] {
 			t.Fatalf("after %d connects: %+v", try+1, out)
 		}
-		seen[g.index(out[0].Server)] = true
+		seen[g.serverIndex(out[0].Server)] = true
 	}
 }
 
 // A group's home moves only when the server that it names goes.
 func TestHomesStay(t *testing.T) {
-	g := newRig(40, nil)
-	g.survey(g.now, false)
+	g := newFixture(40, nil)
+	g.updateUsable(g.now, false)
 	before := map[uint64]int{}
 	for group := uint64(1); group <= 400; group++ {
 		before[group] = g.usable[g.homes(group, 1)[0]]
 	}
-	g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(3, Removed)})
-	g.survey(g.now, false)
+	g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.endpoint(3, Removed)})
+	g.updateUsable(g.now, false)
 	moved := 0
 	for group, was := range before {
 		if is := g.usable[g.homes(group, 1)[0]]; is != was {
 			moved++
-			if was != g.entry(3, Removed).Server {
+			if was != g.endpoint(3, Removed).Server {
 				t.Fatalf("group %d moved from a server that stays", group)
 			}
 		}
@@ -491,15 +491,15 @@
 	for _, back := range []bool{false, true} {
 		at, all := map[int]int{}, 0
 		for seed := range uint64(400) {
-			g := newRig(n, func(r *Settings) { r.Seed, r.Nodes = mix(seed), 100 })
-			g.strain = 1
+			g := newFixture(n, func(r *Settings) { r.Seed, r.Nodes = hash64(seed), 100 })
+			g.level = 1
 			homes := g.homes(77, 3)
 			if !back {
-				g.servers[g.index(homes[0])].ceiling = 0
+				g.servers[g.serverIndex(homes[0])].threshold = 0
 			}
-			g.blind = 1
-			for range mix(seed) % 50 { // nodes stand at draws of their own
-				g.chance()
+			g.uncertainty = 1
+			for range hash64(seed) % 50 { // nodes stand at draws of their own
+				g.random()
 			}
 			if d, to := g.arrive(0, Arrival{ClientKey: seed + 1, GroupKey: 77, Returning: back}); d.Action == Connect {
 				at[slices.Index(homes, to)]++
@@ -533,14 +533,14 @@
 		if c.bears > 0 {
 			quotas = []float64{0.75 * n * c.bears, 0.25 * n * c.bears}
 		}
-		node := func(seed int) *rig {
-			g := newRig(n, func(r *Settings) { r.Nodes, r.Seed, r.Quotas = nodes, uint64(seed), quotas })
-			g.strain, g.blind = 1, 0.95
+		node := func(seed int) *fixture {
+			g := newFixture(n, func(r *Settings) { r.Nodes, r.Seed, r.Quotas = nodes, uint64(seed), quotas })
+			g.level, g.uncertainty = 1, 0.95
 			return g
 		}
 		first, at := node(0).homes(77, c.homes), map[int]int{}
 		for client := range nodes {
-			a := Arrival{ClientKey: mix(uint64(client)), GroupKey: 77, Tenant: client % 2}
+			a := Arrival{ClientKey: hash64(uint64(client)), GroupKey: 77, Tenant: client % 2}
 			_, placed := node(2*client).arrive(1, a)
 			at[slices.Index(first, placed)]++
 			if c.homes == 1 {
@@ -557,8 +557,8 @@
 			// After quiet minutes the ordinary path decides again, also of what is handed over.
 			for _, a.MidFlow = range []bool{false, true} {
 				quiet := node(2*client + 1)
-				quiet.strain, quiet.blind = 0, 0 // and with many connections
-				if _, at := quiet.arrive(1, a); at != int(mix(a.ClientKey)%n) {
+				quiet.level, quiet.uncertainty = 0, 0 // and with many connections
+				if _, at := quiet.arrive(1, a); at != int(hash64(a.ClientKey)%n) {
 					t.Errorf("%s: client %d, mid-flow %v, is at %d after quiet minutes", c.name, client, a.MidFlow, at)
 				}
 			}
@@ -574,24 +574,24 @@
 }
 
 func TestSetAside(t *testing.T) {
-	g := newRig(9, nil)
-	g.fill(0, 20)
+	g := newFixture(9, nil)
+	g.establish(0, 20)
 	for i := range 6 { // one server that cannot be reached
 		if d, at := g.arrive(100+i, Arrival{ClientKey: keyFor(4, 9)}); i == 0 && at == 4 {
 			g.AttemptEnded(g.now, d.Flow, 0, ConnectFailed, false)
-			g.pull()
+			g.decisions()
 		} else if at == 4 {
 			t.Fatal("sent to a server set aside")
 		}
 	}
-	g.pass(firstHold - beat)
-	if !g.servers[16].aside {
+	g.advance(firstEjectionTime - housekeepingInterval)
+	if !g.servers[16].ejected {
 		t.Fatal("not set aside")
 	}
 	for probes, beats := 0, 0; probes < 2 && beats < 50; beats++ { // it comes back with its second answered probe
-		for _, d := range g.pass(0.5) {
+		for _, d := range g.advance(0.5) {
 			if d.Action == CheckHealth {
-				if !g.servers[16].aside {
+				if !g.servers[16].ejected {
 					t.Fatal("back too early")
 				}
 				probes++
@@ -599,7 +599,7 @@
 			}
 		}
 	}
-	if g.servers[16].aside {
+	if g.servers[16].ejected {
 		t.Fatal("not back after two answers")
 	}
 	if _, at := g.arrive(200, Arrival{ClientKey: keyFor(4, 9)}); at != 4 {
@@ -621,18 +621,18 @@
 		{"all of nine: a third stay, as it may be this node", 9, 9, 6, ConnectFailed, 0.7},
 		{"five that err: what they share may be sick", 5, 9, 1, Failed, 0.4},
 	} {
-		g := newRig(c.of, nil)
+		g := newFixture(c.of, nil)
 		for i := range c.dead {
 			d, at := g.arrive(i, Arrival{ClientKey: keyFor(i, c.of), Timeout: 3})
 			if at != i {
 				continue // set aside or full: nothing to learn
 			}
 			g.AttemptEnded(g.now, d.Flow, 0, c.how, true)
-			g.pull()
+			g.decisions()
 		}
 		aside := 0
 		for i := range g.servers {
-			if g.servers[i].aside {
+			if g.servers[i].ejected {
 				aside++
 			}
 		}
@@ -644,54 +644,54 @@
 
 // One server that answers with errors is set aside; the gate is for what servers share and stays open.
 func TestOneSickServerLeavesTheGate(t *testing.T) {
-	g := newRig(9, nil)
-	g.fill(0, 10)
+	g := newFixture(9, nil)
+	g.establish(0, 10)
 	for id := 100; id < 106; id++ {
 		if _, at := g.arrive(id, Arrival{ClientKey: keyFor(4, 9)}); at == 4 {
 			g.AttemptEnded(g.now, id, 0, Failed, false)
-			g.pull()
+			g.decisions()
 		}
 	}
-	if !g.servers[g.index(4)].aside || !math.IsInf(g.gate, 1) {
-		t.Fatalf("set aside: %v, gate at %g", g.servers[g.index(4)].aside, g.gate)
+	if !g.servers[g.serverIndex(4)].ejected || !math.IsInf(g.limit, 1) {
+		t.Fatalf("set aside: %v, gate at %g", g.servers[g.serverIndex(4)].ejected, g.limit)
 	}
 }
 
 // What dying servers and a single client bring about is no trouble that the servers share.
 func TestGateStaysOpen(t *testing.T) {
-	twoDie := func(g *rig) {
+	twoDie := func(g *fixture) {
 		for id := range 30 {
-			if at := g.flows[id].at; at == g.index(1) || at == g.index(2) {
+			if at := g.flows[id].server; at == g.serverIndex(1) || at == g.serverIndex(2) {
 				g.AttemptEnded(g.now, id, 0, ConnectionLost, true)
 			}
 		}
 	}
-	for name, meet := range map[string]func(g *rig){
-		"two servers died and a connect broke": func(g *rig) {
+	for name, meet := range map[string]func(g *fixture){
+		"two servers died and a connect broke": func(g *fixture) {
 			twoDie(g)
 			for id := 100; id < 110; id++ {
 				g.arrive(id, Arrival{ClientKey: uint64(id)})
 				g.AttemptEnded(g.now, id, 0, ConnectionLost, false)
-				g.pull()
+				g.decisions()
 			}
 		},
-		"two servers died and a connect erred": func(g *rig) {
+		"two servers died and a connect erred": func(g *fixture) {
 			twoDie(g)
 			g.arrive(100, Arrival{ClientKey: 100})
 			g.AttemptEnded(g.now, 100, 0, Failed, false)
 		},
-		"one flow errs everywhere": func(g *rig) {
+		"one flow errs everywhere": func(g *fixture) {
 			g.arrive(100, Arrival{ClientKey: 100})
 			for try := range 3 {
 				g.AttemptEnded(g.now, 100, try, Failed, false)
-				g.pull()
+				g.decisions()
 			}
 		},
 	} {
-		g := newRig(9, nil)
-		g.fill(0, 30)
-		if meet(g); !math.IsInf(g.gate, 1) {
-			t.Errorf("%s: gate at %g", name, g.gate)
+		g := newFixture(9, nil)
+		g.establish(0, 30)
+		if meet(g); !math.IsInf(g.limit, 1) {
+			t.Errorf("%s: gate at %g", name, g.limit)
 		}
 	}
 }
@@ -699,8 +699,8 @@
 // A slow store fails connects everywhere: few servers are set aside, the gate lets little out, and when the
 // trouble has passed all is as before.
 func TestCommonFailures(t *testing.T) {
-	g := newRig(9, nil)
-	g.fill(0, 30)
+	g := newFixture(9, nil)
+	g.establish(0, 30)
 	refused := 0
 	for id := 100; id < 220; id++ {
 		if d, _ := g.arrive(id, Arrival{ClientKey: uint64(id)}); d.Action == Reject {
@@ -710,37 +710,37 @@
 		for try := range 3 {
 			g.now += 0.03
 			g.AttemptEnded(g.now, id, try, Failed, false)
-			g.pull()
+			g.decisions()
 		}
 	}
 	aside := 0
 	for i := range g.servers {
-		if g.servers[i].aside {
+		if g.servers[i].ejected {
 			aside++
 		}
 	}
-	if aside > 3 || math.IsInf(g.gate, 1) {
-		t.Fatalf("%d set aside, gate %g", aside, g.gate)
+	if aside > 3 || math.IsInf(g.limit, 1) {
+		t.Fatalf("%d set aside, gate %g", aside, g.limit)
 	}
 	for id := 300; id < 420; id++ {
-		for _, d := range g.pass(0.25) {
+		for _, d := range g.advance(0.25) {
 			if d.Action == CheckHealth {
 				g.HealthChecked(g.now, d.Server, Served, LoadReport{Load: -1})
 			}
 		}
-		g.fill(id, 1)
+		g.establish(id, 1)
 	}
-	if g.pass(60); !math.IsInf(g.gate, 1) {
-		t.Fatalf("the gate stays at %g", g.gate)
+	if g.advance(60); !math.IsInf(g.limit, 1) {
+		t.Fatalf("the gate stays at %g", g.limit)
 	}
 }
 
 func TestCeiling(t *testing.T) {
-	g := newRig(3, nil)
-	g.fill(0, 30)
+	g := newFixture(3, nil)
+	g.establish(0, 30)
 	for place := range 3 {
 		for id := range g.flows {
-			if f := &g.flows[id]; f.open && f.at == g.index(place) {
+			if f := &g.flows[id]; f.established && f.server == g.serverIndex(place) {
 				g.ReportDelay(g.now, id, 0.5) // five times the aim
 				break
 			}
@@ -750,7 +750,7 @@
 		t.Fatalf("got %+v, wanted a reject at once with a retry time", d)
 	}
 	moved := map[int]bool{}
-	for _, d := range g.pass(0.5) {
+	for _, d := range g.advance(0.5) {
 		if d.Action == Migrate && moved[d.Flow] {
 			t.Fatal("moved twice")
 		}
@@ -759,39 +759,39 @@
 	if len(moved) == 0 || len(moved) > 12 {
 		t.Fatalf("%d moved, wanted some and never all", len(moved))
 	}
-	load := 10 * g.meanLoad()
-	if g.pass(8); g.servers[20].ceiling > 2*load {
+	load := 10 * g.meanUsualLoad()
+	if g.advance(8); g.servers[20].threshold > 2*load {
 		t.Fatal("a server that has just cleared is open to a rush from all nodes")
 	}
-	if g.pass(90); g.servers[20].ceiling < 10*load {
-		t.Fatalf("ceiling %g stays once the trouble has passed", g.servers[20].ceiling)
+	if g.advance(90); g.servers[20].threshold < 10*load {
+		t.Fatalf("ceiling %g stays once the trouble has passed", g.servers[20].threshold)
 	}
 }
 
 // A ceiling that was set on next to nothing, as the loads there were not known, does not keep flows out for long
 // where servers are seen to bear much more; it still does for the first seconds.
 func TestLowCeilingRises(t *testing.T) {
-	g := newRig(3, func(r *Settings) { r.Quotas = []float64{40, 20} }) // ten a server and node
-	g.fill(0, 30)
+	g := newFixture(3, func(r *Settings) { r.Quotas = []float64{40, 20} }) // ten a server and node
+	g.establish(0, 30)
 	for id := range g.flows {
 		g.ReportLoad(id, 0.1)
 	}
-	g.servers[20].work, g.servers[20].ceiling, g.servers[20].cutAt = 0.02, 0.02, g.now
-	if g.pass(3); g.servers[20].ceiling > 0.4 {
-		t.Fatalf("ceiling %g after 3 s: open to a rush", g.servers[20].ceiling)
+	g.servers[20].assignedLoad, g.servers[20].threshold, g.servers[20].loweredAt = 0.02, 0.02, g.now
+	if g.advance(3); g.servers[20].threshold > 0.4 {
+		t.Fatalf("ceiling %g after 3 s: open to a rush", g.servers[20].threshold)
 	}
-	if g.pass(9); g.servers[20].ceiling < 0.3 {
-		t.Fatalf("ceiling %g after 12 s, where servers bear 1", g.servers[20].ceiling)
+	if g.advance(9); g.servers[20].threshold < 0.3 {
+		t.Fatalf("ceiling %g after 12 s, where servers bear 1", g.servers[20].threshold)
 	}
 }
 
 // The order in which service types are listed decides nothing.
 func TestOrderOfTypes(t *testing.T) {
 	for _, loads := range [][]float64{{0.1, 1}, {1, 0.1}} {
-		g := newRig(3, func(r *Settings) { r.ServiceTypes = append(r.ServiceTypes, r.ServiceTypes[0]) })
-		g.typical = loads
-		g.lower(g.now, &g.servers[20], 0.9)
-		if got := g.servers[20].ceiling; math.Abs(got-0.55) > 1e-9 {
+		g := newFixture(3, func(r *Settings) { r.ServiceTypes = append(r.ServiceTypes, r.ServiceTypes[0]) })
+		g.usual = loads
+		g.lowerThreshold(g.now, &g.servers[20], 0.9)
+		if got := g.servers[20].threshold; math.Abs(got-0.55) > 1e-9 {
 			t.Errorf("loads %v: floor %g", loads, got)
 		}
 	}
@@ -801,32 +801,32 @@
 // which each has a server's report once in a minute: all but one went on filling it.
 func TestHotServers(t *testing.T) {
 	group := groupFor(1, 4, 3)
-	say := func(place int, load float64) func(*rig) {
-		return func(g *rig) { g.GossipReceived(g.now, g.index(place), load) }
+	say := func(place int, load float64) func(*fixture) {
+		return func(g *fixture) { g.GossipReceived(g.now, g.serverIndex(place), load) }
 	}
 	for _, c := range []struct {
 		name  string
-		steps []func(*rig)
+		steps []func(*fixture)
 		a     Arrival
 		want  int
 	}{
-		{"told to be hot: next by id", []func(*rig){say(1, 0.9)}, Arrival{ClientKey: keyFor(1, 4)}, 2},
-		{"told to be busy", []func(*rig){say(1, 0.7)}, Arrival{ClientKey: keyFor(1, 4)}, 1},
-		{"hot, and cool again", []func(*rig){say(1, 0.9), say(1, 0.5)}, Arrival{ClientKey: keyFor(1, 4)}, 1},
-		{"told long ago", []func(*rig){say(1, 0.9), func(g *rig) { g.now += toldFor }}, Arrival{ClientKey: keyFor(1, 4)}, 1},
-		{"a group's home: its second", []func(*rig){say(1, 0.9), func(g *rig) { g.strain, g.blind = 1, 0.5 }},
+		{"told to be hot: next by id", []func(*fixture){say(1, 0.9)}, Arrival{ClientKey: keyFor(1, 4)}, 2},
+		{"told to be busy", []func(*fixture){say(1, 0.7)}, Arrival{ClientKey: keyFor(1, 4)}, 1},
+		{"hot, and cool again", []func(*fixture){say(1, 0.9), say(1, 0.5)}, Arrival{ClientKey: keyFor(1, 4)}, 1},
+		{"told long ago", []func(*fixture){say(1, 0.9), func(g *fixture) { g.now += reportValidity }}, Arrival{ClientKey: keyFor(1, 4)}, 1},
+		{"a group's home: its second", []func(*fixture){say(1, 0.9), func(g *fixture) { g.level, g.uncertainty = 1, 0.5 }},
 			Arrival{ClientKey: 5, GroupKey: group}, 3},
-		{"all hot: the least loaded", []func(*rig){say(0, 0.9), say(1, 1.2), say(2, 0.8), say(3, 0.85)},
+		{"all hot: the least loaded", []func(*fixture){say(0, 0.9), say(1, 1.2), say(2, 0.8), say(3, 0.85)},
 			Arrival{ClientKey: keyFor(1, 4)}, 2},
-		{"mid-flow skips it", []func(*rig){say(1, 0.9)}, Arrival{ClientKey: keyFor(1, 4), MidFlow: true}, 1},
-		{"found by this node's own probe", []func(*rig){func(g *rig) {
-			g.HealthChecked(g.now, g.index(1), Served, LoadReport{Load: 0.9})
+		{"mid-flow skips it", []func(*fixture){say(1, 0.9)}, Arrival{ClientKey: keyFor(1, 4), MidFlow: true}, 1},
+		{"found by this node's own probe", []func(*fixture){func(g *fixture) {
+			g.HealthChecked(g.now, g.serverIndex(1), Served, LoadReport{Load: 0.9})
 		}}, Arrival{ClientKey: keyFor(1, 4)}, 2},
-		{"a probe that failed tells nothing", []func(*rig){func(g *rig) {
-			g.HealthChecked(g.now, g.index(1), Failed, LoadReport{Load: 0.9})
+		{"a probe that failed tells nothing", []func(*fixture){func(g *fixture) {
+			g.HealthChecked(g.now, g.serverIndex(1), Failed, LoadReport{Load: 0.9})
 		}}, Arrival{ClientKey: keyFor(1, 4)}, 1},
 	} {
-		g := newRig(4, func(r *Settings) { r.LoadReports, r.LoadGossip = true, true })
+		g := newFixture(4, func(r *Settings) { r.LoadReports, r.LoadGossip = true, true })
 		for _, step := range c.steps {
 			step(g)
 		}
@@ -855,15 +855,15 @@
 		{"heard, and cool again", true, 0.8, []float64{0.3}, 1, []float64{0.3}},
 		{"not allowed", false, 0, []float64{0.9, 0.5}, 1, nil},
 	} {
-		g := newRig(4, func(r *Settings) { r.LoadReports, r.LoadGossip = true, c.peers })
+		g := newFixture(4, func(r *Settings) { r.LoadReports, r.LoadGossip = true, c.peers })
 		if c.heard > 0 {
 			g.GossipReceived(g.now, 19, c.heard)
 		}
 		var got []float64
 		for _, load := range c.loads {
-			g.now += c.apart - beat
+			g.now += c.apart - housekeepingInterval
 			g.HealthChecked(g.now, 19, Served, LoadReport{Load: load})
-			for _, d := range g.pass(beat) {
+			for _, d := range g.advance(housekeepingInterval) {
 				if d.Action == GossipLoad && d.Server == 19 {
 					got = append(got, d.Load)
 				}
@@ -880,10 +880,10 @@
 func TestFirstReportsSpread(t *testing.T) {
 	asked := 0
 	for seed := range uint64(20) {
-		g := newRig(50, func(r *Settings) { r.LoadReports, r.Nodes, r.Seed = true, 100, mix(seed) })
-		g.pass(5)
+		g := newFixture(50, func(r *Settings) { r.LoadReports, r.Nodes, r.Seed = true, 100, hash64(seed) })
+		g.advance(5)
 		for i := range g.servers {
-			if g.servers[i].probing {
+			if g.servers[i].checking {
 				asked++
 			}
 		}
@@ -895,7 +895,7 @@
 }
 
 func TestListFollowing(t *testing.T) {
-	g := newRig(3, func(r *Settings) { r.WatchEndpoints = true })
+	g := newFixture(3, func(r *Settings) { r.WatchEndpoints = true })
 	last := 0.0
 	for i := range 5 {
 		g.UpdateEndpoints(g.now, ListFailed, nil)
@@ -904,11 +904,11 @@
 			if g.now-from > 13 {
 				t.Fatal("never asked again")
 			}
-			for _, d := range g.pass(beat) {
+			for _, d := range g.advance(housekeepingInterval) {
 				asked = asked || d.Action == WatchEndpoints
 			}
 		}
-		if gap := g.now - from; i > 0 && gap < last/4 || gap > 0.75*float64(int(1)<<i)+beat {
+		if gap := g.now - from; i > 0 && gap < last/4 || gap > 0.75*float64(int(1)<<i)+housekeepingInterval {
 			t.Fatalf("asked again after %.2f s, before that %.2f s", gap, last)
 		} else {
 			last = gap
@@ -917,11 +917,11 @@
 	if len(g.base) != 3 {
 		t.Fatal("a failed call lost the list")
 	}
-	g.servers[20].aside = true
-	again := g.entry(0, Ready)
+	g.servers[20].ejected = true
+	again := g.endpoint(0, Ready)
 	again.StartedAt = g.now
-	g.UpdateEndpoints(g.now, ListChanges, []Endpoint{again, g.entry(1, Removed)})
-	if g.servers[20].aside || len(g.base) != 2 || g.warmth(g.now, &g.servers[20]) != g.SlowStartShare {
+	g.UpdateEndpoints(g.now, ListChanges, []Endpoint{again, g.endpoint(1, Removed)})
+	if g.servers[20].ejected || len(g.base) != 2 || g.slowStartWeight(g.now, &g.servers[20]) != g.SlowStartShare {
 		t.Fatal("a restart is a fresh, cold server; a server gone leaves the base list")
 	}
 }
@@ -932,7 +932,7 @@
 	for _, c := range []struct {
 		nodes, servers int
 		widest         float64 // the first calls come within this, and over most of it
-	}{{1, 10, 0.02}, {30, 100, callSpread}, {160, 1000, callSpread}} {
+	}{{1, 10, 0.02}, {30, 100, maxPollSpread}, {160, 1000, maxPollSpread}} {
 		first, last := math.Inf(1), 0.0
 		for seed := range 60 {
 			b := New(Settings{Seed: uint64(seed), Nodes: c.nodes, WatchEndpoints: true, PollInterval: 10})
@@ -941,17 +941,17 @@
 				list = append(list, Endpoint{Server: i, ID: uint32(i), State: Ready})
 			}
 			b.UpdateEndpoints(0, ListCached, list)
-			first, last = min(first, b.askAt), max(last, b.askAt)
+			first, last = min(first, b.nextPollAt), max(last, b.nextPollAt)
 			gap := 0.0
 			for range 6 {
 				b.UpdateEndpoints(0, ListFailed, nil)
-				if b.askGap < gap || b.askAt > 1.5*callSpread || b.askAt <= 0 {
-					t.Fatalf("%d nodes: gap %.2f s after %.2f s", c.nodes, b.askGap, gap)
+				if b.backoff < gap || b.nextPollAt > 1.5*maxPollSpread || b.nextPollAt <= 0 {
+					t.Fatalf("%d nodes: gap %.2f s after %.2f s", c.nodes, b.backoff, gap)
 				}
-				gap = b.askGap
+				gap = b.backoff
 			}
 		}
-		if last > c.widest || last-first < 0.7*min(c.widest, float64(c.nodes*c.servers)/listPace) {
+		if last > c.widest || last-first < 0.7*min(c.widest, float64(c.nodes*c.servers)/listServiceRate) {
 			t.Errorf("%d nodes, %d servers: first calls from %.2f to %.2f s", c.nodes, c.servers, first, last)
 		}
 	}
@@ -974,17 +974,17 @@
 			}
 			b.UpdateEndpoints(0, ListFull, list)
 			b.UpdateEndpoints(0, ListTimedOut, nil)
-			if widest = max(widest, b.askAt); b.askGap != 0 || len(b.base) != 8 {
-				t.Fatalf("%d nodes: gap %.2f s, %d servers", c.nodes, b.askGap, len(b.base))
+			if widest = max(widest, b.nextPollAt); b.backoff != 0 || len(b.base) != 8 {
+				t.Fatalf("%d nodes: gap %.2f s, %d servers", c.nodes, b.backoff, len(b.base))
 			}
-			for now := 0.0; now <= b.askAt; now += beat { // guards against a wish to follow that is never said
+			for now := 0.0; now <= b.nextPollAt; now += housekeepingInterval { // guards against a wish to follow that is never said
 				for d, ok := b.Next(now); ok; d, ok = b.Next(now) {
-					if d.Action == WatchEndpoints && now < b.askAt {
-						t.Fatalf("%d nodes: asked at %.2f s, not %.2f s", c.nodes, now, b.askAt)
+					if d.Action == WatchEndpoints && now < b.nextPollAt {
+						t.Fatalf("%d nodes: asked at %.2f s, not %.2f s", c.nodes, now, b.nextPollAt)
 					}
 				}
 			}
-			if b.UpdateEndpoints(9, ListFailed, nil); b.askAt <= 9 {
+			if b.UpdateEndpoints(9, ListFailed, nil); b.nextPollAt <= 9 {
 				t.Fatalf("%d nodes: asked at once after a refusal", c.nodes)
 			}
 		}
@@ -1000,14 +1000,14 @@
 		name string
 		tune func(*Settings)
 		n    int
-		odd  func(*rig)
+		odd  func(*fixture)
 	}{
 		{"no server", nil, 0, nil},
 		{"a thousand servers", nil, 1000, nil},
 		{"no nodes, members, types or connects told", func(r *Settings) { *r = Settings{} }, 20, nil},
 		{"a member and a type that were not told", func(r *Settings) { r.Quotas = []float64{1} }, 20, nil},
 		{"shares of next to nothing", func(r *Settings) { r.Quotas = []float64{1e-12} }, 20, nil},
-		{"ids that were never given", nil, 20, func(g *rig) {
+		{"ids that were never given", nil, 20, func(g *fixture) {
 			for _, id := range []int{-1, 0, 9999} {
 				g.Established(id, 0)
 				g.AttemptEnded(g.now, id, 0, ConnectionLost, true)
@@ -1017,21 +1017,21 @@
 				g.HealthChecked(g.now, id, Served, LoadReport{Load: 1})
 			}
 		}},
-		{"a load that is no number", nil, 20, func(g *rig) { g.ReportLoad(905, math.NaN()) }},
-		{"a server that is back under a new start time", nil, 20, func(g *rig) {
-			again := g.entry(3, Ready)
+		{"a load that is no number", nil, 20, func(g *fixture) { g.ReportLoad(905, math.NaN()) }},
+		{"a server that is back under a new start time", nil, 20, func(g *fixture) {
+			again := g.endpoint(3, Ready)
 			again.StartedAt = g.now
 			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{again, again})
 		}},
-		{"an empty list, then the whole one", nil, 20, func(g *rig) {
+		{"an empty list, then the whole one", nil, 20, func(g *fixture) {
 			g.UpdateEndpoints(g.now, ListFull, nil)
-			g.pass(1)
-			g.UpdateEndpoints(g.now, ListFull, []Endpoint{g.entry(1, Ready)})
+			g.advance(1)
+			g.UpdateEndpoints(g.now, ListFull, []Endpoint{g.endpoint(1, Ready)})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(c.n, c.tune)
-			g.load(0, 10)
+			g := newFixture(c.n, c.tune)
+			g.restoreFlows(0, 10)
 			if c.odd != nil {
 				c.odd(g)
 			}
@@ -1043,9 +1043,9 @@
 				} else if d.Action != Reject && d.Action != Abort {
 					t.Fatalf("flow %d got no answer", id)
 				}
-				g.pass(beat)
+				g.advance(housekeepingInterval)
 			}
-			if c.n > 0 && math.IsNaN(g.servers[20].work) {
+			if c.n > 0 && math.IsNaN(g.servers[20].assignedLoad) {
 				t.Fatal("the load held is no number")
 			}
 		})
@@ -1057,14 +1057,14 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			g := newRig(n, nil)
-			g.fill(0, 4*n)
+			g := newFixture(n, nil)
+			g.establish(0, 4*n)
 			for i := range g.servers {
-				g.servers[i].ceiling = g.servers[i].work / 2 // every beat looks for connections to move
+				g.servers[i].threshold = g.servers[i].assignedLoad / 2 // every beat looks for connections to move
 			}
 			b.ReportAllocs()
 			for id := 4 * n; b.Loop(); id++ {
-				g.now += beat
+				g.now += housekeepingInterval
 				g.Woken(g.now)
 				if d, _ := g.arrive(4*n, Arrival{ClientKey: uint64(id + 1), GroupKey: uint64(id%n + 1)}); d.Action == Connect {
 					g.AttemptEnded(g.now, 4*n, 0, ConnectionLost, true)
@@ -1077,11 +1077,11 @@
 }
 
 func TestChance(t *testing.T) {
-	a, b := newRig(0, nil), newRig(0, func(r *Settings) { r.Seed = 8 })
+	a, b := newFixture(0, nil), newFixture(0, func(r *Settings) { r.Seed = 8 })
 	var bins [10]int
 	pairs := 0
 	for range 20000 {
-		x, y := a.chance(), b.chance()
+		x, y := a.random(), b.random()
 		bins[int(x*10)]++
 		if math.Abs(x-y) < 0.1 {
 			pairs++
@@ -1106,15 +1106,15 @@
 		back  bool // the server takes flows again
 	}{
 		{"dropped just now", ConnectionLost, 0.1, false},
-		{"dropped a while ago", ConnectionLost, jamHold + 1, true},
+		{"dropped a while ago", ConnectionLost, overloadHold + 1, true},
 		{"ended well just now", Served, 0.1, true},
 	} {
-		g := newRig(5, nil)
+		g := newFixture(5, nil)
 		key := keyFor(2, 5)
 		g.arrive(0, Arrival{ClientKey: key})
 		g.Established(0, 0)
 		g.AttemptEnded(g.now, 0, 0, c.how, true)
-		g.pass(c.later)
+		g.advance(c.later)
 		if _, at := g.arrive(1, Arrival{ClientKey: key}); (at == 2) != c.back {
 			t.Errorf("%s: sent to place %d", c.name, at)
 		}
@@ -1128,15 +1128,15 @@
 		best, first, took float64
 		jam               bool
 	}{{0.0014, 0.006, 0.0105, true}, {0.0014, 0.0043, 0.0045, false}, {0.006, 0.006, 0.0105, false}} {
-		g := newRig(3, func(r *Settings) { r.TimeHealthChecks = true })
-		g.fill(0, 9)
-		g.HealthChecked(g.now, g.index(0), Served, LoadReport{Load: -1, RoundTrip: c.best})
+		g := newFixture(3, func(r *Settings) { r.TimeHealthChecks = true })
+		g.establish(0, 9)
+		g.HealthChecked(g.now, g.serverIndex(0), Served, LoadReport{Load: -1, RoundTrip: c.best})
 		for _, took := range []float64{c.first, c.took} {
 			g.now++
-			g.HealthChecked(g.now, g.index(1), Served, LoadReport{Load: -1, RoundTrip: took})
+			g.HealthChecked(g.now, g.serverIndex(1), Served, LoadReport{Load: -1, RoundTrip: took})
 		}
-		if s := g.servers[g.index(1)]; (s.jamAt == g.now) != c.jam {
-			t.Errorf("%+v: ceiling %g", c, s.ceiling)
+		if s := g.servers[g.serverIndex(1)]; (s.overloadedAt == g.now) != c.jam {
+			t.Errorf("%+v: ceiling %g", c, s.threshold)
 		}
 	}
 }
@@ -1157,14 +1157,14 @@
 		{"no answer says nothing of the time", true, 0.004, 0.014, Failed, false, false},
 		{"not timed", false, 0.004, 0.014, Served, false, false},
 	} {
-		g := newRig(3, func(r *Settings) { r.TimeHealthChecks = c.timed })
-		g.fill(0, 9)
+		g := newFixture(3, func(r *Settings) { r.TimeHealthChecks = c.timed })
+		g.establish(0, 9)
 		for place := range 3 {
-			g.HealthChecked(g.now, g.index(place), Served, LoadReport{Load: -1, RoundTrip: c.least})
-			g.HealthChecked(g.now, g.index(place), c.how, LoadReport{Load: -1, RoundTrip: c.took})
-			s := g.servers[g.index(place)]
-			if (s.jamAt == g.now) != c.held || !math.IsInf(s.ceiling, 1) != c.cut {
-				t.Errorf("%s: in a jam %v, ceiling %g", c.name, s.jamAt == g.now, s.ceiling)
+			g.HealthChecked(g.now, g.serverIndex(place), Served, LoadReport{Load: -1, RoundTrip: c.least})
+			g.HealthChecked(g.now, g.serverIndex(place), c.how, LoadReport{Load: -1, RoundTrip: c.took})
+			s := g.servers[g.serverIndex(place)]
+			if (s.overloadedAt == g.now) != c.held || !math.IsInf(s.threshold, 1) != c.cut {
+				t.Errorf("%s: in a jam %v, ceiling %g", c.name, s.overloadedAt == g.now, s.threshold)
 			}
 		}
 	}
@@ -1184,12 +1184,12 @@
 		{"not in use", true, 0, 0.004, 0, 0},
 		{"not timed", false, 3, 0.004, 0, 0},
 	} {
-		g := newRig(1, func(r *Settings) { r.TimeHealthChecks = c.timed })
-		g.fill(0, c.held)
-		g.servers[20].least, g.servers[20].probing = 0.004, false
+		g := newFixture(1, func(r *Settings) { r.TimeHealthChecks = c.timed })
+		g.establish(0, c.held)
+		g.servers[20].shortestCheck, g.servers[20].checking = 0.004, false
 		probes := 0
 		for range 80 {
-			for _, d := range g.pass(beat) {
+			for _, d := range g.advance(housekeepingInterval) {
 				if d.Action == CheckHealth {
 					probes++
 					g.HealthChecked(g.now, d.Server, Served, LoadReport{Load: -1, RoundTrip: c.took})
@@ -1209,34 +1209,34 @@
 		state EndpointState
 		moved bool
 	}{{"ready", Ready, false}, {"draining", Draining, true}, {"gone: its connections end by themselves", Removed, false}} {
-		g := newRig(3, nil)
-		g.fill(0, 9)
-		on := g.servers[20].held
-		g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(0, c.state)})
+		g := newFixture(3, nil)
+		g.establish(0, 9)
+		on := g.servers[20].inFlight
+		g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.endpoint(0, c.state)})
 		first, all := 0, map[int]bool{}
-		for _, d := range g.pass(drainWait) { // servers that send their clients away do so meanwhile
+		for _, d := range g.advance(drainGrace) { // servers that send their clients away do so meanwhile
 			if d.Action == Migrate {
 				t.Errorf("%s: moved off before the server could send it away", c.name)
 			}
 		}
-		for _, d := range g.pass(beat) {
+		for _, d := range g.advance(housekeepingInterval) {
 			if d.Action == Migrate {
 				first++
 			}
 		}
 		for id := range g.flows {
-			all[id] = g.flows[id].moved
+			all[id] = g.flows[id].migrated
 		}
-		for _, d := range g.pass(5) {
+		for _, d := range g.advance(5) {
 			if d.Action == Migrate && all[d.Flow] {
 				t.Errorf("%s: moved twice", c.name)
 			}
 		}
 		moved := 0
 		for id := range g.flows {
-			if f := &g.flows[id]; f.moved && f.at != 20 {
+			if f := &g.flows[id]; f.migrated && f.server != 20 {
 				t.Errorf("%s: moved off another server", c.name)
-			} else if f.moved {
+			} else if f.migrated {
 				moved++
 			}
 		}
@@ -1256,39 +1256,39 @@
 		played := min(nodes, 40) // of which each stands for several
 		each := float64(nodes) / float64(played)
 		for seed := range played {
-			g := newRig(servers, func(r *Settings) {
+			g := newFixture(servers, func(r *Settings) {
 				r.Nodes, r.Seed, r.TimeHealthChecks, r.WatchEndpoints, r.PollInterval, r.OverloadWindow = nodes, uint64(seed), true, true, 1000, 1
 				r.NodeNumber = seed * nodes / played
 			})
 			cached := make([]Endpoint, servers)
 			for i := range cached {
-				cached[i] = g.entry(i, Ready)
+				cached[i] = g.endpoint(i, Ready)
 			}
-			g.follows = false
+			g.watching = false
 			g.UpdateEndpoints(g.now, ListCached, cached)
-			calls[int(g.askAt-g.now)] += each
+			calls[int(g.nextPollAt-g.now)] += each
 			cached[7].StartedAt = g.now
 			g.UpdateEndpoints(g.now, ListChanges, cached[7:8])
-			g.fill(seed*1000, max(1200/nodes, 1)) // 1200 connections over all nodes, in one second
+			g.establish(seed*1000, max(1200/nodes, 1)) // 1200 connections over all nodes, in one second
 			for i := range g.servers {
-				if g.servers[i].probing { // asked for while the flows came
+				if g.servers[i].checking { // asked for while the flows came
 					probes += each
 					g.HealthChecked(g.now, i, Served, LoadReport{Load: -1, RoundTrip: 0.004})
 				}
 			}
-			last := newRig(servers, func(r *Settings) {
+			last := newFixture(servers, func(r *Settings) {
 				r.Nodes, r.Seed, r.OverloadWindow, r.NodeNumber = nodes, uint64(seed), 1, seed*nodes/played
 			})
 			last.UpdateEndpoints(last.now, ListFull, cached)
 			for i := range servers {
 				if i != 7 { // the cold one is the last that takes anything
-					last.servers[last.index(i)].fullAt = last.now
+					last.servers[last.serverIndex(i)].rejectedAt = last.now
 				}
 			}
-			last.fill(seed*1000, max(1200/nodes, 1))
-			connects += each * float64(last.servers[last.index(7)].held)
+			last.establish(seed*1000, max(1200/nodes, 1))
+			connects += each * float64(last.servers[last.serverIndex(7)].inFlight)
 			for range 20 { // 5 s
-				for _, d := range g.pass(beat) {
+				for _, d := range g.advance(housekeepingInterval) {
 					if d.Action == CheckHealth {
 						probes += each
 						g.HealthChecked(g.now, d.Server, Served, LoadReport{Load: -1, RoundTrip: 0.004})
@@ -1305,7 +1305,7 @@
 			t.Errorf("%d nodes: %.0f connects to a cold server, wanted %.0f at the most", nodes, connects, most)
 		}
 		// As many as all nodes make that have to ask in time for the news to be heard before it counts as told.
-		if most := max(listPace/servers+1.0, float64(nodes)/callSpread); slices.Max(calls) > 1.5*most+3*each {
+		if most := max(listServiceRate/servers+1.0, float64(nodes)/maxPollSpread); slices.Max(calls) > 1.5*most+3*each {
 			t.Errorf("%d nodes: %.0f first list calls in one second, wanted about %.0f", nodes, slices.Max(calls), most)
 		}
 	}
@@ -1327,16 +1327,16 @@
 	} {
 		sent := 0
 		for seed := range uint64(20) {
-			g := newRig(8, func(r *Settings) { r.Seed, r.Quotas, r.OverloadMultiple = seed, c.quotas, 4 })
+			g := newFixture(8, func(r *Settings) { r.Seed, r.Quotas, r.OverloadMultiple = seed, c.quotas, 4 })
 			for i := range c.gone {
-				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.entry(7-i, Removed)})
+				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.endpoint(7-i, Removed)})
 			}
-			it := g.entry(2, Ready)
+			it := g.endpoint(2, Ready)
 			it.StartedAt = g.now - 4
 			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{it})
 			for i := range 8 { // the others are jammed
 				if i != 2 {
-					g.servers[g.index(i)].jamAt = g.now + 99
+					g.servers[g.serverIndex(i)].overloadedAt = g.now + 99
 				}
 			}
 			for i := range 40 { // within one window, all want in
--- a/placement/store_test.go
+++ b/placement/store_test.go
@@ -25,8 +25,8 @@
 		{"and a first that reached nothing", 300, 0.9, math.Inf(1), ConnectFailed, 3, 2.5},
 		{"and failures at many servers", 300, 0.9, 3, Failed, 3, 0},
 	} {
-		g := newRig(9, func(r *Settings) { r.Nodes, r.Tick = c.nodes, 0 })
-		g.blind, g.gate, g.gateAt = c.blind, c.gate, g.now
+		g := newFixture(9, func(r *Settings) { r.Nodes, r.Tick = c.nodes, 0 })
+		g.uncertainty, g.limit, g.limitLoweredAt = c.blind, c.gate, g.now
 		d, _ := g.arrive(1, Arrival{ClientKey: 1})
 		if d.Action != Connect || math.Abs(d.Seconds-c.wait) > 1e-6 {
 			t.Errorf("%s: %+v, wanted a connect of %g s", c.name, d, c.wait)
@@ -35,7 +35,7 @@
 		g.now += 0.5
 		g.AttemptEnded(g.now, 1, 0, c.how, false)
 		d = Decision{Action: Log}
-		for _, d = range g.pull() {
+		for _, d = range g.decisions() {
 			if d.Flow == 1 {
 				break
 			}
@@ -62,10 +62,10 @@
 		at   float64 // comes (again) then
 		gone bool
 	}
-	balancers, clients := make([]*rig, nodes), make([][each]client, nodes)
+	balancers, clients := make([]*fixture, nodes), make([][each]client, nodes)
 	for i := range balancers {
-		balancers[i] = newRig(20, func(r *Settings) { r.Seed, r.Nodes, r.MaxAttempts = uint64(i), nodes, 5 })
-		balancers[i].blind = 1
+		balancers[i] = newFixture(20, func(r *Settings) { r.Seed, r.Nodes, r.MaxAttempts = uint64(i), nodes, 5 })
+		balancers[i].uncertainty = 1
 	}
 	var queue []ask
 	var connects, established int
@@ -79,7 +79,7 @@
 					g.AddFlow(now, k, Arrival{ClientKey: uint64(i*each + k + 1), Timeout: 2, Returning: true})
 				}
 			}
-			if math.Mod(now, beat) < step {
+			if math.Mod(now, housekeepingInterval) < step {
 				g.Woken(now)
 			}
 			for {
@@ -90,7 +90,7 @@
 				switch d.Action {
 				case Connect:
 					connects++
-					try := g.flows[d.Flow].tries - 1
+					try := g.flows[d.Flow].attempts - 1
 					if len(queue) >= room {
 						g.AttemptEnded(now, d.Flow, try, Failed, false)
 						continue
@@ -103,7 +103,7 @@
 		}
 		for _, q := range queue {
 			g := balancers[q.node]
-			if f := &g.flows[q.flow]; now >= q.until && f.out && !f.open && f.tries-1 == q.try {
+			if f := &g.flows[q.flow]; now >= q.until && f.inFlight && !f.established && f.attempts-1 == q.try {
 				g.AttemptEnded(now, q.flow, q.try, TimedOut, false)
 			}
 		}
@@ -111,7 +111,7 @@
 			q := queue[0]
 			queue = queue[1:]
 			g := balancers[q.node]
-			if f := &g.flows[q.flow]; f.out && !f.open && f.tries-1 == q.try {
+			if f := &g.flows[q.flow]; f.inFlight && !f.established && f.attempts-1 == q.try {
 				g.Established(q.flow, q.try)
 				clients[q.node][q.flow].gone = true
 				established++
