--- /dev/null
+++ b/placement/balancer.go
@@ -0,0 +1,163 @@
+// Package placement takes every decision of the load balancer: which server a flow is sent to, when an attempt
+// is repeated, when a flow is rejected, which servers are ejected, checked or relieved of connections.
+//
+// The package owns what is known of servers and flows. It has no input or output, no clock and no goroutine, and
+// it reads randomness only from its seed. The host reports what happened through the input methods of Balancer
+// (UpdateEndpoints, AddFlow, RestoreFlow, Established, AttemptEnded, ClientLeft, ReportLoad, ReportDelay,
+// HealthChecked, GossipReceived, Woken), which update the state and decide nothing. It then calls Next until
+// there is no further decision. Equal settings and equal inputs give equal decisions.
+//
+// Flows and servers are small indices that the host assigns. Times are seconds on the host's clock.
+//
+// Four terms come from the paper that the design follows:
+//
+//   - The base list holds every listed server in any state, ordered by id. All nodes that have the same endpoint
+//     list have the same base list.
+//   - The primary of a flow is the server at the position in the base list that the hash of its client key names.
+//     If that server takes no new flows, the hash names one of the usable servers instead.
+//   - A flow spills when its primary has more connections than the spill limit. It then visits the other servers
+//     until one has room.
+//   - The home of a group of flows is the server with the lowest rank for the hash of the group. Its second home
+//     has the second lowest rank, and so on. A flow of a group spills from home to home.
+package placement
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	// longAgo stands for an event that has not happened yet, so that no pause after it is still running.
+	longAgo = -99.0
+	// housekeepingInterval is the time between two wakes in seconds. Every pause that the balancer keeps is longer.
+	housekeepingInterval = 0.25
+	// evidenceHalfLife is the time in seconds after which the counts of failures and successes are halved.
+	evidenceHalfLife = 8.0
+	// noWake is the value of Balancer.wakeAt while no wake is outstanding.
+	noWake = -1.0
+)
+
+// Balancer takes the decisions of one node. Instances share nothing. A Balancer must be created by New and used by
+// one goroutine at a time. The embedded Settings are those in force.
+type Balancer struct {
+	Settings
+	servers []server
+	flows   []flow
+	base    []int // indices of the base list's servers, by id
+	usable  []int // indices of the servers that take new flows now, by id; rebuilt for each decision
+
+	pendingFlows     []int      // flows that await a decision
+	queued           []Decision // decisions that Next returns before it looks for others
+	randomDraws      uint64     // number of draws so far
+	openByTenant     []int      // established connections; the last element counts tenants without a quota
+	attemptsInFlight int        // attempts that are neither established nor ended
+	longestList      float64    // length of the longest base list so far
+	quotaPerServer   float64    // connections that the quotas of all tenants allow for each server and node
+	handedOver       bool       // a successor process takes the flows
+	nextDecayAt      float64    // when the counts of failures and successes are halved next
+	wakeAt           float64    // when the wake that was asked for is due, or noWake
+
+	loads       loadEstimates
+	concurrency concurrencyLimit
+	overload    overloadState
+	polling     pollingState
+	checks      checkSchedule
+
+	messageObjective float64 // shortest message objective of all service types; infinite if none has one
+}
+
+// New returns a balancer that knows nothing but its settings. The caller must not change the slices in settings
+// afterwards. Fewer than one node counts as one, and a poll interval of 0 as defaultPollInterval.
+func New(settings Settings) *Balancer {
+	settings.Nodes = max(settings.Nodes, 1)
+	settings.PollInterval = pollInterval(settings.PollInterval)
+	if len(settings.ServiceTypes) == 0 {
+		settings.ServiceTypes = make([]ServiceType, 1) // the zero value is the strictest service type
+	}
+	return &Balancer{
+		Settings:         settings,
+		openByTenant:     make([]int, len(settings.Quotas)+1),
+		wakeAt:           noWake,
+		loads:            newLoadEstimates(len(settings.ServiceTypes)),
+		concurrency:      concurrencyLimit{limit: math.Inf(1), loweredAt: longAgo},
+		overload:         overloadState{level: 1 - 1/float64(settings.Nodes), uncertainty: 1},
+		messageObjective: shortestMessageObjective(settings.ServiceTypes),
+	}
+}
+
+// Next returns the next decision, or false when there is none for now. The host calls it after each round of
+// inputs until it returns false.
+func (b *Balancer) Next(now float64) (Decision, bool) {
+	if decision, ok := b.nextFlowDecision(now); ok {
+		return decision, true
+	}
+	if b.wakeAt < 0 {
+		b.housekeep(now)
+	}
+	if len(b.queued) > 0 {
+		decision := b.queued[0]
+		b.queued = b.queued[1:]
+		return decision, true
+	}
+	if b.WatchEndpoints && !b.polling.watching && now >= b.polling.nextAt {
+		b.polling.watching = true
+		return Decision{Action: WatchEndpoints}, true
+	}
+	b.startReportRound(now)
+	return b.nextHealthCheck(now)
+}
+
+// housekeep queues what is due once in a housekeeping interval: migrations, load gossip and the next wake.
+func (b *Balancer) housekeep(now float64) {
+	b.wakeAt = now + housekeepingInterval
+	b.migrateExcess(now)
+	b.queueLoadGossip()
+	b.queued = append(b.queued, Decision{Action: Wake, Seconds: housekeepingInterval})
+}
+
+// Woken reports that the time of a Wake decision has come. A call before that time is harmless.
+func (b *Balancer) Woken(now float64) {
+	if now >= b.wakeAt-b.Tick {
+		b.wakeAt = noWake
+	}
+	b.updateOverload(now)
+	b.liftConcurrencyLimit(now)
+	b.decayEvidence(now)
+}
+
+// decayEvidence halves the counts of failures and successes when their half-life has passed.
+func (b *Balancer) decayEvidence(now float64) {
+	if now < b.nextDecayAt {
+		return
+	}
+	b.nextDecayAt = now + evidenceHalfLife
+	for i := range b.servers {
+		b.servers[i].outlier.failures /= 2
+		b.servers[i].outlier.successes /= 2
+	}
+}
+
+// random returns a number that is evenly distributed over [0, 1), from the seed and the count of draws. Both are
+// hashed, because a plain counter gives near seeds similar sequences.
+func (b *Balancer) random() float64 {
+	var input [16]byte
+	binary.LittleEndian.PutUint64(input[:8], b.Seed)
+	binary.LittleEndian.PutUint64(input[8:], b.randomDraws)
+	b.randomDraws++
+	return float64(xxhash.Sum64(input[:])>>11) / (1 << 53)
+}
+
+// hash64 returns the hash of a key.
+func hash64(key uint64) uint64 {
+	var input [8]byte
+	binary.BigEndian.PutUint64(input[:], key)
+	return xxhash.Sum64(input[:])
+}
+
+// logf queues a line for the host's log.
+func (b *Balancer) logf(format string, arguments ...any) {
+	b.queued = append(b.queued, Decision{Action: Log, Message: fmt.Sprintf(format, arguments...)})
+}
--- a/placement/figures_test.go
+++ b/placement/figures_test.go
@@ -42,7 +42,7 @@
 			for range 4 {
 				g.UpdateEndpoints(g.now, ListFailed, nil)
 			}
-			return g.backoff
+			return g.polling.backoff
 		}},
 		{"a cold server's first share", func(f *LiveSettings) { f.SlowStartShare = 1 }, func(g *fixture) any { return onCold(g) }},
 		{"for how long a server is cold", func(f *LiveSettings) { f.SlowStartTime = 0.01 }, func(g *fixture) any {
@@ -65,7 +65,7 @@
 			g.establish(0, 4)
 			for i := range 4 { // room within the ceiling, and none within what is left to who is over its share
 				s := &g.servers[g.serverIndex(i)]
-				s.threshold = (s.assignedLoad + 0.02) / 0.9
+				s.threshold.load = (s.assignedLoad + 0.02) / 0.9
 			}
 			d, _ := g.arrive(9, Arrival{ClientKey: 5})
 			return d.Action
--- a/placement/hand_test.go
+++ b/placement/hand_test.go
@@ -36,13 +36,13 @@
 			func(g *fixture) { since(g, g.now, Ready) }}, false},
 		{"back, but it drains", []func(*fixture){hand(true), func(g *fixture) { since(g, 0, Draining) }, hand(false)}, false},
 		{"out when it was set aside, and probes are answered", []func(*fixture){
-			func(g *fixture) { g.servers[g.serverIndex(2)].ejected = true }, hand(true), func(g *fixture) {
+			func(g *fixture) { g.servers[g.serverIndex(2)].outlier.ejected = true }, hand(true), func(g *fixture) {
 				for range 3 {
 					g.HealthChecked(g.now, g.serverIndex(2), Served, LoadReport{Load: -1})
 				}
 			}}, false},
 		{"set aside, out and back: its operators vouch for it", []func(*fixture){
-			func(g *fixture) { g.servers[g.serverIndex(2)].ejected = true }, hand(true), hand(false)}, true},
+			func(g *fixture) { g.servers[g.serverIndex(2)].outlier.ejected = true }, hand(true), hand(false)}, true},
 	}
 	for _, c := range cases {
 		g := newFixture(n, nil)
--- a/placement/helper_test.go
+++ b/placement/helper_test.go
@@ -16,7 +16,7 @@
 		tune(&r)
 	}
 	g := &fixture{New(r), 1000}
-	g.level, g.uncertainty = 0, 0 // as after some quiet minutes, with many connections
+	g.overload.level, g.overload.uncertainty = 0, 0 // as after some quiet minutes, with many connections
 	var list []Endpoint
 	for i := range n {
 		list = append(list, g.endpoint(i, Ready))
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -27,29 +27,29 @@
 		{"over the cap, in a group: the group's home", func(g *fixture) { g.restoreFlows(2, 3) },
 			Arrival{ClientKey: key, GroupKey: groupFor(0, 5)}, 0},
 		{"back after a break: the group's home", nil, Arrival{ClientKey: key, GroupKey: groupFor(4, 5), Returning: true}, 4},
-		{"jams seen: the group's home at once", func(g *fixture) { g.level = 1 },
+		{"jams seen: the group's home at once", func(g *fixture) { g.overload.level = 1 },
 			Arrival{ClientKey: key, GroupKey: groupFor(4, 5)}, 4},
 		{"jams seen, this node has one at the home of few: it goes on", func(g *fixture) {
-			g.level, g.uncertainty = 1, 0.5
+			g.overload.level, g.overload.uncertainty = 1, 0.5
 			g.restoreFlows(4, 1)
 		}, Arrival{ClientKey: key, GroupKey: groupFor(4, 5, 1)}, 1},
 		{"the group's first two homes are full: the third, whatever the ids", func(g *fixture) {
-			g.level, g.uncertainty = 1, 0.5
-			g.servers[g.serverIndex(4)].threshold, g.servers[g.serverIndex(1)].threshold = 0, 0
+			g.overload.level, g.overload.uncertainty = 1, 0.5
+			g.servers[g.serverIndex(4)].threshold.load, g.servers[g.serverIndex(1)].threshold.load = 0, 0
 		}, Arrival{ClientKey: key, GroupKey: groupFor(4, 5, 1, 3)}, 3},
 		{"the same, and this node sees much: the first home, then on by id", func(g *fixture) {
-			g.level, g.uncertainty = 1, 0
-			g.servers[g.serverIndex(4)].threshold, g.servers[g.serverIndex(0)].threshold = 0, 0
+			g.overload.level, g.overload.uncertainty = 1, 0
+			g.servers[g.serverIndex(4)].threshold.load, g.servers[g.serverIndex(0)].threshold.load = 0, 0
 		}, Arrival{ClientKey: key, GroupKey: groupFor(4, 5, 3)}, 1},
 		{"quiet for long: the primary, group or not", nil, Arrival{ClientKey: key, GroupKey: groupFor(4, 5)}, 2},
 		{"mid-flow, quiet for long: the primary, where it was most likely placed", nil,
 			Arrival{ClientKey: key, GroupKey: groupFor(4, 5), MidFlow: true}, 2},
-		{"mid-flow, strain: its group's home", func(g *fixture) { g.level = 1 },
+		{"mid-flow, strain: its group's home", func(g *fixture) { g.overload.level = 1 },
 			Arrival{ClientKey: key, GroupKey: groupFor(4, 5), MidFlow: true}, 4},
 		{"mid-flow skips the spill", func(g *fixture) { g.restoreFlows(2, 9) }, Arrival{ClientKey: key, MidFlow: true}, 2},
-		{"mid-flow skips the ceiling", func(g *fixture) { g.servers[18].threshold = 0 },
+		{"mid-flow skips the ceiling", func(g *fixture) { g.servers[18].threshold.load = 0 },
 			Arrival{ClientKey: key, MidFlow: true}, 2},
-		{"no room under its ceiling: next by id", func(g *fixture) { g.servers[18].threshold = 0 }, Arrival{ClientKey: key}, 3},
+		{"no room under its ceiling: next by id", func(g *fixture) { g.servers[18].threshold.load = 0 }, Arrival{ClientKey: key}, 3},
 		{"all draining: rejected", func(g *fixture) {
 			for i := range 5 {
 				g.UpdateEndpoints(g.now, ListChanges, []Endpoint{g.endpoint(i, Draining)})
@@ -282,7 +282,7 @@
 				parts += part
 				for range 20 {
 					if b.withinSlowStartBudget(now, s, b.SlowStartShare, mean, 0) {
-						s.windowAttempts++
+						s.slowStart.attempts++
 						sent++
 					}
 				}
@@ -357,7 +357,7 @@
 		placed, looks := newFixture(n, func(r *Settings) { r.Nodes, r.Seed = 300, uint64(2*i) }), newFixture(n, func(r *Settings) {
 			r.Nodes, r.Seed = 300, uint64(2*i+1)
 		})
-		placed.uncertainty, looks.uncertainty, looks.level = 0.93, 0.9, 1 // one has run for a while, the other has just begun
+		placed.overload.uncertainty, looks.overload.uncertainty, looks.overload.level = 0.93, 0.9, 1 // one has run for a while, the other has just begun
 		a := Arrival{ClientKey: hash64(uint64(i)), GroupKey: 77}
 		a.Returning = true
 		_, was := placed.arrive(1, a)
@@ -429,7 +429,7 @@
 		{"no jam, blind, back", 0, 1, true, 0, 0},
 	} {
 		g := newFixture(40, nil)
-		g.slowShare, g.uncertainty = c.tight, c.blind
+		g.overload.slowShare, g.overload.uncertainty = c.tight, c.blind
 		rejects := 0
 		for id := range 100 {
 			d, _ := g.arrive(id, Arrival{ClientKey: uint64(id + 1), GroupKey: 7, Returning: c.back})
@@ -492,12 +492,12 @@
 		at, all := map[int]int{}, 0
 		for seed := range uint64(400) {
 			g := newFixture(n, func(r *Settings) { r.Seed, r.Nodes = hash64(seed), 100 })
-			g.level = 1
+			g.overload.level = 1
 			homes := g.homes(77, 3)
 			if !back {
-				g.servers[g.serverIndex(homes[0])].threshold = 0
+				g.servers[g.serverIndex(homes[0])].threshold.load = 0
 			}
-			g.uncertainty = 1
+			g.overload.uncertainty = 1
 			for range hash64(seed) % 50 { // nodes stand at draws of their own
 				g.random()
 			}
@@ -535,7 +535,7 @@
 		}
 		node := func(seed int) *fixture {
 			g := newFixture(n, func(r *Settings) { r.Nodes, r.Seed, r.Quotas = nodes, uint64(seed), quotas })
-			g.level, g.uncertainty = 1, 0.95
+			g.overload.level, g.overload.uncertainty = 1, 0.95
 			return g
 		}
 		first, at := node(0).homes(77, c.homes), map[int]int{}
@@ -557,7 +557,7 @@
 			// After quiet minutes the ordinary path decides again, also of what is handed over.
 			for _, a.MidFlow = range []bool{false, true} {
 				quiet := node(2*client + 1)
-				quiet.level, quiet.uncertainty = 0, 0 // and with many connections
+				quiet.overload.level, quiet.overload.uncertainty = 0, 0 // and with many connections
 				if _, at := quiet.arrive(1, a); at != int(hash64(a.ClientKey)%n) {
 					t.Errorf("%s: client %d, mid-flow %v, is at %d after quiet minutes", c.name, client, a.MidFlow, at)
 				}
@@ -585,13 +585,13 @@
 		}
 	}
 	g.advance(firstEjectionTime - housekeepingInterval)
-	if !g.servers[16].ejected {
+	if !g.servers[16].outlier.ejected {
 		t.Fatal("not set aside")
 	}
 	for probes, beats := 0, 0; probes < 2 && beats < 50; beats++ { // it comes back with its second answered probe
 		for _, d := range g.advance(0.5) {
 			if d.Action == CheckHealth {
-				if !g.servers[16].ejected {
+				if !g.servers[16].outlier.ejected {
 					t.Fatal("back too early")
 				}
 				probes++
@@ -599,7 +599,7 @@
 			}
 		}
 	}
-	if g.servers[16].ejected {
+	if g.servers[16].outlier.ejected {
 		t.Fatal("not back after two answers")
 	}
 	if _, at := g.arrive(200, Arrival{ClientKey: keyFor(4, 9)}); at != 4 {
@@ -632,7 +632,7 @@
 		}
 		aside := 0
 		for i := range g.servers {
-			if g.servers[i].ejected {
+			if g.servers[i].outlier.ejected {
 				aside++
 			}
 		}
@@ -652,8 +652,8 @@
 			g.decisions()
 		}
 	}
-	if !g.servers[g.serverIndex(4)].ejected || !math.IsInf(g.limit, 1) {
-		t.Fatalf("set aside: %v, gate at %g", g.servers[g.serverIndex(4)].ejected, g.limit)
+	if !g.servers[g.serverIndex(4)].outlier.ejected || !math.IsInf(g.concurrency.limit, 1) {
+		t.Fatalf("set aside: %v, gate at %g", g.servers[g.serverIndex(4)].outlier.ejected, g.concurrency.limit)
 	}
 }
 
@@ -690,8 +690,8 @@
 	} {
 		g := newFixture(9, nil)
 		g.establish(0, 30)
-		if meet(g); !math.IsInf(g.limit, 1) {
-			t.Errorf("%s: gate at %g", name, g.limit)
+		if meet(g); !math.IsInf(g.concurrency.limit, 1) {
+			t.Errorf("%s: gate at %g", name, g.concurrency.limit)
 		}
 	}
 }
@@ -715,12 +715,12 @@
 	}
 	aside := 0
 	for i := range g.servers {
-		if g.servers[i].ejected {
+		if g.servers[i].outlier.ejected {
 			aside++
 		}
 	}
-	if aside > 3 || math.IsInf(g.limit, 1) {
-		t.Fatalf("%d set aside, gate %g", aside, g.limit)
+	if aside > 3 || math.IsInf(g.concurrency.limit, 1) {
+		t.Fatalf("%d set aside, gate %g", aside, g.concurrency.limit)
 	}
 	for id := 300; id < 420; id++ {
 		for _, d := range g.advance(0.25) {
@@ -730,8 +730,8 @@
 		}
 		g.establish(id, 1)
 	}
-	if g.advance(60); !math.IsInf(g.limit, 1) {
-		t.Fatalf("the gate stays at %g", g.limit)
+	if g.advance(60); !math.IsInf(g.concurrency.limit, 1) {
+		t.Fatalf("the gate stays at %g", g.concurrency.limit)
 	}
 }
 
@@ -760,11 +760,11 @@
 		t.Fatalf("%d moved, wanted some and never all", len(moved))
 	}
 	load := 10 * g.meanUsualLoad()
-	if g.advance(8); g.servers[20].threshold > 2*load {
+	if g.advance(8); g.servers[20].threshold.load > 2*load {
 		t.Fatal("a server that has just cleared is open to a rush from all nodes")
 	}
-	if g.advance(90); g.servers[20].threshold < 10*load {
-		t.Fatalf("ceiling %g stays once the trouble has passed", g.servers[20].threshold)
+	if g.advance(90); g.servers[20].threshold.load < 10*load {
+		t.Fatalf("ceiling %g stays once the trouble has passed", g.servers[20].threshold.load)
 	}
 }
 
@@ -776,12 +776,12 @@
 	for id := range g.flows {
 		g.ReportLoad(id, 0.1)
 	}
-	g.servers[20].assignedLoad, g.servers[20].threshold, g.servers[20].loweredAt = 0.02, 0.02, g.now
-	if g.advance(3); g.servers[20].threshold > 0.4 {
-		t.Fatalf("ceiling %g after 3 s: open to a rush", g.servers[20].threshold)
+	g.servers[20].assignedLoad, g.servers[20].threshold.load, g.servers[20].threshold.loweredAt = 0.02, 0.02, g.now
+	if g.advance(3); g.servers[20].threshold.load > 0.4 {
+		t.Fatalf("ceiling %g after 3 s: open to a rush", g.servers[20].threshold.load)
 	}
-	if g.advance(9); g.servers[20].threshold < 0.3 {
-		t.Fatalf("ceiling %g after 12 s, where servers bear 1", g.servers[20].threshold)
+	if g.advance(9); g.servers[20].threshold.load < 0.3 {
+		t.Fatalf("ceiling %g after 12 s, where servers bear 1", g.servers[20].threshold.load)
 	}
 }
 
@@ -789,9 +789,9 @@
 func TestOrderOfTypes(t *testing.T) {
 	for _, loads := range [][]float64{{0.1, 1}, {1, 0.1}} {
 		g := newFixture(3, func(r *Settings) { r.ServiceTypes = append(r.ServiceTypes, r.ServiceTypes[0]) })
-		g.usual = loads
+		g.loads.usual = loads
 		g.lowerThreshold(g.now, &g.servers[20], 0.9)
-		if got := g.servers[20].threshold; math.Abs(got-0.55) > 1e-9 {
+		if got := g.servers[20].threshold.load; math.Abs(got-0.55) > 1e-9 {
 			t.Errorf("loads %v: floor %g", loads, got)
 		}
 	}
@@ -814,7 +814,7 @@
 		{"told to be busy", []func(*fixture){say(1, 0.7)}, Arrival{ClientKey: keyFor(1, 4)}, 1},
 		{"hot, and cool again", []func(*fixture){say(1, 0.9), say(1, 0.5)}, Arrival{ClientKey: keyFor(1, 4)}, 1},
 		{"told long ago", []func(*fixture){say(1, 0.9), func(g *fixture) { g.now += reportValidity }}, Arrival{ClientKey: keyFor(1, 4)}, 1},
-		{"a group's home: its second", []func(*fixture){say(1, 0.9), func(g *fixture) { g.level, g.uncertainty = 1, 0.5 }},
+		{"a group's home: its second", []func(*fixture){say(1, 0.9), func(g *fixture) { g.overload.level, g.overload.uncertainty = 1, 0.5 }},
 			Arrival{ClientKey: 5, GroupKey: group}, 3},
 		{"all hot: the least loaded", []func(*fixture){say(0, 0.9), say(1, 1.2), say(2, 0.8), say(3, 0.85)},
 			Arrival{ClientKey: keyFor(1, 4)}, 2},
@@ -883,7 +883,7 @@
 		g := newFixture(50, func(r *Settings) { r.LoadReports, r.Nodes, r.Seed = true, 100, hash64(seed) })
 		g.advance(5)
 		for i := range g.servers {
-			if g.servers[i].checking {
+			if g.servers[i].check.inFlight {
 				asked++
 			}
 		}
@@ -917,11 +917,11 @@
 	if len(g.base) != 3 {
 		t.Fatal("a failed call lost the list")
 	}
-	g.servers[20].ejected = true
+	g.servers[20].outlier.ejected = true
 	again := g.endpoint(0, Ready)
 	again.StartedAt = g.now
 	g.UpdateEndpoints(g.now, ListChanges, []Endpoint{again, g.endpoint(1, Removed)})
-	if g.servers[20].ejected || len(g.base) != 2 || g.slowStartWeight(g.now, &g.servers[20]) != g.SlowStartShare {
+	if g.servers[20].outlier.ejected || len(g.base) != 2 || g.slowStartWeight(g.now, &g.servers[20]) != g.SlowStartShare {
 		t.Fatal("a restart is a fresh, cold server; a server gone leaves the base list")
 	}
 }
@@ -941,14 +941,14 @@
 				list = append(list, Endpoint{Server: i, ID: uint32(i), State: Ready})
 			}
 			b.UpdateEndpoints(0, ListCached, list)
-			first, last = min(first, b.nextPollAt), max(last, b.nextPollAt)
+			first, last = min(first, b.polling.nextAt), max(last, b.polling.nextAt)
 			gap := 0.0
 			for range 6 {
 				b.UpdateEndpoints(0, ListFailed, nil)
-				if b.backoff < gap || b.nextPollAt > 1.5*maxPollSpread || b.nextPollAt <= 0 {
-					t.Fatalf("%d nodes: gap %.2f s after %.2f s", c.nodes, b.backoff, gap)
+				if b.polling.backoff < gap || b.polling.nextAt > 1.5*maxPollSpread || b.polling.nextAt <= 0 {
+					t.Fatalf("%d nodes: gap %.2f s after %.2f s", c.nodes, b.polling.backoff, gap)
 				}
-				gap = b.backoff
+				gap = b.polling.backoff
 			}
 		}
 		if last > c.widest || last-first < 0.7*min(c.widest, float64(c.nodes*c.servers)/listServiceRate) {
@@ -974,17 +974,17 @@
 			}
 			b.UpdateEndpoints(0, ListFull, list)
 			b.UpdateEndpoints(0, ListTimedOut, nil)
-			if widest = max(widest, b.nextPollAt); b.backoff != 0 || len(b.base) != 8 {
-				t.Fatalf("%d nodes: gap %.2f s, %d servers", c.nodes, b.backoff, len(b.base))
+			if widest = max(widest, b.polling.nextAt); b.polling.backoff != 0 || len(b.base) != 8 {
+				t.Fatalf("%d nodes: gap %.2f s, %d servers", c.nodes, b.polling.backoff, len(b.base))
 			}
-			for now := 0.0; now <= b.nextPollAt; now += housekeepingInterval { // guards against a wish to follow that is never said
+			for now := 0.0; now <= b.polling.nextAt; now += housekeepingInterval { // guards against a wish to follow that is never said
 				for d, ok := b.Next(now); ok; d, ok = b.Next(now) {
-					if d.Action == WatchEndpoints && now < b.nextPollAt {
-						t.Fatalf("%d nodes: asked at %.2f s, not %.2f s", c.nodes, now, b.nextPollAt)
+					if d.Action == WatchEndpoints && now < b.polling.nextAt {
+						t.Fatalf("%d nodes: asked at %.2f s, not %.2f s", c.nodes, now, b.polling.nextAt)
 					}
 				}
 			}
-			if b.UpdateEndpoints(9, ListFailed, nil); b.nextPollAt <= 9 {
+			if b.UpdateEndpoints(9, ListFailed, nil); b.polling.nextAt <= 9 {
 				t.Fatalf("%d nodes: asked at once after a refusal", c.nodes)
 			}
 		}
@@ -1060,7 +1060,7 @@
 			g := newFixture(n, nil)
 			g.establish(0, 4*n)
 			for i := range g.servers {
-				g.servers[i].threshold = g.servers[i].assignedLoad / 2 // every beat looks for connections to move
+				g.servers[i].threshold.load = g.servers[i].assignedLoad / 2 // every beat looks for connections to move
 			}
 			b.ReportAllocs()
 			for id := 4 * n; b.Loop(); id++ {
@@ -1135,8 +1135,8 @@
 			g.now++
 			g.HealthChecked(g.now, g.serverIndex(1), Served, LoadReport{Load: -1, RoundTrip: took})
 		}
-		if s := g.servers[g.serverIndex(1)]; (s.overloadedAt == g.now) != c.jam {
-			t.Errorf("%+v: ceiling %g", c, s.threshold)
+		if s := g.servers[g.serverIndex(1)]; (s.threshold.overloadedAt == g.now) != c.jam {
+			t.Errorf("%+v: ceiling %g", c, s.threshold.load)
 		}
 	}
 }
@@ -1163,8 +1163,8 @@
 			g.HealthChecked(g.now, g.serverIndex(place), Served, LoadReport{Load: -1, RoundTrip: c.least})
 			g.HealthChecked(g.now, g.serverIndex(place), c.how, LoadReport{Load: -1, RoundTrip: c.took})
 			s := g.servers[g.serverIndex(place)]
-			if (s.overloadedAt == g.now) != c.held || !math.IsInf(s.threshold, 1) != c.cut {
-				t.Errorf("%s: in a jam %v, ceiling %g", c.name, s.overloadedAt == g.now, s.threshold)
+			if (s.threshold.overloadedAt == g.now) != c.held || !math.IsInf(s.threshold.load, 1) != c.cut {
+				t.Errorf("%s: in a jam %v, ceiling %g", c.name, s.threshold.overloadedAt == g.now, s.threshold.load)
 			}
 		}
 	}
@@ -1186,7 +1186,7 @@
 	} {
 		g := newFixture(1, func(r *Settings) { r.TimeHealthChecks = c.timed })
 		g.establish(0, c.held)
-		g.servers[20].shortestCheck, g.servers[20].checking = 0.004, false
+		g.servers[20].check.shortestRoundTrip, g.servers[20].check.inFlight = 0.004, false
 		probes := 0
 		for range 80 {
 			for _, d := range g.advance(housekeepingInterval) {
@@ -1264,14 +1264,14 @@
 			for i := range cached {
 				cached[i] = g.endpoint(i, Ready)
 			}
-			g.watching = false
+			g.polling.watching = false
 			g.UpdateEndpoints(g.now, ListCached, cached)
-			calls[int(g.nextPollAt-g.now)] += each
+			calls[int(g.polling.nextAt-g.now)] += each
 			cached[7].StartedAt = g.now
 			g.UpdateEndpoints(g.now, ListChanges, cached[7:8])
 			g.establish(seed*1000, max(1200/nodes, 1)) // 1200 connections over all nodes, in one second
 			for i := range g.servers {
-				if g.servers[i].checking { // asked for while the flows came
+				if g.servers[i].check.inFlight { // asked for while the flows came
 					probes += each
 					g.HealthChecked(g.now, i, Served, LoadReport{Load: -1, RoundTrip: 0.004})
 				}
@@ -1336,7 +1336,7 @@
 			g.UpdateEndpoints(g.now, ListChanges, []Endpoint{it})
 			for i := range 8 { // the others are jammed
 				if i != 2 {
-					g.servers[g.serverIndex(i)].overloadedAt = g.now + 99
+					g.servers[g.serverIndex(i)].threshold.overloadedAt = g.now + 99
 				}
 			}
 			for i := range 40 { // within one window, all want in
--- a/placement/store_test.go
+++ b/placement/store_test.go
@@ -26,7 +26,7 @@
 		{"and failures at many servers", 300, 0.9, 3, Failed, 3, 0},
 	} {
 		g := newFixture(9, func(r *Settings) { r.Nodes, r.Tick = c.nodes, 0 })
-		g.uncertainty, g.limit, g.limitLoweredAt = c.blind, c.gate, g.now
+		g.overload.uncertainty, g.concurrency.limit, g.concurrency.loweredAt = c.blind, c.gate, g.now
 		d, _ := g.arrive(1, Arrival{ClientKey: 1})
 		if d.Action != Connect || math.Abs(d.Seconds-c.wait) > 1e-6 {
 			t.Errorf("%s: %+v, wanted a connect of %g s", c.name, d, c.wait)
@@ -65,7 +65,7 @@
 	balancers, clients := make([]*fixture, nodes), make([][each]client, nodes)
 	for i := range balancers {
 		balancers[i] = newFixture(20, func(r *Settings) { r.Seed, r.Nodes, r.MaxAttempts = uint64(i), nodes, 5 })
-		balancers[i].uncertainty = 1
+		balancers[i].overload.uncertainty = 1
 	}
 	var queue []ask
 	var connects, established int
