--- a/internal/handover/handover_golden_test.go
+++ b/internal/handover/handover_golden_test.go
@@ -117,7 +117,7 @@
 		EndedFlows:     map[uint64]uint64{11: 12, 18446744073709551613: 18446744073709551612},
 		Descriptors:    321,
 		Revision:       goldenRevision(),
-		DisabledByHand: []string{"s-5be2a07c", "s-77d10e42"},
+		AdministrativelyDisabled: []string{"s-5be2a07c", "s-77d10e42"},
 	}
 }
 
--- /dev/null
+++ b/internal/node/dispatch.go
@@ -0,0 +1,71 @@
+package node
+
+import "gorseledge/placement"
+
+// dispatch hands an input to the method that handles it.
+func (n *Node) dispatch(input Input) {
+	switch input := input.(type) {
+	case Accepted, Dialed, ReadDone, WriteDone, ClientGone, Closed:
+		n.dispatchConnection(input)
+	case HandoverReceived, PeerProcessChanged, ConnectionReceived, ConnectionSent, SuccessorGone, PredecessorGone:
+		n.dispatchUpgrade(input)
+	case ListReceived:
+		n.listReceived(input.List)
+	case WatchAlive:
+		n.watch.noteActivity(n.now, input.MidLine)
+	case WatchFailed:
+		n.watchEnded(placement.ListFailed, input.Reason)
+	case DiscoveryMoved:
+		n.discoveryMoved()
+	case Shutdown:
+		n.shutdown.begin(n.now)
+	case Query:
+		n.handleQuery(input)
+	case ListenerOpened:
+		n.startup.listenerClosed = false
+	case NodesChanged:
+		n.setMemberCount(input.Nodes)
+	case SettingsReceived:
+		n.applyRevision(input.Revision)
+	case GossipReceived:
+		n.gossipReceived(input.Loads)
+	case TimerFired:
+		n.timers.disarm()
+	}
+}
+
+// dispatchConnection hands on what happened to a connection. Results for a connection that is closed by now are dropped.
+func (n *Node) dispatchConnection(input Input) {
+	switch input := input.(type) {
+	case Accepted:
+		n.accepted(input.Conn)
+	case Closed:
+		n.connections.descriptorFreed()
+	case Dialed:
+		n.connections.with(input.Conn, func(c *connection) { n.dialDone(c, input.Err, input.LocalFailure) })
+	case ReadDone:
+		n.connections.with(input.Conn, func(c *connection) { n.readDone(c, input.N, input.End) })
+	case WriteDone:
+		n.connections.with(input.Conn, func(c *connection) { n.writeDone(c, input.N, input.Failed) })
+	case ClientGone:
+		n.connections.with(input.Conn, n.clientGone)
+	}
+}
+
+// dispatchUpgrade hands on what the other process of an upgrade sent, or what became of it.
+func (n *Node) dispatchUpgrade(input Input) {
+	switch input := input.(type) {
+	case HandoverReceived:
+		n.restore(input.State)
+	case PeerProcessChanged:
+		n.applyPeerUpdate(input.Update)
+	case ConnectionReceived:
+		n.adoptConnection(input.Conn, input.Transfer)
+	case ConnectionSent:
+		n.connections.with(input.Conn, func(c *connection) { n.transferDone(c, input.OK) })
+	case SuccessorGone:
+		n.successorGone()
+	case PredecessorGone:
+		n.predecessorGone()
+	}
+}
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -1,71 +1,90 @@
 package node
 
-import "gorseledge/internal/line"
+import (
+	"slices"
+
+	"gorseledge/internal/line"
+)
 
 // FlowCounts counts one service type's flows by how they were answered, since the start of the process.
 type FlowCounts struct {
-	Type                           string
-	Established, Rejected, Aborted int
-	ClientLeft                     int // the client did not wait for its answer
+	Type        string
+	Established int
+	Rejected    int
+	Aborted     int
+	ClientLeft  int // the client did not wait for its answer
 }
 
-// Figures are what the node tells of itself.
+// Figures are what the node reports of itself: counts since the start of the process, and numbers of now.
 type Figures struct {
 	Types       []FlowCounts // in the order of the settings
-	Accepted    int          // flows, from their first line on
-	Dispatched  int          // first lines written to hosts, to the last byte
+	Accepted    int          // flows, from their opening line on
+	Dispatched  int          // opening lines written to hosts, to the last byte
 	Waiting     int          // flows that wait for their answer
 	Open        int          // flows that wait or are established
-	Listed      int          // hosts in the list
-	Unavailable int          // hosts in the list that take no new flows now
+	Listed      int          // hosts on the list
+	Unavailable int          // hosts on the list that take no new flows now
 }
 
-// taken counts a flow: its first line is whole, of a known service type and under an id of its own.
-func (n *Node) taken() {
+func newFigures(serviceTypes []string) Figures {
+	var figures Figures
+	for _, name := range serviceTypes {
+		figures.Types = append(figures.Types, FlowCounts{Type: name})
+	}
+	return figures
+}
+
+// countAccepted counts a flow: its opening line is whole, of a known service type and under an id of its own.
+func (n *Node) countAccepted() {
 	n.figures.Accepted++
 	n.figures.Waiting++
 	n.figures.Open++
 }
 
-// dispatched takes the news that a flow's line is written to its last byte: from here on the connect may have run.
-func (n *Node) dispatched(f *flow) {
-	if !f.sent {
-		f.sent = true
-		n.figures.Dispatched++
+// markLineSent notes, once an attempt, that the opening line is written to its last byte: from here on the attempt may
+// have run at its host.
+func (n *Node) markLineSent(f *flow) {
+	if f.lineSent {
+		return
 	}
+	f.lineSent = true
+	n.figures.Dispatched++
 }
 
-// settled counts how a flow that waited was answered; each flow that was taken passes here once.
-func (n *Node) settled(as *int) {
-	*as++
+// countAnswered counts a flow that waited under counter, which says how it was answered. Each accepted flow is counted
+// here once.
+func (n *Node) countAnswered(counter *int) {
+	*counter++
 	n.figures.Waiting--
 }
 
-// gone counts the end of a flow, once.
-func (n *Node) gone(f *flow) {
-	if !f.over {
-		f.over = true
-		n.figures.Open--
-		if f.established {
-			n.tellSuccessor(HandoverUpdate{EndedFlow: f.opening.ID})
-		}
+// countFinalAnswer counts a flow that is rejected or aborted, by the reply that its client gets.
+func (n *Node) countFinalAnswer(serviceType int, reply []byte) {
+	counts := &n.figures.Types[serviceType]
+	word, _ := line.Split(reply)
+	if word == line.Busy {
+		n.countAnswered(&counts.Rejected)
+		return
 	}
+	n.countAnswered(&counts.Aborted)
 }
 
-// told counts a flow's final answer by its words.
-func (n *Node) told(kind int, words []byte) {
-	t := &n.figures.Types[kind]
-	if word, _ := line.Split(words); word == line.Busy {
-		n.settled(&t.Rejected)
-	} else {
-		n.settled(&t.Aborted)
+// markOver notes the end of a flow, once.
+func (n *Node) markOver(f *flow) {
+	if f.over {
+		return
+	}
+	f.over = true
+	n.figures.Open--
+	if f.established {
+		n.notifySuccessor(HandoverUpdate{EndedFlow: f.opening.ID})
 	}
 }
 
-// tell gives the figures as they stand.
-func (n *Node) tell() Figures {
-	f := n.figures
-	f.Types = append([]FlowCounts(nil), f.Types...)
-	f.Listed, f.Unavailable = n.module.Unavailable(n.now)
-	return f
+// currentFigures returns a copy of the figures as they stand.
+func (n *Node) currentFigures() Figures {
+	figures := n.figures
+	figures.Types = slices.Clone(figures.Types)
+	figures.Listed, figures.Unavailable = n.balancer.Unavailable(n.now)
+	return figures
 }
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -1,206 +1,149 @@
 package node
 
 import (
-	"errors"
+	"cmp"
 
 	"gorseledge/internal/line"
 	"gorseledge/placement"
 )
 
-const (
-	endWait   = 3.0  // for a host to end what its client has ended
-	mostWaits = 64   // lines without an answer that are timed
-	heldUp    = 0.05 // this node's own timer rang so late: what it measured meanwhile says nothing of others
-)
-
-// flow is one client's wish for a connection, from its first line on.
+// flow is one client's request for a connection to a host, from its opening line on.
 type flow struct {
-	id           int // the module's index
-	kind         int
-	client, host *conn // host: of the present connect, or the last
-	first        []byte
-	opening      line.Opening
-	carried      bool // was open at its host before this node started
-	try          int  // number of the present connect, from 0
-	on           int  // its host
-	out          bool // a connect is out, or what it became
-	sent         bool // its line is written to the last byte
-	established  bool
-	over         bool
-	liftAt       float64
-	lifting      bool      // goes over to a successor: nothing more is read
-	passing      bool      // is on its way
-	last         line.Word // what the host said before its end
-	sentAt       float64
-	setup        float64
-	load         float64   // as it was told last
-	waits        []float64 // when lines went to the host that had none back
+	index       int // the balancer's
+	serviceType int // index in the settings
+	client      *connection
+	host        *connection // of the attempt under way, or of the last one
+	openingLine []byte
+	opening     line.Opening // openingLine, parsed
+	restored    bool         // it was open at its host before this node began
+
+	attempt       int  // number of the attempt under way, from 0; -1 before the first
+	hostIndex     int  // the host of that attempt
+	attemptActive bool // the balancer has not been told how the attempt ended
+	lineSent      bool // the opening line is written to the host to its last byte
+
+	established     bool
+	over            bool
+	finalWord       line.Word // what the host sent to announce its end
+	setupTime       float64   // seconds from the accept until the flow was established
+	reportedLoad    float64   // the load that the host reported last
+	unansweredSince []float64 // when lines went to the host that had none back yet, oldest first
+
+	transferring      bool    // it goes over to a successor, so nothing more is read
+	transferStartedAt float64 // when that began
+	inTransit         bool    // its connections are on their way to the successor
 }
 
-// clientLine takes a line of a client and tells whether it is to be passed on.
-func (n *Node) clientLine(c *conn, text []byte) bool {
-	if f := c.flow; f != nil {
-		if len(f.waits) == 0 {
-			n.wait(f.host, quietAfter)
-		}
-		if len(f.waits) < mostWaits {
-			f.waits = append(f.waits, n.now)
-		}
-		return true
+// describe returns the flow's connection as another process is notified of it.
+func (f *flow) describe(hostName string) *InheritedConnection {
+	return &InheritedConnection{
+		ID:        f.opening.ID,
+		ClientKey: f.opening.Key,
+		Host:      hostName,
+		Load:      cmp.Or(f.reportedLoad, f.opening.Load),
 	}
-	if word, _ := line.Split(text); word == line.Ping {
-		c.checked = true
-		words := line.ErrLine
-		if n.isReady() {
-			words = line.PongLine
-		}
-		// Guards against one who asks hundreds of times at once, or asks and stays: neither its answers nor
-		// its time may grow without bound, so lineWait goes on from the accept.
-		if c.own = append(c.own, words...); len(c.own) > mostOwn {
-			n.answer(c, []byte(line.ErrLine), ClientOdd)
-		}
-		n.flush(c)
-		return false
-	}
-	n.open(c, text)
-	return false
 }
 
-// open takes a first line: it is refused here for what is wrong with it, or a flow begins.
-func (n *Node) open(c *conn, text []byte) {
-	c.calm()
-	n.busy(c) // whatever comes of it, nobody else takes its descriptor
-	c.heard = true
-	o, err := line.ParseOpening(text)
-	kind, known := n.types[o.Type]
-	switch {
-	case errors.Is(err, line.ErrTimeout):
-		n.answer(c, []byte(line.ErrLine), NoTimeout)
-	case err != nil:
-		n.answer(c, []byte(line.ErrLine), BadLine)
-	case c.in.Len() > len(text): // a client waits for its answer
-		n.answer(c, []byte(line.ErrLine), ClientOdd)
-	case n.ids.stray(o):
-		n.answer(c, line.BusyLine(0), SameID)
-	case !known:
-		n.answer(c, []byte(line.ErrLine), UnknownType)
-	case !n.affords():
-		n.turnAway(c, kind, NoSockets)
-	case n.leaving && !n.door.PassThrough || n.late():
-		n.turnAway(c, kind, ShuttingDown)
-	default:
-		n.begin(c, &flow{client: c, kind: kind, try: -1, opening: o, first: append([]byte(nil), text...)})
+// flowTable holds the flows by the balancer's index. An index is free again once the balancer has released it.
+type flowTable struct {
+	byIndex     []*flow // nil where the index is free
+	freeIndices []int
+	releasable  []int // indices that the balancer may be done with
+	ids         flowIDs
+}
+
+// add gives a flow its index.
+func (t *flowTable) add(f *flow) {
+	if free := len(t.freeIndices); free > 0 {
+		f.index = t.freeIndices[free-1]
+		t.freeIndices = t.freeIndices[:free-1]
+		t.byIndex[f.index] = f
+	} else {
+		f.index = len(t.byIndex)
+		t.byIndex = append(t.byIndex, f)
 	}
+	t.ids.add(f)
 }
 
-// turnAway rejects a flow that the module never hears of.
-func (n *Node) turnAway(c *conn, kind int, why Reason) {
-	words := line.BusyLine(0)
-	n.taken()
-	n.told(kind, words)
-	n.figures.Open--
-	n.answer(c, words, why)
+// markReleasable notes that the balancer may be done with a flow.
+func (t *flowTable) markReleasable(f *flow) { t.releasable = append(t.releasable, f.index) }
+
+// remove frees a flow's index and remembers its id.
+func (t *flowTable) remove(f *flow) {
+	t.ids.remove(f)
+	t.byIndex[f.index] = nil
+	t.freeIndices = append(t.freeIndices, f.index)
 }
 
-func (n *Node) begin(c *conn, f *flow) {
-	at, listed := n.byName[f.opening.At]
-	if f.opening.At != "" && (!listed || n.hosts[at].address == "") {
-		n.turnAway(c, f.kind, UnknownHost)
-		return
-	}
-	n.taken()
-	c.flow = f
-	n.place(f)
-	a := n.arrival(f)
-	if f.opening.At == "" {
-		n.module.AddFlow(n.now, f.id, a)
-		return
+// count returns how many flows are held.
+func (t *flowTable) count() int {
+	count := 0
+	for _, f := range t.byIndex {
+		if f != nil {
+			count++
+		}
 	}
-	f.carried = true
-	n.module.RestoreFlow(n.now, f.id, a, at)
-	n.connect(f, at, f.opening.Timeout)
+	return count
 }
 
-// place gives a flow its index.
-func (n *Node) place(f *flow) {
-	if free := len(n.free); free > 0 {
-		f.id, n.free = n.free[free-1], n.free[:free-1]
-		n.flows[f.id] = f
-	} else {
-		f.id, n.flows = len(n.flows), append(n.flows, f)
+// releaseFlows frees the indices of flows for which the balancer expects nothing more.
+func (n *Node) releaseFlows() {
+	for _, index := range n.flows.releasable {
+		if f := n.flows.byIndex[index]; f != nil && n.balancer.Release(index) {
+			n.flows.remove(f)
+		}
 	}
-	n.ids.begin(f)
+	n.flows.releasable = n.flows.releasable[:0]
+}
+
+// describeConnection returns a flow's connection as another process is notified of it.
+func (n *Node) describeConnection(f *flow) *InheritedConnection {
+	return f.describe(n.endpoints.hosts[f.hostIndex].name)
 }
 
-// arrival is what the module is told of a flow. One that sits at the predecessor is the predecessor's no more.
-func (n *Node) arrival(f *flow) placement.Arrival {
+// arrivalOf returns what the balancer is given of a new flow. A flow whose connection the predecessor held counts as
+// the predecessor's no more.
+func (n *Node) arrivalOf(f *flow) placement.Arrival {
 	tenant, known := n.tenants[f.opening.Tenant]
 	if !known {
-		tenant = len(n.door.Tenants) // a member without a share
+		tenant = len(n.listener.Tenants) // one without a quota
 	}
-	a := placement.Arrival{Type: f.kind, Tenant: tenant, ClientKey: f.opening.Key, GroupKey: f.opening.Group,
-		Timeout: f.opening.Timeout, Load: f.opening.Load, MidFlow: f.opening.MidFlow, Returning: f.opening.Back}
-	if s := n.ids.sits[f.opening.ID]; s != nil {
-		a.HeldBy = 1 + s.at
-		n.leaves(s.ID)
+	arrival := placement.Arrival{
+		Type:      f.serviceType,
+		Tenant:    tenant,
+		ClientKey: f.opening.Key,
+		GroupKey:  f.opening.Group,
+		Timeout:   f.opening.Timeout,
+		Load:      f.opening.Load,
+		MidFlow:   f.opening.MidFlow,
+		Returning: f.opening.Back,
 	}
-	return a
-}
-
-// answer says the last words to a client that is not established and ends its connection.
-func (n *Node) answer(c *conn, words []byte, why Reason) {
-	c.reason = why
-	c.own = append(c.own, words...)
-	c.finish = Ended
-	if f := c.flow; f != nil {
-		n.told(f.kind, words)
-		n.gone(f)
-		n.touched = append(n.touched, f.id)
+	if inherited := n.flows.ids.inherited[f.opening.ID]; inherited != nil {
+		arrival.HeldBy = 1 + inherited.hostIndex
+		n.removeInherited(inherited.ID)
 	}
-	n.flush(c)
+	return arrival
 }
 
-func (n *Node) reject(f *flow, away float64) { n.answer(f.client, line.BusyLine(away), Rejected) }
-
-func (n *Node) abort(f *flow) { n.answer(f.client, []byte(line.ErrLine), Aborted) }
-
-// move tells an established client to come again and ends both sides. What the host said in whole lines goes
-// first.
-func (n *Node) move(f *flow, why Reason, how placement.Outcome) {
-	if !f.established || f.over || f.passing { // what is on its way is the successor's to move
-		return
-	}
-	n.close(f.host, false)
-	f.client.own = append(f.client.own, line.MoveLine...)
-	n.finished(f, Ended, why, how)
-}
-
-// finished tells the module that an established connection is over and ends the client's side in kind.
-func (n *Node) finished(f *flow, end End, why Reason, how placement.Outcome) {
-	n.gone(f)
-	f.out = false
-	n.module.AttemptEnded(n.now, f.id, f.try, how, true)
-	n.touched = append(n.touched, f.id)
+// finish reports to the balancer that an established connection is over, and ends the client's side as end says.
+func (n *Node) finish(f *flow, end End, reason Reason, outcome placement.Outcome) {
+	n.markOver(f)
+	n.endAttempt(f, outcome)
 	c := f.client
-	if c.reason == "" {
-		c.reason = why
+	if c.endReason == "" {
+		c.endReason = reason
 	}
-	c.finish = end
+	c.closeAs = end
 	if c.closed {
 		return
 	}
-	n.wait(c, lingering)
+	n.setDeadline(c, lingerTimeout)
 	n.flush(c)
 }
 
-// record writes the log line of a client's connection.
-func (n *Node) record(c *conn) {
-	r := Record{Reason: c.reason, Duration: n.now - c.since, BytesToClient: c.passed}
-	if f := c.flow; f != nil {
-		r.Type, r.Attempts, r.Setup = n.door.ServiceTypes[f.kind], f.try+1, f.setup
-		if f.host != nil {
-			r.Host, r.BytesFromClient = n.hosts[f.on].name, f.host.passed
-		}
-	}
-	n.ask(LogConnection{r})
+// endAttempt reports to the balancer how a flow's last attempt ended; nothing more comes of the flow.
+func (n *Node) endAttempt(f *flow, outcome placement.Outcome) {
+	f.attemptActive = false
+	n.balancer.AttemptEnded(n.now, f.index, f.attempt, outcome, true)
+	n.flows.markReleasable(f)
 }
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -3,89 +3,104 @@
 import "gorseledge/internal/line"
 
 const (
-	spareFew  = 20  // descriptors kept for those who come meanwhile, so that they can be told no
-	idleShare = 5   // one in so many descriptors may be with clients that ask for nothing
-	settled   = 0.1 // by when a usual client's first line is there
+	descriptorReserve     = 20  // descriptors kept for new connections, so that they can be told that they are rejected
+	idleDescriptorDivisor = 5   // idle connections may hold one in this many descriptors
+	firstLineGrace        = 0.1 // seconds by when an ordinary client's first line is there
 )
 
-// rest counts a client's connection among those that ask for nothing: not yet, or not any more.
-func (n *Node) rest(c *conn) {
-	if c.role != client || c.idle {
+// idleQueue holds the clients' connections that ask for nothing: before their opening line, or after their end.
+type idleQueue struct {
+	queue []Conn // oldest first, with some that are no longer idle
+	count int    // of those that are
+}
+
+// add counts a client's connection among the idle ones, once.
+func (q *idleQueue) add(c *connection) {
+	if c.role != clientRole || c.idle {
 		return
 	}
 	c.idle = true
-	n.idle++
-	n.idlers = append(n.idlers, c.id)
+	q.count++
+	q.queue = append(q.queue, c.id)
 }
 
-// busy takes it out again.
-func (n *Node) busy(c *conn) {
-	if c.idle {
-		c.idle = false
-		n.idle--
+// remove takes a connection out, if it is idle. Its entry in the queue goes later.
+func (q *idleQueue) remove(c *connection) {
+	if !c.idle {
+		return
 	}
+	c.idle = false
+	q.count--
 }
 
-// used is how many descriptors connections hold, without those that are being closed.
-func (n *Node) used() int { return n.descriptors - n.closing }
-
-// short tells whether few descriptors are left, beside those that are kept for who comes meanwhile.
-func (n *Node) short() bool { return n.used()+1+spareFew+n.lent > n.limit }
-
-// dismiss ends a connection that has asked for nothing. Guards against a first line that arrives in just that moment,
-// which the node's machine has taken: who sent it reads that it was turned away, and may come again.
-func (n *Node) dismiss(c *conn, why Reason) {
-	c.endUnasked(why)
-	n.wait(c, lingering) // also where nothing goes out to it any more
-	n.answer(c, line.BusyLine(0), c.reason)
+// admit makes room for a connection that was accepted, or rejects it. Idle connections go first: clients that connect
+// by the hundred and send nothing must not take the descriptors of those whose first line comes at once.
+func (n *Node) admit(c *connection) {
+	n.idle.add(c)
+	n.limitIdle()
+	if !n.makeRoom(firstLineGrace) {
+		n.answer(c, line.BusyLine(0), NoDescriptors)
+	}
+	if n.connections.used() > n.connections.limit && !c.closed { // not even time for the answer
+		n.closeConnection(c, false)
+	}
 }
 
-// relieve ends the idle connection that is oldest, if it has been there for some time, and tells whether it
-// did.
-func (n *Node) relieve(idleFor float64) bool {
-	for len(n.idlers) > 0 {
-		c := n.conns[n.idlers[0]]
-		idle := c != nil && c.idle
-		if idle && (n.now-c.since < idleFor || len(c.own) > 0) {
-			return false // what it is being told goes out first
-		}
-		n.idlers = n.idlers[1:]
-		if idle {
-			if c.finish == Open && !c.shut && c.writing == 0 { // as in dismiss, without the time to linger
-				n.ask(Write{c.id, line.BusyLine(0)})
-			}
-			c.endUnasked(NoSockets)
-			n.close(c, false)
-			return true
+// limitIdle closes the oldest idle connections while idle ones hold more than their part of the descriptors.
+func (n *Node) limitIdle() {
+	most := max(n.connections.limit/idleDescriptorDivisor, 1)
+	for n.idle.count > most {
+		if !n.closeOldestIdle(firstLineGrace) {
+			return
 		}
 	}
-	return false
 }
 
-// room ends idle connections until descriptors are not short, and tells whether that could be done.
-func (n *Node) room(idleFor float64) bool {
-	for n.short() {
-		if !n.relieve(idleFor) {
+// makeRoom closes idle connections that are older than idleFor seconds until descriptors are not short, and reports
+// whether that could be done.
+func (n *Node) makeRoom(idleFor float64) bool {
+	for n.connections.short() {
+		if !n.closeOldestIdle(idleFor) {
 			return false
 		}
 	}
 	return true
 }
 
-// admit makes room for a connection that was accepted, or turns it away. Guards against clients that connect
-// by hundreds and say nothing: the usual ones, whose first line comes at once, were told that none was
-// left.
-func (n *Node) admit(c *conn) {
-	n.rest(c)
-	for n.idle > max(n.limit/idleShare, 1) && n.relieve(settled) {
-	}
-	if !n.room(settled) {
-		n.answer(c, line.BusyLine(0), NoSockets)
+// canAffordDescriptor reports whether one more descriptor can be had, at the cost of idle connections.
+func (n *Node) canAffordDescriptor() bool { return n.makeRoom(firstLineGrace / 4) }
+
+// closeOldestIdle closes the oldest idle connection if that is older than idleFor seconds and has no answer to wait
+// for, and reports whether it did.
+func (n *Node) closeOldestIdle(idleFor float64) bool {
+	for len(n.idle.queue) > 0 {
+		c := n.connections.byID[n.idle.queue[0]]
+		isIdle := c != nil && c.idle
+		if isIdle && (n.now-c.startedAt < idleFor || len(c.ownOutput) > 0) {
+			return false
+		}
+		n.idle.queue = n.idle.queue[1:]
+		if isIdle {
+			n.closeIdle(c)
+			return true
+		}
 	}
-	if n.used() > n.limit && !c.closed { // not even time for that
-		n.close(c, false)
+	return false
+}
+
+// closeIdle closes an idle connection to make room. Its client is told, as in dismiss, but nobody waits for its end.
+func (n *Node) closeIdle(c *connection) {
+	if c.closeAs == Open && !c.writeClosed && c.writePending == 0 {
+		n.emit(Write{c.id, line.BusyLine(0)})
 	}
+	c.endBeforeOpening(NoDescriptors)
+	n.closeConnection(c, false)
 }
 
-// affords tells whether one more descriptor can be had, at the cost of one who asks for nothing.
-func (n *Node) affords() bool { return n.room(settled / 4) }
+// dismiss rejects a client that has asked for nothing. An opening line that arrives in that moment is answered so, and
+// its client may connect again.
+func (n *Node) dismiss(c *connection, reason Reason) {
+	c.endBeforeOpening(reason)
+	n.setDeadline(c, lingerTimeout) // also where nothing goes out to it any more
+	n.answer(c, line.BusyLine(0), c.endReason)
+}
--- a/internal/node/legacy_golden_test.go
+++ b/internal/node/legacy_golden_test.go
@@ -117,12 +117,12 @@
 	}
 	n := startedNode(t, nil)
 	n.Apply(1700000100, ConnectionReceived{Conn: 1001, Transfer: &parcel})
-	if len(n.flows) != 1 || n.flows[0] == nil {
+	if len(n.flows.byIndex) != 1 || n.flows.byIndex[0] == nil {
 		t.Fatal("not adopted")
 	}
-	f := n.flows[0]
-	got := fmt.Sprint(f.opening.ID, " ", f.opening.Type, " ", n.hosts[f.on].name, " ", f.load, " ", f.setup, " ", f.waits,
-		" ", f.client.since, " ", f.client.passed, " ", f.host.passed)
+	f := n.flows.byIndex[0]
+	got := fmt.Sprint(f.opening.ID, " ", f.opening.Type, " ", n.endpoints.hosts[f.hostIndex].name, " ", f.reportedLoad, " ", f.setupTime, " ", f.unansweredSince,
+		" ", f.client.startedAt, " ", f.client.bytesWritten, " ", f.host.bytesWritten)
 	const want = "1 chat s-77d10e42 0.40625 0.125 [1.7000000995e+09 1.70000009975e+09] 1.7000000335e+09 4099 4097"
 	if got != want {
 		t.Errorf("adopted %s, want %s", got, want)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,19 @@
-// Package node is the core of the real node: one reducer that owns the flows, their connects and their
-// deadlines and drives the module. It does no I/O and reads no clock: Apply takes what happened and gives
-// what to do.
+// Package node is the core of a load balancer process: a state machine that owns the client connections, their flows
+// and deadlines, and that drives the balancer of package placement.
+//
+// The core does no I/O, starts no goroutine and reads no clock. Its owner calls Apply with one Input at a time, from one
+// goroutine, and carries out the effects that Apply returns, in their order. Times are seconds; a time of day is a Unix
+// time in seconds.
+//
+// A flow is one client's request for a long-lived connection to a host, from its opening line on. Where things are:
+//
+//   - dispatch.go: which method handles which input
+//   - opening.go, attempt.go, answer.go: the life of a flow, from its opening line to its final answer
+//   - deadlines.go: the deadline of each connection and flow
+//   - endpoints.go: where a new endpoint list takes effect; watch.go: the watch that delivers it
+//   - live_settings.go: where a change of the live settings takes effect
+//   - shutdown.go: graceful shutdown
+//   - handover.go, inherited.go, transfer.go: the upgrade to another process
 package node
 
 import (
@@ -12,300 +25,185 @@
 	"gorseledge/placement"
 )
 
-// Start is what a node is told before its first input.
+// Start is what a node is given before its first input.
 type Start struct {
-	Settings           placement.Settings
-	Listener           settings.ListenerSettings
-	CachedList         endpoint.List  // the list as this node last had it; it may be old
-	MaxDescriptors     int            // descriptors that its connections may take
-	DescriptorOverhead int            // descriptors that a process takes beside its connections
-	NotListening       bool           // the door is not open yet: Ready asks for it, and Opened says that it is
-	Handover           *HandoverState // what a predecessor has left; nil for none
+	Settings   placement.Settings        // of the balancer; New replaces those that follow from Listener
+	Listener   settings.ListenerSettings // of the client side
+	CachedList endpoint.List             // the endpoint list as this node last had it; it may be old or empty
 
-	// AwaitSettings is for how long the listener stays closed at the most until a first revision of the live settings
-	// comes, in seconds; zero where none is to come.
-	AwaitSettings float64
-}
+	// MaxDescriptors is how many descriptors the connections may take, DescriptorOverhead how many the process takes
+	// beside them.
+	MaxDescriptors     int
+	DescriptorOverhead int
+
+	// NotListening says that the listener is not open yet, as a predecessor has the clients: OpenListener asks for it
+	// and ListenerOpened confirms it.
+	NotListening bool
 
-type host struct {
-	name, address string
-	told          endpoint.Host // as it was listed last
-	heard         float64       // when it last said anything
+	// Handover is the state that a predecessor hands over; nil for none.
+	Handover *HandoverState
 
-	disabledByHand bool // by an operator at the second address
-	overridden     bool // by the live settings, when that was looked at last
+	// AwaitSettings is for how many seconds the listener stays closed at most until a first revision of the live
+	// settings comes; zero where none is to come.
+	AwaitSettings float64
 }
 
-// Node is the whole state of a real node.
+// Node is the state of one load balancer process. Use New to make one. A Node is not safe for concurrent use.
 type Node struct {
-	module   *placement.Balancer
-	door     settings.ListenerSettings
-	probes   string // what a probe says
-	mayProbe bool
+	balancer *placement.Balancer
+	listener settings.ListenerSettings
 	now      float64
-	out      []Effect
-	text     []byte // the line being looked at
-
-	conns       map[Conn]*conn
-	dialed      Conn
-	descriptors int // held by connections
-	closing     int // of these are being closed
-	limit       int
-
-	flows   []*flow // by the module's index
-	free    []int
-	touched []int // indices that the module may be done with
-	ids     ids
-	idlers  []Conn // oldest first, with some that are idle no more
-	idle    int
-
-	hosts    []host // by the module's index
-	byName   map[string]int
-	byNumber map[uint32]int // by the id that a name stands for
-	index    int64          // of the last list
-	heard    bool           // discovery has told a list since the start
-	misses   int            // calls of discovery that failed since
-	watch    watch
-	live     liveSettings
-
-	types, tenants, zones map[string]int
-
-	figures    Figures
-	dues       dues
-	wakeAt     float64 // the module's wake
-	timerAt    float64 // the timer asked for last
-	lag, tick  float64 // by how much this node's own timer rang late, beyond how exact timers are here
-	shut, able bool    // the door is not open yet; it was said that it may be
-	succeeds   bool    // another process has the clients until this one can serve
-
-	paired   bool // a successor is told what changes here
-	given    bool // it takes the clients
-	sockets  int  // the limit while there is no successor
-	lent     int  // descriptors that a predecessor holds
-	toll     int
-	heldTold int
-	lifts    []*flow // that go over to the successor
-	passing  int     // of these are on their way
-	calls    []Query // hosts by hand, called here while the predecessor still has the clients
-	forgetAt float64 // when what a predecessor held will not come any more
-
-	leaving   bool
-	leaveAt   float64 // when it was asked to leave
-	exited    bool
-	shuttered bool
+	effects  []Effect // of the Apply under way
+
+	connections connectionTable
+	idle        idleQueue
+	flows       flowTable
+	endpoints   endpointDirectory
+	watch       endpointWatch
+	timers      timers
+	startup     startup
+	upgrade     upgrade
+	shutdown    shutdown
+	live        liveSettings
+	figures     Figures
+
+	serviceTypes map[string]int // the balancer's index of each service type
+	tenants      map[string]int // the balancer's index of each tenant
+
+	healthCheckLine     string
+	healthChecksEnabled bool
+	lineBuffer          []byte // the line that scanLines looks at
 }
 
-func places(names []string) map[string]int {
-	m := make(map[string]int, len(names))
+// indexByName returns the position of each name.
+func indexByName(names []string) map[string]int {
+	indices := make(map[string]int, len(names))
 	for i, name := range names {
-		m[name] = i
+		indices[name] = i
 	}
-	return m
+	return indices
 }
 
-// New gives a node at its start; the first Apply is due at once.
-func New(now float64, s Start) *Node {
-	if s.Listener.ListPushed { // lists are pushed to the machine's own agent: what that has counts at once
-		s.Settings.PollInterval = agentWithin
+// New returns a node at its start. The first Apply is due at once.
+func New(now float64, start Start) *Node {
+	completeSettings(&start, now)
+	n := &Node{
+		balancer:            placement.New(start.Settings),
+		listener:            start.Listener,
+		now:                 now,
+		connections:         newConnectionTable(start.MaxDescriptors),
+		flows:               flowTable{ids: newFlowIDs()},
+		endpoints:           newEndpointDirectory(start.Listener.Zones),
+		watch:               endpointWatch{listConfirmedAt: now},
+		timers:              newTimers(start.Settings.Tick),
+		startup:             newStartup(start),
+		upgrade:             upgrade{reservedMargin: start.DescriptorOverhead + inFlightReserve},
+		live:                newLiveSettings(now, start),
+		figures:             newFigures(start.Listener.ServiceTypes),
+		serviceTypes:        indexByName(start.Listener.ServiceTypes),
+		tenants:             indexByName(start.Listener.Tenants),
+		healthCheckLine:     healthCheckLineFor(start.Settings.LoadReports),
+		healthChecksEnabled: start.Settings.HealthChecks,
 	}
-	// Guards against a referenced flow that is sent again within its memory span and arrives past it.
-	s.Settings.DialTimeout = s.Listener.DialTimeout
-	s.Settings.StartedAt = now
-	s.Settings.WatchEndpoints = true // on sockets the list always comes by a watch
-	// A host sends a line back at once, also when its work piles up. Guards against hosts taken for jammed
-	// that are not: where reports tell the load itself, the time of a probe adds nothing but noise.
-	s.Settings.TimeHealthChecks = !s.Settings.LoadReports && !s.Listener.ReportsDelay
-	n := &Node{module: placement.New(s.Settings), door: s.Listener, now: now, conns: map[Conn]*conn{},
-		ids: newIDs(), limit: s.MaxDescriptors, byName: map[string]int{}, byNumber: map[uint32]int{},
-		probes: probeWords(s.Settings.LoadReports), mayProbe: s.Settings.HealthChecks,
-		types: places(s.Listener.ServiceTypes), tenants: places(s.Listener.Tenants), zones: places(s.Listener.Zones),
-		shut: s.NotListening || s.AwaitSettings > 0, succeeds: s.NotListening, sockets: s.MaxDescriptors, toll: s.DescriptorOverhead + flightSpare, wakeAt: math.Inf(1), timerAt: math.Inf(1),
-		tick: s.Settings.Tick, watch: watch{fresh: now}}
-	n.live = newLiveSettings(now, s)
-	for _, name := range s.Listener.ServiceTypes {
-		n.figures.Types = append(n.figures.Types, FlowCounts{Type: name})
-	}
-	n.list(placement.ListCached, s.CachedList)
-	if s.Handover != nil {
-		n.inherit(s.Handover)
-		n.watch = watch{fresh: now} // nothing can be asked for yet
+	n.applyList(placement.ListCached, start.CachedList)
+	if start.Handover != nil {
+		n.restore(start.Handover)
+		n.watch = endpointWatch{listConfirmedAt: now} // nothing can be asked for yet
 	}
 	return n
 }
 
-func (n *Node) ask(e Effect) { n.out = append(n.out, e) }
-
-// Apply takes one input and gives what to do about it, in this order. The result holds until the next call.
-func (n *Node) Apply(now float64, in Input) []Effect {
-	n.now, n.out = max(now, n.now), n.out[:0]
-	n.lateness(in)
-	n.take(in)
-	n.ringDue()
-	n.hush()
-	if n.now >= n.wakeAt {
-		n.wakeAt = math.Inf(1)
-		n.module.Woken(n.now)
+// completeSettings sets the balancer's settings that follow from the node's start.
+func completeSettings(start *Start, now float64) {
+	balancer := &start.Settings
+	if start.Listener.ListPushed {
+		balancer.PollInterval = agentPollInterval
 	}
-	n.forget()
-	n.expireOverrides()
-	n.pull()
-	n.sweep()
-	if n.leaving {
-		n.depart()
-	}
-	if n.shut && !n.able && n.mayOpen() {
-		n.able = true
-		n.noteUnawaited()
-		n.ask(OpenListener{})
-	}
-	n.liftOn()
-	n.tellHeld()
-	if at := n.nextDue(); at != n.timerAt && !math.IsInf(at, 1) {
-		n.timerAt = at
-		n.ask(SetTimer{at})
-	}
-	return n.out
+	// This keeps a flow with an idempotency key from being sent again within its memory span and arriving after it.
+	balancer.DialTimeout = start.Listener.DialTimeout
+	balancer.StartedAt = now
+	balancer.WatchEndpoints = true // on sockets the list always comes by a watch
+	// Hosts answer a health check at once, also when their work piles up. Where reports state the load itself, the
+	// round trip adds nothing but noise, and would make sound hosts look overloaded.
+	balancer.TimeHealthChecks = !balancer.LoadReports && !start.Listener.ReportsDelay
 }
 
-// lateness notes by how much this node is behind. What it reads has lain in the kernel for an unknown time,
-// for as long at the most as its own timer waited to be heard; it holds until a timer rings in time. Guards
-// against a node that was held up blaming its hosts for it.
-func (n *Node) lateness(in Input) {
-	late := max(n.now-n.timerAt-n.tick, 0)
-	if _, rang := in.(TimerFired); rang || late > n.lag {
-		n.lag = late
-	}
+func (n *Node) emit(effect Effect) { n.effects = append(n.effects, effect) }
+
+// Apply handles one input at a time now and returns what to do about it, in this order. Time does not go back: an
+// earlier now counts as that of the last call. The result is valid until the next call.
+func (n *Node) Apply(now float64, input Input) []Effect {
+	n.now = max(now, n.now)
+	n.effects = n.effects[:0]
+	n.measureLag(input)
+	n.dispatch(input)
+	n.expireDeadlines()
+	n.checkWatchSilence()
+	n.wakeBalancer()
+	n.expireInherited()
+	n.expireHostOverrides()
+	n.carryOutDecisions()
+	n.releaseFlows()
+	n.continueShutdown()
+	n.requestListener()
+	n.continueTransfers()
+	n.notifyDescriptors()
+	n.armTimer()
+	return n.effects
 }
 
-// took gives how long a host took for what it was sent at a time, without what this node was behind; false
-// where the node was held up for so long, since a time between two of its timers, that nothing is known.
-func (n *Node) took(since float64) (seconds float64, known bool) {
-	return max(n.now-since-n.lag, 0), n.lag <= heldUp
-}
-
-func (n *Node) take(in Input) {
-	switch in := in.(type) {
-	case Accepted:
-		c := n.newConn(in.Conn, client)
-		c.up = true
-		if n.admit(c); !c.closed {
-			n.wait(c, lineWait)
-			n.read(c)
-		}
-	case Dialed:
-		if c := n.conns[in.Conn]; c != nil {
-			n.dialedUp(c, in.Err, in.LocalFailure)
-		}
-	case ReadDone:
-		if c := n.conns[in.Conn]; c != nil {
-			n.got(c, in.N, in.End)
-		}
-	case WriteDone:
-		if c := n.conns[in.Conn]; c != nil {
-			n.wrote(c, in.N, in.Failed)
-		}
-	case ClientGone:
-		if c := n.conns[in.Conn]; c != nil {
-			n.departed(c)
-		}
-	case Closed:
-		n.descriptors--
-		n.closing--
-	case ListReceived:
-		n.listed(in.List)
-	case WatchAlive:
-		n.watch.spoke(n.now, in.MidLine)
-	case WatchFailed:
-		n.unlisted(placement.ListFailed, in.Reason)
-	case DiscoveryMoved:
-		n.relocated()
-	case Shutdown:
-		n.leave()
-	case Query:
-		n.asked(in)
-	case ListenerOpened:
-		n.shut = false
-	case HandoverReceived:
-		n.inherit(in.State)
-	case PeerProcessChanged:
-		n.toldBy(in.Update)
-	case NodesChanged:
-		n.siblings(in.Nodes)
-	case SettingsReceived:
-		n.reconfigured(in.Revision)
-	case GossipReceived:
-		for _, w := range in.Loads { // of a host that was never listed here nothing is kept
-			if at, known := n.byNumber[w.Host]; known {
-				n.module.GossipReceived(n.now, at, w.Load)
-			}
-		}
-	case ConnectionReceived:
-		n.adopt(in.Conn, in.Transfer)
-	case ConnectionSent:
-		if c := n.conns[in.Conn]; c != nil {
-			n.passed(c, in.OK)
-		}
-	case SuccessorGone:
-		n.successorGone()
-	case PredecessorGone:
-		n.predecessorGone()
-	case TimerFired:
-		n.timerAt = math.Inf(1)
-	}
-}
-
-// pull carries out what the module decides until it has nothing more to say.
-func (n *Node) pull() {
-	var words []peers.HostLoad
+// carryOutDecisions carries out what the balancer decides until it has no more decisions.
+func (n *Node) carryOutDecisions() {
+	var gossip []peers.HostLoad
 	for {
-		d, ok := n.module.Next(n.now)
+		decision, ok := n.balancer.Next(n.now)
 		if !ok {
 			break
 		}
-		switch d.Action {
-		case placement.Connect:
-			n.connect(n.flows[d.Flow], d.Server, d.Seconds)
-		case placement.Reject:
-			n.reject(n.flows[d.Flow], d.Seconds)
-		case placement.Abort:
-			n.abort(n.flows[d.Flow])
-		case placement.Migrate:
-			n.move(n.flows[d.Flow], Migrated, placement.Canceled)
-		case placement.CheckHealth:
-			n.probe(d.Server)
-		case placement.GossipLoad:
-			words = append(words, peers.HostLoad{Host: number(n.hosts[d.Server].name), Load: d.Load})
-		case placement.WatchEndpoints:
-			n.follow()
-		case placement.Wake:
-			n.wakeAt = min(n.wakeAt, n.now+d.Seconds)
-		case placement.Log:
-			n.ask(WriteLog{d.Message})
+		if decision.Action == placement.GossipLoad {
+			host := hostID(n.endpoints.hosts[decision.Server].name)
+			gossip = append(gossip, peers.HostLoad{Host: host, Load: decision.Load})
+			continue
 		}
+		n.carryOut(decision)
 	}
-	if len(words) > 0 {
-		n.ask(SendGossip{words})
+	if len(gossip) > 0 {
+		n.emit(SendGossip{gossip})
 	}
 }
 
-// sweep frees the indices of flows for which nothing more can come.
-func (n *Node) sweep() {
-	for _, id := range n.touched {
-		if f := n.flows[id]; f != nil && n.module.Release(id) {
-			n.ids.end(f)
-			n.flows[id] = nil
-			n.free = append(n.free, id)
-		}
+// carryOut carries out one decision of the balancer.
+func (n *Node) carryOut(decision placement.Decision) {
+	switch decision.Action {
+	case placement.Connect:
+		n.startAttempt(n.flows.byIndex[decision.Flow], decision.Server, decision.Seconds)
+	case placement.Reject:
+		n.reject(n.flows.byIndex[decision.Flow], decision.Seconds)
+	case placement.Abort:
+		n.abort(n.flows.byIndex[decision.Flow])
+	case placement.Migrate:
+		n.migrate(n.flows.byIndex[decision.Flow], Migrated, placement.Canceled)
+	case placement.CheckHealth:
+		n.checkHealth(decision.Server)
+	case placement.WatchEndpoints:
+		n.watchEndpoints()
+	case placement.Wake:
+		n.timers.balancerWake = min(n.timers.balancerWake, n.now+decision.Seconds)
+	case placement.Log:
+		n.emit(WriteLog{decision.Message})
 	}
-	n.touched = n.touched[:0]
 }
 
-// Usage tells what the node still holds; nothing, once all its clients are gone.
-func (n *Node) Usage() (flows, conns, descriptors int) {
-	for _, f := range n.flows {
-		if f != nil {
-			flows++
-		}
+// wakeBalancer wakes the balancer at the time that it asked for.
+func (n *Node) wakeBalancer() {
+	if n.now < n.timers.balancerWake {
+		return
 	}
-	return flows, len(n.conns), n.used()
+	n.timers.balancerWake = math.Inf(1)
+	n.balancer.Woken(n.now)
+}
+
+// Usage returns how many flows, connections and descriptors the node still holds; none once all its clients are gone.
+func (n *Node) Usage() (flows, connections, descriptors int) {
+	return n.flows.count(), len(n.connections.byID), n.connections.used()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,51 +22,51 @@
 	{"name":"order","effect":"once","group":"all","give_up_us":2000000,"setup_target_us":300000},
 	{"name":"mail","effect":"by_key","group":"all","give_up_us":2000000,"memory_span_us":5000000}]}`
 
-// world stands in for all that is outside the core: it carries out effects and keeps what was written.
-type world struct {
+// harness stands in for all that is outside the core: it carries out effects and keeps what was written.
+type harness struct {
 	*testing.T
-	n         *Node
-	now       float64
-	reads     map[Conn][]byte
-	said      map[Conn]string
-	how       map[Conn]string // dialed, failed, shut, closed, reset
-	address   map[Conn]string
-	dials     []Conn // for flows
-	probes    []Conn
-	records   []Record
-	watches   []int64
-	mute      bool // the watch says nothing
-	unwatches int
-	besides   int           // calls made beside another
-	stalled   map[Conn]bool // writes to these are not taken
-	held      []WriteDone
-	accepts   Conn
-	exited    bool
-	answer    Reply
-	news      []HandoverUpdate
-	ready     int
-	passes    []SendConnection
-	owned     BindHostConnection
-	words     []peers.HostLoad
+	node            *Node
+	now             float64
+	pendingReads    map[Conn][]byte
+	written         map[Conn]string
+	state           map[Conn]string // dialed, failed, shut, closed, reset
+	dialedAddress   map[Conn]string
+	flowDials       []Conn // for flows
+	healthChecks    []Conn
+	records         []Record
+	watchIndices    []int64
+	watchSilent     bool // the watch says nothing
+	stoppedWatches  int
+	parallelWatches int           // calls made beside another
+	blocked         map[Conn]bool // writes to these are not taken
+	blockedWrites   []WriteDone
+	lastAccepted    Conn
+	exited          bool
+	reply           Reply
+	updates         []HandoverUpdate
+	openRequests    int
+	transfers       []SendConnection
+	boundHost       BindHostConnection
+	gossip          []peers.HostLoad
 
-	configured []SettingsApplied
-	relocated  []string
+	settingsResults []SettingsApplied
+	discoveryMoves  []string
 }
 
-func newWorld(t *testing.T, mode string, hosts, sockets int) *world {
-	return newWorldOf(t, settingsJSON, mode, hosts, sockets)
+func newHarness(t *testing.T, mode string, hosts, sockets int) *harness {
+	return newHarnessWith(t, settingsJSON, mode, hosts, sockets)
 }
 
-func newWorldOf(t *testing.T, settingsText, mode string, hosts, sockets int) *world {
+func newHarnessWith(t *testing.T, settingsText, mode string, hosts, sockets int) *harness {
 	r, d, err := settings.Parse(fmt.Appendf(nil, settingsText, mode), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{T: t, now: 1e9, reads: map[Conn][]byte{}, said: map[Conn]string{}, how: map[Conn]string{},
-		address: map[Conn]string{}, stalled: map[Conn]bool{}, accepts: 1}
-	w.n = New(w.now, Start{Settings: r, Listener: d, CachedList: endpoint.List{Index: 5, Complete: true}, MaxDescriptors: sockets})
-	w.do(TimerFired{})
-	w.do(ListReceived{hostList(hosts)})
+	w := &harness{T: t, now: 1e9, pendingReads: map[Conn][]byte{}, written: map[Conn]string{}, state: map[Conn]string{},
+		dialedAddress: map[Conn]string{}, blocked: map[Conn]bool{}, lastAccepted: 1}
+	w.node = New(w.now, Start{Settings: r, Listener: d, CachedList: endpoint.List{Index: 5, Complete: true}, MaxDescriptors: sockets})
+	w.apply(TimerFired{})
+	w.apply(ListReceived{hostList(hosts)})
 	return w
 }
 
@@ -81,176 +81,176 @@
 	return l
 }
 
-func (w *world) do(in Input) {
+func (w *harness) apply(in Input) {
 	w.Helper()
 	for todo := []Input{in}; len(todo) > 0; todo = todo[1:] {
-		for _, e := range w.n.Apply(w.now, todo[0]) {
+		for _, e := range w.node.Apply(w.now, todo[0]) {
 			switch e := e.(type) {
 			case Read:
-				if w.reads[e.Conn] != nil || w.how[e.Conn] == "closed" {
+				if w.pendingReads[e.Conn] != nil || w.state[e.Conn] == "closed" {
 					w.Fatal("a second read on a connection, or one on a closed connection")
 				}
-				w.reads[e.Conn] = e.Into
+				w.pendingReads[e.Conn] = e.Into
 			case Write:
-				if h := w.how[e.Conn]; h != "" {
+				if h := w.state[e.Conn]; h != "" {
 					w.Fatalf("wrote %q to a connection that is %s", e.Data, h)
 				}
-				if w.stalled[e.Conn] {
-					w.held = append(w.held, WriteDone{e.Conn, len(e.Data), false})
+				if w.blocked[e.Conn] {
+					w.blockedWrites = append(w.blockedWrites, WriteDone{e.Conn, len(e.Data), false})
 					continue
 				}
-				w.said[e.Conn] += string(e.Data)
+				w.written[e.Conn] += string(e.Data)
 				todo = append(todo, WriteDone{e.Conn, len(e.Data), false})
 			case Dial:
-				if c := w.n.conns[e.Conn]; c != nil && c.role == probe {
-					w.probes = append(w.probes, e.Conn)
+				if c := w.node.connections.byID[e.Conn]; c != nil && c.role == healthCheckRole {
+					w.healthChecks = append(w.healthChecks, e.Conn)
 				} else {
-					w.dials = append(w.dials, e.Conn)
+					w.flowDials = append(w.flowDials, e.Conn)
 				}
-				w.address[e.Conn] = e.Address
-				w.how[e.Conn] = "dialed"
+				w.dialedAddress[e.Conn] = e.Address
+				w.state[e.Conn] = "dialed"
 			case CloseWrite:
-				w.how[e.Conn] = "shut"
+				w.state[e.Conn] = "shut"
 			case Close:
-				if w.how[e.Conn] != "failed" {
+				if w.state[e.Conn] != "failed" {
 					todo = append(todo, Closed{e.Conn})
 				}
-				w.how[e.Conn] = "closed"
+				w.state[e.Conn] = "closed"
 				if e.Reset {
-					w.how[e.Conn] = "reset"
+					w.state[e.Conn] = "reset"
 				}
 			case Watch:
-				w.watches = append(w.watches, e.Index)
+				w.watchIndices = append(w.watchIndices, e.Index)
 				if e.Beside {
-					w.besides++
+					w.parallelWatches++
 				}
 			case StopWatch:
-				w.unwatches++
+				w.stoppedWatches++
 			case LogConnection:
 				w.records = append(w.records, e.Record)
 			case Exit:
 				w.exited = true
 			case Reply:
-				w.answer = e
+				w.reply = e
 			case UpdatePeerProcess:
-				w.news = append(w.news, e.Update)
+				w.updates = append(w.updates, e.Update)
 			case OpenListener:
-				w.ready++
+				w.openRequests++
 			case StopReading:
-				if w.reads[e.Conn] == nil {
+				if w.pendingReads[e.Conn] == nil {
 					w.Fatal("halted a connection that is not read")
 				}
-				delete(w.reads, e.Conn)
+				delete(w.pendingReads, e.Conn)
 				todo = append(todo, ReadDone{e.Conn, 0, Open})
 			case SendConnection:
-				w.passes = append(w.passes, e)
+				w.transfers = append(w.transfers, e)
 			case BindHostConnection:
-				w.owned = e
+				w.boundHost = e
 			case SendGossip:
-				w.words = append(w.words, e.Loads...)
+				w.gossip = append(w.gossip, e.Loads...)
 			case SettingsApplied:
-				w.configured = append(w.configured, e)
+				w.settingsResults = append(w.settingsResults, e)
 			case MoveDiscovery:
-				w.relocated = append(w.relocated, e.Address)
+				w.discoveryMoves = append(w.discoveryMoves, e.Address)
 			}
 		}
 	}
 }
 
-// say has the far side send text, in as many reads as its ring needs, and then what end says.
-func (w *world) say(c Conn, text string, end End) {
+// receive has the far side send text, in as many reads as its ring needs, and then what end says.
+func (w *harness) receive(c Conn, text string, end End) {
 	w.Helper()
 	for first := true; first || text != ""; first = false {
-		into := w.reads[c]
-		if h := w.how[c]; into == nil && !first && h != "" && h != "dialed" {
+		into := w.pendingReads[c]
+		if h := w.state[c]; into == nil && !first && h != "" && h != "dialed" {
 			return // what it said was enough
 		}
 		if into == nil {
-			w.Fatalf("nobody reads %.60q on connection %d, which is %q", text, c, w.how[c])
+			w.Fatalf("nobody reads %.60q on connection %d, which is %q", text, c, w.state[c])
 		}
-		delete(w.reads, c)
+		delete(w.pendingReads, c)
 		n := copy(into, text)
 		if text = text[n:]; text != "" {
-			w.do(ReadDone{c, n, Open})
+			w.apply(ReadDone{c, n, Open})
 		} else {
-			w.do(ReadDone{c, n, end})
+			w.apply(ReadDone{c, n, end})
 		}
 	}
 }
 
-// refuse has a dial fail.
-func refuse(w *world, h Conn) {
-	w.how[h] = "failed"
-	w.do(Dialed{h, errors.New("refused"), false})
+// failDial has a dial fail.
+func failDial(w *harness, h Conn) {
+	w.state[h] = "failed"
+	w.apply(Dialed{h, errors.New("refused"), false})
 }
 
-func (w *world) accept() Conn {
-	w.accepts += 2
-	w.do(Accepted{w.accepts})
-	return w.accepts
+func (w *harness) accept() Conn {
+	w.lastAccepted += 2
+	w.apply(Accepted{w.lastAccepted})
+	return w.lastAccepted
 }
 
-// come has a client send its first line.
-func (w *world) come(what string) Conn {
+// openFlow has a client send its first line.
+func (w *harness) openFlow(what string) Conn {
 	w.Helper()
 	c := w.accept()
-	w.say(c, fmt.Sprintf("OPEN %x %s\r\n", 0x1000+c, what), Open)
+	w.receive(c, fmt.Sprintf("OPEN %x %s\r\n", 0x1000+c, what), Open)
 	return c
 }
 
-// up has the last dial succeed and gives its connection.
-func (w *world) up() Conn {
+// completeLastDial has the last dial succeed and gives its connection.
+func (w *harness) completeLastDial() Conn {
 	w.Helper()
-	if len(w.dials) == 0 {
+	if len(w.flowDials) == 0 {
 		w.Fatal("nothing was dialed")
 	}
-	return w.dialed(w.dials[len(w.dials)-1])
+	return w.completeDial(w.flowDials[len(w.flowDials)-1])
 }
 
-func (w *world) dialed(h Conn) Conn {
+func (w *harness) completeDial(h Conn) Conn {
 	w.Helper()
-	w.how[h] = ""
-	w.do(Dialed{h, nil, false})
+	w.state[h] = ""
+	w.apply(Dialed{h, nil, false})
 	return h
 }
 
-// established gives a client and its host after the receipt.
-func (w *world) established(what string) (client, host Conn) {
+// establish gives a client and its host after the receipt.
+func (w *harness) establish(what string) (client, host Conn) {
 	w.Helper()
-	client = w.come(what)
-	host = w.up()
-	w.say(host, "UP 77\r\n", Open)
-	if w.said[client] != "UP 77\r\n" {
-		w.Fatalf("the client was told %q", w.said[client])
+	client = w.openFlow(what)
+	host = w.completeLastDial()
+	w.receive(host, "UP 77\r\n", Open)
+	if w.written[client] != "UP 77\r\n" {
+		w.Fatalf("the client was told %q", w.written[client])
 	}
 	return client, host
 }
 
-// pass lets time go by, with a tick as often as the core could ask for one.
+// advance lets time go by, with a tick as often as the core could ask for one.
 // pass lets time go by, in which the watch says something now and then.
-func (w *world) pass(seconds float64) {
-	for end := w.now + seconds; w.now < end; w.do(TimerFired{}) {
+func (w *harness) advance(seconds float64) {
+	for end := w.now + seconds; w.now < end; w.apply(TimerFired{}) {
 		w.now += 0.01
-		if !w.mute && w.n.watch.state != unwatched && w.now-w.n.watch.word >= 2 {
-			w.do(WatchAlive{})
+		if !w.watchSilent && w.node.watch.state != watchIdle && w.now-w.node.watch.lastActivity >= 2 {
+			w.apply(WatchAlive{})
 		}
 	}
 }
 
-func (w *world) ended() (reasons []Reason) {
+func (w *harness) endReasons() (reasons []Reason) {
 	for _, r := range w.records {
 		reasons = append(reasons, r.Reason)
 	}
 	return reasons
 }
 
-// nothingLeft checks that no trace of ended connections is kept.
-func (w *world) nothingLeft() {
+// checkReleased checks that no trace of ended connections is kept.
+func (w *harness) checkReleased() {
 	w.Helper()
-	w.pass(lingering + 5)
-	if len(w.n.conns) != 0 || w.n.descriptors != 0 || slices.ContainsFunc(w.n.flows,
+	w.advance(lingerTimeout + 5)
+	if len(w.node.connections.byID) != 0 || w.node.connections.descriptors != 0 || slices.ContainsFunc(w.node.flows.byIndex,
 		func(f *flow) bool { return f != nil }) {
-		w.Fatalf("left: %d connections, %d descriptors, flows %v", len(w.n.conns), w.n.descriptors, w.n.flows)
+		w.Fatalf("left: %d connections, %d descriptors, flows %v", len(w.node.connections.byID), w.node.connections.descriptors, w.node.flows.byIndex)
 	}
 }
 
@@ -258,12 +258,12 @@
 
 // Each way in which a connect can end, and whether a once-only flow may go to another host after it.
 func TestOutcomes(t *testing.T) {
-	text := func(s string, end End) func(*world, Conn) {
-		return func(w *world, h Conn) { w.up(); w.say(h, s, end) }
+	text := func(s string, end End) func(*harness, Conn) {
+		return func(w *harness, h Conn) { w.completeLastDial(); w.receive(h, s, end) }
 	}
 	cases := []struct {
 		name  string
-		event func(*world, Conn)
+		event func(*harness, Conn)
 		again bool // it never ran: a further connect
 		says  string
 	}{
@@ -276,51 +276,51 @@
 		{"not understood", text("SYNTAX\r\n", Ended), false, "ERR\r\n"},
 		{"odd", text("\x00\xff\r\n", Open), false, "ERR\r\n"},
 		{"over-long", text(strings.Repeat("x", 5000), Open), false, "ERR\r\n"},
-		{"refused", refuse, true, ""},
-		{"the node itself lacks a descriptor", func(w *world, h Conn) {
-			w.how[h] = "failed"
-			if w.do(Dialed{h, errors.New("too many"), true}); w.n.module.Release(0) {
+		{"refused", failDial, true, ""},
+		{"the node itself lacks a descriptor", func(w *harness, h Conn) {
+			w.state[h] = "failed"
+			if w.apply(Dialed{h, errors.New("too many"), true}); w.node.balancer.Release(0) {
 				w.Fatal("the flow is over")
 			}
 		}, true, ""},
-		{"never comes up", func(w *world, h Conn) { w.pass(0.3); w.do(TimerFired{}); refuse(w, h) }, true, ""},
-		{"broken before the last byte", func(w *world, h Conn) {
-			w.stalled[h] = true
-			w.up()
-			w.do(WriteDone{h, 7, true})
-			w.say(h, "", Broken)
+		{"never comes up", func(w *harness, h Conn) { w.advance(0.3); w.apply(TimerFired{}); failDial(w, h) }, true, ""},
+		{"broken before the last byte", func(w *harness, h Conn) {
+			w.blocked[h] = true
+			w.completeLastDial()
+			w.apply(WriteDone{h, 7, true})
+			w.receive(h, "", Broken)
 		}, true, ""},
 		{"broken after the last byte", text("", Broken), false, "ERR\r\n"},
 		{"ended after the last byte", text("", Ended), false, "ERR\r\n"},
 		{"half an answer", text("UP 9", Ended), false, "ERR\r\n"},
-		{"nothing", func(w *world, h Conn) { w.up(); w.pass(2) }, false, "ERR\r\n"},
-		{"a byte at a time that never ends", func(w *world, h Conn) {
-			w.up()
+		{"nothing", func(w *harness, h Conn) { w.completeLastDial(); w.advance(2) }, false, "ERR\r\n"},
+		{"a byte at a time that never ends", func(w *harness, h Conn) {
+			w.completeLastDial()
 			for range 25 {
-				if w.pass(0.1); w.reads[h] != nil {
-					w.say(h, "x", Open)
+				if w.advance(0.1); w.pendingReads[h] != nil {
+					w.receive(h, "x", Open)
 				}
 			}
 		}, false, "ERR\r\n"},
-		{"nothing, and not even the line was taken", func(w *world, h Conn) {
-			w.stalled[h] = true
-			w.up()
-			w.pass(1.995)
+		{"nothing, and not even the line was taken", func(w *harness, h Conn) {
+			w.blocked[h] = true
+			w.completeLastDial()
+			w.advance(1.995)
 		}, false, "BUSY "},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, "proxy", 4, 100)
-			client := w.come(order)
-			c.event(w, w.dials[0])
-			if again := len(w.dials) > 1; again != c.again {
-				t.Fatalf("a further connect %v, wanted %v; the client was told %q", again, c.again, w.said[client])
+			w := newHarness(t, "proxy", 4, 100)
+			client := w.openFlow(order)
+			c.event(w, w.flowDials[0])
+			if again := len(w.flowDials) > 1; again != c.again {
+				t.Fatalf("a further connect %v, wanted %v; the client was told %q", again, c.again, w.written[client])
 			}
-			if got := w.said[client]; got != c.says && (c.says != "BUSY " || !strings.HasPrefix(got, c.says)) {
+			if got := w.written[client]; got != c.says && (c.says != "BUSY " || !strings.HasPrefix(got, c.says)) {
 				t.Fatalf("the client was told %q, wanted %q", got, c.says)
 			}
-			if c.again && w.how[w.dials[0]] != "closed" && w.how[w.dials[0]] != "reset" {
-				t.Fatalf("two connects are out: the first is %q", w.how[w.dials[0]])
+			if c.again && w.state[w.flowDials[0]] != "closed" && w.state[w.flowDials[0]] != "reset" {
+				t.Fatalf("two connects are out: the first is %q", w.state[w.flowDials[0]])
 			}
 		})
 	}
@@ -328,24 +328,24 @@
 
 // The primary is entry CA mod n of the list by id, with the numbers that names and keys stand for.
 func TestNumbers(t *testing.T) {
-	w := newWorld(t, "pass", 7, 1000)
+	w := newHarness(t, "pass", 7, 1000)
 	for _, key := range []uint64{1, 0xa1, 0x7f3a9c21e0b4d655, 0x0008cb70f96f9305} {
-		w.come(fmt.Sprintf("%016x c=chat,t=acme,d=2000", key))
+		w.openFlow(fmt.Sprintf("%016x c=chat,t=acme,d=2000", key))
 		var be [8]byte
 		for i := range be {
 			be[i] = byte(key >> (56 - 8*i))
 		}
 		want := fmt.Sprint("h", xxhash.Sum64(be[:])%7)
-		if got := w.address[w.dials[len(w.dials)-1]]; got != want {
+		if got := w.dialedAddress[w.flowDials[len(w.flowDials)-1]]; got != want {
 			t.Errorf("key %x went to %s, wanted %s", key, got, want)
 		}
 	}
 	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "a-b-00000010": 16, "ff": 255} {
-		if got := number(name); got != want {
+		if got := hostID(name); got != want {
 			t.Errorf("%s is %x", name, got)
 		}
 	}
-	if number("relay-one") == number("relay-two") {
+	if hostID("relay-one") == hostID("relay-two") {
 		t.Error("names that hold no number are alike")
 	}
 }
@@ -360,96 +360,96 @@
 	}{
 		{"another word", "HELLO\r\n", Open, "ERR\r\n", BadLine},
 		{"binary", "\x00\x01\xfe\n", Open, "ERR\r\n", BadLine},
-		{"over-long", strings.Repeat("x", 9000), Open, "ERR\r\n", ClientOdd},
+		{"over-long", strings.Repeat("x", 9000), Open, "ERR\r\n", ClientProtocolError},
 		{"over-long with an end", "OPEN 1 a1 c=chat,d=5,x=" + strings.Repeat("x", 4090) + "\r\n", Open, "ERR\r\n",
-			ClientOdd},
+			ClientProtocolError},
 		{"no timeout", "OPEN 1 a1 c=chat,t=acme\r\n", Open, "ERR\r\n", NoTimeout},
 		{"unknown service type", "OPEN 1 a1 c=else,t=acme,d=5\r\n", Open, "ERR\r\n", UnknownType},
 		{"open at an unknown host", "OPEN 1 a1 c=chat,t=acme,d=5,at=s-1\r\n", Open, "BUSY\r\n", UnknownHost},
 		{"many first lines at once", strings.Repeat("OPEN 1 a1 c=chat,t=acme,d=5\r\n", 200), Open, "ERR\r\n",
-			ClientOdd},
+			ClientProtocolError},
 		{"many questions at once", strings.Repeat("PING\r\n", 400), Open,
-			strings.Repeat("PONG\r\n", 11) + "ERR\r\n", ClientOdd},
-		{"ready", "PING\r\nPING\r\n", Ended, "PONG\r\nPONG\r\n", Checked},
-		{"reset after the check", "PING\r\n", Broken, "PONG\r\n", Checked},
+			strings.Repeat("PONG\r\n", 11) + "ERR\r\n", ClientProtocolError},
+		{"ready", "PING\r\nPING\r\n", Ended, "PONG\r\nPONG\r\n", ReadinessChecked},
+		{"reset after the check", "PING\r\n", Broken, "PONG\r\n", ReadinessChecked},
 		{"ended with nothing said", "", Ended, "", NoLine},
 		{"half a line", "OPEN 1", Ended, "", NoLine},
 		{"reset with nothing said", "", Broken, "", ClientReset},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, "proxy", 2, 100)
+			w := newHarness(t, "proxy", 2, 100)
 			conn := w.accept()
-			w.say(conn, c.text, c.end)
-			if w.said[conn] != c.says || len(w.dials) > 0 {
-				t.Fatalf("told %q with %d dials, wanted %q", w.said[conn], len(w.dials), c.says)
+			w.receive(conn, c.text, c.end)
+			if w.written[conn] != c.says || len(w.flowDials) > 0 {
+				t.Fatalf("told %q with %d dials, wanted %q", w.written[conn], len(w.flowDials), c.says)
 			}
-			w.nothingLeft()
-			if got := w.ended(); len(got) != 1 || got[0] != c.reason {
+			w.checkReleased()
+			if got := w.endReasons(); len(got) != 1 || got[0] != c.reason {
 				t.Fatalf("reasons %v, wanted %s", got, c.reason)
 			}
 		})
 	}
-	for text, reason := range map[string]Reason{"": NoLine, "OPEN 1 a1": NoLine, "PING\r\n": Checked} {
+	for text, reason := range map[string]Reason{"": NoLine, "OPEN 1 a1": NoLine, "PING\r\n": ReadinessChecked} {
 		t.Run("no line in time after "+text, func(t *testing.T) {
-			w := newWorld(t, "proxy", 2, 100)
+			w := newHarness(t, "proxy", 2, 100)
 			c := w.accept()
-			w.say(c, text, Open)
-			if w.pass(1); len(w.records) != 0 || w.how[c] != "" {
+			w.receive(c, text, Open)
+			if w.advance(1); len(w.records) != 0 || w.state[c] != "" {
 				t.Fatal("ended too soon")
 			}
-			w.pass(1.5) // within the three seconds in which an end is owed
-			if !strings.HasSuffix(w.said[c], "BUSY\r\n") || w.how[c] != "shut" {
-				t.Fatalf("told %q, and the client's side is %q", w.said[c], w.how[c])
+			w.advance(1.5) // within the three seconds in which an end is owed
+			if !strings.HasSuffix(w.written[c], "BUSY\r\n") || w.state[c] != "shut" {
+				t.Fatalf("told %q, and the client's side is %q", w.written[c], w.state[c])
 			}
-			w.say(c, "OPEN 2 a1 c=chat,t=acme,d=500\r\n", Open) // in the moment of the end, which it has not seen yet
-			if len(w.dials) > 0 || len(w.n.flows) > 0 {
+			w.receive(c, "OPEN 2 a1 c=chat,t=acme,d=500\r\n", Open) // in the moment of the end, which it has not seen yet
+			if len(w.flowDials) > 0 || len(w.node.flows.byIndex) > 0 {
 				t.Fatal("what came after the end was taken for a flow")
 			}
-			w.pass(1)
-			if got := w.ended(); len(got) != 1 || got[0] != reason {
+			w.advance(1)
+			if got := w.endReasons(); len(got) != 1 || got[0] != reason {
 				t.Fatalf("reasons %v", got)
 			}
 		})
 	}
 	t.Run("much after the last words", func(t *testing.T) {
-		w := newWorld(t, "proxy", 2, 100)
+		w := newHarness(t, "proxy", 2, 100)
 		c := w.accept()
-		w.say(c, "HELLO\r\n", Open)
-		if w.say(c, strings.Repeat("x", 60000), Open); w.how[c] != "reset" {
-			t.Fatalf("the client's side is %q", w.how[c])
+		w.receive(c, "HELLO\r\n", Open)
+		if w.receive(c, strings.Repeat("x", 60000), Open); w.state[c] != "reset" {
+			t.Fatalf("the client's side is %q", w.state[c])
 		}
-		w.nothingLeft()
+		w.checkReleased()
 	})
 	t.Run("much before the answer", func(t *testing.T) {
-		w := newWorld(t, "proxy", 2, 100)
-		c := w.come(chat)
-		h := w.up()
-		w.say(c, strings.Repeat("x", ringSize), Open)
-		if w.how[h] != "closed" || w.said[c] != "ERR\r\n" {
-			t.Fatalf("the host's side is %q, the client was told %q", w.how[h], w.said[c])
+		w := newHarness(t, "proxy", 2, 100)
+		c := w.openFlow(chat)
+		h := w.completeLastDial()
+		w.receive(c, strings.Repeat("x", bufferSize), Open)
+		if w.state[h] != "closed" || w.written[c] != "ERR\r\n" {
+			t.Fatalf("the host's side is %q, the client was told %q", w.state[h], w.written[c])
 		}
-		w.nothingLeft()
+		w.checkReleased()
 	})
 	t.Run("an unknown member is served", func(t *testing.T) {
-		w := newWorld(t, "proxy", 2, 100)
-		w.established("a1 c=chat,t=nobody,d=2000")
+		w := newHarness(t, "proxy", 2, 100)
+		w.establish("a1 c=chat,t=nobody,d=2000")
 	})
 }
 
 // A first line goes on unchanged but for the time; the way to a further host says how long that one has.
 func TestLineToHost(t *testing.T) {
-	w := newWorld(t, "proxy", 3, 100)
-	w.come(chat + ",g=5c,r=1,zz=1")
-	h := w.up()
-	if want := "OPEN 1003 a1 c=chat,t=acme,d=993,g=5c,r=1,zz=1\r\n"; !strings.HasPrefix(w.said[h],
+	w := newHarness(t, "proxy", 3, 100)
+	w.openFlow(chat + ",g=5c,r=1,zz=1")
+	h := w.completeLastDial()
+	if want := "OPEN 1003 a1 c=chat,t=acme,d=993,g=5c,r=1,zz=1\r\n"; !strings.HasPrefix(w.written[h],
 		"OPEN 1003 a1 c=chat,t=acme,d=99") ||
-		len(w.said[h]) != len(want) || !strings.HasSuffix(w.said[h], ",g=5c,r=1,zz=1\r\n") {
-		t.Fatalf("the host was told %q", w.said[h])
+		len(w.written[h]) != len(want) || !strings.HasSuffix(w.written[h], ",g=5c,r=1,zz=1\r\n") {
+		t.Fatalf("the host was told %q", w.written[h])
 	}
-	w.pass(1.2)
-	if second := w.up(); second == h || w.how[h] != "closed" || w.address[second] == w.address[h] {
-		t.Fatalf("a silent host is given up for another: %v, first %s", w.dials, w.how[h])
+	w.advance(1.2)
+	if second := w.completeLastDial(); second == h || w.state[h] != "closed" || w.dialedAddress[second] == w.dialedAddress[h] {
+		t.Fatalf("a silent host is given up for another: %v, first %s", w.flowDials, w.state[h])
 	}
 }
 
@@ -458,87 +458,87 @@
 	long := strings.Repeat("z", 4000) + "\r\n"
 	cases := []struct {
 		name     string
-		do       func(w *world, c, h Conn)
+		do       func(w *harness, c, h Conn)
 		toClient string // after the receipt
 		toHost   string // after the first line
 		c, h     string // how each side's connection ends
 		reason   Reason
 	}{
-		{"served", func(w *world, c, h Conn) { w.say(c, "M 1\r\n", Open); w.say(h, "M 1\r\nBYE\r\n", Ended) },
+		{"served", func(w *harness, c, h Conn) { w.receive(c, "M 1\r\n", Open); w.receive(h, "M 1\r\nBYE\r\n", Ended) },
 			"M 1\r\nBYE\r\n", "M 1\r\n", "shut", "closed", Served},
-		{"sent away by its host", func(w *world, c, h Conn) { w.say(h, "MOVE\r\n", Ended) },
-			"MOVE\r\n", "", "shut", "closed", SentAway},
-		{"host resets", func(w *world, c, h Conn) { w.say(h, "M 2\r\nM", Broken) }, "M 2\r\n", "", "reset",
+		{"sent away by its host", func(w *harness, c, h Conn) { w.receive(h, "MOVE\r\n", Ended) },
+			"MOVE\r\n", "", "shut", "closed", MigratedByHost},
+		{"host resets", func(w *harness, c, h Conn) { w.receive(h, "M 2\r\nM", Broken) }, "M 2\r\n", "", "reset",
 			"closed", HostReset},
-		{"host ends without a word", func(w *world, c, h Conn) { w.say(h, "", Ended) }, "", "", "shut", "closed",
+		{"host ends without a word", func(w *harness, c, h Conn) { w.receive(h, "", Ended) }, "", "", "shut", "closed",
 			HostEnded},
-		{"host says bye but stays", func(w *world, c, h Conn) { w.say(h, "BYE\r\n", Open); w.pass(1.01) },
+		{"host says bye but stays", func(w *harness, c, h Conn) { w.receive(h, "BYE\r\n", Open); w.advance(1.01) },
 			"BYE\r\n", "", "shut", "closed", Served},
-		{"client ends, host answers", func(w *world, c, h Conn) {
-			w.say(c, "M 1\r\n", Ended)
-			if w.how[h] != "shut" {
-				w.Fatalf("the host's side is %q", w.how[h])
+		{"client ends, host answers", func(w *harness, c, h Conn) {
+			w.receive(c, "M 1\r\n", Ended)
+			if w.state[h] != "shut" {
+				w.Fatalf("the host's side is %q", w.state[h])
 			}
-			w.say(h, "M 1\r\n", Open)
-			w.say(h, "BYE\r\n", Ended)
+			w.receive(h, "M 1\r\n", Open)
+			w.receive(h, "BYE\r\n", Ended)
 		}, "M 1\r\nBYE\r\n", "M 1\r\n", "closed", "closed", ClientEnded},
-		{"client ends, host does not", func(w *world, c, h Conn) { w.say(c, "", Ended); w.pass(endWait + 0.1) },
+		{"client ends, host does not", func(w *harness, c, h Conn) { w.receive(c, "", Ended); w.advance(hostEndTimeout + 0.1) },
 			"", "", "closed", "closed", ClientEnded},
-		{"client resets", func(w *world, c, h Conn) { w.say(c, "", Broken) }, "", "", "closed", "reset",
+		{"client resets", func(w *harness, c, h Conn) { w.receive(c, "", Broken) }, "", "", "closed", "reset",
 			ClientReset},
-		{"joined and partial lines", func(w *world, c, h Conn) {
-			w.say(c, "A\r\nB\r\nC", Open)
-			w.say(c, "D\r\n", Open)
-			w.say(h, "LOAD 5\r\nX", Open)
-			w.say(h, "Y\r\nBYE\r\n", Ended)
+		{"joined and partial lines", func(w *harness, c, h Conn) {
+			w.receive(c, "A\r\nB\r\nC", Open)
+			w.receive(c, "D\r\n", Open)
+			w.receive(h, "LOAD 5\r\nX", Open)
+			w.receive(h, "Y\r\nBYE\r\n", Ended)
 		}, "LOAD 5\r\nXY\r\nBYE\r\n", "A\r\nB\r\nCD\r\n", "shut", "closed", Served},
-		{"more than a ring holds", func(w *world, c, h Conn) {
+		{"more than a ring holds", func(w *harness, c, h Conn) {
 			for range 5 {
-				w.say(c, long, Open)
-				w.say(h, long, Open)
+				w.receive(c, long, Open)
+				w.receive(h, long, Open)
 			}
-			w.say(h, "BYE\r\n", Ended)
+			w.receive(h, "BYE\r\n", Ended)
 		}, strings.Repeat(long, 5) + "BYE\r\n", strings.Repeat(long, 5), "shut", "closed", Served},
-		{"over-long from the client", func(w *world, c, h Conn) { w.say(c, strings.Repeat("q", 4097), Open) },
-			"", "", "shut", "reset", ClientOdd},
-		{"over-long from the host", func(w *world, c, h Conn) { w.say(h, strings.Repeat("q", 4097), Open) },
-			"", "", "shut", "reset", HostOdd},
-		{"host is silent while a line waits", func(w *world, c, h Conn) {
-			w.say(c, "M 1\r\n",
+		{"over-long from the client", func(w *harness, c, h Conn) { w.receive(c, strings.Repeat("q", 4097), Open) },
+			"", "", "shut", "reset", ClientProtocolError},
+		{"over-long from the host", func(w *harness, c, h Conn) { w.receive(h, strings.Repeat("q", 4097), Open) },
+			"", "", "shut", "reset", HostProtocolError},
+		{"host is silent while a line waits", func(w *harness, c, h Conn) {
+			w.receive(c, "M 1\r\n",
 				Open)
-			w.pass(quietAfter + doubtFor + 0.1)
+			w.advance(suspectAfter + confirmTimeout + 0.1)
 		},
 			"MOVE\r\n", "M 1\r\n", "shut", "closed", HostSilent},
-		{"host is silent in the midst of a line", func(w *world, c, h Conn) {
-			w.say(c, "M 1\r\n", Open)
-			w.pass(0.1)
-			w.say(h, "M", Open)
-			w.pass(silentAfter + doubtFor + 0.1)
+		{"host is silent in the midst of a line", func(w *harness, c, h Conn) {
+			w.receive(c, "M 1\r\n", Open)
+			w.advance(0.1)
+			w.receive(h, "M", Open)
+			w.advance(connectionSilentAfter + confirmTimeout + 0.1)
 		}, "MOVE\r\n", "M 1\r\n", "shut", "closed", HostSilent},
-		{"writes to the client fail", func(w *world, c, h Conn) {
-			w.stalled[c] = true
-			w.say(h, "M 1\r\n", Open)
-			w.do(WriteDone{c, 0, true})
-			w.pass(failedWait + 0.05)
+		{"writes to the client fail", func(w *harness, c, h Conn) {
+			w.blocked[c] = true
+			w.receive(h, "M 1\r\n", Open)
+			w.apply(WriteDone{c, 0, true})
+			w.advance(failedWriteGrace + 0.05)
 		}, "", "", "closed", "reset", ClientReset},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, "proxy", 3, 100)
-			client, host := w.established(chat)
-			first := w.said[host]
+			w := newHarness(t, "proxy", 3, 100)
+			client, host := w.establish(chat)
+			first := w.written[host]
 			c.do(w, client, host)
-			if got := strings.TrimPrefix(w.said[client], "UP 77\r\n"); got != c.toClient {
+			if got := strings.TrimPrefix(w.written[client], "UP 77\r\n"); got != c.toClient {
 				t.Errorf("the client got %.60q, wanted %.60q", got, c.toClient)
 			}
-			if got := strings.TrimPrefix(w.said[host], first); got != c.toHost {
+			if got := strings.TrimPrefix(w.written[host], first); got != c.toHost {
 				t.Errorf("the host got %.60q, wanted %.60q", got, c.toHost)
 			}
-			if w.how[client] != c.c || w.how[host] != c.h {
-				t.Errorf("client's side %q, host's side %q, wanted %q and %q", w.how[client], w.how[host], c.c, c.h)
+			if w.state[client] != c.c || w.state[host] != c.h {
+				t.Errorf("client's side %q, host's side %q, wanted %q and %q", w.state[client], w.state[host], c.c, c.h)
 			}
-			w.nothingLeft()
-			if got := w.ended(); len(got) != 1 || got[0] != c.reason {
+			w.checkReleased()
+			if got := w.endReasons(); len(got) != 1 || got[0] != c.reason {
 				t.Errorf("reasons %v, wanted %s", got, c.reason)
 			}
 		})
@@ -550,50 +550,50 @@
 func TestSilentHost(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		meet    func(w *world, client, host, other, same Conn)
+		meet    func(w *harness, client, host, other, same Conn)
 		reasons []Reason
 	}{
-		{"it answers a probe", func(w *world, client, _, _, _ Conn) {
-			for end := w.now + 1; w.now < end; w.pass(0.01) {
-				for _, p := range w.probes {
-					if w.how[p] == "dialed" {
-						w.say(w.dialed(p), "PONG\r\n", Open)
+		{"it answers a probe", func(w *harness, client, _, _, _ Conn) {
+			for end := w.now + 1; w.now < end; w.advance(0.01) {
+				for _, p := range w.healthChecks {
+					if w.state[p] == "dialed" {
+						w.receive(w.completeDial(p), "PONG\r\n", Open)
 					}
 				}
 			}
 		}, nil},
-		{"gone", func(w *world, client, _, _, _ Conn) { w.pass(1) }, []Reason{HostSilent, HostSilent}},
-		{"the node was held up", func(w *world, client, host, _, _ Conn) {
+		{"gone", func(w *harness, client, _, _, _ Conn) { w.advance(1) }, []Reason{HostSilent, HostSilent}},
+		{"the node was held up", func(w *harness, client, host, _, _ Conn) {
 			w.now += 2
-			w.do(TimerFired{})
-			w.say(host, "LOAD 9\r\n", Open)
-			w.pass(0.2)
+			w.apply(TimerFired{})
+			w.receive(host, "LOAD 9\r\n", Open)
+			w.advance(0.2)
 		}, nil},
-		{"one line waits", func(w *world, client, _, other, same Conn) {
-			for end := w.now + silentAfter; w.now < end; w.pass(quietAfter - 0.1) {
+		{"one line waits", func(w *harness, client, _, other, same Conn) {
+			for end := w.now + connectionSilentAfter; w.now < end; w.advance(suspectAfter - 0.1) {
 				if len(w.records) > 0 {
-					w.Fatalf("ended too soon: %v", w.ended())
+					w.Fatalf("ended too soon: %v", w.endReasons())
 				}
-				w.say(other, "M\r\n", Open)
-				w.say(same, "M\r\n", Open)
+				w.receive(other, "M\r\n", Open)
+				w.receive(same, "M\r\n", Open)
 			}
-			w.pass(quietAfter)
+			w.advance(suspectAfter)
 		}, []Reason{HostSilent}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, "proxy", 1, 100)
-			client, host := w.established(chat)
-			other, same := w.established("a2 c=chat,t=acme,d=2000")
-			w.pass(0.1)
-			w.say(client, "M\r\n", Open)
+			w := newHarness(t, "proxy", 1, 100)
+			client, host := w.establish(chat)
+			other, same := w.establish("a2 c=chat,t=acme,d=2000")
+			w.advance(0.1)
+			w.receive(client, "M\r\n", Open)
 			c.meet(w, client, host, other, same)
 			for i, to := range []Conn{client, other} {
-				if moved := strings.HasSuffix(w.said[to], "MOVE\r\n"); moved != (i < len(c.reasons)) {
-					t.Errorf("told %q", w.said[to])
+				if moved := strings.HasSuffix(w.written[to], "MOVE\r\n"); moved != (i < len(c.reasons)) {
+					t.Errorf("told %q", w.written[to])
 				}
 			}
-			if w.pass(lingering + 0.1); !slices.Equal(w.ended(), c.reasons) {
-				t.Errorf("reasons %v, wanted %v", w.ended(), c.reasons)
+			if w.advance(lingerTimeout + 0.1); !slices.Equal(w.endReasons(), c.reasons) {
+				t.Errorf("reasons %v, wanted %v", w.endReasons(), c.reasons)
 			}
 		})
 	}
@@ -602,12 +602,12 @@
 // A stream that its host ends in good order is no sign of a jam there; one that breaks is.
 func TestEndIsNoJam(t *testing.T) {
 	for end, again := range map[End]bool{Ended: true, Broken: false} {
-		w := newWorld(t, "proxy", 1, 100)
-		_, host := w.established(chat)
-		w.say(host, "", end)
-		w.pass(0.1)
-		if w.come(chat); (len(w.dials) == 2) != again {
-			t.Errorf("end %d: %d dials", end, len(w.dials))
+		w := newHarness(t, "proxy", 1, 100)
+		_, host := w.establish(chat)
+		w.receive(host, "", end)
+		w.advance(0.1)
+		if w.openFlow(chat); (len(w.flowDials) == 2) != again {
+			t.Errorf("end %d: %d dials", end, len(w.flowDials))
 		}
 	}
 }
@@ -630,13 +630,13 @@
 		{"no loads are told", true, false, "LOAD 35090.7\r\n", true},
 		{"a small load before any other", true, true, "LOAD 1431.5\r\n", false},
 	} {
-		w := newWorld(t, "proxy", 1, 100)
-		w.n.door.ReportsDelay, w.n.door.ReportsLoad = c.delays, c.loads
-		_, host := w.established(chat)
-		w.say(host, c.notes, Open)
-		w.pass(0.1)
-		if w.come(chat); (len(w.dials) == 1) != c.jammed {
-			t.Errorf("%s: %d dials", c.name, len(w.dials))
+		w := newHarness(t, "proxy", 1, 100)
+		w.node.listener.ReportsDelay, w.node.listener.ReportsLoad = c.delays, c.loads
+		_, host := w.establish(chat)
+		w.receive(host, c.notes, Open)
+		w.advance(0.1)
+		if w.openFlow(chat); (len(w.flowDials) == 1) != c.jammed {
+			t.Errorf("%s: %d dials", c.name, len(w.flowDials))
 		}
 	}
 }
@@ -645,18 +645,18 @@
 // a node that was stopped, or has too little CPU, taking sound hosts for jammed.
 func TestOwnLateness(t *testing.T) {
 	for _, heldUp := range []bool{false, true} {
-		w := newWorld(t, "proxy", 1, 100)
-		client, host := w.established(chat)
-		w.say(client, "M\r\n", Open)
+		w := newHarness(t, "proxy", 1, 100)
+		client, host := w.establish(chat)
+		w.receive(client, "M\r\n", Open)
 		if heldUp {
 			w.now += 0.5
 		} else {
-			w.pass(0.5)
+			w.advance(0.5)
 		}
-		w.say(host, "M\r\n", Open)
-		w.pass(0.1)
-		if w.come(chat); (len(w.dials) == 1) == heldUp { // the one of before: a jammed host takes nothing new
-			t.Errorf("held up %v: %d dials", heldUp, len(w.dials))
+		w.receive(host, "M\r\n", Open)
+		w.advance(0.1)
+		if w.openFlow(chat); (len(w.flowDials) == 1) == heldUp { // the one of before: a jammed host takes nothing new
+			t.Errorf("held up %v: %d dials", heldUp, len(w.flowDials))
 		}
 	}
 }
@@ -664,16 +664,16 @@
 // A client that is gone before its answer: nothing is left out for it.
 func TestClientLeaves(t *testing.T) {
 	for _, end := range []End{Ended, Broken} {
-		w := newWorld(t, "proxy", 3, 100)
-		client := w.come(order)
-		host := w.up()
-		w.say(client, "", end)
-		if w.how[host] != "closed" || w.said[client] != "" || len(w.dials) != 1 {
-			t.Fatalf("the host's side is %q, the client was told %q, %d dials", w.how[host], w.said[client],
-				len(w.dials))
+		w := newHarness(t, "proxy", 3, 100)
+		client := w.openFlow(order)
+		host := w.completeLastDial()
+		w.receive(client, "", end)
+		if w.state[host] != "closed" || w.written[client] != "" || len(w.flowDials) != 1 {
+			t.Fatalf("the host's side is %q, the client was told %q, %d dials", w.state[host], w.written[client],
+				len(w.flowDials))
 		}
-		w.nothingLeft()
-		if got := w.ended(); len(got) != 1 || got[0] != ClientLeft {
+		w.checkReleased()
+		if got := w.endReasons(); len(got) != 1 || got[0] != ClientLeft {
 			t.Fatalf("reasons %v", got)
 		}
 	}
@@ -681,25 +681,25 @@
 
 // The module's moves reach the client between two lines.
 func TestMove(t *testing.T) {
-	w := newWorld(t, "proxy", 1, 1000)
+	w := newHarness(t, "proxy", 1, 1000)
 	var clients, hosts []Conn
 	for i := range 6 {
-		c, h := w.established(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
+		c, h := w.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
 		clients, hosts = append(clients, c), append(hosts, h)
 	}
 	for _, h := range hosts {
-		w.say(h, "LOAD 100000\r\nhalf a li", Open)
+		w.receive(h, "LOAD 100000\r\nhalf a li", Open)
 	}
-	w.say(clients[0], "M\r\n", Open)
-	w.pass(0.2)
-	w.say(hosts[0], "ne\r\n", Open) // four aims late
-	w.pass(0.6)
+	w.receive(clients[0], "M\r\n", Open)
+	w.advance(0.2)
+	w.receive(hosts[0], "ne\r\n", Open) // four aims late
+	w.advance(0.6)
 	moved := 0
 	for _, c := range clients {
-		if strings.HasSuffix(w.said[c], "\r\nMOVE\r\n") && w.how[c] == "shut" {
+		if strings.HasSuffix(w.written[c], "\r\nMOVE\r\n") && w.state[c] == "shut" {
 			moved++
-		} else if strings.Contains(w.said[c], "MOVE") {
-			t.Fatalf("told %q", w.said[c])
+		} else if strings.Contains(w.written[c], "MOVE") {
+			t.Fatalf("told %q", w.written[c])
 		}
 	}
 	if moved == 0 || moved == len(clients) {
@@ -711,31 +711,31 @@
 func TestCarried(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		event  func(w *world, h Conn)
+		event  func(w *harness, h Conn)
 		says   string
 		reason Reason
 	}{
-		{"taken up", func(w *world, h Conn) { w.up(); w.say(h, "UP 5\r\n", Open) }, "UP 5\r\n", ""},
-		{"refused", refuse, "BUSY\r\n", NotRestored},
-		{"error", func(w *world, h Conn) { w.up(); w.say(h, "ERR\r\n", Open) }, "ERR\r\n", NotRestored},
-		{"nothing", func(w *world, h Conn) { w.up(); w.pass(2.1) }, "ERR\r\n", NotRestored},
+		{"taken up", func(w *harness, h Conn) { w.completeLastDial(); w.receive(h, "UP 5\r\n", Open) }, "UP 5\r\n", ""},
+		{"refused", failDial, "BUSY\r\n", NotRestored},
+		{"error", func(w *harness, h Conn) { w.completeLastDial(); w.receive(h, "ERR\r\n", Open) }, "ERR\r\n", NotRestored},
+		{"nothing", func(w *harness, h Conn) { w.completeLastDial(); w.advance(2.1) }, "ERR\r\n", NotRestored},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, "pass", 5, 100)
-			client := w.come(chat + ",at=s-00000067")
-			if len(w.dials) != 1 || w.address[w.dials[0]] != "h3" {
-				t.Fatalf("dialed %v", w.address)
+			w := newHarness(t, "pass", 5, 100)
+			client := w.openFlow(chat + ",at=s-00000067")
+			if len(w.flowDials) != 1 || w.dialedAddress[w.flowDials[0]] != "h3" {
+				t.Fatalf("dialed %v", w.dialedAddress)
 			}
-			c.event(w, w.dials[0])
-			if w.said[client] != c.says || len(w.dials) != 1 {
-				t.Fatalf("told %q after %d dials, wanted %q", w.said[client], len(w.dials), c.says)
+			c.event(w, w.flowDials[0])
+			if w.written[client] != c.says || len(w.flowDials) != 1 {
+				t.Fatalf("told %q after %d dials, wanted %q", w.written[client], len(w.flowDials), c.says)
 			}
 			if c.reason == "" {
-				w.say(w.dials[0], "BYE\r\n", Ended)
+				w.receive(w.flowDials[0], "BYE\r\n", Ended)
 				c.reason = Served
 			}
-			w.nothingLeft()
-			if got := w.ended(); len(got) != 1 || got[0] != c.reason {
+			w.checkReleased()
+			if got := w.endReasons(); len(got) != 1 || got[0] != c.reason {
 				t.Fatalf("reasons %v, wanted %s", got, c.reason)
 			}
 		})
@@ -756,44 +756,44 @@
 		{"pass", "UP 77\r\n", "", true, "", "UP 8\r\n"},
 	} {
 		t.Run(c.mode, func(t *testing.T) {
-			w := newWorld(t, c.mode, 3, 100)
-			open, _ := w.established(chat)
-			waiting := w.come(chat)
-			host := w.up()
-			w.do(Shutdown{})
-			w.pass(0.1)
-			late := w.come(chat)
-			w.say(host, "UP 8\r\n", Open)
-			w.pass(0.3)
-			if w.said[open] != c.open || w.said[late] != c.late || w.said[waiting] != c.waitsFor || w.exited {
-				t.Fatalf("told %q, %q and %q, exited %v", w.said[open], w.said[late], w.said[waiting], w.exited)
+			w := newHarness(t, c.mode, 3, 100)
+			open, _ := w.establish(chat)
+			waiting := w.openFlow(chat)
+			host := w.completeLastDial()
+			w.apply(Shutdown{})
+			w.advance(0.1)
+			late := w.openFlow(chat)
+			w.receive(host, "UP 8\r\n", Open)
+			w.advance(0.3)
+			if w.written[open] != c.open || w.written[late] != c.late || w.written[waiting] != c.waitsFor || w.exited {
+				t.Fatalf("told %q, %q and %q, exited %v", w.written[open], w.written[late], w.written[waiting], w.exited)
 			}
 			ping := w.accept()
-			w.say(ping, "PING\r\n", Ended)
-			if w.said[ping] != "ERR\r\n" {
-				t.Fatalf("ready while it leaves: %q", w.said[ping])
+			w.receive(ping, "PING\r\n", Ended)
+			if w.written[ping] != "ERR\r\n" {
+				t.Fatalf("ready while it leaves: %q", w.written[ping])
 			}
-			w.pass(1.3)
+			w.advance(1.3)
 			if w.exited == c.stays {
 				t.Fatalf("exited %v", w.exited)
 			}
-			if w.pass(0.7); w.exited == c.stays { // 2 s, the longest connect timeout, and the margin
+			if w.advance(0.7); w.exited == c.stays { // 2 s, the longest connect timeout, and the margin
 				t.Fatalf("exited %v", w.exited)
 			}
 			if c.stays {
-				if w.said[late] == "" {
+				if w.written[late] == "" {
 					t.Fatal("a flow that was taken got no answer")
 				}
-				if late := w.come(chat); w.said[late] != "BUSY\r\n" {
-					t.Fatalf("one that comes too late is told %q", w.said[late])
+				if late := w.openFlow(chat); w.written[late] != "BUSY\r\n" {
+					t.Fatalf("one that comes too late is told %q", w.written[late])
 				}
-				w.pass(5) // an exit would end what goes on elsewhere when the node is killed
-				if w.exited || w.how[open] != "" {
-					t.Fatalf("exited %v, a held connection is %q", w.exited, w.how[open])
+				w.advance(5) // an exit would end what goes on elsewhere when the node is killed
+				if w.exited || w.state[open] != "" {
+					t.Fatalf("exited %v, a held connection is %q", w.exited, w.state[open])
 				}
-				w.say(open, "", Broken)
-				w.say(waiting, "", Broken)
-				if w.pass(0.1); !w.exited {
+				w.receive(open, "", Broken)
+				w.receive(waiting, "", Broken)
+				if w.advance(0.1); !w.exited {
 					t.Fatal("nothing is held, but it is still there")
 				}
 			}
@@ -803,52 +803,52 @@
 
 // Discovery that moves is asked again at once, whether or not it was being watched, and only once.
 func TestRelocated(t *testing.T) {
-	w := newWorld(t, "proxy", 3, 100)
+	w := newHarness(t, "proxy", 3, 100)
 	for _, in := range []Input{DiscoveryMoved{}, WatchFailed{Reason: "gone"}, DiscoveryMoved{}} {
-		w.do(in)
+		w.apply(in)
 	}
-	if want := []int64{5, 6, 6}; !slices.Equal(w.watches, want) {
-		t.Fatalf("watched from %v, wanted %v", w.watches, want)
+	if want := []int64{5, 6, 6}; !slices.Equal(w.watchIndices, want) {
+		t.Fatalf("watched from %v, wanted %v", w.watchIndices, want)
 	}
-	w.pass(5) // the wish that the failure left is met already
-	if len(w.watches) != 3 {
-		t.Fatalf("watched from %v", w.watches)
+	w.advance(5) // the wish that the failure left is met already
+	if len(w.watchIndices) != 3 {
+		t.Fatalf("watched from %v", w.watchIndices)
 	}
 }
 
 // The id of a flow goes to no host under another key, whether the flow is open or has ended.
 func TestSameID(t *testing.T) {
-	w := newWorld(t, "pass", 3, 100)
-	say := func(text string) Conn { c := w.accept(); w.say(c, text+"\r\n", Open); return c }
+	w := newHarness(t, "pass", 3, 100)
+	say := func(text string) Conn { c := w.accept(); w.receive(c, text+"\r\n", Open); return c }
 	first := say("OPEN 7 a1 c=chat,t=acme,d=2000")
-	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000"); w.said[peerProcess] != "BUSY\r\n" || len(w.dials) != 1 {
-		t.Fatalf("while it is set up: told %q, %d dials", w.said[peerProcess], len(w.dials))
+	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000"); w.written[peerProcess] != "BUSY\r\n" || len(w.flowDials) != 1 {
+		t.Fatalf("while it is set up: told %q, %d dials", w.written[peerProcess], len(w.flowDials))
 	}
-	w.say(w.up(), "UP 77\r\n", Open)
-	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000,mid=1"); w.said[peerProcess] != "BUSY\r\n" || len(w.dials) != 1 {
-		t.Fatalf("while it is open: told %q, %d dials", w.said[peerProcess], len(w.dials))
+	w.receive(w.completeLastDial(), "UP 77\r\n", Open)
+	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000,mid=1"); w.written[peerProcess] != "BUSY\r\n" || len(w.flowDials) != 1 {
+		t.Fatalf("while it is open: told %q, %d dials", w.written[peerProcess], len(w.flowDials))
 	}
-	if say("OPEN 7 a1 c=chat,t=acme,d=2000,mid=1"); len(w.dials) != 2 {
-		t.Fatalf("its own packets by another way: %d dials", len(w.dials))
+	if say("OPEN 7 a1 c=chat,t=acme,d=2000,mid=1"); len(w.flowDials) != 2 {
+		t.Fatalf("its own packets by another way: %d dials", len(w.flowDials))
 	}
-	w.say(w.up(), "BYE\r\n", Ended)
-	w.say(first, "", Broken)
-	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000"); w.said[peerProcess] != "BUSY\r\n" || len(w.dials) != 2 {
-		t.Fatalf("after its end: told %q, %d dials", w.said[peerProcess], len(w.dials))
+	w.receive(w.completeLastDial(), "BYE\r\n", Ended)
+	w.receive(first, "", Broken)
+	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000"); w.written[peerProcess] != "BUSY\r\n" || len(w.flowDials) != 2 {
+		t.Fatalf("after its end: told %q, %d dials", w.written[peerProcess], len(w.flowDials))
 	}
-	if say("OPEN 7 a1 c=chat,t=acme,d=2000"); len(w.dials) != 3 {
-		t.Fatalf("the client itself again: %d dials", len(w.dials))
+	if say("OPEN 7 a1 c=chat,t=acme,d=2000"); len(w.flowDials) != 3 {
+		t.Fatalf("the client itself again: %d dials", len(w.flowDials))
 	}
-	w.say(w.up(), "BYE\r\n", Ended)
-	w.nothingLeft()
-	if len(w.n.ids.open) != 0 || w.n.idle != 0 {
-		t.Fatalf("left: ids %v, %d idle", w.n.ids.open, w.n.idle)
+	w.receive(w.completeLastDial(), "BYE\r\n", Ended)
+	w.checkReleased()
+	if len(w.node.flows.ids.open) != 0 || w.node.idle.count != 0 {
+		t.Fatalf("left: ids %v, %d idle", w.node.flows.ids.open, w.node.idle.count)
 	}
-	for i := range 3 * mostSpent { // and however many have come, little is kept of them
-		w.n.ids.end(&flow{opening: line.Opening{ID: fmt.Sprint(i)}})
+	for i := range 3 * maxEndedIDs { // and however many have come, little is kept of them
+		w.node.flows.ids.remove(&flow{opening: line.Opening{ID: fmt.Sprint(i)}})
 	}
-	kept := len(w.n.ids.spent) + len(w.n.ids.older)
-	if kept > 2*mostSpent || w.n.ids.stray(line.Opening{ID: "7"}) {
+	kept := len(w.node.flows.ids.recentlyEnded) + len(w.node.flows.ids.previouslyEnded)
+	if kept > 2*maxEndedIDs || w.node.flows.ids.conflicts(line.Opening{ID: "7"}) {
 		t.Fatalf("%d ids kept", kept)
 	}
 }
@@ -858,29 +858,29 @@
 func TestDeparted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		before func(w *world, h Conn)
+		before func(w *harness, h Conn)
 	}{
-		{"while it is dialed", func(w *world, h Conn) {}},
-		{"while the host says nothing", func(w *world, h Conn) { w.dialed(h) }},
+		{"while it is dialed", func(w *harness, h Conn) {}},
+		{"while the host says nothing", func(w *harness, h Conn) { w.completeDial(h) }},
 	} {
-		w := newWorld(t, "proxy", 3, 100)
-		client := w.come(chat)
-		h := w.dials[0]
+		w := newHarness(t, "proxy", 3, 100)
+		client := w.openFlow(chat)
+		h := w.flowDials[0]
 		c.before(w, h)
-		w.do(ClientGone{client})
-		if w.how[h] != "closed" || w.how[client] != "closed" || len(w.dials) != 1 {
-			t.Errorf("%s: the host's side is %q, the client's %q, after %d dials", c.name, w.how[h], w.how[client], len(w.dials))
+		w.apply(ClientGone{client})
+		if w.state[h] != "closed" || w.state[client] != "closed" || len(w.flowDials) != 1 {
+			t.Errorf("%s: the host's side is %q, the client's %q, after %d dials", c.name, w.state[h], w.state[client], len(w.flowDials))
 		}
-		w.do(ClientGone{client}) // seen twice
-		w.pass(5)
-		if got := w.ended(); len(got) != 1 || got[0] != ClientLeft || len(w.dials) != 1 {
-			t.Errorf("%s: reasons %v after %d dials", c.name, got, len(w.dials))
+		w.apply(ClientGone{client}) // seen twice
+		w.advance(5)
+		if got := w.endReasons(); len(got) != 1 || got[0] != ClientLeft || len(w.flowDials) != 1 {
+			t.Errorf("%s: reasons %v after %d dials", c.name, got, len(w.flowDials))
 		}
-		w.nothingLeft()
+		w.checkReleased()
 	}
-	w := newWorld(t, "proxy", 3, 100)
-	client, host := w.established(chat)
-	if w.do(ClientGone{client}); w.how[client] != "" || w.how[host] != "" { // its last lines are still to be passed on
+	w := newHarness(t, "proxy", 3, 100)
+	client, host := w.establish(chat)
+	if w.apply(ClientGone{client}); w.state[client] != "" || w.state[host] != "" { // its last lines are still to be passed on
 		t.Error("an established connection was cut off")
 	}
 }
@@ -888,7 +888,7 @@
 // Who asked for nothing and has to make room, or is still there when its node goes, is told so: what it asks for in
 // just that moment is refused and not lost.
 func TestDismissed(t *testing.T) {
-	w := newWorld(t, "proxy", 3, 60)
+	w := newHarness(t, "proxy", 3, 60)
 	var idle []Conn
 	for range 60 {
 		w.now += 0.11
@@ -896,24 +896,24 @@
 	}
 	ended := 0
 	for _, c := range idle {
-		if w.how[c] == "closed" {
+		if w.state[c] == "closed" {
 			ended++
-			if w.said[c] != "BUSY\r\n" {
-				t.Errorf("made room for others, told %q", w.said[c])
+			if w.written[c] != "BUSY\r\n" {
+				t.Errorf("made room for others, told %q", w.written[c])
 			}
 		}
 	}
 	if ended < 30 {
 		t.Errorf("%d of 60 made room", ended)
 	}
-	w = newWorld(t, "pass", 3, 60)
-	w.established(chat) // it is held, so the node stays
-	w.do(Shutdown{})
-	w.pass(w.n.stay() - lastWords - 0.5)
+	w = newHarness(t, "pass", 3, 60)
+	w.establish(chat) // it is held, so the node stays
+	w.apply(Shutdown{})
+	w.advance(w.node.drainTime() - finalAnswerTime - 0.5)
 	c := w.accept()
-	w.pass(0.6)
-	if w.said[c] != "BUSY\r\n" || w.how[c] != "shut" {
-		t.Errorf("the node is about to go: told %q, and its side is %q", w.said[c], w.how[c])
+	w.advance(0.6)
+	if w.written[c] != "BUSY\r\n" || w.state[c] != "shut" {
+		t.Errorf("the node is about to go: told %q, and its side is %q", w.written[c], w.state[c])
 	}
 }
 
@@ -927,27 +927,27 @@
 		{"the client", func(_, h Conn) Conn { return h }, func(c, _ Conn) Conn { return c }},
 		{"the host", func(c, _ Conn) Conn { return c }, func(_, h Conn) Conn { return h }},
 	} {
-		w := newWorld(t, "proxy", 3, 100)
-		client, host := w.established(chat)
+		w := newHarness(t, "proxy", 3, 100)
+		client, host := w.establish(chat)
 		from, stuck := c.from(client, host), c.stuck(client, host)
-		w.stalled[stuck] = true
+		w.blocked[stuck] = true
 		taken := 0
-		for w.reads[from] != nil && taken <= 1<<20 {
-			into := w.reads[from]
-			delete(w.reads, from)
+		for w.pendingReads[from] != nil && taken <= 1<<20 {
+			into := w.pendingReads[from]
+			delete(w.pendingReads, from)
 			for i := range into {
 				if into[i] = 'x'; (taken+i)%100 == 99 {
 					into[i] = '\n'
 				}
 			}
 			taken += len(into)
-			w.do(ReadDone{from, len(into), Open})
+			w.apply(ReadDone{from, len(into), Open})
 		}
-		if taken > ringSize {
+		if taken > bufferSize {
 			t.Errorf("%s does not read: %d bytes were taken from the other", c.name, taken)
 		}
-		if other, _ := w.established(chat); w.said[other] != "UP 77\r\n" {
-			t.Errorf("%s does not read: another was told %q", c.name, w.said[other])
+		if other, _ := w.establish(chat); w.written[other] != "UP 77\r\n" {
+			t.Errorf("%s does not read: another was told %q", c.name, w.written[other])
 		}
 	}
 }
@@ -956,126 +956,126 @@
 // kept for a word which can never go out.
 func TestDismissedUnheard(t *testing.T) {
 	for _, failed := range []bool{false, true} {
-		w := newWorld(t, "proxy", 3, 60)
+		w := newHarness(t, "proxy", 3, 60)
 		c := w.accept()
-		w.stalled[c] = true
-		w.say(c, "PING\r\n", Open)
+		w.blocked[c] = true
+		w.receive(c, "PING\r\n", Open)
 		if failed {
-			w.pass(1.95)
-			w.do(WriteDone{c, 0, true})
+			w.advance(1.95)
+			w.apply(WriteDone{c, 0, true})
 		}
-		if w.pass(lineWait + lingering + 0.1); w.how[c] != "closed" {
-			t.Errorf("its write failed %v: its side is %q", failed, w.how[c])
+		if w.advance(firstLineTimeout + lingerTimeout + 0.1); w.state[c] != "closed" {
+			t.Errorf("its write failed %v: its side is %q", failed, w.state[c])
 		}
-		w.nothingLeft()
+		w.checkReleased()
 	}
 }
 
 // Hundreds that connect and say nothing take no descriptor from those who say what they want.
 func TestSilentClients(t *testing.T) {
-	w := newWorld(t, "proxy", 3, 240)
+	w := newHarness(t, "proxy", 3, 240)
 	for range 10 {
 		for range 300 {
 			w.now += 1e-3
 			w.accept()
 		}
-		w.established(chat)
+		w.establish(chat)
 	}
-	if w.n.descriptors > 240-spareFew {
-		t.Fatalf("%d descriptors", w.n.descriptors)
+	if w.node.connections.descriptors > 240-descriptorReserve {
+		t.Fatalf("%d descriptors", w.node.connections.descriptors)
 	}
 }
 
 // Descriptors are counted before they run out: who comes too late is told so, and nobody else suffers.
 func TestSockets(t *testing.T) {
-	w := newWorld(t, "proxy", 3, 60)
+	w := newHarness(t, "proxy", 3, 60)
 	var told []Conn
 	up := 0
 	for i := range 60 {
-		before := len(w.dials)
-		c := w.come(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
-		if len(w.dials) > before {
-			w.say(w.up(), "UP 77\r\n", Open)
+		before := len(w.flowDials)
+		c := w.openFlow(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
+		if len(w.flowDials) > before {
+			w.receive(w.completeLastDial(), "UP 77\r\n", Open)
 			up++
 			continue
 		}
 		told = append(told, c)
-		if !strings.HasPrefix(w.said[c], "BUSY") {
-			t.Fatalf("told %q", w.said[c])
+		if !strings.HasPrefix(w.written[c], "BUSY") {
+			t.Fatalf("told %q", w.written[c])
 		}
-		if w.n.conns[c] != nil {
-			w.say(c, "", Ended)
+		if w.node.connections.byID[c] != nil {
+			w.receive(c, "", Ended)
 		}
-		if w.n.descriptors > 60 {
-			t.Fatalf("%d descriptors", w.n.descriptors)
+		if w.node.connections.descriptors > 60 {
+			t.Fatalf("%d descriptors", w.node.connections.descriptors)
 		}
 	}
-	if up < 14 || len(told) == 0 || !slices.Contains(w.ended(), NoSockets) {
-		t.Fatalf("%d established, %d turned away: %v", up, len(told), w.ended())
+	if up < 14 || len(told) == 0 || !slices.Contains(w.endReasons(), NoDescriptors) {
+		t.Fatalf("%d established, %d turned away: %v", up, len(told), w.endReasons())
 	}
 	for range 300 { // no room for all of them, whatever they want
 		w.now += 1e-4
-		if w.accept(); w.n.descriptors > 60 {
-			t.Fatalf("%d descriptors", w.n.descriptors)
+		if w.accept(); w.node.connections.descriptors > 60 {
+			t.Fatalf("%d descriptors", w.node.connections.descriptors)
 		}
 	}
-	for c := range w.n.conns {
-		if w.reads[c] != nil && w.n.conns[c] != nil {
-			w.say(c, "", Broken)
+	for c := range w.node.connections.byID {
+		if w.pendingReads[c] != nil && w.node.connections.byID[c] != nil {
+			w.receive(c, "", Broken)
 		}
 	}
-	w.nothingLeft()
+	w.checkReleased()
 }
 
 // The node is ready once discovery told a list, or when discovery is out and the old list must do.
 func TestReady(t *testing.T) {
-	ready := func(w *world) bool {
+	ready := func(w *harness) bool {
 		c := w.accept()
-		w.say(c, "PING\r\n", Ended)
-		return w.said[c] == "PONG\r\n"
+		w.receive(c, "PING\r\n", Ended)
+		return w.written[c] == "PONG\r\n"
 	}
 	r, d, err := settings.Parse(fmt.Appendf(nil, settingsJSON, "pass"), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh := func(known endpoint.List) *world {
-		w := newWorld(t, "pass", 0, 100)
-		w.n = New(w.now, Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: 100})
-		w.watches = nil
-		w.pass(1)
+	fresh := func(known endpoint.List) *harness {
+		w := newHarness(t, "pass", 0, 100)
+		w.node = New(w.now, Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: 100})
+		w.watchIndices = nil
+		w.advance(1)
 		return w
 	}
 	w := fresh(hostList(2))
-	if ready(w) || !slices.Equal(w.watches, []int64{6}) {
-		t.Fatalf("ready before discovery has answered, or watches %v", w.watches)
+	if ready(w) || !slices.Equal(w.watchIndices, []int64{6}) {
+		t.Fatalf("ready before discovery has answered, or watches %v", w.watchIndices)
 	}
-	w.do(WatchFailed{Reason: "503"})
-	if w.pass(3); ready(w) || len(w.watches) != 2 {
-		t.Fatalf("ready after one failed call, or watches %v", w.watches)
+	w.apply(WatchFailed{Reason: "503"})
+	if w.advance(3); ready(w) || len(w.watchIndices) != 2 {
+		t.Fatalf("ready after one failed call, or watches %v", w.watchIndices)
 	}
-	if w.do(WatchFailed{Reason: "503"}); !ready(w) {
+	if w.apply(WatchFailed{Reason: "503"}); !ready(w) {
 		t.Fatal("not ready on the old list though discovery is out")
 	}
 	w = fresh(endpoint.List{})
-	w.do(WatchFailed{Reason: "503"})
-	if w.do(WatchFailed{Reason: "503"}); ready(w) {
+	w.apply(WatchFailed{Reason: "503"})
+	if w.apply(WatchFailed{Reason: "503"}); ready(w) {
 		t.Fatal("ready without any host")
 	}
-	if w.do(ListReceived{hostList(2)}); !ready(w) {
+	if w.apply(ListReceived{hostList(2)}); !ready(w) {
 		t.Fatal("not ready with a list")
 	}
 }
 
 // Lists that are odd, and hosts that drain, go or come again.
 func TestLists(t *testing.T) {
-	w := newWorld(t, "pass", 1, 1000)
+	w := newHarness(t, "pass", 1, 1000)
 	where := func() string {
-		before := len(w.dials)
-		c := w.come(chat)
-		if len(w.dials) == before {
-			return strings.Fields(w.said[c])[0]
+		before := len(w.flowDials)
+		c := w.openFlow(chat)
+		if len(w.flowDials) == before {
+			return strings.Fields(w.written[c])[0]
 		}
-		return w.address[w.dials[before]]
+		return w.dialedAddress[w.flowDials[before]]
 	}
 	one := func(name, address, status string) ListReceived {
 		return ListReceived{endpoint.List{Index: 9, Hosts: []endpoint.Host{{Name: name, Address: address, Status: status}}}}
@@ -1095,7 +1095,7 @@
 		{"not on a whole list", ListReceived{hostList(0)}, "BUSY"},
 	}
 	for _, s := range steps {
-		if w.do(s.in); where() != s.want {
+		if w.apply(s.in); where() != s.want {
 			t.Errorf("%s: sent to %s, wanted %s", s.name, where(), s.want)
 		}
 	}
@@ -1123,35 +1123,35 @@
 		{"serving all the while", "chat", "SERVING", false, true},
 		{"draining once its line is written", "chat", "DRAINING", true, true},
 	} {
-		w := newWorld(t, "proxy", 2, 1000)
+		w := newHarness(t, "proxy", 2, 1000)
 		client, dial := Conn(0), Conn(0)
-		for i := 0; w.address[dial] != "h0"; i++ {
-			client = w.come(fmt.Sprintf("%x c=%s,t=acme,d=2000", i+1, c.kind))
-			if dial = w.dials[len(w.dials)-1]; w.address[dial] != "h0" {
-				w.say(client, "", Ended)
+		for i := 0; w.dialedAddress[dial] != "h0"; i++ {
+			client = w.openFlow(fmt.Sprintf("%x c=%s,t=acme,d=2000", i+1, c.kind))
+			if dial = w.flowDials[len(w.flowDials)-1]; w.dialedAddress[dial] != "h0" {
+				w.receive(client, "", Ended)
 			}
 		}
 		if c.up {
-			w.up()
+			w.completeLastDial()
 		}
-		dials := len(w.dials)
-		w.do(ListReceived{change(hostList(2), c.status)})
+		dials := len(w.flowDials)
+		w.apply(ListReceived{change(hostList(2), c.status)})
 		if c.stays {
-			if len(w.dials) != dials || w.how[dial] == "closed" {
+			if len(w.flowDials) != dials || w.state[dial] == "closed" {
 				t.Errorf("%s: called back", c.name)
 			}
 			continue
 		}
-		w.do(Dialed{Conn: dial}) // it came up all the same
-		if w.how[dial] != "closed" || w.said[dial] != "" {
-			t.Errorf("%s: %s, and told %q", c.name, w.how[dial], w.said[dial])
+		w.apply(Dialed{Conn: dial}) // it came up all the same
+		if w.state[dial] != "closed" || w.written[dial] != "" {
+			t.Errorf("%s: %s, and told %q", c.name, w.state[dial], w.written[dial])
 		}
-		if len(w.dials) != dials+1 || w.address[w.dials[dials]] != "h1" {
+		if len(w.flowDials) != dials+1 || w.dialedAddress[w.flowDials[dials]] != "h1" {
 			t.Fatalf("%s: not sent elsewhere", c.name)
 		}
-		w.say(w.up(), "UP 7\r\n", Open)
-		if w.said[client] != "UP 7\r\n" {
-			t.Errorf("%s: the client was told %q", c.name, w.said[client])
+		w.receive(w.completeLastDial(), "UP 7\r\n", Open)
+		if w.written[client] != "UP 7\r\n" {
+			t.Errorf("%s: the client was told %q", c.name, w.written[client])
 		}
 	}
 }
@@ -1167,15 +1167,15 @@
 		{"not allowed", "NO\r\n", Open, false}, {"ended", "", Ended, false}, {"broken", "", Broken, false},
 		{"over-long", strings.Repeat("x", 5000), Open, false},
 	} {
-		w := newWorld(t, "pass", 2, 1000)
+		w := newHarness(t, "pass", 2, 1000)
 		aside := func(fail bool) bool { // whether no key's flow goes to h0, where it fails if so asked
 			for i := range 12 {
-				client, h := w.come(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1)), w.dials[len(w.dials)-1]
-				first := w.address[h]
+				client, h := w.openFlow(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1)), w.flowDials[len(w.flowDials)-1]
+				first := w.dialedAddress[h]
 				if first == "h0" && fail {
-					w.say(w.up(), "ERR\r\n", Open)
+					w.receive(w.completeLastDial(), "ERR\r\n", Open)
 				}
-				if w.say(client, "", Ended); first == "h0" {
+				if w.receive(client, "", Ended); first == "h0" {
 					return false
 				}
 			}
@@ -1188,16 +1188,16 @@
 		probes := 0
 		for range 1200 {
 			w.now += 0.01
-			w.do(TimerFired{})
-			for ; len(w.probes) > 0; w.probes = w.probes[1:] {
-				h := w.probes[0]
-				if at := w.address[h]; at != "h0" || w.how[h] != "dialed" {
+			w.apply(TimerFired{})
+			for ; len(w.healthChecks) > 0; w.healthChecks = w.healthChecks[1:] {
+				h := w.healthChecks[0]
+				if at := w.dialedAddress[h]; at != "h0" || w.state[h] != "dialed" {
 					continue
 				}
-				if w.dialed(h); w.said[h] != "PING\r\n" {
-					t.Fatalf("probed with %q", w.said[h])
+				if w.completeDial(h); w.written[h] != "PING\r\n" {
+					t.Fatalf("probed with %q", w.written[h])
 				}
-				w.say(h, c.text, c.end)
+				w.receive(h, c.text, c.end)
 				probes++
 			}
 		}
@@ -1212,36 +1212,36 @@
 func TestWordsAmongNodes(t *testing.T) {
 	talking := strings.Replace(settingsJSON, `"probes":true,`, `"probes":true,"peers":true,`, 1)
 	talking = strings.Replace(talking, `"parties"`, `"reporting":{"source":"on_probe","fields":["x0"]},"parties"`, 1)
-	world := func() *world { return newWorldOf(t, talking, "pass", 2, 100) }
+	world := func() *harness { return newHarnessWith(t, talking, "pass", 2, 100) }
 	one, other := world(), world()
 	for range 200 { // by its second round it has asked all hosts
-		if one.pass(0.25); len(one.probes) == 2 {
+		if one.advance(0.25); len(one.healthChecks) == 2 {
 			break
 		}
 	}
-	if len(one.probes) != 2 {
-		t.Fatalf("%d probes", len(one.probes))
+	if len(one.healthChecks) != 2 {
+		t.Fatalf("%d probes", len(one.healthChecks))
 	}
-	for _, c := range one.probes {
-		one.dialed(c)
-		load := map[string]string{"h0": "0.9", "h1": "0.2"}[one.address[c]]
-		one.say(c, "PONG waiting=3 x0="+load+"\r\n", Open)
+	for _, c := range one.healthChecks {
+		one.completeDial(c)
+		load := map[string]string{"h0": "0.9", "h1": "0.2"}[one.dialedAddress[c]]
+		one.receive(c, "PONG waiting=3 x0="+load+"\r\n", Open)
 	}
-	one.pass(0.25)
-	if len(one.words) != 1 || one.words[0].Host != 100 || one.words[0].Load != 0.9 {
-		t.Fatalf("said %v", one.words)
+	one.advance(0.25)
+	if len(one.gossip) != 1 || one.gossip[0].Host != 100 || one.gossip[0].Load != 0.9 {
+		t.Fatalf("said %v", one.gossip)
 	}
-	other.do(GossipReceived{append(one.words, peers.HostLoad{Host: 7, Load: 3})}) // 7: never listed
+	other.apply(GossipReceived{append(one.gossip, peers.HostLoad{Host: 7, Load: 3})}) // 7: never listed
 	for id := range 4 {
-		other.come(fmt.Sprintf("a%d c=chat,t=acme,d=2000", id))
+		other.openFlow(fmt.Sprintf("a%d c=chat,t=acme,d=2000", id))
 	}
-	for _, h := range other.dials {
-		if other.address[h] != "h1" {
-			t.Errorf("a flow went to %s", other.address[h])
+	for _, h := range other.flowDials {
+		if other.dialedAddress[h] != "h1" {
+			t.Errorf("a flow went to %s", other.dialedAddress[h])
 		}
 	}
-	if len(other.dials) != 4 || len(other.words) > 0 {
-		t.Errorf("%d flows placed, %d words passed on", len(other.dials), len(other.words))
+	if len(other.flowDials) != 4 || len(other.gossip) > 0 {
+		t.Errorf("%d flows placed, %d words passed on", len(other.flowDials), len(other.gossip))
 	}
 }
 
@@ -1251,34 +1251,34 @@
 	f.Add([]byte("PING\r\nOPEN 1 a1 c=order,d=1\r\nM\r\n"), []byte("BUSY\r\n"), uint8(7))
 	f.Add([]byte("\xff\x00\n"), []byte("MOVE"), uint8(0))
 	f.Fuzz(func(t *testing.T, fromClient, fromHost []byte, ends uint8) {
-		w := newWorld(t, "proxy", 3, 100)
+		w := newHarness(t, "proxy", 3, 100)
 		c := w.accept()
-		w.say(c, string(fromClient), Open)
-		for i := 0; i < len(w.dials); i++ {
-			h := w.dials[i]
-			if w.n.conns[h] == nil || w.how[h] != "dialed" {
+		w.receive(c, string(fromClient), Open)
+		for i := 0; i < len(w.flowDials); i++ {
+			h := w.flowDials[i]
+			if w.node.connections.byID[h] == nil || w.state[h] != "dialed" {
 				continue
 			}
-			w.dialed(h)
-			if w.reads[h] != nil && w.n.conns[h] != nil {
+			w.completeDial(h)
+			if w.pendingReads[h] != nil && w.node.connections.byID[h] != nil {
 				for rest := string(fromHost); ; rest = rest[len(rest)/2+len(rest)%2:] {
-					if w.reads[h] == nil || w.n.conns[h] == nil {
+					if w.pendingReads[h] == nil || w.node.connections.byID[h] == nil {
 						break
 					}
-					w.say(h, rest[:len(rest)/2+len(rest)%2], End(ends)%3)
+					w.receive(h, rest[:len(rest)/2+len(rest)%2], End(ends)%3)
 					if rest == "" || ends%3 != 0 {
 						break
 					}
 				}
 			}
 		}
-		w.pass(2.5)
-		if w.n.conns[c] != nil && w.reads[c] != nil {
-			w.say(c, "", Ended)
+		w.advance(2.5)
+		if w.node.connections.byID[c] != nil && w.pendingReads[c] != nil {
+			w.receive(c, "", Ended)
 		}
-		w.pass(lineWait + endWait + silentAfter)
-		for _, left := range w.n.conns {
-			if left.role != probe { // probes of a host that was set aside go on
+		w.advance(firstLineTimeout + hostEndTimeout + connectionSilentAfter)
+		for _, left := range w.node.connections.byID {
+			if left.role != healthCheckRole { // probes of a host that was set aside go on
 				t.Fatalf("a connection of role %d is left", left.role)
 			}
 		}
@@ -1316,22 +1316,22 @@
 		{"a name that is no number", []endpoint.List{{Index: 6, Complete: true, Hosts: []endpoint.Host{{Name: "\x00é", Address: "h3",
 			Status: "SERVING"}}}}, 1, 6, "h3"},
 	} {
-		w := newWorld(t, "proxy", 2, 1000)
+		w := newHarness(t, "proxy", 2, 1000)
 		for _, l := range c.lists {
-			w.do(ListReceived{l})
+			w.apply(ListReceived{l})
 		}
-		client := w.come(chat)
-		got := strings.TrimSpace(w.said[client])
-		if len(w.dials) > 0 {
-			got = w.address[w.dials[0]]
+		client := w.openFlow(chat)
+		got := strings.TrimSpace(w.written[client])
+		if len(w.flowDials) > 0 {
+			got = w.dialedAddress[w.flowDials[0]]
 		}
 		if !strings.HasPrefix(got, c.to) {
 			t.Errorf("%s: to %q, wanted %q", c.name, got, c.to)
 		}
-		w.do(WatchFailed{Reason: "the end"})
-		w.pass(8)
-		if len(w.watches) == 0 || w.watches[len(w.watches)-1] != c.index {
-			t.Errorf("%s: watches from %v, wanted the last from %d", c.name, w.watches, c.index)
+		w.apply(WatchFailed{Reason: "the end"})
+		w.advance(8)
+		if len(w.watchIndices) == 0 || w.watchIndices[len(w.watchIndices)-1] != c.index {
+			t.Errorf("%s: watches from %v, wanted the last from %d", c.name, w.watchIndices, c.index)
 		}
 	}
 }
@@ -1344,20 +1344,20 @@
 		tells bool
 		most  int // watches in a minute
 	}{{"refused", false, 70}, {"a list, then its end", true, 250}} {
-		w := newWorld(t, "proxy", 1, 100)
-		w.watches = nil
-		w.n.watch.state = unwatched
-		w.do(WatchFailed{Reason: "the end"})
-		for seen := 0; w.now < 1e9+60; w.pass(0.01) {
-			if len(w.watches) > seen {
-				seen = len(w.watches)
+		w := newHarness(t, "proxy", 1, 100)
+		w.watchIndices = nil
+		w.node.watch.state = watchIdle
+		w.apply(WatchFailed{Reason: "the end"})
+		for seen := 0; w.now < 1e9+60; w.advance(0.01) {
+			if len(w.watchIndices) > seen {
+				seen = len(w.watchIndices)
 				if c.tells {
-					w.do(ListReceived{hostList(1)})
+					w.apply(ListReceived{hostList(1)})
 				}
-				w.do(WatchFailed{Reason: "the end"})
+				w.apply(WatchFailed{Reason: "the end"})
 			}
 		}
-		if n := len(w.watches); n < 4 || n > c.most {
+		if n := len(w.watchIndices); n < 4 || n > c.most {
 			t.Errorf("%s: %d watches in a minute", c.name, n)
 		}
 	}
@@ -1366,13 +1366,13 @@
 // A SIGHUP or SIGTERM while the list is lost: a flow that waits still gets its one answer.
 func TestSignalsWhileDiscoveryIsOut(t *testing.T) {
 	for _, in := range []Input{DiscoveryMoved{}, Shutdown{}} {
-		w := newWorld(t, "proxy", 1, 100)
-		c := w.come(chat)
-		w.do(WatchFailed{Reason: "the end"})
-		w.do(in)
-		w.say(w.up(), "UP 5\r\n", Open)
-		if want := "UP 5\r\n"; !strings.HasPrefix(w.said[c], want) {
-			t.Errorf("%T: told %q", in, w.said[c])
+		w := newHarness(t, "proxy", 1, 100)
+		c := w.openFlow(chat)
+		w.apply(WatchFailed{Reason: "the end"})
+		w.apply(in)
+		w.receive(w.completeLastDial(), "UP 5\r\n", Open)
+		if want := "UP 5\r\n"; !strings.HasPrefix(w.written[c], want) {
+			t.Errorf("%T: told %q", in, w.written[c])
 		}
 	}
 }
@@ -1381,10 +1381,10 @@
 // wake for nothing: where many nodes share a machine, each pays for the others' wakes.
 func TestIdleWakes(t *testing.T) {
 	for _, hosts := range []int{10, 60, 1000} {
-		w := newWorld(t, "proxy", hosts, 1000)
+		w := newHarness(t, "proxy", hosts, 1000)
 		wakes, at := 0, w.now
 		for end := w.now + 10; ; wakes++ {
-			for _, e := range w.n.Apply(at, TimerFired{}) {
+			for _, e := range w.node.Apply(at, TimerFired{}) {
 				if timer, ok := e.(SetTimer); ok {
 					w.now = timer.At
 				}
--- a/internal/node/settings_handover_test.go
+++ b/internal/node/settings_handover_test.go
@@ -15,28 +15,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	start := func() *world {
-		w := newWorldOf(t, settingsWithShares, "pass", 0, 100)
-		w.n = New(w.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, AwaitSettings: 1})
-		w.ready = 0
-		w.do(TimerFired{})
+	start := func() *harness {
+		w := newHarnessWith(t, settingsWithShares, "pass", 0, 100)
+		w.node = New(w.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, AwaitSettings: 1})
+		w.openRequests = 0
+		w.apply(TimerFired{})
 		return w
 	}
 	w := start()
-	w.do(ListReceived{hostList(4)})
-	if w.ready != 0 || w.asks(IsReady, "").OK {
+	w.apply(ListReceived{hostList(4)})
+	if w.openRequests != 0 || w.query(IsReady, "").OK {
 		t.Error("opens before the settings are known")
 	}
-	if err := w.configure(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil || w.ready != 1 {
-		t.Errorf("%v, opened %d times", err, w.ready)
+	if err := w.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil || w.openRequests != 1 {
+		t.Errorf("%v, opened %d times", err, w.openRequests)
 	}
 	w = start()
-	if w.n.timerAt > w.now+1 {
-		t.Errorf("woken at %f at the earliest, %f wanted", w.n.timerAt, w.now+1)
+	if w.node.timers.armedAt > w.now+1 {
+		t.Errorf("woken at %f at the earliest, %f wanted", w.node.timers.armedAt, w.now+1)
 	}
-	w.pass(1)
-	if w.ready != 1 {
-		t.Errorf("opened %d times without a word of the settings", w.ready)
+	w.advance(1)
+	if w.openRequests != 1 {
+		t.Errorf("opened %d times without a word of the settings", w.openRequests)
 	}
 }
 
@@ -44,61 +44,61 @@
 // what comes later, and a host that either has out takes nothing at either.
 func TestRevisionGoesOver(t *testing.T) {
 	const out = "hosts.s-00000065.disabled_until_s = 1000000060\n"
-	w := newWorld(t, "pass", 3, 100)
-	if err := w.configure(1, out+"limits.max_connects = 2"); err != nil {
+	w := newHarness(t, "pass", 3, 100)
+	if err := w.applySettings(1, out+"limits.max_connects = 2"); err != nil {
 		t.Fatal(err)
 	}
-	w.asks(DisableHost, "s-00000066")
+	w.query(DisableHost, "s-00000066")
 	h := w.successor("pass")
-	if h.n.live.revision.Number != 1 || h.n.module.MaxAttempts != 2 || h.n.tell().Unavailable != 2 {
-		t.Fatalf("%+v, %d connects, %d out", h.n.live.revision, h.n.module.MaxAttempts, h.n.tell().Unavailable)
+	if h.node.live.revision.Number != 1 || h.node.balancer.MaxAttempts != 2 || h.node.currentFigures().Unavailable != 2 {
+		t.Fatalf("%+v, %d connects, %d out", h.node.live.revision, h.node.balancer.MaxAttempts, h.node.currentFigures().Unavailable)
 	}
-	if err := w.configure(2, out+"limits.max_connects = 1"); err != nil { // between claim and take
+	if err := w.applySettings(2, out+"limits.max_connects = 1"); err != nil { // between claim and take
 		t.Fatal(err)
 	}
-	w.carry(h, false)
-	if h.n.live.revision.Number != 2 || h.n.module.MaxAttempts != 1 {
-		t.Fatalf("%+v before the clients came", h.n.live.revision)
+	w.deliverTransfers(h, false)
+	if h.node.live.revision.Number != 2 || h.node.balancer.MaxAttempts != 1 {
+		t.Fatalf("%+v before the clients came", h.node.live.revision)
 	}
-	w.takenBy(h)
-	if h.n.tell().Unavailable != 2 || len(h.relocated) != 0 {
-		t.Errorf("%d out", h.n.tell().Unavailable)
+	w.handOverTo(h)
+	if h.node.currentFigures().Unavailable != 2 || len(h.discoveryMoves) != 0 {
+		t.Errorf("%d out", h.node.currentFigures().Unavailable)
 	}
 	for range 40 {
-		h.come(chat)
+		h.openFlow(chat)
 	}
-	if h.to("h1", 0)+h.to("h2", 0) != 0 || h.to("h0", 0) == 0 {
+	if h.dialsTo("h1", 0)+h.dialsTo("h2", 0) != 0 || h.dialsTo("h0", 0) == 0 {
 		t.Error("a host that is out got a flow")
 	}
-	if err := h.configure(3, ""); err != nil { // the one that has the clients follows from here on
+	if err := h.applySettings(3, ""); err != nil { // the one that has the clients follows from here on
 		t.Fatal(err)
 	}
-	h.carry(w, false)
-	w.carry(h, false)
-	if w.n.live.revision.Number != 3 || w.n.tell().Unavailable != 1 || h.n.tell().Unavailable != 1 || len(h.news)+len(w.news) != 0 {
-		t.Errorf("%d and %d in force, %d and %d out", w.n.live.revision.Number, h.n.live.revision.Number, w.n.tell().Unavailable, h.n.tell().Unavailable)
+	h.deliverTransfers(w, false)
+	w.deliverTransfers(h, false)
+	if w.node.live.revision.Number != 3 || w.node.currentFigures().Unavailable != 1 || h.node.currentFigures().Unavailable != 1 || len(h.updates)+len(w.updates) != 0 {
+		t.Errorf("%d and %d in force, %d and %d out", w.node.live.revision.Number, h.node.live.revision.Number, w.node.currentFigures().Unavailable, h.node.currentFigures().Unavailable)
 	}
-	if h.asks(EnableHost, "s-00000066"); h.n.tell().Unavailable != 0 {
+	if h.query(EnableHost, "s-00000066"); h.node.currentFigures().Unavailable != 0 {
 		t.Error("what was out by hand at the predecessor cannot be put back")
 	}
 }
 
 // A revision that does not fit the successor leaves no window for a host that the predecessor had out.
 func TestUnfitRevisionKeepsHostsOut(t *testing.T) {
-	w := newWorld(t, "pass", 3, 100)
-	if err := w.configure(1, "hosts.s-00000065.disabled_until_s = 1000000060\nlimits.max_connects = 2"); err != nil {
+	w := newHarness(t, "pass", 3, 100)
+	if err := w.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060\nlimits.max_connects = 2"); err != nil {
 		t.Fatal(err)
 	}
-	left := crossed(w, w.asks(ClaimHandover, "").Handover)
+	left := exchangeJSON(w, w.query(ClaimHandover, "").Handover)
 	fewer := strings.Replace(settingsJSON, `"max_connects":3`, `"max_connects":1`, 1)
 	r, d, err := settings.Parse(fmt.Appendf(nil, fewer, "pass"), 8)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := newWorld(t, "pass", 0, 100)
-	h.n = New(h.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, NotListening: true, Handover: left})
-	h.do(TimerFired{})
-	if !h.n.live.revision.IsZero() || h.n.module.MaxAttempts != 1 || h.n.tell().Unavailable != 1 {
-		t.Errorf("%+v, %d connects, %d out", h.n.live.revision, h.n.module.MaxAttempts, h.n.tell().Unavailable)
+	h := newHarness(t, "pass", 0, 100)
+	h.node = New(h.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, NotListening: true, Handover: left})
+	h.apply(TimerFired{})
+	if !h.node.live.revision.IsZero() || h.node.balancer.MaxAttempts != 1 || h.node.currentFigures().Unavailable != 1 {
+		t.Errorf("%+v, %d connects, %d out", h.node.live.revision, h.node.balancer.MaxAttempts, h.node.currentFigures().Unavailable)
 	}
 }
--- /dev/null
+++ b/internal/node/startup.go
@@ -0,0 +1,55 @@
+package node
+
+// startup says when a new process may open its listener.
+type startup struct {
+	listenerClosed bool // the listener is not open yet
+	openRequested  bool // OpenListener has been emitted, once
+	hasPredecessor bool // another process has the clients until this one can serve
+}
+
+func newStartup(start Start) startup {
+	return startup{
+		listenerClosed: start.NotListening || start.AwaitSettings > 0,
+		hasPredecessor: start.NotListening,
+	}
+}
+
+// awaitsOpening reports whether the listener has still to be asked for.
+func (s *startup) awaitsOpening() bool { return s.listenerClosed && !s.openRequested }
+
+// canServe reports whether clients can be served.
+func (n *Node) canServe() bool { return !n.shutdown.started && n.endpoints.mayServe() }
+
+// isReady reports whether clients may be sent to this node.
+func (n *Node) isReady() bool { return !n.startup.listenerClosed && n.canServe() }
+
+// mayOpenListener reports whether the listener may open: the live settings are not waited for, and where another
+// process has the clients until then, they can be served.
+func (n *Node) mayOpenListener() bool {
+	if n.awaitsSettings() || n.shutdown.started {
+		return false
+	}
+	return n.canServe() || !n.startup.hasPredecessor
+}
+
+// requestListener asks for the listener to be opened as soon as it may.
+func (n *Node) requestListener() {
+	if !n.startup.awaitsOpening() || !n.mayOpenListener() {
+		return
+	}
+	n.startup.openRequested = true
+	n.logStartWithoutSettings()
+	n.emit(OpenListener{})
+}
+
+// awaitsSettings reports whether the listener still waits for a first revision of the live settings.
+func (n *Node) awaitsSettings() bool {
+	return n.now < n.live.awaitDeadline && n.live.revision.IsZero()
+}
+
+// logStartWithoutSettings logs that clients are admitted although no revision has come in time.
+func (n *Node) logStartWithoutSettings() {
+	if n.live.awaitDeadline > 0 && n.live.revision.IsZero() {
+		n.emit(WriteLog{"no word of the live settings in time: clients are let in by the start's"})
+	}
+}
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,101 +7,113 @@
 	"gorseledge/placement"
 )
 
-// What discovery has counts as told 6 s after it had it and could be reached, whatever became of a call. Within that
-// time silence has to be found, and the call that follows has to be made and answered, in its turn. Guards against
-// sends to hosts that left meanwhile (rule 3): with 5 s for silence and 6 s for an answer to begin, that call came too
-// late, and with waits that doubled without an answer a call that got lost held up the next for 64 s.
+// A node must act on a change within 6 s of the time when discovery has it and can be reached, or it may send flows to
+// hosts that have left. Within that time a silent watch has to be noticed, and the call that follows has to be made and
+// answered in its turn. Times in seconds.
 const (
-	quiet      = 2.5 // s; a watch says something every two seconds
-	answerWait = 4.0 // s, for an answer to begin: discovery works through calls in turn
+	watchSilenceTimeout = 2.5 // a watch sends something every two seconds
+	watchAnswerTimeout  = 4.0 // for an answer to begin, as discovery works through calls in turn
 
-	// Where lists are pushed nobody else waits for this machine's agent, and no grace covers a node that does not
-	// ask it. Guards against a discovery that is back while its nodes still wait for their turn.
-	agentWithin = 0.5
+	// agentPollInterval is within how many seconds a new watch is asked for where lists are pushed to the machine's own
+	// agent. No other node waits for that agent, and what it has counts at once.
+	agentPollInterval = 0.5
 )
 
 type watchState uint8
 
 const (
-	unwatched watchState = iota // none is asked for; the module says when
-	opening                     // asked for, and nothing has come yet
-	speaking
+	watchIdle      watchState = iota // none is asked for; the balancer decides when
+	watchRequested                   // asked for, and nothing has come yet
+	watchActive
 )
 
-// watch is the one place that knows how things stand with the watch of the list, and how old the list is.
-type watch struct {
-	state watchState
-	word  float64 // when it was asked for last, or last said anything
-	fresh float64 // when a watch last said anything, or this process began
-	line  float64 // since when a line has been coming that has not ended; 0 for none
+// endpointWatch knows the state of the watch of the endpoint list, and how old the list is.
+type endpointWatch struct {
+	state           watchState
+	lastActivity    float64 // when the watch was asked for last, or last sent anything
+	listConfirmedAt float64 // when a watch last sent a whole line, or this process began
+	lineStartedAt   float64 // since when an unfinished line has been coming; 0 for none
 }
 
-// due is when the silence of a watch is too long, infinite where there is none.
-func (w *watch) due() float64 {
+// deadline returns when the silence of the watch is too long, infinite where there is no watch.
+func (w *endpointWatch) deadline() float64 {
 	switch w.state {
-	case opening:
-		return w.word + answerWait
-	case speaking:
-		if w.line > 0 { // guards against one that never ends, a byte at a time
-			return min(w.word+quiet, w.line+answerWait)
+	case watchRequested:
+		return w.lastActivity + watchAnswerTimeout
+	case watchActive:
+		silence := w.lastActivity + watchSilenceTimeout
+		if w.lineStartedAt > 0 { // a line that comes byte by byte may not go on for ever
+			return min(silence, w.lineStartedAt+watchAnswerTimeout)
 		}
-		return w.word + quiet
+		return silence
 	}
 	return math.Inf(1)
 }
 
-// spoke takes a sign of life of the watch, within a line or at its end.
-func (w *watch) spoke(now float64, within bool) {
+// noteActivity notes that the watch has sent something, midLine within a line that has not ended yet.
+func (w *endpointWatch) noteActivity(now float64, midLine bool) {
 	switch {
-	case !within:
-		w.fresh, w.line = now, 0
-	case w.line == 0:
-		w.line = now
+	case !midLine:
+		w.listConfirmedAt = now
+		w.lineStartedAt = 0
+	case w.lineStartedAt == 0:
+		w.lineStartedAt = now
 	}
-	if w.state != unwatched {
-		w.state, w.word = speaking, now
+	if w.state != watchIdle {
+		w.state = watchActive
+		w.lastActivity = now
 	}
 }
 
-// follow carries out the module's wish to follow the list, also anew where discovery has moved: at once, as
-// the time to wait after failures was for the old address. Guards against a wish from before the move
-// breaking off the watch that is there already.
-func (n *Node) follow() {
-	if n.watch.state == unwatched {
-		n.watch.state, n.watch.word, n.watch.line = opening, n.now, 0
-		n.ask(Watch{Index: n.index})
+// request notes that a watch is asked for.
+func (w *endpointWatch) request(now float64) {
+	w.state = watchRequested
+	w.lastActivity = now
+	w.lineStartedAt = 0
+}
+
+// age returns how many seconds ago the list was confirmed last.
+func (w *endpointWatch) age(now float64) float64 { return now - w.listConfirmedAt }
+
+// watchEndpoints asks for a watch of the list unless there is one, as after a move of discovery, where the balancer may
+// still decide to ask although discoveryMoved has done so.
+func (n *Node) watchEndpoints() {
+	if n.watch.state != watchIdle {
+		return
 	}
+	n.watch.request(n.now)
+	n.emit(Watch{Index: n.endpoints.listIndex})
 }
 
-// relocated begins anew at discovery's new address.
-func (n *Node) relocated() {
-	n.watch.state = unwatched
-	n.follow()
+// discoveryMoved asks for a watch at discovery's new address, at once: any backoff was for the old one.
+func (n *Node) discoveryMoved() {
+	n.watch.state = watchIdle
+	n.watchEndpoints()
 }
 
-// unlisted takes the end of a watch, or of a call for one.
-func (n *Node) unlisted(kind placement.ListKind, why string) {
-	n.misses++
-	n.watch.state = unwatched
-	n.module.UpdateEndpoints(n.now, kind, nil)
-	n.ask(WriteLog{fmt.Sprintf("discovery: %s, the list is %.1f s old", why, n.now-n.watch.fresh)})
+// watchEnded handles the end of a watch, or of a call for one.
+func (n *Node) watchEnded(kind placement.ListKind, reason string) {
+	n.endpoints.failedCalls++
+	n.watch.state = watchIdle
+	n.balancer.UpdateEndpoints(n.now, kind, nil)
+	n.emit(WriteLog{fmt.Sprintf("discovery: %s, the list is %.1f s old", reason, n.watch.age(n.now))})
 }
 
-// hush ends a watch that has been silent for too long. A call that waits is not given up: another is made beside it.
-// Guards against a discovery that needs longer than a call waits, where who starts again at the end of its queue is
-// never answered, as well as against a call that got lost. The machine's own agent has no others to serve first.
-func (n *Node) hush() {
-	if n.now < n.watch.due() {
+// checkWatchSilence ends a watch that has been silent for too long. A call that waits for its answer is not given up,
+// as at a slow discovery a new call starts again at the end of the queue: another is made beside it, in case the first
+// got lost. The machine's own agent has no queue.
+func (n *Node) checkWatchSilence() {
+	if n.now < n.watch.deadline() {
 		return
 	}
-	if n.watch.state == opening && !n.door.ListPushed {
-		n.misses++
-		n.watch.word = n.now
-		n.ask(Watch{Index: n.index, Beside: true})
-		n.ask(WriteLog{fmt.Sprintf("discovery: no answer for %.0f s, asked once more beside, the list is %.1f s old",
-			answerWait, n.now-n.watch.fresh)})
+	if n.watch.state == watchRequested && !n.listener.ListPushed {
+		n.endpoints.failedCalls++
+		n.watch.lastActivity = n.now
+		n.emit(Watch{Index: n.endpoints.listIndex, Beside: true})
+		n.emit(WriteLog{fmt.Sprintf("discovery: no answer for %.0f s, asked once more beside, the list is %.1f s old",
+			watchAnswerTimeout, n.watch.age(n.now))})
 		return
 	}
-	n.ask(StopWatch{})
-	n.unlisted(placement.ListTimedOut, "the watch is silent")
+	n.emit(StopWatch{})
+	n.watchEnded(placement.ListTimedOut, "the watch is silent")
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -9,15 +9,15 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
-// untilAsked lets time go by without a word of the watch until it is asked for anew, and gives how long that took.
-func (w *world) untilAsked(most float64) float64 {
-	w.mute = true
-	began, had := w.now, len(w.watches)
-	for len(w.watches) == had {
+// timeUntilWatch lets time go by without a word of the watch until it is asked for anew, and gives how long that took.
+func (w *harness) timeUntilWatch(most float64) float64 {
+	w.watchSilent = true
+	began, had := w.now, len(w.watchIndices)
+	for len(w.watchIndices) == had {
 		if w.now-began > most {
 			return math.Inf(1)
 		}
-		w.pass(0.01)
+		w.advance(0.01)
 	}
 	return w.now - began
 }
@@ -35,28 +35,28 @@
 		least, most float64 // s from the last of these to the next call
 		unwatches   int
 	}{
-		{"a call that nothing answers", []Input{DiscoveryMoved{}}, answerWait, answerWait + beatOf, 0},
-		{"an answer with nothing in it", []Input{DiscoveryMoved{}, WatchAlive{}}, quiet, quiet + beatOf, 1},
-		{"after a list", []Input{DiscoveryMoved{}, one("SERVING")}, quiet, quiet + beatOf, 1},
-		{"between lines, or in the middle of one", []Input{DiscoveryMoved{}, one("SERVING"), WatchAlive{}, WatchAlive{}}, quiet,
-			quiet + beatOf, 1},
+		{"a call that nothing answers", []Input{DiscoveryMoved{}}, watchAnswerTimeout, watchAnswerTimeout + beatOf, 0},
+		{"an answer with nothing in it", []Input{DiscoveryMoved{}, WatchAlive{}}, watchSilenceTimeout, watchSilenceTimeout + beatOf, 1},
+		{"after a list", []Input{DiscoveryMoved{}, one("SERVING")}, watchSilenceTimeout, watchSilenceTimeout + beatOf, 1},
+		{"between lines, or in the middle of one", []Input{DiscoveryMoved{}, one("SERVING"), WatchAlive{}, WatchAlive{}}, watchSilenceTimeout,
+			watchSilenceTimeout + beatOf, 1},
 		{"reset", []Input{DiscoveryMoved{}, WatchFailed{Reason: "reset"}}, beatOf / 2, 2 * beatOf, 0},
 		{"reset after a list", []Input{DiscoveryMoved{}, one("SERVING"), WatchFailed{Reason: "reset"}}, beatOf / 2, 2 * beatOf, 0},
 		{"refused twice", []Input{DiscoveryMoved{}, WatchFailed{Reason: "503"}, WatchFailed{Reason: "503"}}, beatOf, 4 * beatOf, 0},
-		{"moved while it is waited for", []Input{WatchFailed{Reason: "503"}, DiscoveryMoved{}}, answerWait, answerWait + beatOf, 0},
-		{"moved while it is silent", []Input{one("SERVING"), DiscoveryMoved{}}, answerWait, answerWait + beatOf, 0},
+		{"moved while it is waited for", []Input{WatchFailed{Reason: "503"}, DiscoveryMoved{}}, watchAnswerTimeout, watchAnswerTimeout + beatOf, 0},
+		{"moved while it is silent", []Input{one("SERVING"), DiscoveryMoved{}}, watchAnswerTimeout, watchAnswerTimeout + beatOf, 0},
 	} {
-		w := newWorld(t, "proxy", 3, 100)
+		w := newHarness(t, "proxy", 3, 100)
 		for _, in := range c.before {
-			w.do(in)
+			w.apply(in)
 		}
-		if took := w.untilAsked(10); took < c.least-0.01 || took > c.most+0.02 {
+		if took := w.timeUntilWatch(10); took < c.least-0.01 || took > c.most+0.02 {
 			t.Errorf("%s: asked anew after %.2f s, wanted %.2f to %.2f s", c.name, took, c.least, c.most)
 		}
-		if w.unwatches != c.unwatches {
-			t.Errorf("%s: %d watches ended, wanted %d", c.name, w.unwatches, c.unwatches)
+		if w.stoppedWatches != c.unwatches {
+			t.Errorf("%s: %d watches ended, wanted %d", c.name, w.stoppedWatches, c.unwatches)
 		}
-		if f := w.asks(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 0 {
+		if f := w.query(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 0 {
 			t.Errorf("%s: %d hosts listed, %d avoided", c.name, f.Listed, f.Unavailable)
 		}
 	}
@@ -68,33 +68,33 @@
 // Guards against a discovery that needs longer than that for a call, where who starts again is never answered; against
 // a call that got lost and held up the next; and against an agent that is given no second call.
 func TestSlowDiscovery(t *testing.T) {
-	w := newWorldOf(t, strings.Replace(settingsJSON, "{", `{"membership_mode":"automatic",`, 1), "proxy", 3, 100)
-	w.do(DiscoveryMoved{})
+	w := newHarnessWith(t, strings.Replace(settingsJSON, "{", `{"membership_mode":"automatic",`, 1), "proxy", 3, 100)
+	w.apply(DiscoveryMoved{})
 	for range 5 { // its own agent
-		if took := w.untilAsked(100); math.Abs(took-answerWait) > 2*beatOf {
-			t.Fatalf("waited %.2f s for an agent, wanted %.0f s", took, answerWait)
+		if took := w.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*beatOf {
+			t.Fatalf("waited %.2f s for an agent, wanted %.0f s", took, watchAnswerTimeout)
 		}
 	}
-	if w.unwatches != 5 || w.besides != 0 {
-		t.Errorf("%d calls of an agent given up, %d made beside, wanted 5 and 0", w.unwatches, w.besides)
+	if w.stoppedWatches != 5 || w.parallelWatches != 0 {
+		t.Errorf("%d calls of an agent given up, %d made beside, wanted 5 and 0", w.stoppedWatches, w.parallelWatches)
 	}
-	w = newWorld(t, "proxy", 3, 100)
-	w.do(DiscoveryMoved{})
+	w = newHarness(t, "proxy", 3, 100)
+	w.apply(DiscoveryMoved{})
 	for range 20 {
-		if took := w.untilAsked(100); math.Abs(took-answerWait) > 2*beatOf {
-			t.Fatalf("waited %.2f s, wanted %.0f s", took, answerWait)
+		if took := w.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*beatOf {
+			t.Fatalf("waited %.2f s, wanted %.0f s", took, watchAnswerTimeout)
 		}
 	}
-	if w.unwatches != 0 || w.besides != 20 {
-		t.Errorf("%d calls given up, %d made beside, wanted 0 and 20", w.unwatches, w.besides)
+	if w.stoppedWatches != 0 || w.parallelWatches != 20 {
+		t.Errorf("%d calls given up, %d made beside, wanted 0 and 20", w.stoppedWatches, w.parallelWatches)
 	}
-	w.do(WatchAlive{})
-	w.untilAsked(5)
-	if w.unwatches != 1 {
-		t.Errorf("%d watches ended, wanted the one that spoke", w.unwatches)
+	w.apply(WatchAlive{})
+	w.timeUntilWatch(5)
+	if w.stoppedWatches != 1 {
+		t.Errorf("%d watches ended, wanted the one that spoke", w.stoppedWatches)
 	}
-	if took := w.untilAsked(100); math.Abs(took-answerWait) > 2*beatOf {
-		t.Errorf("waited %.2f s after an answer, wanted %.0f s", took, answerWait)
+	if took := w.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*beatOf {
+		t.Errorf("waited %.2f s after an answer, wanted %.0f s", took, watchAnswerTimeout)
 	}
 }
 
@@ -102,27 +102,27 @@
 // Guards against a list that gets old behind a watch which seems alive.
 func TestEndlessLine(t *testing.T) {
 	for _, ends := range []bool{false, true} {
-		w := newWorld(t, "proxy", 3, 100)
+		w := newHarness(t, "proxy", 3, 100)
 		for i := range 60 {
-			w.pass(0.2)
-			w.do(WatchAlive{MidLine: !ends || i%15 != 14}) // a line of three seconds, or one without an end
+			w.advance(0.2)
+			w.apply(WatchAlive{MidLine: !ends || i%15 != 14}) // a line of three seconds, or one without an end
 		}
-		if given := w.unwatches > 0; given == ends {
-			t.Errorf("a line that ends %v: %d watches given up", ends, w.unwatches)
+		if given := w.stoppedWatches > 0; given == ends {
+			t.Errorf("a line that ends %v: %d watches given up", ends, w.stoppedWatches)
 		}
 	}
 }
 
 // What a watch still says that was given up counts, and one that speaks every two seconds is never given up.
 func TestLateWord(t *testing.T) {
-	w := newWorld(t, "proxy", 3, 100)
-	w.pass(60)
-	if w.unwatches != 0 || !slices.Equal(w.watches, []int64{5}) {
-		t.Fatalf("%d watches given up, asked from %v", w.unwatches, w.watches)
+	w := newHarness(t, "proxy", 3, 100)
+	w.advance(60)
+	if w.stoppedWatches != 0 || !slices.Equal(w.watchIndices, []int64{5}) {
+		t.Fatalf("%d watches given up, asked from %v", w.stoppedWatches, w.watchIndices)
 	}
-	w.untilAsked(10)
-	w.do(ListReceived{endpoint.List{Index: 9, Hosts: []endpoint.Host{{Name: "s-00000064", Status: "DRAINING"}}}})
-	if f := w.asks(GetFigures, "").Figures; f.Unavailable != 1 {
+	w.timeUntilWatch(10)
+	w.apply(ListReceived{endpoint.List{Index: 9, Hosts: []endpoint.Host{{Name: "s-00000064", Status: "DRAINING"}}}})
+	if f := w.query(GetFigures, "").Figures; f.Unavailable != 1 {
 		t.Error("a late word was not heard")
 	}
 }
