--- a/cmd/gorseledge-lab/gorselab_golden_test.go
+++ b/cmd/gorseledge-lab/gorselab_golden_test.go
@@ -80,11 +80,11 @@
 
 // A row of the command members.
 func TestGoldenMembersRow(t *testing.T) {
-	found := []members.Measure{{Seed: 1, Suspected: 1.5, First: 2.5, Last: 3.5, Known: 0.5, FalseSuspicions: 8, FalseDeaths: 9, Bytes: 100},
+	found := []members.Measurement{{Seed: 1, Suspected: 1.5, First: 2.5, Last: 3.5, Known: 0.5, FalseSuspicions: 8, FalseDeaths: 9, Bytes: 100},
 		{Seed: 2, Suspected: 2.5, First: 3.5, Last: 4.5, Known: 1, FalseSuspicions: 10, FalseDeaths: 11, Bytes: 200}}
 	var out bytes.Buffer
 	for _, plain := range []bool{false, true} {
-		writeRow(&out, members.Options{Nodes: 50, Plain: plain}, found)
+		writeRow(&out, members.Options{Nodes: 50, WithoutLifeguard: plain}, found)
 	}
 	checkGolden(t, "members.txt", out.Bytes())
 }
--- a/cmd/gorseledge-lab/members.go
+++ b/cmd/gorseledge-lab/members.go
@@ -101,9 +101,9 @@
 // measureSize measures fleets of one size, writes a row for each core and draws a chart where the options ask for it. The
 // table takes the core as built; where it is to be kept, the other core is not measured.
 func measureSize(ctx context.Context, w io.Writer, table *figures.Table, o membersOptions) error {
-	var cores []members.Core
+	var cores []members.Variant
 	for _, plain := range []bool{false, true} {
-		if o.fleet.Plain = plain; plain && o.table.path != "" {
+		if o.fleet.WithoutLifeguard = plain; plain && o.table.path != "" {
 			continue
 		}
 		found, err := measure(ctx, o)
@@ -114,7 +114,7 @@
 		for _, m := range found {
 			table.Rows = append(table.Rows, m.Figures(o.fleet.Nodes)...)
 		}
-		cores = append(cores, members.Core{Name: coreName(o.fleet), Measures: found})
+		cores = append(cores, members.Variant{Name: coreName(o.fleet), Measurements: found})
 	}
 	if o.charts == "" {
 		return nil
@@ -135,7 +135,7 @@
 				return err
 			}
 			o.fleet.Nodes, o.fleet.Seed = size, uint64(seed)
-			r := members.Idle(o.fleet, idleSeconds)
+			r := members.MeasureIdle(o.fleet, idleSeconds)
 			fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%.2f\t%.0f\n", size, 1e6*r.CPU, r.Memory/1e3, r.Messages, r.Bytes)
 			table.Rows = append(table.Rows, r.Figures(seed, size)...)
 		}
@@ -144,12 +144,12 @@
 }
 
 // measure measures a fleet for each seed, in parallel. When the context ends, it finishes the fleets in progress only.
-func measure(ctx context.Context, o membersOptions) ([]members.Measure, error) {
+func measure(ctx context.Context, o membersOptions) ([]members.Measurement, error) {
 	settle := o.settle
 	if settle == 0 {
 		settle = members.SettlePeriods(o.fleet.Nodes)
 	}
-	found := make([]members.Measure, o.seeds)
+	found := make([]members.Measurement, o.seeds)
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.NumCPU())
 	for i := range found {
@@ -159,7 +159,7 @@
 			}
 			one := o.fleet
 			one.Seed = uint64(i + 1)
-			found[i] = members.Take(one, o.stalls, settle, o.seconds)
+			found[i] = members.MeasureDetection(one, o.stalls, settle, o.seconds)
 			return nil
 		})
 	}
@@ -168,34 +168,34 @@
 
 // coreName names the core that the options measure.
 func coreName(o members.Options) string {
-	if o.Plain {
+	if o.WithoutLifeguard {
 		return "plain SWIM"
 	}
 	return "as built"
 }
 
 // writeRow writes the medians and means of the fleets of one size and core.
-func writeRow(w io.Writer, o members.Options, found []members.Measure) {
-	of := func(get func(members.Measure) float64) (out []float64) {
+func writeRow(w io.Writer, o members.Options, found []members.Measurement) {
+	of := func(get func(members.Measurement) float64) (out []float64) {
 		for _, m := range found {
 			out = append(out, get(m))
 		}
 		return out
 	}
-	mean := func(get func(members.Measure) float64) (sum float64) {
+	mean := func(get func(members.Measurement) float64) (sum float64) {
 		for _, x := range of(get) {
 			sum += x / float64(len(found))
 		}
 		return sum
 	}
-	suspected := of(func(m members.Measure) float64 { return m.Suspected })
-	first := of(func(m members.Measure) float64 { return m.First })
-	last := of(func(m members.Measure) float64 { return m.Last })
+	suspected := of(func(m members.Measurement) float64 { return m.Suspected })
+	first := of(func(m members.Measurement) float64 { return m.First })
+	last := of(func(m members.Measurement) float64 { return m.Last })
 	fmt.Fprintf(w, "%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.0f\t%.0f\t%.0f\n", coreName(o), o.Nodes, len(found),
 		members.Quantile(suspected, 0.5), members.Quantile(suspected, 0.99), members.Quantile(first, 0.5),
 		members.Quantile(last, 0.5), members.Quantile(last, 0.99),
-		mean(func(m members.Measure) float64 { return m.Known }),
-		mean(func(m members.Measure) float64 { return m.FalseSuspicions }),
-		mean(func(m members.Measure) float64 { return m.FalseDeaths }),
-		mean(func(m members.Measure) float64 { return m.Bytes }))
+		mean(func(m members.Measurement) float64 { return m.Known }),
+		mean(func(m members.Measurement) float64 { return m.FalseSuspicions }),
+		mean(func(m members.Measurement) float64 { return m.FalseDeaths }),
+		mean(func(m members.Measurement) float64 { return m.Bytes }))
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -128,14 +128,14 @@
 	for _, m := range v.Members {
 		states[m.State]++
 		if m.Name == v.Self {
-			bad = len(m.Bad)
+			bad = len(m.BadLinks)
 		}
 	}
 	for _, state := range []string{"alive", "suspect", "dead", "left"} {
 		gauge(w, "members."+state, states[state])
 	}
 	gauge(w, "members.bad_links", bad)
-	gauge(w, "members.doubt", v.Doubt)
+	gauge(w, "members.doubt", v.HealthScore)
 	gauge(w, "members.nodes", v.Nodes)
 	for _, t := range v.Traffic {
 		for _, c := range []struct {
--- a/internal/admin/admin_golden_test.go
+++ b/internal/admin/admin_golden_test.go
@@ -51,23 +51,23 @@
 
 func goldenView() view.View {
 	return view.View{
-		Fleet: "lima", Self: "n1", Living: 3, Doubt: 6, Nodes: 4,
-		Members: []view.Seen{
+		Fleet: "lima", Self: "n1", Living: 3, HealthScore: 6, Nodes: 4,
+		Members: []view.Member{
 			{Name: "n1", State: "alive", Since: 1700000001.5, Start: 1700000000123456, Incarnation: 5,
-				Address: "10.1.0.1:7000", Zone: "a", Build: "5fa7498", Ready: true, Bad: []string{"n2", "n3"}},
+				Address: "10.1.0.1:7000", Zone: "a", Build: "5fa7498", Ready: true, BadLinks: []string{"n2", "n3"}},
 			{Name: "n2", State: "suspect", Since: 1700000002.5, Start: 1700000000123457, Incarnation: 6,
-				Address: "10.1.0.2:7000", Zone: "b", Build: "5fa7499", Ready: true, Bad: []string{"n1"}},
+				Address: "10.1.0.2:7000", Zone: "b", Build: "5fa7499", Ready: true, BadLinks: []string{"n1"}},
 			{Name: "n3", State: "dead", Since: 1700000003.5, Start: 1700000000123458, Incarnation: 7,
-				Address: "10.1.0.3:7000", Zone: "a", Build: "5fa7500", Ready: true, Bad: []string{"n4"}},
+				Address: "10.1.0.3:7000", Zone: "a", Build: "5fa7500", Ready: true, BadLinks: []string{"n4"}},
 			{Name: "n4", State: "left", Since: 1700000004.5, Start: 1700000000123459, Incarnation: 8,
-				Address: "10.1.0.4:7000", Zone: "b", Build: "5fa7501", Ready: true, Bad: []string{"n3"}},
+				Address: "10.1.0.4:7000", Zone: "b", Build: "5fa7501", Ready: true, BadLinks: []string{"n3"}},
 		},
 		Traffic: []view.Traffic{
 			{Kind: "ping", SentMessages: 3, SentBytes: 270, ReceivedMessages: 2, ReceivedBytes: 180},
 			{Kind: "sync", SentMessages: 4, SentBytes: 1270, ReceivedMessages: 5, ReceivedBytes: 1180},
 		},
-		Refused: map[string]int{"version": 6, "seal": 8},
-		Config:  goldenConfig(),
+		Rejected: map[string]int{"version": 6, "seal": 8},
+		Config:   goldenConfig(),
 	}
 }
 
--- a/internal/configfeed/controlfile/controlfile.go
+++ b/internal/configfeed/controlfile/controlfile.go
@@ -114,7 +114,7 @@
 		if err := checkName("region", s.Region); err != nil {
 			return place("region"), err
 		}
-		address, err := peers.Address(s.Address)
+		address, err := peers.ParseAddress(s.Address)
 		switch {
 		case err != nil:
 			return place("address"), fmt.Errorf("address: %w", err)
@@ -145,7 +145,7 @@
 func checkVia(c Config) (strict.Place, error) {
 	for from, to := range c.Via {
 		for _, text := range []string{from, to} {
-			if _, err := peers.Address(text); err != nil {
+			if _, err := peers.ParseAddress(text); err != nil {
 				return strict.Place{Table: "via", Key: strconv.Quote(from)}, fmt.Errorf("via: %w", err)
 			}
 		}
--- a/internal/emulator/members/chart.go
+++ b/internal/emulator/members/chart.go
@@ -13,15 +13,15 @@
 	"gorseledge/internal/chart"
 )
 
-// Core is what fleets of one core showed.
-type Core struct {
-	Name     string
-	Measures []Measure
+// Variant is what fleets of one core showed.
+type Variant struct {
+	Name         string
+	Measurements []Measurement
 }
 
 // Chart draws, as SVG, in which part of the seeds a death was suspected, known to the first and known to all
 // within so many periods: a full line for the first core, a dashed one for the second.
-func Chart(nodes int, cores ...Core) ([]byte, error) {
+func Chart(nodes int, cores ...Variant) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d nodes (simulated): from a death to those who know", nodes)
 	p.X.Label.Text, p.Y.Label.Text = "periods after the death", "part of the seeds"
@@ -30,14 +30,14 @@
 		for _, line := range []struct {
 			name  string
 			color color.Color
-			get   func(Measure) float64
+			get   func(Measurement) float64
 		}{
-			{"first suspects", color.RGBA{230, 140, 20, 255}, func(m Measure) float64 { return m.Suspected }},
-			{"first knows", color.RGBA{60, 100, 200, 255}, func(m Measure) float64 { return m.First }},
-			{"last knows", color.RGBA{200, 30, 30, 255}, func(m Measure) float64 { return m.Last }},
+			{"first suspects", color.RGBA{230, 140, 20, 255}, func(m Measurement) float64 { return m.Suspected }},
+			{"first knows", color.RGBA{60, 100, 200, 255}, func(m Measurement) float64 { return m.First }},
+			{"last knows", color.RGBA{200, 30, 30, 255}, func(m Measurement) float64 { return m.Last }},
 		} {
 			var at []float64
-			for _, m := range c.Measures {
+			for _, m := range c.Measurements {
 				if x := line.get(m); !math.IsInf(x, 0) {
 					at = append(at, x)
 				}
@@ -45,7 +45,7 @@
 			slices.Sort(at)
 			points := plotter.XYs{{}}
 			for k, x := range at {
-				points = append(points, plotter.XY{X: x, Y: float64(k+1) / float64(len(c.Measures))})
+				points = append(points, plotter.XY{X: x, Y: float64(k+1) / float64(len(c.Measurements))})
 			}
 			l, err := plotter.NewLine(points)
 			if err != nil {
--- a/internal/emulator/members/figures.go
+++ b/internal/emulator/members/figures.go
@@ -7,7 +7,7 @@
 )
 
 // Figures gives a fleet's measure at rest as rows of a table.
-func (r Rest) Figures(run, nodes int) []figures.Row {
+func (r IdleCost) Figures(run, nodes int) []figures.Row {
 	return rows(run, nodes, "rest", []figure{
 		{"node.membership_cpu", "us/s", 1e6 * r.CPU}, {"node.membership_memory", "B", r.Memory},
 		{"node.membership_messages_sent", "1/s", r.Messages}, {"node.membership_bytes_sent", "B/s", r.Bytes}})
@@ -15,7 +15,7 @@
 
 // Figures gives what a seed showed of one death as rows of a table, in periods after it. What did not come while it was
 // looked for has no row.
-func (m Measure) Figures(nodes int) []figures.Row {
+func (m Measurement) Figures(nodes int) []figures.Row {
 	all := []figure{{"death.known_part", "1", m.Known}}
 	if !math.IsInf(m.Suspected, 0) {
 		all = append(all, figure{"death.suspected_by_first", "periods", m.Suspected})
--- a/internal/emulator/members/figures_test.go
+++ b/internal/emulator/members/figures_test.go
@@ -12,14 +12,14 @@
 func TestFiguresLeaveOutWhatDidNotCome(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		m     Measure
+		m     Measurement
 		costs []string
 	}{
-		{"known to all", Measure{Suspected: 2, First: 10, Last: 20, Known: 1},
+		{"known to all", Measurement{Suspected: 2, First: 10, Last: 20, Known: 1},
 			[]string{"death.known_part", "death.suspected_by_first", "death.known_by_first", "death.known_by_last"}},
-		{"known to some", Measure{Suspected: 2, First: 10, Last: 80, Known: 0.93},
+		{"known to some", Measurement{Suspected: 2, First: 10, Last: 80, Known: 0.93},
 			[]string{"death.known_part", "death.suspected_by_first", "death.known_by_first"}},
-		{"known to none", Measure{Suspected: math.Inf(1), First: math.Inf(1)}, []string{"death.known_part"}},
+		{"known to none", Measurement{Suspected: math.Inf(1), First: math.Inf(1)}, []string{"death.known_part"}},
 	} {
 		var costs []string
 		for _, row := range c.m.Figures(30) {
--- a/internal/emulator/members/measure.go
+++ b/internal/emulator/members/measure.go
@@ -9,8 +9,8 @@
 	"gorseledge/internal/membership"
 )
 
-// Measure is what a seed showed. Times are periods after the death.
-type Measure struct {
+// Measurement is what a seed showed. Times are periods after the death.
+type Measurement struct {
 	Seed                          uint64
 	Suspected, First, Last, Known float64 // first suspicion, first and last that held it for dead; the part that did
 	FalseSuspicions, FalseDeaths  float64 // an hour and fleet, of members that live
@@ -26,9 +26,9 @@
 // is said. Fleets of some hundred members still tell of the start then.
 func SettlePeriods(nodes int) float64 { return 30 * math.Log10(10+float64(nodes)) }
 
-// Take measures one fleet, so many periods after its start: at rest for its load, then with stalls for what is falsely
+// MeasureDetection measures one fleet, so many periods after its start: at rest for its load, then with stalls for what is falsely
 // held, then one death.
-func Take(o Options, s Stalls, settle, seconds float64) Measure {
+func MeasureDetection(o Options, s Stalls, settle, seconds float64) Measurement {
 	w := New(o)
 	w.Run(w.Now + settle*w.Period)
 	sum, from := 0, w.Now
@@ -39,14 +39,14 @@
 	for i := range w.Bytes {
 		sum += w.Bytes[i]
 	}
-	m := Measure{Seed: o.Seed, Bytes: float64(sum) / float64(o.Nodes) / (w.Now - from)}
+	m := Measurement{Seed: o.Seed, Bytes: float64(sum) / float64(o.Nodes) / (w.Now - from)}
 	before := len(w.Events)
 	if s.Part > 0 {
 		n := int(s.Part * float64(o.Nodes))
 		for i := range n {
-			for at := w.Now + s.Every*w.rand.Float64(); at+s.For < w.Now+seconds; at += s.Every {
-				w.At(at, func() { w.Stop(i) })
-				w.At(at+s.For, func() { w.Wake(i) })
+			for at := w.Now + s.Every*w.random.Float64(); at+s.For < w.Now+seconds; at += s.Every {
+				w.At(at, func() { w.Pause(i) })
+				w.At(at+s.For, func() { w.Resume(i) })
 			}
 		}
 		w.Run(w.Now + seconds)
@@ -85,16 +85,16 @@
 	return m
 }
 
-// Rest is what a member costs while nothing befalls its fleet.
-type Rest struct {
+// IdleCost is what a member costs while nothing befalls its fleet.
+type IdleCost struct {
 	CPU      float64 // seconds a member and second: processor time of this process, with its garbage collection
 	Memory   float64 // bytes a member, of all that it keeps
 	Messages float64 // sent a member and second
 	Bytes    float64
 }
 
-// Idle measures a fleet at rest, once its members know each other, over so many periods.
-func Idle(o Options, periods float64) (r Rest) {
+// MeasureIdle measures a fleet at rest, once its members know each other, over so many periods.
+func MeasureIdle(o Options, periods float64) (r IdleCost) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -112,7 +112,7 @@
 	bytes, messages, began := sum(w.Bytes), sum(w.Messages), processorTime()
 	w.Run(w.Now + periods*w.Period)
 	per := float64(o.Nodes) * periods * w.Period
-	r = Rest{CPU: (processorTime() - began) / per, Memory: float64(after.HeapAlloc-before.HeapAlloc) / float64(o.Nodes),
+	r = IdleCost{CPU: (processorTime() - began) / per, Memory: float64(after.HeapAlloc-before.HeapAlloc) / float64(o.Nodes),
 		Messages: (sum(w.Messages) - messages) / per, Bytes: (sum(w.Bytes) - bytes) / per}
 	runtime.KeepAlive(w)
 	return r
--- a/internal/emulator/members/resting.go
+++ b/internal/emulator/members/resting.go
@@ -11,12 +11,12 @@
 
 const mostBody = 208 // bytes of a message that introduces members, as of any other
 
-// RestNews is how many members a node may still tell of, in the mean, in a fleet at rest.
-const RestNews = 0.1
+// MaxIdlePendingUpdates is how many members a node may still tell of, in the mean, in a fleet at rest.
+const MaxIdlePendingUpdates = 0.1
 
-// Resting measures a fleet whose members were introduced to each other, over so many periods: at rest, once all know the
+// MeasureIntroduced measures a fleet whose members were introduced to each other, over so many periods: at rest, once all know the
 // same and tell each other nothing new, or else once they know each other. CPU and memory are left out.
-func Resting(ctx context.Context, o Options, atRest bool, periods float64) (r Rest, err error) {
+func MeasureIntroduced(ctx context.Context, o Options, atRest bool, periods float64) (r IdleCost, err error) {
 	w := New(o)
 	w.introduce()
 	for limit := w.Now + 1000*w.Period; ; {
@@ -24,7 +24,7 @@
 		if err := ctx.Err(); err != nil {
 			return r, err
 		}
-		if _, agree := w.Agree(); agree && (!atRest || w.same() && w.news() <= RestNews*float64(o.Nodes)) {
+		if _, agree := w.Agreement(); agree && (!atRest || w.sameDigests() && w.pendingUpdates() <= MaxIdlePendingUpdates*float64(o.Nodes)) {
 			break
 		}
 		if w.Now > limit {
@@ -45,11 +45,11 @@
 		bytes, messages = bytes+w.Bytes[i], messages+w.Messages[i]
 	}
 	per := float64(o.Nodes) * float64(int(periods)) * w.Period
-	return Rest{Messages: float64(messages) / per, Bytes: float64(bytes) / per}, nil
+	return IdleCost{Messages: float64(messages) / per, Bytes: float64(bytes) / per}, nil
 }
 
 // introduce tells every member of all others.
-func (w *World) introduce() {
+func (w *Simulation) introduce() {
 	var message *wire.Message
 	tell := func() {
 		if message == nil {
@@ -72,8 +72,8 @@
 	tell()
 }
 
-// same tells whether all nodes know the same.
-func (w *World) same() bool {
+// sameDigests tells whether all nodes know the same.
+func (w *Simulation) sameDigests() bool {
 	for _, x := range w.nodes {
 		if x.Digest() != w.nodes[0].Digest() {
 			return false
@@ -82,10 +82,10 @@
 	return true
 }
 
-// news is how many members all nodes together still tell of.
-func (w *World) news() (n float64) {
+// pendingUpdates is how many members all nodes together still tell of.
+func (w *Simulation) pendingUpdates() (n float64) {
 	for _, x := range w.nodes {
-		n += float64(x.News())
+		n += float64(x.PendingUpdates())
 	}
 	return n
 }
--- a/internal/emulator/members/world.go
+++ b/internal/emulator/members/world.go
@@ -15,14 +15,14 @@
 
 // Options are what a world is made of. Times are seconds.
 type Options struct {
-	Nodes  int
-	Seed   uint64
-	Plain  bool    // SWIM without Lifeguard's parts
-	Loss   float64 // part of all messages that is lost
-	Delay  float64 // mean of a message's way, drawn evenly from half to one and a half of it
-	Repeat float64 // part of all messages that comes twice
-	Zones  int
-	Period float64
+	Nodes            int
+	Seed             uint64
+	WithoutLifeguard bool    // SWIM without Lifeguard's parts
+	Loss             float64 // part of all messages that is lost
+	Delay            float64 // mean of a message's way, drawn evenly from half to one and a half of it
+	Duplicate        float64 // part of all messages that comes twice
+	Zones            int
+	Period           float64
 
 	Address func(i int) string          // of a node; one of its own for each where it is nil
 	Build   string                      // that each tells of itself
@@ -40,31 +40,31 @@
 type node struct {
 	*membership.Members
 	name, address string
-	down          bool
-	stopped       bool
-	held          []*wire.Message // what came while it was stopped
+	ended         bool
+	paused        bool
+	queued        []*wire.Message // what came while it was stopped
 	tickAt        float64
 	replaced      bool
 }
 
-// World is a fleet under way.
-type World struct {
+// Simulation is a fleet under way.
+type Simulation struct {
 	Options
 	virtual.Clock
-	Events   []Event
-	Bytes    []int // sent, by node
-	Messages []int
-	Largest  int
-	nodes    []*node
-	byAddr   map[string]int
-	rand     *rand.Rand
-	cut      map[[2]int]bool
+	Events         []Event
+	Bytes          []int // sent, by node
+	Messages       []int
+	LargestMessage int
+	nodes          []*node
+	byAddress      map[string]int
+	random         *rand.Rand
+	cutLinks       map[[2]int]bool
 }
 
 // New gives a world whose nodes start together, each of which knows the first three addresses.
-func New(o Options) *World {
-	w := &World{Options: o, Clock: virtual.Clock{Now: 1000}, rand: rand.New(rand.NewPCG(o.Seed, 77)), byAddr: map[string]int{},
-		cut: map[[2]int]bool{}}
+func New(o Options) *Simulation {
+	w := &Simulation{Options: o, Clock: virtual.Clock{Now: 1000}, random: rand.New(rand.NewPCG(o.Seed, 77)), byAddress: map[string]int{},
+		cutLinks: map[[2]int]bool{}}
 	if w.Period == 0 {
 		w.Period = 1
 	}
@@ -84,7 +84,7 @@
 }
 
 // Start starts one more process and gives its number; it takes an address of its own where none is given.
-func (w *World) Start(name, address string) int {
+func (w *Simulation) Start(name, address string) int {
 	i := len(w.nodes)
 	if address == "" {
 		address = w.Address(i)
@@ -101,58 +101,58 @@
 	n.Members = membership.New(w.Now, membership.Config{
 		Self: membership.Member{Name: name, Start: uint64(w.Now*1e6) + uint64(i), Address: address, Zone: zone, Build: w.Build,
 			Ready: true},
-		Join: join, Seed: w.Seed*7919 + uint64(i), Period: w.Period, Timeout: w.Period / 5, Helpers: 3, Most: 208,
-		Plain: w.Plain})
+		Join: join, Seed: w.Seed*7919 + uint64(i), Period: w.Period, ProbeTimeout: w.Period / 5, IndirectProbes: 3, MaxMessageBytes: 208,
+		WithoutLifeguard: w.WithoutLifeguard})
 	w.nodes = append(w.nodes, n)
 	w.Bytes, w.Messages = append(w.Bytes, 0), append(w.Messages, 0)
-	w.byAddr[address] = i
+	w.byAddress[address] = i
 	w.schedule(i)
 	return i
 }
 
 // schedule has a node's tick come when it is due.
-func (w *World) schedule(i int) {
-	if at := max(w.nodes[i].Next(), w.Now); at != w.nodes[i].tickAt && at < 1e300 {
+func (w *Simulation) schedule(i int) {
+	if at := max(w.nodes[i].NextTick(), w.Now); at != w.nodes[i].tickAt && at < 1e300 {
 		w.nodes[i].tickAt = at
 		w.At(at, func() { w.tick(i, at) })
 	}
 }
 
 // Run plays until a time.
-func (w *World) Run(until float64) {
+func (w *Simulation) Run(until float64) {
 	for w.Step(until) {
 	}
 }
 
 // tick rings a node's timer, unless it was set anew since.
-func (w *World) tick(i int, at float64) {
-	if n := w.nodes[i]; !n.down && !n.stopped && at == n.tickAt {
-		w.carry(i, n.Tick(w.Now))
+func (w *Simulation) tick(i int, at float64) {
+	if n := w.nodes[i]; !n.ended && !n.paused && at == n.tickAt {
+		w.apply(i, n.Tick(w.Now))
 		w.schedule(i)
 	}
 }
 
 // receive brings a message to a node.
-func (w *World) receive(i int, msg *wire.Message) {
+func (w *Simulation) receive(i int, msg *wire.Message) {
 	switch n := w.nodes[i]; {
-	case n.down:
-	case !n.stopped:
-		w.carry(i, n.Receive(w.Now, msg))
+	case n.ended:
+	case !n.paused:
+		w.apply(i, n.Receive(w.Now, msg))
 		w.schedule(i)
-	case len(n.held) < 200: // what a socket's buffer holds
-		n.held = append(n.held, msg)
+	case len(n.queued) < 200: // what a socket's buffer holds
+		n.queued = append(n.queued, msg)
 	}
 }
 
-// carry carries out what a core asks for.
-func (w *World) carry(i int, effects []membership.Effect) {
+// apply carries out what a core asks for.
+func (w *Simulation) apply(i int, effects []membership.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case membership.Send:
 			size := w.Size(e.Message)
 			w.Bytes[i] += size
 			w.Messages[i]++
-			w.Largest = max(w.Largest, size)
+			w.LargestMessage = max(w.LargestMessage, size)
 			w.deliver(i, e.To, e.Message)
 		case membership.Changed:
 			w.Events = append(w.Events, Event{w.Now, i, e})
@@ -162,68 +162,68 @@
 	}
 }
 
-func (w *World) deliver(from int, address string, msg *wire.Message) {
-	to, ok := w.byAddr[address]
-	if !ok || w.cut[[2]int{from, to}] || w.rand.Float64() < w.Loss {
+func (w *Simulation) deliver(from int, address string, msg *wire.Message) {
+	to, ok := w.byAddress[address]
+	if !ok || w.cutLinks[[2]int{from, to}] || w.random.Float64() < w.Loss {
 		return
 	}
 	copies := 1
-	if w.rand.Float64() < w.Repeat {
+	if w.random.Float64() < w.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		w.After(w.Delay*(0.5+w.rand.Float64()), func() { w.receive(to, msg) })
+		w.After(w.Delay*(0.5+w.random.Float64()), func() { w.receive(to, msg) })
 	}
 }
 
 // Cut breaks the way from one node to another, or mends it.
-func (w *World) Cut(from, to int, broken bool) {
+func (w *Simulation) Cut(from, to int, broken bool) {
 	if broken {
-		w.cut[[2]int{from, to}] = true
+		w.cutLinks[[2]int{from, to}] = true
 	} else {
-		delete(w.cut, [2]int{from, to})
+		delete(w.cutLinks, [2]int{from, to})
 	}
 }
 
 // Kill ends a process without a word.
-func (w *World) Kill(i int) { w.nodes[i].down = true }
+func (w *Simulation) Kill(i int) { w.nodes[i].ended = true }
 
-// Stop holds a process up, Wake has it go on with what came meanwhile.
-func (w *World) Stop(i int) { w.nodes[i].stopped = true }
+// Pause holds a process up, Wake has it go on with what came meanwhile.
+func (w *Simulation) Pause(i int) { w.nodes[i].paused = true }
 
-// Wake has a stopped process go on: the clock has moved, its timers are late, and its socket's buffer is full.
-func (w *World) Wake(i int) {
+// Resume has a stopped process go on: the clock has moved, its timers are late, and its socket's buffer is full.
+func (w *Simulation) Resume(i int) {
 	n := w.nodes[i]
-	if n.down || !n.stopped {
+	if n.ended || !n.paused {
 		return
 	}
-	n.stopped = false
-	held := n.held
-	n.held = nil
-	w.carry(i, n.Tick(w.Now))
+	n.paused = false
+	held := n.queued
+	n.queued = nil
+	w.apply(i, n.Tick(w.Now))
 	for _, msg := range held {
-		w.carry(i, n.Receive(w.Now, msg))
+		w.apply(i, n.Receive(w.Now, msg))
 	}
 	w.schedule(i)
 }
 
 // Leave has a node go in good order.
-func (w *World) Leave(i int) {
-	w.carry(i, w.nodes[i].Members.Leave(w.Now))
-	w.nodes[i].down = true
+func (w *Simulation) Leave(i int) {
+	w.apply(i, w.nodes[i].Members.Leave(w.Now))
+	w.nodes[i].ended = true
 }
 
 // Inject delivers a message to a node as it is.
-func (w *World) Inject(to int, msg *wire.Message) { w.After(0, func() { w.receive(to, msg) }) }
+func (w *Simulation) Inject(to int, msg *wire.Message) { w.After(0, func() { w.receive(to, msg) }) }
 
 // Node gives a node's core.
-func (w *World) Node(i int) *membership.Members { return w.nodes[i].Members }
+func (w *Simulation) Node(i int) *membership.Members { return w.nodes[i].Members }
 
 // Replaced tells whether a process was told that another took its name over.
-func (w *World) Replaced(i int) bool { return w.nodes[i].replaced }
+func (w *Simulation) Replaced(i int) bool { return w.nodes[i].replaced }
 
-// Sees gives the state in which a node holds another, and false where it does not know it.
-func (w *World) Sees(i int, name string) (membership.State, bool) {
+// StateSeenBy gives the state in which a node holds another, and false where it does not know it.
+func (w *Simulation) StateSeenBy(i int, name string) (membership.State, bool) {
 	for _, x := range w.nodes[i].All() {
 		if x.Name == name {
 			return x.State, true
@@ -232,16 +232,16 @@
 	return membership.Dead, false
 }
 
-// Agree tells whether every process that runs holds exactly those that run for living; who is not, and where, else.
-func (w *World) Agree() (string, bool) {
+// Agreement tells whether every process that runs holds exactly those that run for living; who is not, and where, else.
+func (w *Simulation) Agreement() (string, bool) {
 	up := map[string]bool{}
 	for _, n := range w.nodes {
-		if !n.down {
+		if !n.ended {
 			up[n.name] = true
 		}
 	}
 	for _, n := range w.nodes {
-		if n.down {
+		if n.ended {
 			continue
 		}
 		seen := 0
@@ -261,14 +261,14 @@
 	return "", true
 }
 
-// Deaths counts the times that a running process was held for dead by another, a wrong one each.
-func (w *World) Deaths() (wrong int, first string) {
+// FalseDeaths counts the times that a running process was held for dead by another, a wrong one each.
+func (w *Simulation) FalseDeaths() (wrong int, first string) {
 	for _, e := range w.Events {
 		if e.State != membership.Dead {
 			continue
 		}
 		for _, n := range w.nodes {
-			if n.name == e.Name && !n.down {
+			if n.name == e.Name && !n.ended {
 				if wrong++; wrong == 1 {
 					first = fmt.Sprintf("%s held %s for dead at %.1f", w.nodes[e.Node].name, e.Name, e.At)
 				}
--- a/internal/emulator/members/world_test.go
+++ b/internal/emulator/members/world_test.go
@@ -16,12 +16,12 @@
 const begin = 1000.0
 
 // settled gives a world whose nodes have found each other.
-func settled(t *testing.T, o Options) *World {
+func settled(t *testing.T, o Options) *Simulation {
 	t.Helper()
 	w := New(o)
 	for until := begin + 5; ; until += 5 {
 		w.Run(until)
-		if why, ok := w.Agree(); ok {
+		if why, ok := w.Agreement(); ok {
 			return w
 		} else if until > begin+60*math.Log10(10+float64(o.Nodes)) {
 			t.Fatalf("%+v: not met after %g s: %s", o, until-begin, why)
@@ -30,10 +30,10 @@
 }
 
 // converge waits until all agree, for a stated time.
-func converge(t *testing.T, w *World, within float64) {
+func converge(t *testing.T, w *Simulation, within float64) {
 	t.Helper()
 	for until := w.Now + within; ; {
-		why, ok := w.Agree()
+		why, ok := w.Agreement()
 		if ok {
 			return
 		}
@@ -45,9 +45,9 @@
 }
 
 // unharmed fails where a process that runs was held for dead by another.
-func unharmed(t *testing.T, w *World) {
+func unharmed(t *testing.T, w *Simulation) {
 	t.Helper()
-	if n, first := w.Deaths(); n > 0 {
+	if n, first := w.FalseDeaths(); n > 0 {
 		t.Errorf("seed %d: %d deaths of members that live: %s", w.Seed, n, first)
 	}
 }
@@ -63,11 +63,11 @@
 			w.Leave(n - 1)
 			converge(t, w, 30)
 			w.Run(w.Now + 10)
-			if s, _ := w.Sees(0, w.nodes[n-1].name); s != membership.Left {
+			if s, _ := w.StateSeenBy(0, w.nodes[n-1].name); s != membership.Left {
 				t.Errorf("%d nodes: one that left is held for %v", n, s)
 			}
-			if w.Largest > 208 {
-				t.Errorf("a message of %d bytes", w.Largest)
+			if w.LargestMessage > 208 {
+				t.Errorf("a message of %d bytes", w.LargestMessage)
 			}
 		}
 	}
@@ -78,18 +78,18 @@
 	for _, pause := range []float64{0.2, 1.5, 3, 20} {
 		for seed := range uint64(3) {
 			w := settled(t, Options{Nodes: 12, Seed: seed})
-			w.Run(w.Node(5).Next() + 1e-6) // its probe is out: the answer comes while it is stopped
-			w.Stop(5)
+			w.Run(w.Node(5).NextTick() + 1e-6) // its probe is out: the answer comes while it is stopped
+			w.Pause(5)
 			w.Run(w.Now + pause)
 			before := len(w.Events)
-			w.Wake(5)
+			w.Resume(5)
 			converge(t, w, 60)
 			for _, e := range w.Events[before:] {
 				if e.Node == 5 && e.State != membership.Alive && e.Name != "n0005" {
 					t.Errorf("seed %d, %g s: on waking it holds %s for %v", seed, pause, e.Name, e.State)
 				}
 			}
-			if n, first := w.Deaths(); n > 0 && pause < 4 {
+			if n, first := w.FalseDeaths(); n > 0 && pause < 4 {
 				t.Errorf("seed %d, stopped for %g s: %s", seed, pause, first)
 			}
 		}
@@ -101,11 +101,11 @@
 	for seed := range uint64(3) {
 		w := settled(t, Options{Nodes: 30, Seed: seed})
 		for i := range 30 {
-			w.Stop(i)
+			w.Pause(i)
 		}
 		w.Run(w.Now + 20)
 		for i := range 30 {
-			w.Wake(i)
+			w.Resume(i)
 		}
 		w.Run(w.Now + 40)
 		unharmed(t, w)
@@ -119,7 +119,7 @@
 	for _, loss := range []float64{0.05, 0.2} {
 		for seed := range uint64(4) {
 			w := settled(t, Options{Nodes: 20, Seed: seed})
-			w.Loss, w.Delay, w.Repeat = loss, 0.05, 0.1
+			w.Loss, w.Delay, w.Duplicate = loss, 0.05, 0.1
 			w.Run(w.Now + 120)
 			unharmed(t, w)
 		}
@@ -133,10 +133,10 @@
 
 // One-sided cuts: who is still reached by way of one other stays a member.
 func TestOneSided(t *testing.T) {
-	for name, cut := range map[string]func(w *World){
-		"A hears B, B does not hear A": func(w *World) { w.Cut(0, 1, true) },
-		"a link cut both ways":         func(w *World) { w.Cut(0, 1, true); w.Cut(1, 0, true) },
-		"two zones, a third reaches both": func(w *World) {
+	for name, cut := range map[string]func(w *Simulation){
+		"A hears B, B does not hear A": func(w *Simulation) { w.Cut(0, 1, true) },
+		"a link cut both ways":         func(w *Simulation) { w.Cut(0, 1, true); w.Cut(1, 0, true) },
+		"two zones, a third reaches both": func(w *Simulation) {
 			for i := range 9 {
 				for k := range 9 {
 					if i%3 == 0 && k%3 == 1 || i%3 == 1 && k%3 == 0 {
@@ -154,7 +154,7 @@
 				unharmed(t, w)
 				bad := false
 				for _, x := range w.Node(2).All() { // told on, to one that all reach
-					bad = bad || len(x.Bad) > 0
+					bad = bad || len(x.BadLinks) > 0
 				}
 				if !bad {
 					t.Errorf("seed %d: nobody tells of a bad link", seed)
@@ -214,7 +214,7 @@
 func TestCrowdOfNews(t *testing.T) {
 	t.Parallel() // the longest here
 	o := Options{Nodes: 300, Seed: 12}
-	if m := Take(o, Stalls{Part: 0.1, For: 2, Every: 15}, SettlePeriods(o.Nodes), 120); m.FalseDeaths > 0 || m.Known < 1 {
+	if m := MeasureDetection(o, Stalls{Part: 0.1, For: 2, Every: 15}, SettlePeriods(o.Nodes), 120); m.FalseDeaths > 0 || m.Known < 1 {
 		t.Errorf("%.0f deaths an hour of members that live, a real one known by %.3f", m.FalseDeaths, m.Known)
 	}
 }
@@ -357,7 +357,7 @@
 	for seed := range uint64(3) {
 		w := New(Options{Nodes: nodes, Seed: seed + 1, Zones: 3})
 		w.Run(w.Now + 60)
-		shares := make([]fleet.Share, nodes)
+		shares := make([]fleet.BudgetDivisor, nodes)
 		worst, naive := 0.0, 0.0
 		watch := func(seconds int) {
 			for range seconds {
@@ -365,7 +365,7 @@
 				sum, plain := 0.0, 0.0
 				for i := range nodes {
 					living := w.Node(i).Living()
-					sum += 0.5 / float64(shares[i].Take(w.Now, living, nodes))
+					sum += 0.5 / float64(shares[i].Update(w.Now, living, nodes))
 					plain += 0.5 / float64(living)
 				}
 				worst, naive = max(worst, sum), max(naive, plain)
@@ -399,7 +399,7 @@
 			t.Errorf("seed %d: reckoning with those that live gives %g: the cut shows nothing", seed, naive)
 		}
 		for i := range nodes {
-			if n := shares[i].Take(w.Now, w.Node(i).Living(), nodes); n != nodes {
+			if n := shares[i].Update(w.Now, w.Node(i).Living(), nodes); n != nodes {
 				t.Errorf("seed %d: node %d reckons with %d after the heal", seed, i, n)
 			}
 		}
@@ -408,8 +408,8 @@
 
 // A chart has a line for each of what it shows, also where a seed showed nothing.
 func TestChart(t *testing.T) {
-	of := []Measure{{Suspected: 1, First: 5, Last: 9}, {Suspected: 2, First: math.Inf(1)}}
-	text, err := Chart(3, Core{"one", of}, Core{"other", of})
+	of := []Measurement{{Suspected: 1, First: 5, Last: 9}, {Suspected: 2, First: math.Inf(1)}}
+	text, err := Chart(3, Variant{"one", of}, Variant{"other", of})
 	if err != nil || strings.Count(string(text), "knows") != 4 || strings.Contains(string(text), "NaN") {
 		t.Errorf("%v: %s", err, text)
 	}
@@ -417,7 +417,7 @@
 
 // A fleet at rest sends a probe, an answer and little else, whatever its size.
 func TestIdle(t *testing.T) {
-	small, large := Idle(Options{Nodes: 5, Seed: 1}, 20), Idle(Options{Nodes: 60, Seed: 1}, 20)
+	small, large := MeasureIdle(Options{Nodes: 5, Seed: 1}, 20), MeasureIdle(Options{Nodes: 60, Seed: 1}, 20)
 	if small.Messages < 2 || large.Messages > 1.2*small.Messages || large.Bytes > 1.2*small.Bytes {
 		t.Errorf("five: %+v, sixty: %+v", small, large)
 	}
@@ -426,11 +426,11 @@
 // The same seed gives the same events and messages, also where probes for others fail by the dozen. Guards against an
 // order that hangs on how a map is laid out: two plays of one seed differed, and no break could be played again.
 func TestSameSeed(t *testing.T) {
-	play := func() *World {
+	play := func() *Simulation {
 		w := New(Options{Nodes: 30, Seed: 3, Loss: 0.2, Period: 1})
 		for i := range 6 {
-			w.At(1005+float64(i), func() { w.Stop(i) })
-			w.At(1012+float64(i), func() { w.Wake(i) })
+			w.At(1005+float64(i), func() { w.Pause(i) })
+			w.At(1012+float64(i), func() { w.Resume(i) })
 		}
 		w.Run(1040)
 		return w
--- a/internal/emulator/virtual/clock.go
+++ b/internal/emulator/virtual/clock.go
@@ -10,10 +10,10 @@
 // event is something that is due. Events of one instant run in the order in which they were asked for or,
 // where the order is permuted, in one drawn from the seed.
 type event struct {
-	at   float64
-	rank uint64
-	turn uint64
-	run  func()
+	at       float64
+	rank     uint64
+	sequence uint64
+	run      func()
 }
 
 type events []event
@@ -26,7 +26,7 @@
 	if e[i].rank != e[j].rank {
 		return e[i].rank < e[j].rank
 	}
-	return e[i].turn < e[j].turn
+	return e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -40,11 +40,11 @@
 
 // Clock is virtual time, in seconds. The zero value begins at 0.
 type Clock struct {
-	Now     float64
-	Steps   int        // events run so far
-	Permute *rand.Rand // draws the order of events of one instant; nil for the order asked for
-	due     events
-	turn    uint64
+	Now          float64
+	Steps        int        // events run so far
+	Permute      *rand.Rand // draws the order of events of one instant; nil for the order asked for
+	queue        events
+	lastSequence uint64
 }
 
 // After has run called once some time has passed; never before what is due at this instant already.
@@ -52,21 +52,21 @@
 
 // At has run called at a time, at once where that is over.
 func (c *Clock) At(when float64, run func()) {
-	c.turn++
-	e := event{at: max(when, c.Now), turn: c.turn, run: run}
+	c.lastSequence++
+	e := event{at: max(when, c.Now), sequence: c.lastSequence, run: run}
 	if c.Permute != nil {
 		e.rank = c.Permute.Uint64()
 	}
-	heap.Push(&c.due, e)
+	heap.Push(&c.queue, e)
 }
 
 // Step runs the next event and tells whether there was one before the end.
 func (c *Clock) Step(end float64) bool {
-	if len(c.due) == 0 || c.due[0].at > end {
+	if len(c.queue) == 0 || c.queue[0].at > end {
 		c.Now = max(c.Now, end)
 		return false
 	}
-	e := heap.Pop(&c.due).(event)
+	e := heap.Pop(&c.queue).(event)
 	c.Now = e.at
 	c.Steps++
 	e.run()
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -68,7 +68,7 @@
 // check gives the first thing with which no node can be a member.
 func (c Config) check() (strict.Place, error) {
 	top := func(key string) strict.Place { return strict.Place{Key: key} }
-	own, err := peers.Address(c.Address)
+	own, err := peers.ParseAddress(c.Address)
 	switch {
 	case c.Fleet == "":
 		return top("fleet"), errors.New("fleet: a fleet has an id")
@@ -81,7 +81,7 @@
 	}
 	seen := map[netip.AddrPort]bool{}
 	for _, text := range c.Join {
-		at, err := peers.Address(text)
+		at, err := peers.ParseAddress(text)
 		if err != nil {
 			return top("join"), fmt.Errorf("join: %w", err)
 		}
@@ -95,7 +95,7 @@
 	}
 	for from, to := range c.Via {
 		for _, text := range []string{from, to} {
-			if _, err := peers.Address(text); err != nil {
+			if _, err := peers.ParseAddress(text); err != nil {
 				return strict.Place{Table: "via", Key: strconv.Quote(from)}, fmt.Errorf("via: %w", err)
 			}
 		}
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -23,37 +23,37 @@
 	silenceGap  = time.Second // between two looks at that
 )
 
-// configuration is a node's part in the distribution of configuration: it follows the control servers, hands revisions
+// configFollower is a node's part in the distribution of configuration: it follows the control servers, hands revisions
 // to the node, and knows which one is in force. While another process of the node follows, this one does not.
-type configuration struct {
-	config  Config
-	options view.Options
-	now     func() float64
-	began   float64
-	wake    chan struct{}
-
-	mu         sync.Mutex
-	state      configfeed.State // in force
-	since      float64
-	ignored    []string
-	installing configfeed.Version // that the node is asked to put in force
-	released   bool               // no predecessor follows
-	held       bool               // a successor follows
-	follower   *feedhttp.Follower // nil while this process does not follow
-	last       configfeed.FollowerView
-	traffic    feedhttp.Traffic // of followers before this one
-}
-
-func newConfiguration(c Config, o view.Options, now func() float64) *configuration {
-	p := &configuration{config: c, options: o, now: now, began: now(), wake: make(chan struct{}, 1), released: !o.Successor}
-	p.take(o.InForce)
+type configFollower struct {
+	config    Config
+	options   view.Options
+	now       func() float64
+	startedAt float64
+	wake      chan struct{}
+
+	mu              sync.Mutex
+	state           configfeed.State // in force
+	inForceSince    float64
+	ignored         []string
+	installing      configfeed.Version // that the node is asked to put in force
+	predecessorDone bool               // no predecessor follows
+	handedOver      bool               // a successor follows
+	follower        *feedhttp.Follower // nil while this process does not follow
+	lastView        configfeed.FollowerView
+	traffic         feedhttp.Traffic // of followers before this one
+}
+
+func newConfigFollower(c Config, o view.Options, now func() float64) *configFollower {
+	p := &configFollower{config: c, options: o, now: now, startedAt: now(), wake: make(chan struct{}, 1), predecessorDone: !o.Successor}
+	p.setInForce(o.InForce)
 	return p
 }
 
 // run follows the control servers, while no other process of the node does, until the context ends.
-func (p *configuration) run(ctx context.Context) {
+func (p *configFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if p.follows() {
+		if p.shouldFollow() {
 			p.follow(ctx)
 			continue
 		}
@@ -64,29 +64,29 @@
 	}
 }
 
-func (p *configuration) follows() bool {
+func (p *configFollower) shouldFollow() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.released && !p.held
+	return p.predecessorDone && !p.handedOver
 }
 
-// release says that no predecessor follows any more.
-func (p *configuration) release() {
+// releaseByPredecessor says that no predecessor follows any more.
+func (p *configFollower) releaseByPredecessor() {
 	p.mu.Lock()
-	p.released = true
+	p.predecessorDone = true
 	p.mu.Unlock()
-	p.nudge()
+	p.wakeUp()
 }
 
-// hold says whether a successor follows.
-func (p *configuration) hold(held bool) {
+// setHandedOver says whether a successor follows.
+func (p *configFollower) setHandedOver(held bool) {
 	p.mu.Lock()
-	p.held = held
+	p.handedOver = held
 	p.mu.Unlock()
-	p.nudge()
+	p.wakeUp()
 }
 
-func (p *configuration) nudge() {
+func (p *configFollower) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -94,26 +94,26 @@
 }
 
 // follow runs a follower until a successor follows or the context ends.
-func (p *configuration) follow(ctx context.Context) {
+func (p *configFollower) follow(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	follower := p.begin(ctx)
+	follower := p.startFollower(ctx)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		follower.Run(ctx)
 	}()
-	p.watch(ctx, follower)
+	p.watchServers(ctx, follower)
 	stop()
 	<-ended
-	p.end(follower)
+	p.stopFollower(follower)
 }
 
-// begin makes a follower that goes on from the revision in force.
-func (p *configuration) begin(ctx context.Context) *feedhttp.Follower {
+// startFollower makes a follower that goes on from the revision in force.
+func (p *configFollower) startFollower(ctx context.Context) *feedhttp.Follower {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	seed := p.options.Seed ^ uint64(membership.Number(p.options.Name))<<32 // nodes without a seed differ by name
+	seed := p.options.Seed ^ uint64(membership.NameHash(p.options.Name))<<32 // nodes without a seed differ by name
 	p.follower = feedhttp.NewFollower(feedhttp.FollowerOptions{Fleet: p.config.Fleet, Keys: p.config.keys,
 		Config: configfeed.FollowerConfig{Name: p.options.Name, Region: p.config.Region, Servers: p.config.servers(), Seed: seed},
 		Via:    p.config.Via, Log: p.options.Log.Level(zerolog.InfoLevel), Have: p.state,
@@ -121,16 +121,16 @@
 	return p.follower
 }
 
-// end keeps what a follower that has stopped knew last.
-func (p *configuration) end(follower *feedhttp.Follower) {
+// stopFollower keeps what a follower that has stopped knew last.
+func (p *configFollower) stopFollower(follower *feedhttp.Follower) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last, p.traffic = follower.View(), p.added(follower)
+	p.lastView, p.traffic = follower.View(), p.totalTraffic(follower)
 	p.follower = nil
 }
 
-// added gives the traffic of all followers so far, for who has the lock.
-func (p *configuration) added(follower *feedhttp.Follower) feedhttp.Traffic {
+// totalTraffic gives the traffic of all followers so far, for who has the lock.
+func (p *configFollower) totalTraffic(follower *feedhttp.Follower) feedhttp.Traffic {
 	sum, t := p.traffic, follower.Traffic()
 	sum.Requests += t.Requests
 	sum.Answers += t.Answers
@@ -139,13 +139,13 @@
 	return sum
 }
 
-// watch tells the log when no control server answers, and when one does again, until this process is to follow no
+// watchServers tells the log when no control server answers, and when one does again, until this process is to follow no
 // longer.
-func (p *configuration) watch(ctx context.Context, follower *feedhttp.Follower) {
+func (p *configFollower) watchServers(ctx context.Context, follower *feedhttp.Follower) {
 	look := time.NewTicker(silenceGap)
 	defer look.Stop()
 	silent := false
-	for p.follows() {
+	for p.shouldFollow() {
 		select {
 		case <-ctx.Done():
 			return
@@ -171,16 +171,16 @@
 }
 
 // age gives the seconds since a server was heard, or since the start where none was.
-func (p *configuration) age(heard float64) float64 {
+func (p *configFollower) age(heard float64) float64 {
 	if heard == 0 {
-		heard = p.began
+		heard = p.startedAt
 	}
 	return max(p.now()-heard, 0)
 }
 
 // install has the node put a state in force.
-func (p *configuration) install(ctx context.Context, state configfeed.State) error {
-	r, err := revisionOf(state)
+func (p *configFollower) install(ctx context.Context, state configfeed.State) error {
+	r, err := decodeRevision(state)
 	if err != nil {
 		return err
 	}
@@ -197,8 +197,8 @@
 	return err
 }
 
-// revisionOf gives a state as the node takes it.
-func revisionOf(state configfeed.State) (live.Revision, error) {
+// decodeRevision gives a state as the node takes it.
+func decodeRevision(state configfeed.State) (live.Revision, error) {
 	settings, err := livesettings.Decode(state.Entries)
 	if err != nil {
 		return live.Revision{}, err
@@ -211,7 +211,7 @@
 }
 
 // inForce notes that the node has put a revision in force, by this part's install or by word of its other process.
-func (p *configuration) inForce(r live.Revision) {
+func (p *configFollower) inForce(r live.Revision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	version := configfeed.Version{Epoch: r.Epoch, Revision: r.Number}
@@ -219,27 +219,27 @@
 		p.options.Log.Info().Uint64("epoch", r.Epoch).Uint64("revision", r.Number).Bool("in_force", true).
 			Msg("configuration of the node's other process")
 	}
-	p.take(r)
+	p.setInForce(r)
 }
 
-// take notes the revision in force, for who has the lock. One without its state counts as none: a follower begins anew.
-func (p *configuration) take(r live.Revision) {
+// setInForce notes the revision in force, for who has the lock. One without its state counts as none: a follower begins anew.
+func (p *configFollower) setInForce(r live.Revision) {
 	var state configfeed.State
 	if r.IsZero() || json.Unmarshal(r.State, &state) != nil || state.Verify() != nil {
 		return
 	}
-	p.state, p.since, p.ignored = state, p.now(), nil
+	p.state, p.inForceSince, p.ignored = state, p.now(), nil
 }
 
 // view gives what is known now.
-func (p *configuration) view() *view.Config {
+func (p *configFollower) view() *view.Config {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known, traffic := p.last, p.traffic
+	known, traffic := p.lastView, p.traffic
 	if p.follower != nil {
-		known, traffic = p.follower.View(), p.added(p.follower)
+		known, traffic = p.follower.View(), p.totalTraffic(p.follower)
 	}
-	c := &view.Config{Epoch: p.state.Version.Epoch, Revision: p.state.Version.Revision, Since: p.since,
+	c := &view.Config{Epoch: p.state.Version.Epoch, Revision: p.state.Version.Revision, Since: p.inForceSince,
 		Digest: fmt.Sprintf("%016x", uint64(p.state.Digest)), Region: p.config.Region, Server: known.Server,
 		Heard: known.LastHeard, Age: p.age(known.LastHeard), Follows: p.follower != nil,
 		Newest: view.Version(known.Newest), Ignored: slices.Clone(p.ignored), Requests: traffic.Requests,
--- a/internal/fleet/control_config.go
+++ b/internal/fleet/control_config.go
@@ -42,7 +42,7 @@
 		if err := checkName("region", s.Region); err != nil {
 			return place("region"), fmt.Errorf("control.%w", err)
 		}
-		address, err := peers.Address(s.Address)
+		address, err := peers.ParseAddress(s.Address)
 		switch {
 		case err != nil:
 			return place("address"), fmt.Errorf("control.address: %w", err)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,50 +29,50 @@
 	config        Config
 	options       view.Options
 	log           zerolog.Logger
-	began         time.Time
+	startedAt     time.Time
 	base          float64
-	configuration *configuration // nil where the fleet file names no control servers
-
-	mu      sync.Mutex
-	settled int // nodes of which the node's settings speak
-	core    *membership.Members
-	seal    *seal
-	socket  *peers.Socket // nil while there is none
-	held    bool          // another process of this node is the member now
-	left    bool
-	refused map[refusal]int
-	wake    chan struct{}
-	share   Share
-	told    int
-	traffic traffic
-	changed func(membership.Changed)     // nil where nobody observes
-	dropped func(at netip.AddrPort) bool // nil in service
+	configuration *configFollower // nil where the fleet file names no control servers
+
+	mu              sync.Mutex
+	configuredNodes int // nodes of which the node's settings speak
+	core            *membership.Members
+	authenticator   *authenticator
+	socket          *peers.Socket // nil while there is none
+	handedOver      bool          // another process of this node is the member now
+	left            bool
+	rejected        map[rejection]int
+	wake            chan struct{}
+	divisor         BudgetDivisor
+	reportedNodes   int
+	traffic         trafficCounts
+	observe         func(membership.Changed)     // nil where nobody observes
+	filter          func(at netip.AddrPort) bool // nil in service
 }
 
 // New gives a node's part of a fleet by its file.
 func New(c Config, o view.Options) *Fleet {
 	began := time.Now()
-	f := &Fleet{config: c, options: o, log: o.Log, began: began, base: float64(began.UnixNano()) / 1e9, settled: o.ConfiguredNodes,
-		seal: newSeal(c), refused: map[refusal]int{}, wake: make(chan struct{}, 1)}
+	f := &Fleet{config: c, options: o, log: o.Log, startedAt: began, base: float64(began.UnixNano()) / 1e9, configuredNodes: o.ConfiguredNodes,
+		authenticator: newAuthenticator(c), rejected: map[rejection]int{}, wake: make(chan struct{}, 1)}
 	f.core = membership.New(f.now(), membership.Config{
 		Self: membership.Member{Name: o.Name, Start: uint64(began.UnixMicro()), Address: c.Address, Zone: c.Zone, Build: o.Build},
-		Join: c.Join, Seed: o.Seed, Period: c.Period, Timeout: c.Period / 5, Helpers: 3, Most: mostBody})
+		Join: c.Join, Seed: o.Seed, Period: c.Period, ProbeTimeout: c.Period / 5, IndirectProbes: 3, MaxMessageBytes: maxMessageBytes})
 	if len(c.Control) > 0 && o.Install != nil {
-		f.configuration = newConfiguration(c, o, f.now)
-		f.settle(o.InForce)
+		f.configuration = newConfigFollower(c, o, f.now)
+		f.setConfiguredNodes(o.InForce)
 	}
 	return f
 }
 
 // Observe has each change of a member's state that this node sees handed on, under the fleet's lock. It is called before
 // Run.
-func (f *Fleet) Observe(changed func(membership.Changed)) { f.changed = changed }
+func (f *Fleet) Observe(changed func(membership.Changed)) { f.observe = changed }
 
 // Filter has datagrams from and to the addresses for which drop is true be lost, as by a cut network. It is for test
 // fleets only and is called before Run.
-func (f *Fleet) Filter(drop func(at netip.AddrPort) bool) { f.dropped = drop }
+func (f *Fleet) Filter(drop func(at netip.AddrPort) bool) { f.filter = drop }
 
-func (f *Fleet) now() float64 { return f.base + time.Since(f.began).Seconds() }
+func (f *Fleet) now() float64 { return f.base + time.Since(f.startedAt).Seconds() }
 
 // Run is a member until the context ends, or the node has left the fleet. It follows the control servers, where the
 // fleet file names some, until the context ends.
@@ -93,7 +93,7 @@
 func (f *Fleet) member(ctx context.Context) error {
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		held, left := f.held, f.left
+		held, left := f.handedOver, f.left
 		f.mu.Unlock()
 		switch {
 		case left:
@@ -126,7 +126,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.held || f.left { // handed over meanwhile
+	if f.handedOver || f.left { // handed over meanwhile
 		socket.Close()
 		return nil, net.ErrClosed
 	}
@@ -140,7 +140,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		socket.Serve(ctx, mostSize, f.hear)
+		socket.Serve(ctx, maxDatagramBytes, f.receiveDatagram)
 	}()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -157,49 +157,49 @@
 			return
 		}
 		f.mu.Lock()
-		next := min(max(f.core.Next()-f.now(), 0), 3600)
+		next := min(max(f.core.NextTick()-f.now(), 0), 3600)
 		f.mu.Unlock()
 		timer.Reset(time.Duration(next * 1e9))
 	}
 }
 
-// drop closes the address, for who has the lock.
-func (f *Fleet) drop() {
+// closeSocket closes the address, for who has the lock.
+func (f *Fleet) closeSocket() {
 	if f.socket != nil {
 		f.socket.Close()
 		f.socket = nil
 	}
 }
 
-// hear takes a datagram; whose it is tells the message itself.
-func (f *Fleet) hear(text []byte, from netip.AddrPort) {
-	if f.dropped != nil && f.dropped(from) {
+// receiveDatagram takes a datagram; whose it is tells the message itself.
+func (f *Fleet) receiveDatagram(text []byte, from netip.AddrPort) {
+	if f.filter != nil && f.filter(from) {
 		return
 	}
 	f.mu.Lock()
-	m, why := f.seal.open(text)
-	if why == taken {
+	m, why := f.authenticator.verify(text)
+	if why == accepted {
 		f.traffic.received(m.Kind, len(text))
 	}
-	if why != taken {
-		if f.refused[why]++; f.refused[why] == 1 {
+	if why != accepted {
+		if f.rejected[why]++; f.rejected[why] == 1 {
 			f.log.Warn().Str("why", string(why)).Msg("message not taken")
 		}
 	}
 	f.mu.Unlock()
-	if why == taken && m.Kind == wire.Message_WORDS {
+	if why == accepted && m.Kind == wire.Message_WORDS {
 		if words := peers.Parse(m.Words); len(words) > 0 && f.options.GossipReceived != nil {
 			f.options.GossipReceived(words)
 		}
 		return
 	}
-	if why == taken {
+	if why == accepted {
 		f.do(func(now float64) []membership.Effect { return f.core.Receive(now, m) })
-		f.nudge()
+		f.wakeUp()
 	}
 }
 
-func (f *Fleet) nudge() {
+func (f *Fleet) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
@@ -215,16 +215,16 @@
 		case membership.Send:
 			f.send(e.To, e.Message)
 		case membership.Changed:
-			if f.changed != nil {
-				f.changed(e)
+			if f.observe != nil {
+				f.observe(e)
 			}
-			f.log.Info().Str("member", e.Name).Str("state", e.State.String()).Str("was", e.Was.String()).Bool("new", e.New).
-				Str("by", e.By).Uint64("start", e.Start).Uint32("incarnation", e.Incarnation).Int("living", f.core.Living()).
+			f.log.Info().Str("member", e.Name).Str("state", e.State.String()).Str("was", e.Previous.String()).Bool("new", e.New).
+				Str("by", e.SuspectedBy).Uint64("start", e.Start).Uint32("incarnation", e.Incarnation).Int("living", f.core.Living()).
 				Msg("member")
 		case membership.Replaced:
 			f.left = true
-			f.log.Error().Str("address", e.By.Address).Msg("another process goes by this name: this one leaves the fleet")
-			f.drop()
+			f.log.Error().Str("address", e.Successor.Address).Msg("another process goes by this name: this one leaves the fleet")
+			f.closeSocket()
 		}
 	}
 }
@@ -234,12 +234,12 @@
 	if via, ok := f.config.Via[to]; ok {
 		to = via
 	}
-	at, err := peers.Address(to)
-	if err != nil || f.socket == nil || f.dropped != nil && f.dropped(at) {
+	at, err := peers.ParseAddress(to)
+	if err != nil || f.socket == nil || f.filter != nil && f.filter(at) {
 		return
 	}
-	text, err := f.seal.close(m)
-	if err != nil || len(text) > mostSize {
+	text, err := f.authenticator.sign(m)
+	if err != nil || len(text) > maxDatagramBytes {
 		f.log.Error().Err(err).Int("bytes", len(text)).Msg("message not sent")
 		return
 	}
@@ -266,9 +266,9 @@
 // count tells the number of nodes where it has changed.
 func (f *Fleet) count() {
 	f.mu.Lock()
-	n := f.share.Take(f.now(), f.core.Living(), f.settled)
-	changed := n != f.told
-	f.told = n
+	n := f.divisor.Update(f.now(), f.core.Living(), f.configuredNodes)
+	changed := n != f.reportedNodes
+	f.reportedNodes = n
 	f.mu.Unlock()
 	if changed && f.options.NodesChanged != nil {
 		f.options.NodesChanged(n)
@@ -278,28 +278,28 @@
 // Ready tells the others whether this node takes clients.
 func (f *Fleet) Ready(ready bool) {
 	f.mu.Lock()
-	f.core.Facts(f.now(), ready)
+	f.core.SetReady(f.now(), ready)
 	f.mu.Unlock()
 }
 
 // SetHandedOver hands membership to another process of this node, or takes it back.
 func (f *Fleet) SetHandedOver(held bool) {
 	f.mu.Lock()
-	f.held = held
+	f.handedOver = held
 	if held {
-		f.drop()
+		f.closeSocket()
 	}
 	f.mu.Unlock()
-	f.nudge()
+	f.wakeUp()
 	if f.configuration != nil {
-		f.configuration.hold(held)
+		f.configuration.setHandedOver(held)
 	}
 }
 
 // Follow follows the control servers from here on, as no predecessor of this process does.
 func (f *Fleet) Follow() {
 	if f.configuration != nil {
-		f.configuration.release()
+		f.configuration.releaseByPredecessor()
 	}
 }
 
@@ -307,24 +307,24 @@
 func (f *Fleet) InForce(r live.Revision) {
 	if f.configuration != nil {
 		f.configuration.inForce(r)
-		f.settle(r)
+		f.setConfiguredNodes(r)
 	}
 }
 
-// settle takes the number of nodes of which a revision speaks, or the start's where it speaks of none.
-func (f *Fleet) settle(r live.Revision) {
+// setConfiguredNodes takes the number of nodes of which a revision speaks, or the start's where it speaks of none.
+func (f *Fleet) setConfiguredNodes(r live.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settled = f.options.ConfiguredNodes
+	f.configuredNodes = f.options.ConfiguredNodes
 	if nodes := r.Settings.Nodes; nodes != nil {
-		f.settled = *nodes
+		f.configuredNodes = *nodes
 	}
 }
 
 // Leave tells the others that this node goes, unless another process of it stays.
 func (f *Fleet) Leave() {
 	f.mu.Lock()
-	held := f.held || f.left
+	held := f.handedOver || f.left
 	f.mu.Unlock()
 	if held {
 		return
@@ -332,7 +332,7 @@
 	f.do(func(now float64) []membership.Effect { return f.core.Leave(now) })
 	f.mu.Lock()
 	f.left = true
-	f.drop()
+	f.closeSocket()
 	f.mu.Unlock()
 }
 
@@ -350,11 +350,11 @@
 	return f.core.Digest()
 }
 
-// News is how many members this node still tells others of; none in a fleet at rest.
-func (f *Fleet) News() int {
+// PendingUpdates is how many members this node still tells others of; none in a fleet at rest.
+func (f *Fleet) PendingUpdates() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.core.News()
+	return f.core.PendingUpdates()
 }
 
 // Member is what this node knows of a member; false where it does not know it.
@@ -375,7 +375,7 @@
 func (f *Fleet) Traffic() []view.Traffic {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.traffic.all()
+	return f.traffic.nonZero()
 }
 
 // Config is what this node knows of the configuration that is distributed; nil where it follows no control servers.
@@ -390,25 +390,25 @@
 func (f *Fleet) View() view.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := view.View{Fleet: f.config.Fleet, Self: f.core.Self().Name, Living: f.core.Living(), Doubt: f.core.Doubt(),
-		Nodes: f.told, Traffic: f.traffic.all(), Refused: map[string]int{}}
+	v := view.View{Fleet: f.config.Fleet, Self: f.core.Self().Name, Living: f.core.Living(), HealthScore: f.core.HealthScore(),
+		Nodes: f.reportedNodes, Traffic: f.traffic.nonZero(), Rejected: map[string]int{}}
 	all := f.core.All()
 	names := map[uint32]string{}
 	for _, m := range all {
-		names[membership.Number(m.Name)] = m.Name
+		names[membership.NameHash(m.Name)] = m.Name
 	}
 	for _, m := range all {
-		s := view.Seen{Name: m.Name, State: m.State.String(), Since: m.Since, Start: m.Start, Incarnation: m.Incarnation,
+		s := view.Member{Name: m.Name, State: m.State.String(), Since: m.Since, Start: m.Start, Incarnation: m.Incarnation,
 			Address: m.Address, Zone: m.Zone, Build: m.Build, Ready: m.Ready}
-		for _, number := range m.Bad {
+		for _, number := range m.BadLinks {
 			if name, known := names[number]; known {
-				s.Bad = append(s.Bad, name)
+				s.BadLinks = append(s.BadLinks, name)
 			}
 		}
 		v.Members = append(v.Members, s)
 	}
-	for why, n := range f.refused {
-		v.Refused[string(why)] = n
+	for why, n := range f.rejected {
+		v.Rejected[string(why)] = n
 	}
 	if f.configuration != nil {
 		v.Config = f.configuration.view()
--- a/internal/fleet/fleet_golden_test.go
+++ b/internal/fleet/fleet_golden_test.go
@@ -105,23 +105,23 @@
 // first and the next one its second.
 func TestGoldenDatagrams(t *testing.T) {
 	current, old := goldenBytes(t, goldenKey), goldenBytes(t, goldenOldKey)
-	sender := newSeal(Config{Fleet: "lima", keys: [][]byte{current, old}})
-	receiver := newSeal(Config{Fleet: "lima", keys: [][]byte{old, current}})
+	sender := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{current, old}})
+	receiver := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{old, current}})
 	for _, c := range []struct {
 		name    string
 		message *wire.Message
 	}{{"datagram-1-ping.bin", goldenMessage()}, {"datagram-2-load.bin", loadMessage()}} {
 		t.Run(c.name, func(t *testing.T) {
-			text, err := sender.close(c.message)
+			text, err := sender.sign(c.message)
 			if err != nil {
 				t.Fatal(err)
 			}
 			checkGolden(t, c.name, text)
-			got, why := receiver.open(readGolden(t, c.name))
-			if why != taken || !proto.Equal(got, c.message) {
+			got, why := receiver.verify(readGolden(t, c.name))
+			if why != accepted || !proto.Equal(got, c.message) {
 				t.Errorf("opened %v (%q), want %v", got, why, c.message)
 			}
-			if _, why := receiver.open(readGolden(t, c.name)); why != playBack {
+			if _, why := receiver.verify(readGolden(t, c.name)); why != replayed {
 				t.Errorf("opened again: %q", why)
 			}
 		})
@@ -131,7 +131,7 @@
 // The names of what is not taken stand on the second address's page.
 func TestGoldenRefusals(t *testing.T) {
 	want := []string{"", "garbage", "another version", "another fleet", "no right MAC", "seen before", "too many senders"}
-	for i, got := range []refusal{taken, garbage, otherWay, stranger, unproven, playBack, forgotten} {
+	for i, got := range []rejection{accepted, malformed, unknownVersion, otherFleet, invalidMAC, replayed, tooManySenders} {
 		if string(got) != want[i] {
 			t.Errorf("%q, want %q", got, want[i])
 		}
@@ -146,7 +146,7 @@
 	}
 	var heard []peers.HostLoad
 	part := New(file, view.Options{Name: "node-b", Log: zerolog.Nop(), GossipReceived: func(words []peers.HostLoad) { heard = words }})
-	part.hear(readGolden(t, "datagram-2-load.bin"), netip.AddrPort{})
+	part.receiveDatagram(readGolden(t, "datagram-2-load.bin"), netip.AddrPort{})
 	want := []peers.HostLoad{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.515625}, {Host: 7, Load: 3.984375}}
 	if !reflect.DeepEqual(heard, want) {
 		t.Errorf("heard %v, want %v", heard, want)
@@ -159,12 +159,12 @@
 
 // The names of the kinds of messages stand on the second address's page.
 func TestGoldenTrafficKinds(t *testing.T) {
-	var counts traffic
+	var counts trafficCounts
 	for kind := range messageKinds {
 		counts.sent(wire.Message_Kind(kind), 100)
 	}
 	var got []string
-	for _, c := range counts.all() {
+	for _, c := range counts.nonZero() {
 		got = append(got, c.Kind)
 	}
 	if want := []string{"none", "ping", "ack", "ping_req", "nack", "state", "join", "words"}; !reflect.DeepEqual(got, want) {
@@ -180,10 +180,10 @@
 			Incarnation: uint32(1 + i), State: membership.Suspect, Address: fmt.Sprintf("127.0.0.%d:7000", 1+i),
 			Zone: fmt.Sprintf("zone-%c", 'a'+i), Build: "5fa7498", Ready: true})
 	}
-	sender := newSeal(Config{Fleet: "lima", keys: [][]byte{goldenBytes(t, goldenKey)}})
+	sender := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{goldenBytes(t, goldenKey)}})
 	var out bytes.Buffer
 	for _, message := range introductions(all, 1700000000000009) {
-		text, err := sender.close(message)
+		text, err := sender.sign(message)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -245,7 +245,7 @@
 func TestGoldenRevisionOfAPredecessor(t *testing.T) {
 	entries := []configfeed.Entry{{Key: "limits.sockets", Value: "900"}, {Key: "nodes", Value: "30"}}
 	state := configfeed.State{Version: configfeed.Version{Epoch: 2, Revision: 41}, Entries: entries, Digest: 0xf6014f494c73b015}
-	revision, err := revisionOf(state)
+	revision, err := decodeRevision(state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,8 +258,8 @@
 	if err := json.Unmarshal(readGolden(t, "revision.json"), &inherited); err != nil {
 		t.Fatal(err)
 	}
-	part := newConfiguration(goldenConfig(t), view.Options{Successor: true, InForce: inherited}, func() float64 { return 1700000000.5 })
-	if !reflect.DeepEqual(part.state, state) || part.since != 1700000000.5 || part.follows() {
-		t.Errorf("state %+v, want %+v; since %v, follows %v", part.state, state, part.since, part.follows())
+	part := newConfigFollower(goldenConfig(t), view.Options{Successor: true, InForce: inherited}, func() float64 { return 1700000000.5 })
+	if !reflect.DeepEqual(part.state, state) || part.inForceSince != 1700000000.5 || part.shouldFollow() {
+		t.Errorf("state %+v, want %+v; since %v, follows %v", part.state, state, part.inForceSince, part.shouldFollow())
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -57,49 +57,49 @@
 	}
 }
 
-func sealOf(t *testing.T, fleet string, keys ...string) *seal {
+func sealOf(t *testing.T, fleet string, keys ...string) *authenticator {
 	t.Helper()
 	c := Config{Fleet: fleet}
 	for _, k := range keys {
 		c.keys = append(c.keys, []byte(k))
 	}
-	return newSeal(c)
+	return newAuthenticator(c)
 }
 
 // What is not the fleet's, not whole, not proven or not new is not taken; a key can be changed under way.
 func TestSeal(t *testing.T) {
 	a, b := sealOf(t, "lima", "one key of sixteen"), sealOf(t, "lima", "one key of sixteen")
-	message := func(s *seal) []byte {
-		text, err := s.close(&wire.Message{Kind: wire.Message_PING, From: "n1", Start: 5, About: "n2"})
+	message := func(s *authenticator) []byte {
+		text, err := s.sign(&wire.Message{Kind: wire.Message_PING, From: "n1", Start: 5, About: "n2"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return text
 	}
 	first := message(a)
-	if m, why := b.open(first); why != taken || m.About != "n2" {
+	if m, why := b.verify(first); why != accepted || m.About != "n2" {
 		t.Fatalf("%v, %v", m, why)
 	}
 	turned := append([]byte(nil), message(a)...)
 	turned[len(turned)-20] ^= 1
 	later := append([]byte(nil), message(a)...)
-	later[0] = version + 1
+	later[0] = datagramVersion + 1
 	for _, c := range []struct {
 		name string
 		text []byte
-		why  refusal
+		why  rejection
 	}{
-		{"again", first, playBack}, {"nothing", nil, garbage}, {"a byte turned", turned, unproven},
-		{"a later version", later, otherWay}, {"noise", []byte{version, 255, 255, 3, 1}, garbage},
-		{"long", make([]byte, 300), garbage}, {"another fleet", message(sealOf(t, "cusco", "one key of sixteen")), stranger},
-		{"another key", message(sealOf(t, "lima", "another key of it")), unproven},
+		{"again", first, replayed}, {"nothing", nil, malformed}, {"a byte turned", turned, invalidMAC},
+		{"a later version", later, unknownVersion}, {"noise", []byte{datagramVersion, 255, 255, 3, 1}, malformed},
+		{"long", make([]byte, 300), malformed}, {"another fleet", message(sealOf(t, "cusco", "one key of sixteen")), otherFleet},
+		{"another key", message(sealOf(t, "lima", "another key of it")), invalidMAC},
 	} {
-		if _, why := b.open(c.text); why != c.why {
+		if _, why := b.verify(c.text); why != c.why {
 			t.Errorf("%s: %q, wanted %q", c.name, why, c.why)
 		}
 	}
 	both := sealOf(t, "lima", "a newer key of it", "one key of sixteen")
-	if _, why := both.open(message(a)); why != taken {
+	if _, why := both.verify(message(a)); why != accepted {
 		t.Errorf("the old key while it is changed: %q", why)
 	}
 	var kept [][]byte
@@ -107,13 +107,13 @@
 		kept = append(kept, message(a))
 	}
 	for i := len(kept) - 1; i >= 0; i-- { // the last first: 64 may be late
-		_, why := b.open(kept[i])
-		if late := len(kept) - 1 - i; late < window && why != taken || late >= window && why != playBack {
+		_, why := b.verify(kept[i])
+		if late := len(kept) - 1 - i; late < replayWindowSize && why != accepted || late >= replayWindowSize && why != replayed {
 			t.Errorf("%d late: %q", late, why)
 		}
 	}
 	for _, text := range kept {
-		if _, why := b.open(text); why != playBack {
+		if _, why := b.verify(text); why != replayed {
 			t.Fatal("taken twice")
 		}
 	}
@@ -122,23 +122,23 @@
 // A member that sends under ever new names and starts fills no memory.
 func TestSealIsBounded(t *testing.T) {
 	s := sealOf(t, "lima", "one key of sixteen")
-	for i := range 2 * mostNames {
-		s.fresh("n"+fmt.Sprint(i), 1, 1)
-		s.fresh("n0", uint64(2+i), 1)
+	for i := range 2 * maxSenders {
+		s.checkReplay("n"+fmt.Sprint(i), 1, 1)
+		s.checkReplay("n0", uint64(2+i), 1)
 	}
-	if len(s.seen) > mostNames || len(s.seen["n0"]) > 2 {
-		t.Errorf("%d names kept, %d starts of one", len(s.seen), len(s.seen["n0"]))
+	if len(s.windows) > maxSenders || len(s.windows["n0"]) > 2 {
+		t.Errorf("%d names kept, %d starts of one", len(s.windows), len(s.windows["n0"]))
 	}
 }
 
 func FuzzOpen(f *testing.F) {
-	s := newSeal(Config{Fleet: "lima", keys: [][]byte{[]byte("one key of sixteen")}})
-	text, _ := s.close(&wire.Message{From: "n1"})
+	s := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{[]byte("one key of sixteen")}})
+	text, _ := s.sign(&wire.Message{From: "n1"})
 	f.Add(text)
 	f.Add([]byte{1, 10, 4, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		fresh := newSeal(Config{Fleet: "lima", keys: [][]byte{[]byte("one key of sixteen")}})
-		if m, why := fresh.open(text); why == taken && m.From == "" {
+		fresh := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{[]byte("one key of sixteen")}})
+		if m, why := fresh.verify(text); why == accepted && m.From == "" {
 			t.Fatal("a message of nobody")
 		}
 	})
@@ -148,21 +148,21 @@
 // together are over the whole; and no step falls faster than stated.
 func TestShare(t *testing.T) {
 	for _, settled := range []int{2, 3, 10, 301} {
-		var left, right Share
+		var left, right BudgetDivisor
 		was := settled
 		for now := 0.0; now < 1000; now++ {
 			living := settled
 			if now > 10 && now < 500 {
 				living = settled / 2
 			}
-			l, r := left.Take(now, living, settled), right.Take(now, settled-living, settled)
+			l, r := left.Update(now, living, settled), right.Update(now, settled-living, settled)
 			if now > 10 && now < 500 {
 				// Half of a budget is given out, each node its even part: l and r are what each reckons with.
 				if sum := 0.5*float64(living)/float64(l) + 0.5*float64(settled-living)/float64(r); sum > 1 {
 					t.Fatalf("%d nodes, %g s: parts of %g of the budget", settled, now, sum)
 				}
 			}
-			if float64(was-l) > float64(settled)/fallFor+1 {
+			if float64(was-l) > float64(settled)/fallSeconds+1 {
 				t.Fatalf("%d nodes, %g s: from %d to %d at once", settled, now, was, l)
 			}
 			was = l
--- a/internal/fleet/introduce.go
+++ b/internal/fleet/introduce.go
@@ -31,16 +31,16 @@
 		return err
 	}
 	defer socket.Close()
-	closer := newSeal(c)
+	closer := newAuthenticator(c)
 	start := uint64(time.Now().UnixMicro())
 	for _, message := range introductions(all, start) {
-		text, err := closer.close(message)
-		if err != nil || len(text) > mostSize {
+		text, err := closer.sign(message)
+		if err != nil || len(text) > maxDatagramBytes {
 			return errors.Join(err, errors.New("an introduction does not fit"))
 		}
 		began := time.Now()
 		for _, receiver := range to {
-			at, err := peers.Address(receiver)
+			at, err := peers.ParseAddress(receiver)
 			if err != nil {
 				return err
 			}
@@ -58,12 +58,12 @@
 // introductions gives messages that together name all members, as many in each as fit.
 func introductions(all []membership.Member, start uint64) (out []*wire.Message) {
 	var message *wire.Message
-	size := mostBody
+	size := maxMessageBytes
 	for _, m := range all {
 		u := &wire.Update{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, State: uint32(m.State), Address: m.Address,
 			Zone: m.Zone, Build: m.Build, Ready: m.Ready}
 		need := proto.Size(u) + 3
-		if size+need > mostBody {
+		if size+need > maxMessageBytes {
 			message = &wire.Message{Kind: wire.Message_STATE, From: introducer, Start: start}
 			out = append(out, message)
 			size = proto.Size(message)
--- a/internal/fleet/traffic_test.go
+++ b/internal/fleet/traffic_test.go
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	refused := func() (n int) {
-		for _, k := range nodes[0].View().Refused {
+		for _, k := range nodes[0].View().Rejected {
 			n += k
 		}
 		return n
@@ -167,8 +167,8 @@
 	}
 	seen := map[string]bool{}
 	for _, m := range introductions(all, 1<<50) {
-		if size := proto.Size(m); size > mostBody {
-			t.Errorf("%d bytes, and %d do", size, mostBody)
+		if size := proto.Size(m); size > maxMessageBytes {
+			t.Errorf("%d bytes, and %d do", size, maxMessageBytes)
 		}
 		for _, u := range m.Updates {
 			seen[u.Name] = true
@@ -181,12 +181,12 @@
 
 // DatagramBytes is the size of what is sent.
 func TestDatagramBytesIsTheSize(t *testing.T) {
-	s := newSeal(Config{Fleet: "lima", keys: [][]byte{[]byte("one key of sixteen")}})
+	s := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{[]byte("one key of sixteen")}})
 	s.count = 1 << 13
 	for _, about := range []string{"n2", "a name that makes the message longer than one byte of length can tell, as some are, so that " +
 		"the length itself takes two bytes: it goes on a little"} {
 		m := &wire.Message{Kind: wire.Message_PING, From: "n1", Start: 5, About: about}
-		text, err := s.close(m)
+		text, err := s.sign(m)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -23,19 +23,19 @@
 
 // View is what this node knows of its fleet.
 type View struct {
-	Fleet   string         `json:"fleet"`
-	Self    string         `json:"self"`
-	Living  int            `json:"living"`
-	Doubt   int            `json:"doubt"`
-	Nodes   int            `json:"nodes"`
-	Members []Seen         `json:"members"`
-	Traffic []Traffic      `json:"traffic,omitempty"`
-	Refused map[string]int `json:"refused,omitempty"`
-	Config  *Config        `json:"-"` // nil where the fleet file names no control servers
+	Fleet       string         `json:"fleet"`
+	Self        string         `json:"self"`
+	Living      int            `json:"living"`
+	HealthScore int            `json:"doubt"`
+	Nodes       int            `json:"nodes"`
+	Members     []Member       `json:"members"`
+	Traffic     []Traffic      `json:"traffic,omitempty"`
+	Rejected    map[string]int `json:"refused,omitempty"`
+	Config      *Config        `json:"-"` // nil where the fleet file names no control servers
 }
 
-// Seen is one member as the second address shows it.
-type Seen struct {
+// Member is one member as the second address shows it.
+type Member struct {
 	Name        string   `json:"name"`
 	State       string   `json:"state"`
 	Since       float64  `json:"since_s"` // Unix time
@@ -45,7 +45,7 @@
 	Zone        string   `json:"zone"`
 	Build       string   `json:"build,omitempty"`
 	Ready       bool     `json:"ready"`
-	Bad         []string `json:"bad_links,omitempty"`
+	BadLinks    []string `json:"bad_links,omitempty"`
 }
 
 // Traffic counts the datagrams of one kind since the process's start. Bytes are those of the datagrams, without the
--- a/internal/fleet/view/view_golden_test.go
+++ b/internal/fleet/view/view_golden_test.go
@@ -85,14 +85,14 @@
 }
 
 func TestGoldenMembersPage(t *testing.T) {
-	checkPage(t, "members.json", View{Fleet: "lima", Self: "node-a", Living: 2, Doubt: 3, Nodes: 4,
-		Members: []Seen{
+	checkPage(t, "members.json", View{Fleet: "lima", Self: "node-a", Living: 2, HealthScore: 3, Nodes: 4,
+		Members: []Member{
 			{Name: "node-a", State: "alive", Since: 1700000000.5, Start: 1700000000000001, Incarnation: 5, Address: "127.0.0.1:7000",
-				Zone: "zone-a", Build: "5fa7498", Ready: true, Bad: []string{"node-b", "node-c"}},
+				Zone: "zone-a", Build: "5fa7498", Ready: true, BadLinks: []string{"node-b", "node-c"}},
 			{Name: "node-b", State: "suspect", Since: 1700000001.25, Start: 1700000000000002, Incarnation: 6, Address: "127.0.0.2:7000",
-				Zone: "zone-b", Build: "5fa7499", Ready: true, Bad: []string{"node-a"}}},
-		Traffic: []Traffic{{Kind: "ping", SentMessages: 7, SentBytes: 630, ReceivedMessages: 8, ReceivedBytes: 720}},
-		Refused: map[string]int{"another fleet": 9, "no right MAC": 10}})
+				Zone: "zone-b", Build: "5fa7499", Ready: true, BadLinks: []string{"node-a"}}},
+		Traffic:  []Traffic{{Kind: "ping", SentMessages: 7, SentBytes: 630, ReceivedMessages: 8, ReceivedBytes: 720}},
+		Rejected: map[string]int{"another fleet": 9, "no right MAC": 10}})
 }
 
 func TestGoldenConfigPage(t *testing.T) {
@@ -105,6 +105,6 @@
 
 // What is absent from a page, and what stands there as nothing.
 func TestGoldenEmptyPages(t *testing.T) {
-	checkGolden(t, "members-empty.json", encode(t, View{Members: []Seen{{}}, Traffic: []Traffic{{}}}))
+	checkGolden(t, "members-empty.json", encode(t, View{Members: []Member{{}}, Traffic: []Traffic{{}}}))
 	checkGolden(t, "config-empty.json", encode(t, &Config{}))
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -22,14 +22,14 @@
 
 // Config is the configuration of a member. Times are seconds.
 type Config struct {
-	Self    Member   // Name, Start, Address and facts
-	Join    []string // addresses of some members
-	Seed    uint64
-	Period  float64 // between two probes
-	Timeout float64 // for the answer to a probe; a third of the period at the most
-	Helpers int     // members that are asked to probe one that did not answer, 1 at least
-	Most    int     // size limit of a message in bytes
-	Plain   bool    // SWIM without Lifeguard, to measure the difference
+	Self             Member   // Name, Start, Address and facts
+	Join             []string // addresses of some members
+	Seed             uint64
+	Period           float64 // between two probes
+	ProbeTimeout     float64 // for the answer to a probe; a third of the period at the most
+	IndirectProbes   int     // members that are asked to probe one that did not answer, 1 at least
+	MaxMessageBytes  int     // size limit of a message in bytes
+	WithoutLifeguard bool    // SWIM without Lifeguard, to measure the difference
 }
 
 // Effect is a result of Tick or Receive: Send, Changed or Replaced.
@@ -45,12 +45,12 @@
 	// Changed reports that a member is new or has changed its state.
 	Changed struct {
 		Member
-		New bool
-		Was State
-		By  string // for a suspicion, the member that reported it
+		New         bool
+		Previous    State
+		SuspectedBy string // for a suspicion, the member that reported it
 	}
 	// Replaced reports that a later process has this node's name at another address. This node has to leave.
-	Replaced struct{ By Member }
+	Replaced struct{ Successor Member }
 )
 
 func (Send) effect()     {}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -45,11 +45,11 @@
 	Address     string   // for messages between members
 	Zone, Build string   // facts that it announces about itself
 	Ready       bool     // it takes clients
-	Bad         []uint32 // Number of each member that it reaches only through others, maxBadLinks at most
+	BadLinks    []uint32 // Number of each member that it reaches only through others, maxBadLinks at most
 }
 
-// Number returns the hash that stands for a name in the list of bad links.
-func Number(name string) uint32 {
+// NameHash returns the hash that stands for a name in the list of bad links.
+func NameHash(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
@@ -71,7 +71,7 @@
 // update returns the update about a member for a message.
 func (m *member) update() *wire.Update {
 	u := &wire.Update{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, State: uint32(m.State),
-		Address: m.Address, Zone: m.Zone, Build: m.Build, Ready: m.Ready, Bad: slices.Clone(m.Bad)}
+		Address: m.Address, Zone: m.Zone, Build: m.Build, Ready: m.Ready, Bad: slices.Clone(m.BadLinks)}
 	if m.State == Suspect && m.suspicion != nil {
 		u.By = m.suspicion.last
 	}
@@ -82,5 +82,5 @@
 func (m *member) setFacts(u *wire.Update) {
 	m.Start, m.Incarnation = u.Start, u.Incarnation
 	m.Address, m.Zone, m.Build, m.Ready = u.Address, u.Zone, u.Build, u.Ready
-	m.Bad = u.Bad[:min(len(u.Bad), maxBadLinks)]
+	m.BadLinks = u.Bad[:min(len(u.Bad), maxBadLinks)]
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -34,7 +34,7 @@
 
 // New returns the state of a member that knows no others yet. Its first Tick is due within a quarter of a period.
 func New(now float64, c Config) *Members {
-	c.Helpers, c.Plain = max(c.Helpers, 1), c.Plain || hasty
+	c.IndirectProbes, c.WithoutLifeguard = max(c.IndirectProbes, 1), c.WithoutLifeguard || hasty
 	m := &Members{Config: c, now: now, rand: rand.New(rand.NewPCG(c.Seed, c.Self.Start)), byName: map[string]*member{},
 		helping: map[uint64]helping{}, living: 1, heardAt: now, expiredAt: now, accusedAt: math.Inf(-1),
 		messagesLeft: maxStateMessages}
@@ -45,8 +45,8 @@
 	return m
 }
 
-// Next returns the time at which Tick is due.
-func (m *Members) Next() float64 {
+// NextTick returns the time at which Tick is due.
+func (m *Members) NextTick() float64 {
 	at := m.roundAt
 	if p := m.probe; p != nil && !p.asked && !p.answered {
 		at = min(at, p.askAt)
@@ -64,9 +64,9 @@
 // a node that declares all others dead when it continues.
 func (m *Members) advanceClock(now float64) {
 	m.effects = m.effects[:0]
-	away := now - m.Next()
+	away := now - m.NextTick()
 	m.now = max(now, m.now)
-	if away < max(m.Period/4, m.Timeout) || m.Plain {
+	if away < max(m.Period/4, m.ProbeTimeout) || m.WithoutLifeguard {
 		return
 	}
 	m.probe = nil
@@ -107,7 +107,7 @@
 	m.left = true
 	m.self.State = Left
 	m.self.Incarnation++
-	for _, x := range m.randomAlive(2*m.Helpers+2, nil) {
+	for _, x := range m.randomAlive(2*m.IndirectProbes+2, nil) {
 		m.send(x.Address, &wire.Message{Kind: wire.Message_PING, About: x.Name,
 			Updates: []*wire.Update{m.self.update()}})
 	}
@@ -116,8 +116,8 @@
 	return m.effects
 }
 
-// Facts announces to the others whether this node takes clients, where that has changed.
-func (m *Members) Facts(now float64, ready bool) {
+// SetReady announces to the others whether this node takes clients, where that has changed.
+func (m *Members) SetReady(now float64, ready bool) {
 	if m.now = max(now, m.now); m.self.Ready != ready {
 		m.self.Ready = ready
 		m.announceSelf()
@@ -136,7 +136,7 @@
 
 // adjustHealth changes the local health score (Lifeguard, section IV.A): 0 is healthy.
 func (m *Members) adjustHealth(by int) {
-	if !m.Plain {
+	if !m.WithoutLifeguard {
 		m.healthScore = min(max(m.healthScore+by, 0), maxHealthScore)
 	}
 }
--- a/internal/membership/membership_golden_test.go
+++ b/internal/membership/membership_golden_test.go
@@ -29,13 +29,13 @@
 
 func goldenConfig() Config {
 	return Config{Self: Member{Name: "node-a", Start: 1700000000000001, Address: "127.0.0.1:7000", Zone: "zone-a", Build: "5fa7498",
-		Ready: true}, Join: []string{"127.0.0.2:7000"}, Seed: 7, Period: 1, Timeout: 0.2, Helpers: 2, Most: 208}
+		Ready: true}, Join: []string{"127.0.0.2:7000"}, Seed: 7, Period: 1, ProbeTimeout: 0.2, IndirectProbes: 2, MaxMessageBytes: 208}
 }
 
 // goldenUpdate is a suspect member with every field set.
 func goldenUpdate() *wire.Update {
 	return &wire.Update{Name: "node-b", Start: 1700000000000002, Incarnation: 7, State: uint32(Suspect), Address: "127.0.0.2:7000",
-		Zone: "zone-b", Build: "5fa7498", Ready: true, Bad: []uint32{Number("node-c"), Number("node-d")}, By: "node-c"}
+		Zone: "zone-b", Build: "5fa7498", Ready: true, Bad: []uint32{NameHash("node-c"), NameHash("node-d")}, By: "node-c"}
 }
 
 // render gives each message to be sent as a line: the address, a space and the message's bytes in hexadecimal.
@@ -62,7 +62,7 @@
 	m.Receive(100, &wire.Message{Kind: wire.Message_STATE, From: "node-c", Start: 3, Updates: []*wire.Update{goldenUpdate()}})
 	member, known := m.Member("node-b")
 	want := Member{Name: "node-b", Start: 1700000000000002, Incarnation: 7, State: Suspect, Since: 100, Address: "127.0.0.2:7000",
-		Zone: "zone-b", Build: "5fa7498", Ready: true, Bad: []uint32{Number("node-c"), Number("node-d")}}
+		Zone: "zone-b", Build: "5fa7498", Ready: true, BadLinks: []uint32{NameHash("node-c"), NameHash("node-d")}}
 	if !known || !reflect.DeepEqual(member, want) {
 		t.Errorf("%+v, want %+v", member, want)
 	}
@@ -71,7 +71,7 @@
 			t.Errorf("Member.%s is zero", value.Type().Field(i).Name)
 		}
 	}
-	text, err := proto.Marshal(m.known("node-b").update())
+	text, err := proto.Marshal(m.find("node-b").update())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,10 +84,10 @@
 		name string
 		send func(m *Members) []Effect
 	}{
-		{"ping", func(m *Members) []Effect { return m.Tick(m.Next()) }},
+		{"ping", func(m *Members) []Effect { return m.Tick(m.NextTick()) }},
 		{"ping-req", func(m *Members) []Effect {
-			m.Tick(m.Next())
-			return m.Tick(m.Next())
+			m.Tick(m.NextTick())
+			return m.Tick(m.NextTick())
 		}},
 		{"ack", func(m *Members) []Effect {
 			return m.Receive(100.5, &wire.Message{Kind: wire.Message_PING, From: "node-c", Start: 1700000000000003, Seq: 42, About: "node-a",
@@ -112,10 +112,10 @@
 		}},
 		{"leave", func(m *Members) []Effect { return m.Leave(100.01) }},
 		{"refutation", func(m *Members) []Effect {
-			m.Most = 600 // so that all news fits
+			m.MaxMessageBytes = 600 // so that all news fits
 			m.Receive(100.01, &wire.Message{Kind: wire.Message_STATE, From: "node-c", Start: 1700000000000003, Updates: []*wire.Update{
 				{Name: "node-a", Start: 1700000000000001, State: uint32(Suspect), Address: "127.0.0.1:7000", By: "node-d"}}})
-			return m.Tick(m.Next())
+			return m.Tick(m.NextTick())
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	}
 	t.Run("join", func(t *testing.T) {
 		m := New(100, goldenConfig())
-		got := render(t, m.Tick(m.Next()))
+		got := render(t, m.Tick(m.NextTick()))
 		if len(got) == 0 {
 			t.Fatal("no message was sent")
 		}
@@ -146,7 +146,7 @@
 func TestGoldenHashes(t *testing.T) {
 	m := New(100, goldenConfig())
 	m.Receive(100, &wire.Message{Kind: wire.Message_STATE, From: "node-c", Start: 3, Updates: []*wire.Update{goldenUpdate()}})
-	checkGolden(t, "hashes.txt", fmt.Appendf(nil, "digest %016x\nnumber %08x\n", m.Digest(), Number("node-b")))
+	checkGolden(t, "hashes.txt", fmt.Appendf(nil, "digest %016x\nnumber %08x\n", m.Digest(), NameHash("node-b")))
 }
 
 // The numbers of the states on the wire, and their names in views and logs.
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -18,12 +18,12 @@
 		return
 	}
 	msg.From, msg.Start = m.self.Name, m.self.Start
-	left := m.Most - proto.Size(msg)
+	left := m.MaxMessageBytes - proto.Size(msg)
 	slices.SortStableFunc(m.news, func(a, b news) int { return cmp.Compare(a.sent, b.sent) })
 	times := int(math.Ceil(spreadFactor * math.Log10(float64(m.living+1))))
 	kept := m.news[:0]
 	for i, n := range m.news {
-		x := m.known(n.name)
+		x := m.find(n.name)
 		if x == nil {
 			continue
 		}
@@ -143,7 +143,7 @@
 		return
 	}
 	m.seq++
-	m.helping[m.seq] = helping{name: msg.From, about: msg.About, seq: msg.Seq, nackAt: m.now + m.Timeout,
+	m.helping[m.seq] = helping{name: msg.From, about: msg.About, seq: msg.Seq, nackAt: m.now + m.ProbeTimeout,
 		end: m.now + m.Period*float64(1+maxHealthScore)}
 	m.ping(about, m.seq)
 }
@@ -214,7 +214,7 @@
 		size := proto.Size(msg)
 		for len(all) > 0 {
 			u := all[0].update()
-			if size += proto.Size(u) + 3; size > m.Most && len(msg.Updates) > 0 {
+			if size += proto.Size(u) + 3; size > m.MaxMessageBytes && len(msg.Updates) > 0 {
 				break
 			}
 			msg.Updates = append(msg.Updates, u)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -43,7 +43,7 @@
 		return
 	}
 	m.seq++
-	m.probe = &probe{name: x.Name, seq: m.seq, askAt: m.now + m.Timeout*m.timeFactor()}
+	m.probe = &probe{name: x.Name, seq: m.seq, askAt: m.now + m.ProbeTimeout*m.timeFactor()}
 	m.ping(x, m.seq)
 }
 
@@ -99,11 +99,11 @@
 	zones := map[string]bool{}
 	for _, fresh := range [2]bool{true, false} {
 		for _, h := range drawn {
-			if len(out) == m.Helpers {
+			if len(out) == m.IndirectProbes {
 				return out
 			}
-			if zones[h.Zone] == fresh || h.badLink || slices.Contains(h.Bad, Number(x.Name)) ||
-				slices.Contains(x.Bad, Number(h.Name)) || slices.Contains(out, h) {
+			if zones[h.Zone] == fresh || h.badLink || slices.Contains(h.BadLinks, NameHash(x.Name)) ||
+				slices.Contains(x.BadLinks, NameHash(h.Name)) || slices.Contains(out, h) {
 				continue
 			}
 			zones[h.Zone] = true
@@ -163,14 +163,14 @@
 	var bad []uint32
 	for _, x := range m.others {
 		if x.badLink && !x.State.gone() {
-			bad = append(bad, Number(x.Name))
+			bad = append(bad, NameHash(x.Name))
 		}
 	}
 	slices.Sort(bad)
 	bad = bad[:min(len(bad), maxBadLinks)]
-	if m.now >= m.factsAt && !slices.Equal(bad, m.self.Bad) {
+	if m.now >= m.factsAt && !slices.Equal(bad, m.self.BadLinks) {
 		m.factsAt = m.now + badLinkPeriods*m.Period
-		m.self.Bad = bad
+		m.self.BadLinks = bad
 		m.announceSelf()
 	}
 }
@@ -183,7 +183,7 @@
 		if !h.nacked && m.now >= h.nackAt {
 			h.nacked = true
 			m.helping[seq] = h
-			if x := m.byName[h.name]; x != nil && !m.Plain {
+			if x := m.byName[h.name]; x != nil && !m.WithoutLifeguard {
 				m.send(x.Address, &wire.Message{Kind: wire.Message_NACK, Seq: h.seq, About: h.about})
 			}
 		}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -28,7 +28,7 @@
 	if to == Suspect && x.suspicion != nil {
 		by = x.suspicion.last
 	}
-	m.effects = append(m.effects, Changed{Member: x.Member, Was: was, By: by})
+	m.effects = append(m.effects, Changed{Member: x.Member, Previous: was, SuspectedBy: by})
 }
 
 // addMember adds a member that was not known, as alive or gone; a suspicion is up to the caller.
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -21,7 +21,7 @@
 	if hasty {
 		return m.Period / 10, m.Period / 10
 	}
-	if m.Plain {
+	if m.WithoutLifeguard {
 		return least, least
 	}
 	return least, suspicionSpread * least
@@ -69,7 +69,7 @@
 // recordAlive records evidence that a member is alive now: a message of its own, or an answer through another. The
 // suspicion lasts at least until the member can have received it.
 func (m *Members) recordAlive(x *member) {
-	if s := x.suspicion; s != nil && !m.Plain {
+	if s := x.suspicion; s != nil && !m.WithoutLifeguard {
 		s.earliestEnd, s.probedAgain = max(s.earliestEnd, m.now+s.least), false
 	}
 }
@@ -93,7 +93,7 @@
 		if s := x.suspicion; s != nil && m.now >= s.end() {
 			// One more probe, in the next round, guards against a death where the member can be reached through
 			// another, or where its refutation was lost among much news.
-			if !s.probedAgain && !s.reportedLeft && !m.Plain {
+			if !s.probedAgain && !s.reportedLeft && !m.WithoutLifeguard {
 				s.probedAgain, s.earliestEnd = true, m.now+2*m.Period*m.timeFactor()
 				m.probeFirst = append(m.probeFirst, x.Name)
 				continue
@@ -111,6 +111,6 @@
 // isolated reports whether this node has received no message for so long, or was suspected so recently, that the fault
 // may be its own: it cannot receive, or cannot send.
 func (m *Members) isolated() bool {
-	return !m.Plain && m.living > 1 &&
+	return !m.WithoutLifeguard && m.living > 1 &&
 		(m.now-m.heardAt > isolatedPeriods*m.Period || m.now-m.accusedAt < accusedPeriods*m.Period)
 }
--- a/internal/membership/views.go
+++ b/internal/membership/views.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// known returns a member by its name, including this node; nil where it is not known.
-func (m *Members) known(name string) *member {
+// find returns a member by its name, including this node; nil where it is not known.
+func (m *Members) find(name string) *member {
 	if name == m.self.Name {
 		return m.self
 	}
@@ -19,8 +19,8 @@
 // Self returns this node as it announces itself.
 func (m *Members) Self() Member { return m.self.Member }
 
-// Doubt returns the local health score of this node (Lifeguard), 0 to 8. Its timeouts are longer by a factor of one more.
-func (m *Members) Doubt() int { return m.healthScore }
+// HealthScore returns the local health score of this node (Lifeguard), 0 to 8. Its timeouts are longer by a factor of one more.
+func (m *Members) HealthScore() int { return m.healthScore }
 
 // Living returns the number of members that are alive or suspect, including this node.
 func (m *Members) Living() int { return m.living }
@@ -35,12 +35,12 @@
 	return all
 }
 
-// News returns the number of members that this node still tells others of, with messages that it sends anyway.
-func (m *Members) News() int { return len(m.news) }
+// PendingUpdates returns the number of members that this node still tells others of, with messages that it sends anyway.
+func (m *Members) PendingUpdates() int { return len(m.news) }
 
 // Member returns a member by its name, including this node; false where it is not known.
 func (m *Members) Member(name string) (Member, bool) {
-	if x := m.known(name); x != nil {
+	if x := m.find(name); x != nil {
 		return x.Member, true
 	}
 	return Member{}, false
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -15,13 +15,13 @@
 
 // Listen opens a node's own address for messages to the nodes named, itself left out, and from them.
 func Listen(ctx context.Context, own string, nodes []string) (*Link, error) {
-	self, err := Address(own)
+	self, err := ParseAddress(own)
 	if err != nil {
 		return nil, err
 	}
 	l := &Link{nodes: map[netip.AddrPort]bool{}}
 	for _, text := range nodes {
-		at, err := Address(text)
+		at, err := ParseAddress(text)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -57,7 +57,7 @@
 		from *net.UDPConn
 		text []byte
 	}{
-		{stranger, Append(nil, []HostLoad{{1, 1}})}, {peer, nil}, {peer, []byte{version + 1, 0, 0, 0, 1, 64}},
+		{stranger, Append(nil, []HostLoad{{1, 1}})}, {peer, nil}, {peer, []byte{messageVersion + 1, 0, 0, 0, 1, 64}},
 		{peer, make([]byte, MaxMessageBytes+5)}, {peer, Append(nil, []HostLoad{{7, 1}})},
 	} {
 		if _, err := m.from.WriteToUDP(m.text, to); err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	version         = 1
-	wordLen         = 5
-	unit            = 1.0 / 64 // of what a host can do; rounded up, lest one a little too busy is told as none
+	messageVersion  = 1
+	loadBytes       = 5
+	loadStep        = 1.0 / 64 // of what a host can do; rounded up, lest one a little too busy is told as none
 	MaxLoads        = 51       // words in a message
-	MaxMessageBytes = 1 + MaxLoads*wordLen
+	MaxMessageBytes = 1 + MaxLoads*loadBytes
 )
 
 // HostLoad is one host's load, by its id: what is asked of it over what it can do.
@@ -23,21 +23,21 @@
 
 // Append adds a message with the words, of which it takes Most; loads are told up to four.
 func Append(to []byte, words []HostLoad) []byte {
-	to = append(to, version)
+	to = append(to, messageVersion)
 	for _, w := range words[:min(len(words), MaxLoads)] {
 		to = binary.BigEndian.AppendUint32(to, w.Host)
-		to = append(to, byte(math.Ceil(min(max(w.Load, 0)/unit, 255))))
+		to = append(to, byte(math.Ceil(min(max(w.Load, 0)/loadStep, 255))))
 	}
 	return to
 }
 
 // Parse takes a message apart; nothing comes of one of another version or length.
 func Parse(text []byte) (words []HostLoad) {
-	if len(text) < 1 || len(text) > MaxMessageBytes || text[0] != version || len(text)%wordLen != 1 {
+	if len(text) < 1 || len(text) > MaxMessageBytes || text[0] != messageVersion || len(text)%loadBytes != 1 {
 		return nil
 	}
-	for text = text[1:]; len(text) > 0; text = text[wordLen:] {
-		words = append(words, HostLoad{binary.BigEndian.Uint32(text), float64(text[4]) * unit})
+	for text = text[1:]; len(text) > 0; text = text[loadBytes:] {
+		words = append(words, HostLoad{binary.BigEndian.Uint32(text), float64(text[4]) * loadStep})
 	}
 	return words
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -31,7 +31,7 @@
 			t.Fatalf("%d words", len(words))
 		}
 		for i := range words {
-			if words[i].Load = max(words[i].Load-unit/2, 0); words[i].Load > 4 || math.IsNaN(words[i].Load) {
+			if words[i].Load = max(words[i].Load-loadStep/2, 0); words[i].Load > 4 || math.IsNaN(words[i].Load) {
 				t.Fatalf("load %v", words[i].Load)
 			}
 		}
--- a/internal/peers/socket.go
+++ b/internal/peers/socket.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-const sendWithin = 20 * time.Millisecond // what the system will not take by then is lost
+const sendTimeout = 20 * time.Millisecond // what the system will not take by then is lost
 
-// Address reads a node's address: numeric, as there are no names to look up.
-func Address(text string) (netip.AddrPort, error) {
+// ParseAddress reads a node's address: numeric, as there are no names to look up.
+func ParseAddress(text string) (netip.AddrPort, error) {
 	at, err := netip.ParseAddrPort(text)
 	if err == nil && (at.Port() == 0 || at.Addr().IsUnspecified()) {
 		err = fmt.Errorf("%q is no address of one node", text)
@@ -25,7 +25,7 @@
 
 // Open opens a node's own address.
 func Open(ctx context.Context, own string) (*Socket, error) {
-	if _, err := Address(own); err != nil {
+	if _, err := ParseAddress(own); err != nil {
 		return nil, err
 	}
 	var lc net.ListenConfig
@@ -38,7 +38,7 @@
 
 // Send sends each text to each address. One that cannot be sent is lost, as on the way.
 func (s *Socket) Send(texts [][]byte, to ...netip.AddrPort) {
-	s.conn.SetWriteDeadline(time.Now().Add(sendWithin))
+	s.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	for _, text := range texts {
 		for _, at := range to {
 			s.conn.WriteToUDPAddrPort(text, at)
@@ -58,7 +58,7 @@
 		}
 		if err != nil { // an earlier message reached nobody; the socket is as good as before
 			select {
-			case <-time.After(sendWithin):
+			case <-time.After(sendTimeout):
 			case <-ctx.Done():
 				return nil
 			}
--- a/internal/scale/agree.go
+++ b/internal/scale/agree.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			return err
 		}
-		if len(k.digests) <= 1 && float64(k.news) <= members.RestNews*float64(k.nodes) {
+		if len(k.digests) <= 1 && float64(k.news) <= members.MaxIdlePendingUpdates*float64(k.nodes) {
 			return nil
 		}
 		if waited := time.Since(began).Seconds(); waited > r.script.Quiet {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -239,7 +239,7 @@
 	r := &report{Nodes: len(p.nodes), Traffic: slices.Clone(p.ended), Living: map[int]spread{}, Digests: map[uint64]int{}}
 	for _, h := range p.nodes {
 		r.Traffic = addTraffic(r.Traffic, h.traffic())
-		r.News += h.part.News()
+		r.News += h.part.PendingUpdates()
 		if digests {
 			r.Digests[h.part.Digest()]++
 		}
--- a/internal/scale/judge.go
+++ b/internal/scale/judge.go
@@ -40,7 +40,7 @@
 
 // virtualRest is what members on the virtual clock cost at rest.
 type virtualRest struct {
-	members.Rest
+	members.IdleCost
 	err error
 }
 
@@ -55,8 +55,8 @@
 	return done
 }
 
-func (r *run) restVirtual(ctx context.Context) (members.Rest, error) {
-	return members.Resting(ctx, members.Options{Nodes: r.result.Size, Seed: r.Seed, Zones: r.script.zones(), Period: r.script.Period,
+func (r *run) restVirtual(ctx context.Context) (members.IdleCost, error) {
+	return members.MeasureIntroduced(ctx, members.Options{Nodes: r.result.Size, Seed: r.Seed, Zones: r.script.zones(), Period: r.script.Period,
 		Address: func(i int) string { return r.plan.Nodes[i].Address }, Build: r.build,
 		Size: func(m *wire.Message) int { return fleet.DatagramBytes(proto.Size(m)) }}, r.script.AtRest, r.script.Rest/r.script.Period)
 }
--- a/internal/scale/judge_test.go
+++ b/internal/scale/judge_test.go
@@ -92,7 +92,7 @@
 
 // A view that lacks a member, or holds one for living that is gone, is told.
 func TestDisagreementIsCounted(t *testing.T) {
-	v := view.View{Self: "a", Members: []view.Seen{{Name: "a", State: "alive"}, {Name: "b", State: "suspect"}, {Name: "c", State: "dead"}}}
+	v := view.View{Self: "a", Members: []view.Member{{Name: "a", State: "alive"}, {Name: "b", State: "suspect"}, {Name: "c", State: "dead"}}}
 	for _, c := range []struct {
 		running []string
 		wrong   int
--- a/internal/sockets/config.go
+++ b/internal/sockets/config.go
@@ -121,11 +121,11 @@
 // mixed tells what of the config belongs to another shape of deployment than its settings: messages among
 // nodes need both. Where they are allowed and no address is given, the node goes without.
 func (c Config) mixed(allowed bool) error {
-	if _, err := peers.Address(c.PeerAddr); c.PeerAddr != "" && err != nil {
+	if _, err := peers.ParseAddress(c.PeerAddr); c.PeerAddr != "" && err != nil {
 		return fmt.Errorf("peer_addr: %w", err)
 	}
 	for _, at := range c.Peers {
-		if _, err := peers.Address(at); err != nil {
+		if _, err := peers.ParseAddress(at); err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
 	}
