--- a/internal/configfeed/sim_test.go
+++ b/internal/configfeed/sim_test.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	simStart      = 1e6  // virtual Unix time at which a simulation begins
-	latency       = 0.01 // seconds one way within a region, and three times that between regions
-	headerBytes   = 300  // of an HTTP request or answer beside its body, as reckoned
-	inForceWithin = 6.0
-	stepsASecond  = 200 // of a process, at the most
+	simStart          = 1e6  // virtual Unix time at which a simulation begins
+	latency           = 0.01 // seconds one way within a region, and three times that between regions
+	headerBytes       = 300  // of an HTTP request or answer beside its body, as reckoned
+	inForceWithin     = 6.0
+	maxStepsPerSecond = 200 // of a process, at the most
 )
 
-// simulation is a set of servers and nodes on a virtual clock, with faults between them.
+// simulation runs servers and nodes on a virtual clock, with faults of processes, disks and the network.
 type simulation struct {
-	clock   virtual.Clock
-	random  *rand.Rand
-	rules   rules
-	servers []*simServer
-	nodes   []*simNode
-	cuts    map[[2]string]bool // from, to
-	loss    float64
-	saved   map[Version][]State // every state that the writer's disk ever held
-	yes     []promise
-	breaks  []string
-}
-
-// promise is a proposal that was accepted.
-type promise struct {
+	clock      virtual.Clock
+	random     *rand.Rand
+	rules      rules
+	servers    []*simServer
+	nodes      []*simNode
+	cutLinks   map[[2]string]bool // from, to
+	loss       float64
+	saved      map[Version][]State // every state that the writer's disk ever held
+	accepted   []acceptedProposal
+	violations []string
+}
+
+// acceptedProposal is a proposal that was accepted.
+type acceptedProposal struct {
 	id      string
 	version Version
 }
 
-// process is one that may be killed, or stopped and continued. What comes while it is stopped waits.
+// process is a simulated process, which may be killed, or stopped and resumed. While it is stopped its input waits.
 type process struct {
 	name, region string
 	up, stopped  bool
@@ -48,21 +48,21 @@
 }
 
 func newSimulation(seed uint64, r rules) *simulation {
-	s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), rules: r, cuts: map[[2]string]bool{},
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), rules: r, cutLinks: map[[2]string]bool{},
 		saved: map[Version][]State{}}
 	s.clock.Now = simStart
 	return s
 }
 
-// regionsOf are the regions of the five servers: 2, 2 and 1.
-var regionsOf = []string{"north", "north", "south", "south", "west"}
+// serverRegions are the regions of the five servers: 2, 2 and 1.
+var serverRegions = []string{"north", "north", "south", "south", "west"}
 
-// raise starts servers and nodes.
-func (s *simulation) raise(servers, nodes int) {
+// startAll starts that many servers and nodes.
+func (s *simulation) startAll(servers, nodes int) {
 	var addresses []ServerAddress
 	for i := range servers {
 		name := fmt.Sprintf("c%d", i)
-		addresses = append(addresses, ServerAddress{Name: name, Address: name, Region: regionsOf[i]})
+		addresses = append(addresses, ServerAddress{Name: name, Address: name, Region: serverRegions[i]})
 	}
 	for _, a := range addresses {
 		c := ServerConfig{Name: a.Name, Region: a.Region, Servers: addresses, Writer: "c0", Seed: s.random.Uint64()}
@@ -83,22 +83,23 @@
 	}
 }
 
-// runFor lets virtual time pass. More steps than any course should take are a loop, and end the test.
+// runFor advances the virtual clock. It panics after more steps than any run should take, since that is a loop.
 func (s *simulation) runFor(seconds float64) {
-	limit := s.clock.Steps + int((seconds+1)*stepsASecond)*len(s.processes())
+	limit := s.clock.Steps + int((seconds+1)*maxStepsPerSecond)*len(s.processes())
 	for end := s.clock.Now + seconds; s.clock.Step(end); {
 		if s.clock.Steps > limit {
-			panic("more steps than any course should take")
+			panic("more steps than any run should take")
 		}
 	}
 }
 
-func (s *simulation) broken(format string, args ...any) {
-	s.breaks = append(s.breaks, fmt.Sprintf("%.2f s: ", s.clock.Now-simStart)+fmt.Sprintf(format, args...))
+// violated records that a property does not hold.
+func (s *simulation) violated(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%.2f s: ", s.clock.Now-simStart)+fmt.Sprintf(format, args...))
 }
 
-// do has a process do something after a while, if it still runs then.
-func (s *simulation) do(after float64, p *process, run func()) {
+// runAfter runs a function in a process after some seconds, unless the process has ended by then.
+func (s *simulation) runAfter(after float64, p *process, run func()) {
 	generation := p.generation
 	var step func()
 	step = func() {
@@ -113,25 +114,31 @@
 	s.clock.After(after, step)
 }
 
-// send carries something from one process to another. Where the other one does not run, refused is called at the sender.
+// send delivers a message: arrived runs in the receiver, or refused in the sender where the receiver does not run. A
+// message that is lost has neither effect.
 func (s *simulation) send(from, to *process, arrived, refused func()) {
-	if s.lost(from, to) {
+	if s.drops(from, to) {
 		return
 	}
 	delay := s.delay(from, to)
 	s.clock.After(delay, func() {
 		if to.up {
-			s.do(0, to, arrived)
-		} else if !s.lost(to, from) {
-			s.do(delay, from, refused)
+			s.runAfter(0, to, arrived)
+		} else if !s.drops(to, from) {
+			s.runAfter(delay, from, refused)
 		}
 	})
 }
 
-func (s *simulation) lost(from, to *process) bool {
-	return s.cuts[[2]string{from.name, to.name}] || s.loss > 0 && s.random.Float64() < s.loss
+// drops reports whether a message is lost.
+func (s *simulation) drops(from, to *process) bool {
+	if s.cutLinks[[2]string{from.name, to.name}] {
+		return true
+	}
+	return s.loss > 0 && s.random.Float64() < s.loss
 }
 
+// delay draws the seconds that a message takes.
 func (s *simulation) delay(from, to *process) float64 {
 	delay := latency * (0.5 + s.random.Float64())
 	if from.region != to.region {
@@ -140,21 +147,22 @@
 	return delay
 }
 
-// cut cuts the way from one process to another, or mends it.
-func (s *simulation) cut(from, to string, cut bool) { s.cuts[[2]string{from, to}] = cut }
+// setLinkCut cuts the link from one process to another, or restores it.
+func (s *simulation) setLinkCut(from, to string, cut bool) { s.cutLinks[[2]string{from, to}] = cut }
 
-// cutRegion cuts a region off from the others, or mends that.
-func (s *simulation) cutRegion(region string, cut bool) {
+// setRegionCut cuts all links between a region and the others, or restores them.
+func (s *simulation) setRegionCut(region string, cut bool) {
 	all := s.processes()
 	for _, a := range all {
 		for _, b := range all {
 			if (a.region == region) != (b.region == region) {
-				s.cut(a.name, b.name, cut)
+				s.setLinkCut(a.name, b.name, cut)
 			}
 		}
 	}
 }
 
+// processes returns all servers, then all nodes.
 func (s *simulation) processes() (all []*process) {
 	for _, server := range s.servers {
 		all = append(all, &server.process)
@@ -165,8 +173,8 @@
 	return all
 }
 
-// begin marks the process as running.
-func (p *process) begin() {
+// markRunning marks the process as running.
+func (p *process) markRunning() {
 	p.up, p.stopped, p.backlog = true, false, nil
 	p.generation++
 }
@@ -174,10 +182,10 @@
 // kill ends the process.
 func (p *process) kill() { p.up, p.stopped, p.backlog = false, false, nil }
 
-// stop holds the process up.
+// stop suspends the process if it runs.
 func (p *process) stop() { p.stopped = p.up }
 
-// resume has a process that was stopped go on with what came meanwhile.
+// resume continues a process that was stopped, with the input that has waited.
 func (p *process) resume() {
 	p.stopped = false
 	backlog := p.backlog
@@ -190,7 +198,7 @@
 // writer is the server that takes proposals.
 func (s *simulation) writer() *simServer { return s.servers[0] }
 
-// behind gives the nodes that run and are not at a version.
+// behind describes the running nodes that do not have a version.
 func (s *simulation) behind(v Version) (names []string) {
 	for _, n := range s.nodes {
 		if n.up && n.state.Version != v {
@@ -200,8 +208,8 @@
 	return names
 }
 
-// lastInForce runs for some seconds and gives how long the last of the nodes that run then took to put the writer's
-// version in force, counted from the beginning; infinity where one has not.
+// lastInForce advances the clock and returns after how many seconds the last running node had the writer's version in
+// force; infinity if one has not.
 func (s *simulation) lastInForce(seconds float64) (took float64) {
 	begin := s.clock.Now
 	s.runFor(seconds)
@@ -211,22 +219,22 @@
 		case n.state.Version != s.writer().disk.State.Version:
 			return math.Inf(1)
 		default:
-			took = max(took, n.since-begin)
+			took = max(took, n.inForceSince-begin)
 		}
 	}
 	return took
 }
 
-// report fails the test with what broke.
-func (s *simulation) report(t testing.TB) {
+// requireNoViolation ends the test unless all checked properties hold.
+func (s *simulation) requireNoViolation(t testing.TB) {
 	t.Helper()
-	if len(s.breaks) > 0 {
-		t.Fatalf("%d broken, first: %s", len(s.breaks), s.breaks[0])
+	if len(s.violations) > 0 {
+		t.Fatalf("%d violations, first: %s", len(s.violations), s.violations[0])
 	}
 }
 
-// holds tells whether the writer's disk ever held exactly this state.
-func (s *simulation) holds(state State) bool {
+// wasSaved reports whether the writer's disk ever held exactly this state.
+func (s *simulation) wasSaved(state State) bool {
 	return slices.ContainsFunc(s.saved[state.Version], func(known State) bool {
 		return slices.Equal(known.Entries, state.Entries)
 	})
