--- /dev/null
+++ b/internal/membership/bad_links.go
@@ -0,0 +1,30 @@
+package membership
+
+import "slices"
+
+// announceBadLinks announces which members this node reaches only through others, at most once in badLinkPeriods.
+func (m *Members) announceBadLinks() {
+	if m.now < m.nextBadLinksAt {
+		return
+	}
+	hashes := m.badLinks()
+	if slices.Equal(hashes, m.self.BadLinks) {
+		return
+	}
+	m.nextBadLinksAt = m.now + badLinkPeriods*m.config.Period
+	m.self.BadLinks = hashes
+	m.announceSelf()
+}
+
+// badLinks returns the name hashes of the members that this node reaches only through others, the lowest maxBadLinks of
+// them, in order.
+func (m *Members) badLinks() []uint32 {
+	var hashes []uint32
+	for _, peer := range m.others {
+		if peer.badLink && !peer.State.gone() {
+			hashes = append(hashes, NameHash(peer.Name))
+		}
+	}
+	slices.Sort(hashes)
+	return hashes[:min(len(hashes), maxBadLinks)]
+}
--- /dev/null
+++ b/internal/membership/exchange.go
@@ -0,0 +1,134 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"gorseledge/internal/membership/wire"
+)
+
+// exchangeState compares the full state with that of a random member, where that is due. It also asks an address of the
+// config and a member that is gone to join. This prevents that two halves of a fleet hold each other for dead for good.
+func (m *Members) exchangeState() {
+	if m.now < m.nextExchangeAt {
+		return
+	}
+	m.nextExchangeAt = m.now + exchangePeriods*m.config.Period*(exchangeMin+exchangeSpan*m.random.Float64())
+	alone := m.liveCount == 1
+	if alone {
+		m.nextExchangeAt = m.now + m.config.Period
+	}
+	m.joinConfigured(alone)
+	m.joinGone()
+	for _, peer := range m.randomAlive(1, nil) {
+		m.send(peer.Address, &wire.Message{Kind: wire.Message_STATE, Hash: m.Digest(), Again: true})
+	}
+}
+
+// joinConfigured asks a random address of the config at which no live member is known for its state; a node that knows
+// nobody asks twice, as the first address may be that of a node as new as itself.
+func (m *Members) joinConfigured(alone bool) {
+	addresses := m.unknownJoinAddresses()
+	if len(addresses) == 0 {
+		return
+	}
+	m.sendJoin(addresses[m.random.IntN(len(addresses))])
+	if alone {
+		m.sendJoin(addresses[m.random.IntN(len(addresses))])
+	}
+}
+
+// unknownJoinAddresses returns the addresses of the config that are neither this node's nor those of live members.
+func (m *Members) unknownJoinAddresses() []string {
+	addresses := slices.Clone(m.config.Join)
+	addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == m.self.Address })
+	for _, peer := range m.others {
+		if peer.State.gone() {
+			continue
+		}
+		if i := slices.Index(addresses, peer.Address); i >= 0 {
+			addresses = slices.Delete(addresses, i, i+1)
+		}
+	}
+	return addresses
+}
+
+// joinGone asks a random member that is gone for its state and sends it the state in which this node holds it. A member
+// that receives messages while its own are lost learns by it that it is not heard; otherwise it would declare others
+// dead.
+func (m *Members) joinGone() {
+	var gone []*member
+	for _, peer := range m.others {
+		if peer.State.gone() {
+			gone = append(gone, peer)
+		}
+	}
+	if len(gone) == 0 {
+		return
+	}
+	slices.SortFunc(gone, func(a, b *member) int { return cmp.Compare(a.Address, b.Address) })
+	peer := gone[m.random.IntN(len(gone))]
+	m.sendJoin(peer.Address, peer.update())
+}
+
+// sendJoin asks the member at an address for its state, and sends it the given updates and this node's own.
+func (m *Members) sendJoin(address string, updates ...*wire.Update) {
+	m.send(address, &wire.Message{
+		Kind:    wire.Message_JOIN,
+		At:      m.self.Address,
+		Updates: append(updates, m.self.update()),
+	})
+}
+
+// sendMember sends what is known about one member.
+func (m *Members) sendMember(to string, peer *member) {
+	m.send(to, &wire.Message{Kind: wire.Message_STATE, Updates: []*wire.Update{peer.update()}})
+}
+
+// receiveState answers a digest or the state of another member with this node's state, where the two differ. A bare
+// digest is answered with a request for the sender's state.
+func (m *Members) receiveState(sender *member, msg *wire.Message) {
+	if sender == nil || !msg.Again || msg.Hash == m.Digest() {
+		return
+	}
+	m.sendState(sender.Address, len(msg.Updates) == 0)
+}
+
+// sendState sends the full state, or as much of it as this period allows, in a random order with this node first. Where
+// requestState is true, the first message asks for the receiver's state.
+func (m *Members) sendState(to string, requestState bool) {
+	remaining := append([]*member{m.self}, m.others...)
+	digest := m.Digest()
+	m.random.Shuffle(len(remaining)-1, func(i, j int) {
+		remaining[i+1], remaining[j+1] = remaining[j+1], remaining[i+1]
+	})
+	for len(remaining) > 0 && m.stateMessageQuota > 0 {
+		m.stateMessageQuota--
+		msg := &wire.Message{
+			Kind:  wire.Message_STATE,
+			From:  m.self.Name,
+			Start: m.self.Start,
+			Hash:  digest,
+			Again: requestState,
+		}
+		remaining = m.fillState(msg, remaining)
+		requestState = false // only the first message asks
+		m.effects = append(m.effects, Send{To: to, Message: msg})
+	}
+}
+
+// fillState adds as many members to a message as fit, one at least, and returns the others.
+func (m *Members) fillState(msg *wire.Message, members []*member) []*member {
+	size := proto.Size(msg)
+	for i, peer := range members {
+		u := peer.update()
+		size += proto.Size(u) + updateOverheadBytes
+		if size > m.config.MaxMessageBytes && len(msg.Updates) > 0 {
+			return members[i:]
+		}
+		msg.Updates = append(msg.Updates, u)
+	}
+	return nil
+}
--- a/internal/membership/membership_golden_test.go
+++ b/internal/membership/membership_golden_test.go
@@ -112,7 +112,7 @@
 		}},
 		{"leave", func(m *Members) []Effect { return m.Leave(100.01) }},
 		{"refutation", func(m *Members) []Effect {
-			m.MaxMessageBytes = 600 // so that all news fits
+			m.config.MaxMessageBytes = 600 // so that all updates fit
 			m.Receive(100.01, &wire.Message{Kind: wire.Message_STATE, From: "node-c", Start: 1700000000000003, Updates: []*wire.Update{
 				{Name: "node-a", Start: 1700000000000001, State: uint32(Suspect), Address: "127.0.0.1:7000", By: "node-d"}}})
 			return m.Tick(m.NextTick())
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -2,88 +2,113 @@
 
 import (
 	"cmp"
-	"slices"
 
 	"gorseledge/internal/membership/wire"
 )
 
-// news is an update that still has to be sent with other messages, and how often it was sent.
-type news struct {
-	name string
-	sent int
-	at   float64
-}
-
-// mergeUpdate merges what the member from says about a member. Updates with names or facts that are too long are
-// ignored.
+// mergeUpdate merges what the member from reports about a member. Updates without a name, or with names or facts that
+// are too long, are ignored.
 func (m *Members) mergeUpdate(u *wire.Update, from string) {
-	if u.Name == "" || len(u.Name) > 64 || len(u.Address) > 64 || len(u.Zone) > 64 || len(u.Build) > 64 {
+	if !validUpdate(u) {
 		return
 	}
 	if u.Name == m.self.Name {
-		m.mergeAboutSelf(u)
+		m.mergeSelfUpdate(u)
 		return
 	}
-	said := State(min(u.State, uint32(Left)))
-	x := m.byName[u.Name]
-	if x == nil {
-		if len(m.byName) >= maxMembers {
-			return
-		}
-		x = m.addMember(u)
-		m.enqueueNews(x)
-		if said == Suspect {
-			m.suspect(x, cmp.Or(u.By, from), false)
-		}
+	peer := m.byName[u.Name]
+	if peer == nil {
+		m.mergeNewMember(u, from)
 		return
 	}
-	order := compareOrder(u.Start, u.Incarnation, &x.Member)
+	order := compareOrder(u.Start, u.Incarnation, &peer.Member)
 	if order < 0 {
 		return
 	}
 	if order > 0 {
-		x.setFacts(u)
-		m.setState(x, Alive)
-		m.enqueueNews(x)
-	}
-	switch {
-	case said == Alive:
-	case said == Left && from == x.Name:
-		if !x.State.gone() {
-			m.setState(x, Left)
-			m.enqueueNews(x)
-		}
-	default: // a reported death only confirms a suspicion, which guards against a member that lies
-		m.suspect(x, cmp.Or(u.By, from), said == Left)
+		peer.setFacts(u)
+		m.setState(peer, Alive)
+		m.enqueueUpdate(peer)
 	}
+	m.mergeState(peer, u, from)
 }
 
-// mergeAboutSelf merges what others say about this node. It refutes a suspicion with a new incarnation, and leaves where
-// a later process has taken its name over at another address.
-func (m *Members) mergeAboutSelf(u *wire.Update) {
-	said := State(min(u.State, uint32(Left)))
-	if u.Start == m.self.Start && (said == Suspect || said == Dead) { // also of an old incarnation: the refutation may not reach them
-		m.accusedAt = m.now
-	}
-	switch order := compareOrder(u.Start, u.Incarnation, &m.self.Member); {
-	case m.left || order < 0:
-	case u.Start > m.self.Start && u.Address != m.self.Address && said == Alive:
-		m.left = true
-		m.effects = append(m.effects, Replaced{Member{Name: u.Name, Start: u.Start, Address: u.Address, Zone: u.Zone}})
-	case u.Start > m.self.Start: // of an earlier process of this node, whose clock was ahead
-		m.self.Start, m.self.Incarnation = u.Start, u.Incarnation
-		m.announceSelf()
-	case order > 0 || said != Alive:
-		m.self.Incarnation = u.Incarnation
-		m.announceSelf()
-		if said == Suspect || said == Dead {
-			m.adjustHealth(1) // its answer to the probe was late
-		}
+// validUpdate reports whether an update has a name, and facts of a length that is accepted.
+func validUpdate(u *wire.Update) bool {
+	if u.Name == "" || len(u.Name) > maxFactBytes {
+		return false
+	}
+	return len(u.Address) <= maxFactBytes && len(u.Zone) <= maxFactBytes && len(u.Build) <= maxFactBytes
+}
+
+// mergeNewMember adds a member that was not known, up to maxMembers of them.
+func (m *Members) mergeNewMember(u *wire.Update, from string) {
+	if len(m.byName) >= maxMembers {
+		return
+	}
+	peer := m.addMember(u)
+	m.enqueueUpdate(peer)
+	if reportedState(u) == Suspect {
+		m.suspect(peer, cmp.Or(u.By, from), false)
+	}
+}
+
+// mergeState merges the reported state of a known member, of its present incarnation or a newer one. A member that
+// announces itself that it leaves has left. Any other report that a member is gone only confirms a suspicion of it: a
+// faulty member cannot make others declare a member dead that answers them.
+func (m *Members) mergeState(peer *member, u *wire.Update, from string) {
+	state := reportedState(u)
+	if state == Alive {
+		return
+	}
+	if state != Left || from != peer.Name {
+		m.suspect(peer, cmp.Or(u.By, from), state == Left)
+		return
+	}
+	if !peer.State.gone() {
+		m.setState(peer, Left)
+		m.enqueueUpdate(peer)
+	}
+}
+
+// mergeSelfUpdate merges what others report about this node. It refutes a suspicion with a new incarnation, and leaves
+// where a later process has taken its name over at another address.
+func (m *Members) mergeSelfUpdate(u *wire.Update) {
+	state := reportedState(u)
+	suspected := state == Suspect || state == Dead
+	if suspected && u.Start == m.self.Start {
+		// A report of an old incarnation counts as well: the refutation may not reach the member that sent it.
+		m.lastSuspectedAt = m.now
+	}
+	order := compareOrder(u.Start, u.Incarnation, &m.self.Member)
+	if m.left || order < 0 {
+		return
+	}
+	if u.Start > m.self.Start {
+		m.mergeLaterStart(u, state)
+		return
+	}
+	if order == 0 && state == Alive {
+		return
+	}
+	m.self.Incarnation = u.Incarnation
+	m.announceSelf()
+	if suspected {
+		m.adjustHealth(1) // its answer to the probe was late
 	}
 }
 
-// enqueueNews has the state of a member sent with the next messages.
-func (m *Members) enqueueNews(x *member) {
-	m.news = slices.DeleteFunc(m.news, func(n news) bool { return n.name == x.Name })
-	m.news = append(m.news, news{name: x.Name, at: m.now})
+// mergeLaterStart merges a report about a later process with this node's name. One that is alive at another address
+// replaces this node. Any other report is of an earlier process of this node whose clock was ahead: this node takes a
+// start after it.
+func (m *Members) mergeLaterStart(u *wire.Update, state State) {
+	if u.Address != m.self.Address && state == Alive {
+		m.left = true
+		successor := Member{Name: u.Name, Start: u.Start, Address: u.Address, Zone: u.Zone}
+		m.effects = append(m.effects, Replaced{Successor: successor})
+		return
+	}
+	m.self.Start = u.Start
+	m.self.Incarnation = u.Incarnation
+	m.announceSelf()
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,194 +1,126 @@
 package membership
 
-import (
-	"maps"
-	"slices"
+import "gorseledge/internal/membership/wire"
 
-	"gorseledge/internal/membership/wire"
-)
-
-// probe is the probe in progress.
+// probe is the own probe in progress.
 type probe struct {
-	name            string
-	seq             uint64
-	askAt           float64 // when other members are asked to probe
-	asked, answered bool
-	direct          bool
-	helpers, nacks  int
-}
-
-// helping is a probe at the request of another member.
-type helping struct {
-	name, about string // the requester, and the member to probe
-	seq         uint64 // of the requester's probe
-	nackAt, end float64
-	nacked      bool
+	target           string
+	sequence         uint64
+	indirectAt       float64 // when other members are asked to probe the target
+	indirectSent     bool    // they were asked
+	answered         bool    // directly, or through another member
+	answeredDirectly bool
+	requests         int // members that were asked
+	nacks            int // of them, those that got no answer either
 }
 
-// timeFactor returns the factor of this node's timeouts, which grow with its local health score.
-func (m *Members) timeFactor() float64 { return float64(1 + m.healthScore) }
-
-// startRound ends the probe in progress, expires suspicions and starts the next probe.
-func (m *Members) startRound() {
-	m.roundAt = m.now + m.Period*m.timeFactor()
-	m.messagesLeft = maxStateMessages
-	if p := m.probe; p != nil && !p.answered {
-		m.probeFailed(p)
-	}
-	m.probe = nil
-	m.expireSuspicions()
-	m.exchangeState()
-	x := m.nextTarget()
-	if x == nil {
+// startProbe probes the next member, where there is one.
+func (m *Members) startProbe() {
+	peer := m.nextProbeTarget()
+	if peer == nil {
 		return
 	}
-	m.seq++
-	m.probe = &probe{name: x.Name, seq: m.seq, askAt: m.now + m.ProbeTimeout*m.timeFactor()}
-	m.ping(x, m.seq)
+	m.sequence++
+	m.probe = &probe{
+		target:     peer.Name,
+		sequence:   m.sequence,
+		indirectAt: m.now + m.config.ProbeTimeout*m.timeoutFactor(),
+	}
+	m.ping(peer, m.sequence)
 }
 
-// ping sends a ping to a member.
-func (m *Members) ping(x *member, seq uint64) {
-	msg := &wire.Message{Kind: wire.Message_PING, Seq: seq, About: x.Name, At: m.self.Address}
-	if x.State != Alive { // the member has to know it, to refute it (Lifeguard's buddy system)
-		msg.Updates = append(msg.Updates, x.update())
-	}
-	m.send(x.Address, msg)
+// ping sends a ping to a member. A member that is not alive at this node is told so, to be able to refute it (Lifeguard's
+// buddy system).
+func (m *Members) ping(peer *member, sequence uint64) {
+	msg := &wire.Message{Kind: wire.Message_PING, Seq: sequence, About: peer.Name, At: m.self.Address}
+	if peer.State != Alive {
+		msg.Updates = append(msg.Updates, peer.update())
+	}
+	m.send(peer.Address, msg)
 }
 
-// nextTarget returns the member to probe next: a suspect that this node verifies itself, or the next of the round; nil
-// where there is none.
-func (m *Members) nextTarget() *member {
-	for len(m.probeFirst) > 0 {
-		x := m.byName[m.probeFirst[0]]
-		m.probeFirst = m.probeFirst[1:]
-		if x != nil && x.State == Suspect {
-			return x
-		}
+// nextProbeTarget returns the member to probe next: a suspect that this node verifies itself, or the next of the round;
+// nil where there is none.
+func (m *Members) nextProbeTarget() *member {
+	if suspect := m.nextPriorityProbe(); suspect != nil {
+		return suspect
 	}
 	for range m.others {
-		if m.nextProbe >= len(m.others) {
-			m.nextProbe = 0
-			m.rand.Shuffle(len(m.others), func(i, j int) { m.others[i], m.others[j] = m.others[j], m.others[i] })
+		if m.nextTarget >= len(m.others) {
+			m.startRound()
 		}
-		x := m.others[m.nextProbe]
-		m.nextProbe++
-		if !x.State.gone() {
-			return x
+		peer := m.others[m.nextTarget]
+		m.nextTarget++
+		if !peer.State.gone() {
+			return peer
 		}
 	}
 	return nil
 }
 
-// randomAlive returns up to n random members that are alive, except one.
-func (m *Members) randomAlive(n int, without *member) (out []*member) {
-	for _, i := range m.rand.Perm(len(m.others)) {
-		if x := m.others[i]; x != without && x.State == Alive {
-			if out = append(out, x); len(out) == n {
-				break
-			}
+// nextPriorityProbe returns the first member in the queue of priority probes that is still suspect; nil for none.
+func (m *Members) nextPriorityProbe() *member {
+	for len(m.priorityProbes) > 0 {
+		peer := m.byName[m.priorityProbes[0]]
+		m.priorityProbes = m.priorityProbes[1:]
+		if peer != nil && peer.State == Suspect {
+			return peer
 		}
 	}
-	return out
+	return nil
 }
 
-// chooseHelpers returns random members to probe another member: of different zones as far as possible, and none with a
-// known bad link to it.
-func (m *Members) chooseHelpers(x *member) (out []*member) {
-	drawn := m.randomAlive(len(m.others), x)
-	zones := map[string]bool{}
-	for _, fresh := range [2]bool{true, false} {
-		for _, h := range drawn {
-			if len(out) == m.IndirectProbes {
-				return out
-			}
-			if zones[h.Zone] == fresh || h.badLink || slices.Contains(h.BadLinks, NameHash(x.Name)) ||
-				slices.Contains(x.BadLinks, NameHash(h.Name)) || slices.Contains(out, h) {
-				continue
-			}
-			zones[h.Zone] = true
-			out = append(out, h)
-		}
-	}
-	return out
+// startRound starts a new round of probes, in a new random order.
+func (m *Members) startRound() {
+	m.nextTarget = 0
+	m.random.Shuffle(len(m.others), func(i, j int) { m.others[i], m.others[j] = m.others[j], m.others[i] })
 }
 
-// requestIndirectProbes asks some members to probe the target of a probe that was not answered in time.
-func (m *Members) requestIndirectProbes() {
-	p := m.probe
-	if p == nil || p.asked || p.answered || m.now < p.askAt {
-		return
-	}
-	p.asked = true
-	x := m.byName[p.name]
-	for _, h := range m.chooseHelpers(x) {
-		p.helpers++
-		m.send(h.Address, &wire.Message{Kind: wire.Message_PING_REQ, Seq: p.seq, About: p.name, At: x.Address})
+// randomAlive returns up to count random members that are alive, except one.
+func (m *Members) randomAlive(count int, except *member) (alive []*member) {
+	for _, i := range m.random.Perm(len(m.others)) {
+		peer := m.others[i]
+		if peer == except || peer.State != Alive {
+			continue
+		}
+		alive = append(alive, peer)
+		if len(alive) == count {
+			break
+		}
 	}
+	return alive
 }
 
-// probeFailed handles a probe that got no answer, direct or indirect.
+// probeFailed handles a probe that got no answer, direct or indirect. The target is suspected, unless this node may be at
+// fault itself.
 func (m *Members) probeFailed(p *probe) {
-	x := m.byName[p.name]
-	if p.helpers > p.nacks || p.helpers == 0 && m.living > 2 {
-		m.adjustHealth(1) // no helper answered either: the fault may be this node's
+	peer := m.byName[p.target]
+	noHelp := p.requests == 0 && m.liveCount > 2
+	if noHelp || p.requests > p.nacks { // members that were asked are silent as well: the fault may be this node's
+		m.adjustHealth(1)
 	}
-	if x == nil || m.isolated() {
+	if peer == nil || m.isolated() {
 		m.adjustHealth(1)
 		return
 	}
-	m.suspect(x, m.self.Name, false)
+	m.suspect(peer, m.self.Name, false)
 }
 
-// probeAnswered handles an answer to the probe in progress, from its target or through a helper.
-func (m *Members) probeAnswered(seq uint64, direct bool) {
+// probeAnswered handles an answer to the own probe in progress, from its target or through another member.
+func (m *Members) probeAnswered(sequence uint64, direct bool) {
 	p := m.probe
-	if p == nil || p.seq != seq {
+	if p == nil || p.sequence != sequence {
 		return
 	}
-	x := m.byName[p.name]
+	peer := m.byName[p.target]
 	if direct {
-		p.direct = true
+		p.answeredDirectly = true
 	}
-	if x.badLink = !p.direct; !p.answered {
+	peer.badLink = !p.answeredDirectly
+	if !p.answered {
 		p.answered = true
 		m.adjustHealth(-1)
 	}
-	m.recordAlive(x)
+	m.recordAlive(peer)
 	m.announceBadLinks()
 }
-
-// announceBadLinks announces which members this node reaches only through others, at most once in badLinkPeriods.
-func (m *Members) announceBadLinks() {
-	var bad []uint32
-	for _, x := range m.others {
-		if x.badLink && !x.State.gone() {
-			bad = append(bad, NameHash(x.Name))
-		}
-	}
-	slices.Sort(bad)
-	bad = bad[:min(len(bad), maxBadLinks)]
-	if m.now >= m.factsAt && !slices.Equal(bad, m.self.BadLinks) {
-		m.factsAt = m.now + badLinkPeriods*m.Period
-		m.self.BadLinks = bad
-		m.announceSelf()
-	}
-}
-
-// sendNacks answers requests for probes that got no answer in time, in the order of the requests: the same seed gives the
-// same messages.
-func (m *Members) sendNacks() {
-	for _, seq := range slices.Sorted(maps.Keys(m.helping)) {
-		h := m.helping[seq]
-		if !h.nacked && m.now >= h.nackAt {
-			h.nacked = true
-			m.helping[seq] = h
-			if x := m.byName[h.name]; x != nil && !m.WithoutLifeguard {
-				m.send(x.Address, &wire.Message{Kind: wire.Message_NACK, Seq: h.seq, About: h.about})
-			}
-		}
-		if m.now >= h.end {
-			delete(m.helping, seq)
-		}
-	}
-}
--- /dev/null
+++ b/internal/membership/queries.go
@@ -0,0 +1,73 @@
+package membership
+
+import (
+	"cmp"
+	"encoding/binary"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// find returns a member by its name, including this node; nil where it is not known.
+func (m *Members) find(name string) *member {
+	if name == m.self.Name {
+		return m.self
+	}
+	return m.byName[name]
+}
+
+// Self returns this node as it announces itself.
+func (m *Members) Self() Member { return m.self.Member }
+
+// HealthScore returns the local health score of this node (Lifeguard), from 0 for healthy to 8. Its timeouts are longer by
+// the factor of the score plus one.
+func (m *Members) HealthScore() int { return m.healthScore }
+
+// Living returns the number of members that are alive or suspect, including this node.
+func (m *Members) Living() int { return m.liveCount }
+
+// All returns all known members in the order of their names, including this node and those that are gone.
+func (m *Members) All() []Member {
+	all := []Member{m.self.Member}
+	for _, peer := range m.others {
+		all = append(all, peer.Member)
+	}
+	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return all
+}
+
+// PendingUpdates returns the number of updates that this node still gossips, with messages that it sends anyway.
+func (m *Members) PendingUpdates() int { return len(m.pending) }
+
+// Member returns a member by its name, including this node; false where it is not known.
+func (m *Members) Member(name string) (Member, bool) {
+	peer := m.find(name)
+	if peer == nil {
+		return Member{}, false
+	}
+	return peer.Member, true
+}
+
+// Digest returns a hash of the state, which is the same at two nodes that know the same about the same members.
+func (m *Members) Digest() uint64 {
+	encoded := appendIdentity(nil, m.self)
+	digest := xxhash.Sum64(encoded)
+	for _, peer := range m.others {
+		encoded = appendIdentity(encoded[:0], peer)
+		digest ^= xxhash.Sum64(encoded)
+	}
+	return digest
+}
+
+// appendIdentity appends what two nodes have to agree on about a member: its name, whether it is gone, its start and its
+// incarnation.
+func appendIdentity(to []byte, peer *member) []byte {
+	gone := byte(0)
+	if peer.State.gone() {
+		gone = 1
+	}
+	to = append(to, peer.Name...)
+	to = append(to, gone)
+	to = binary.LittleEndian.AppendUint64(to, peer.Start)
+	return binary.LittleEndian.AppendUint32(to, peer.Incarnation)
+}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -6,46 +6,51 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// setState sets the state of a member, ends its suspicion unless it is suspect and reports the change.
-func (m *Members) setState(x *member, to State) {
-	was := x.State
-	if to != Suspect && x.suspicion != nil {
-		x.suspicion = nil
-		m.suspected--
+// setState sets the state of a member and reports the change. It ends the member's suspicion unless the state is Suspect.
+func (m *Members) setState(peer *member, to State) {
+	previous := peer.State
+	if to != Suspect && peer.suspicion != nil {
+		peer.suspicion = nil
+		m.suspectCount--
 	}
-	if was == to {
+	if previous == to {
 		return
 	}
-	if was.gone() != to.gone() {
-		if to.gone() {
-			m.living--
-		} else {
-			m.living++
-		}
+	if previous.gone() && !to.gone() {
+		m.liveCount++
 	}
-	x.State, x.Since = to, m.now
-	by := ""
-	if to == Suspect && x.suspicion != nil {
-		by = x.suspicion.last
+	if !previous.gone() && to.gone() {
+		m.liveCount--
 	}
-	m.effects = append(m.effects, Changed{Member: x.Member, Previous: was, SuspectedBy: by})
+	peer.State = to
+	peer.Since = m.now
+	suspectedBy := ""
+	if to == Suspect && peer.suspicion != nil {
+		suspectedBy = peer.suspicion.lastReporter
+	}
+	m.effects = append(m.effects, Changed{Member: peer.Member, Previous: previous, SuspectedBy: suspectedBy})
 }
 
-// addMember adds a member that was not known, as alive or gone; a suspicion is up to the caller.
+// addMember adds a member that was not known, as alive or gone. A suspicion is up to the caller.
 func (m *Members) addMember(u *wire.Update) *member {
-	x := &member{Member: Member{Name: u.Name, State: Alive, Since: m.now}}
-	x.setFacts(u)
-	if s := State(min(u.State, uint32(Left))); s.gone() {
-		x.State = s
+	peer := &member{Member: Member{Name: u.Name, State: Alive, Since: m.now}}
+	peer.setFacts(u)
+	if state := reportedState(u); state.gone() {
+		peer.State = state
 	} else {
-		m.living++
+		m.liveCount++
 	}
-	m.byName[u.Name] = x
-	at := m.rand.IntN(len(m.others) + 1) // a random place in the round, so that no member waits for long
-	m.others = slices.Insert(m.others, at, x)
-	if at < m.nextProbe {
-		m.nextProbe++
+	m.byName[u.Name] = peer
+	m.insertIntoRound(peer)
+	m.effects = append(m.effects, Changed{Member: peer.Member, New: true})
+	return peer
+}
+
+// insertIntoRound gives a member a random place in the order of probes, so that no member waits for long.
+func (m *Members) insertIntoRound(peer *member) {
+	at := m.random.IntN(len(m.others) + 1)
+	m.others = slices.Insert(m.others, at, peer)
+	if at < m.nextTarget {
+		m.nextTarget++
 	}
-	m.effects = append(m.effects, Changed{Member: x.Member, New: true})
-	return x
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -3,114 +3,122 @@
 import "math"
 
 // suspicion is the time that a member has to refute that it failed. It is long while a single node suspects the member
-// and becomes shorter with each confirmation (Lifeguard, section IV.B).
+// and becomes shorter with each confirmation (Lifeguard, section IV.B). Times are in seconds.
 type suspicion struct {
-	since, least, most float64 // seconds
-	expected           int     // confirmations beside the first that shorten it to the least
-	confirmedBy        map[string]bool
-	last               string // the latest member that confirmed it; sent with the suspicion
-	reportedLeft       bool   // another member says that it has left
-	earliestEnd        float64
-	probedAgain        bool // this node has probed the member once more, near the end
+	startedAt    float64
+	minDuration  float64
+	maxDuration  float64
+	notBefore    float64         // it does not expire before this time
+	expected     int             // confirmations, beside the first report, that shorten it to minDuration
+	reporters    map[string]bool // names of the members that reported it
+	lastReporter string          // the latest one, which is gossiped with the suspicion
+	reportedLeft bool            // another member reports that the member has left
+	finalProbe   bool            // this node probes the member once more before it declares it dead
 }
 
-// suspicionTime returns the shortest and the longest duration of a suspicion in seconds, for the present size of the
-// fleet.
-func (m *Members) suspicionTime() (least, most float64) {
-	least = suspicionPeriods * max(1, math.Log10(float64(m.living))) * m.Period
-	if hasty {
-		return m.Period / 10, m.Period / 10
-	}
-	if m.WithoutLifeguard {
-		return least, least
-	}
-	return least, suspicionSpread * least
-}
+// mutantSuspicionParts is the part of a period that a suspicion lasts in the mutant build.
+const mutantSuspicionParts = 10
 
 // end returns when the suspicion expires.
 func (s *suspicion) end() float64 {
-	span := s.most
+	duration := s.maxDuration
 	if s.expected > 0 {
-		part := math.Log(float64(len(s.confirmedBy))) / math.Log(float64(s.expected+1))
-		span = max(s.least, s.most-(s.most-s.least)*part)
+		confirmed := math.Log(float64(len(s.reporters))) / math.Log(float64(s.expected+1))
+		duration = max(s.minDuration, s.maxDuration-(s.maxDuration-s.minDuration)*confirmed)
 	}
-	return max(s.since+span, s.earliestEnd)
+	return max(s.startedAt+duration, s.notBefore)
 }
 
-// suspect begins a suspicion of a member, or adds a confirmation to one that exists. leaves says that the member is
-// reported to have left.
-func (m *Members) suspect(x *member, by string, leaves bool) {
-	if x.State.gone() {
-		return
-	}
-	if x.suspicion == nil {
-		least, most := m.suspicionTime()
-		m.suspected++
-		x.suspicion = &suspicion{since: m.now, least: least, most: most, expected: min(confirmations, max(m.living-2, 0)),
-			confirmedBy: map[string]bool{}}
-		m.setState(x, Suspect)
-		// This guards against the word of a member that lies or is isolated: others probe the suspect themselves,
-		// in a large fleet about verifyingMembers of them.
-		if by != m.self.Name && m.rand.Float64()*float64(m.living) < verifyingMembers {
-			m.probeFirst = append(m.probeFirst, x.Name)
-		}
+// extend has the suspicion expire so many seconds later.
+func (s *suspicion) extend(seconds float64) {
+	s.startedAt += seconds
+	s.notBefore += seconds
+}
+
+// shortenForLeave starts the suspicion again, with the short durations for a member that is reported to have left.
+func (s *suspicion) shortenForLeave(now, period float64) {
+	s.reportedLeft = true
+	s.startedAt = now
+	s.minDuration = leaveSuspicionPeriods * period
+	s.maxDuration = maxLeaveSuspicionPeriods * period
+}
+
+// newSuspicion returns a suspicion that starts now, with durations for the present size of the fleet.
+func (m *Members) newSuspicion() *suspicion {
+	shortest, longest := m.suspicionDurations()
+	return &suspicion{
+		startedAt:   m.now,
+		minDuration: shortest,
+		maxDuration: longest,
+		expected:    min(maxConfirmations, max(m.liveCount-2, 0)),
+		reporters:   map[string]bool{},
 	}
-	s := x.suspicion
-	s.last = by
-	if leaves && !s.reportedLeft {
-		s.reportedLeft, s.since, s.least, s.most = true, m.now, m.Period, 2*m.Period
+}
+
+// suspicionDurations returns the shortest and the longest duration of a suspicion in seconds, for the present size of the
+// fleet.
+func (m *Members) suspicionDurations() (shortest, longest float64) {
+	if shortSuspicionMutant {
+		return m.config.Period / mutantSuspicionParts, m.config.Period / mutantSuspicionParts
 	}
-	if by != "" && !s.confirmedBy[by] && len(s.confirmedBy) <= confirmations {
-		s.confirmedBy[by] = true
-		m.enqueueNews(x)
+	shortest = suspicionPeriods * max(1, math.Log10(float64(m.liveCount))) * m.config.Period
+	if m.config.WithoutLifeguard {
+		return shortest, shortest
 	}
+	return shortest, suspicionSpread * shortest
 }
 
-// recordAlive records evidence that a member is alive now: a message of its own, or an answer through another. The
-// suspicion lasts at least until the member can have received it.
-func (m *Members) recordAlive(x *member) {
-	if s := x.suspicion; s != nil && !m.WithoutLifeguard {
-		s.earliestEnd, s.probedAgain = max(s.earliestEnd, m.now+s.least), false
+// suspect begins a suspicion of a member, or confirms the one that exists. The reporter is the name of the member that
+// suspects it; hasLeft says that the member is reported to have left. A member that is gone is not suspected.
+func (m *Members) suspect(peer *member, reporter string, hasLeft bool) {
+	if peer.State.gone() {
+		return
+	}
+	if peer.suspicion == nil {
+		m.startSuspicion(peer, reporter)
+	}
+	s := peer.suspicion
+	s.lastReporter = reporter
+	if hasLeft && !s.reportedLeft {
+		s.shortenForLeave(m.now, m.config.Period)
 	}
+	if reporter == "" || s.reporters[reporter] || len(s.reporters) > maxConfirmations {
+		return
+	}
+	s.reporters[reporter] = true
+	m.enqueueUpdate(peer)
 }
 
-// expireSuspicions declares members dead, or left, whose suspicion has expired.
-func (m *Members) expireSuspicions() {
-	if m.suspected == 0 {
-		m.expiredAt = m.now
+// startSuspicion begins a suspicion of a member. Of a suspicion that another member reports, some members, in a large
+// fleet about verifyingMembers of them, probe the suspect themselves: the reporter may be faulty or isolated.
+func (m *Members) startSuspicion(peer *member, reporter string) {
+	m.suspectCount++
+	peer.suspicion = m.newSuspicion()
+	m.setState(peer, Suspect)
+	if reporter == m.self.Name {
 		return
 	}
-	if m.isolated() { // an isolated node must not judge those that receive each other
-		for _, x := range m.others {
-			if s := x.suspicion; s != nil {
-				s.since += (m.now - m.expiredAt) * isolatedSlowing
-				s.earliestEnd += (m.now - m.expiredAt) * isolatedSlowing
-			}
-		}
+	if m.random.Float64()*float64(m.liveCount) < verifyingMembers {
+		m.priorityProbes = append(m.priorityProbes, peer.Name)
 	}
-	m.expiredAt = m.now
-	for _, x := range m.others {
-		if s := x.suspicion; s != nil && m.now >= s.end() {
-			// One more probe, in the next round, guards against a death where the member can be reached through
-			// another, or where its refutation was lost among much news.
-			if !s.probedAgain && !s.reportedLeft && !m.WithoutLifeguard {
-				s.probedAgain, s.earliestEnd = true, m.now+2*m.Period*m.timeFactor()
-				m.probeFirst = append(m.probeFirst, x.Name)
-				continue
-			}
-			to := Dead
-			if s.reportedLeft {
-				to = Left
-			}
-			m.setState(x, to)
-			m.enqueueNews(x)
-		}
+}
+
+// recordAlive records evidence that a member is alive now: a message of its own, or an answer through another member. Its
+// suspicion lasts at least until the member can have received and refuted it.
+func (m *Members) recordAlive(peer *member) {
+	s := peer.suspicion
+	if s == nil || m.config.WithoutLifeguard {
+		return
 	}
+	s.notBefore = max(s.notBefore, m.now+s.minDuration)
+	s.finalProbe = false
 }
 
-// isolated reports whether this node has received no message for so long, or was suspected so recently, that the fault
-// may be its own: it cannot receive, or cannot send.
-func (m *Members) isolated() bool {
-	return !m.WithoutLifeguard && m.living > 1 &&
-		(m.now-m.heardAt > isolatedPeriods*m.Period || m.now-m.accusedAt < accusedPeriods*m.Period)
+// extendSuspicions has all suspicions expire so many seconds later.
+func (m *Members) extendSuspicions(seconds float64) {
+	for _, peer := range m.others {
+		if peer.suspicion != nil {
+			peer.suspicion.extend(seconds)
+		}
+	}
 }
