--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,5 +1,3 @@
-// Package fleet joins a node to the other nodes of its fleet: the fleet's address, timers and messages round the
-// cores that decide (membership). Without a fleet file nothing of it exists.
 package fleet
 
 import (
@@ -14,29 +12,37 @@
 	"gorseledge/internal/strict"
 )
 
+// Ranges of the fleet file's settings.
 const (
-	leastPeriod = 0.05
-	mostPeriod  = 60.0
-	usualPeriod = 1.0
-	mostJoin    = 64
+	minPeriodSeconds     = 0.05
+	maxPeriodSeconds     = 60.0
+	defaultPeriodSeconds = 1.0
+	maxJoinAddresses     = 64
 )
 
-// Config is the fleet file of one node. Times are seconds.
+// Errors of a fleet file. Each has the key that it is about at its beginning.
+var (
+	errNoFleet       = errors.New("fleet: is missing")
+	errNoOtherToJoin = errors.New("join: has no address of another node")
+)
+
+// Config is the fleet file of one node. Read and Parse return one that is checked; the zero value is not usable.
 type Config struct {
-	Fleet   string            `toml:"fleet"`    // id: messages of another fleet are dropped
-	Address string            `toml:"address"`  // this node's own, for messages among members (UDP)
-	Join    []string          `toml:"join"`     // addresses of some members; this one's own may be among them
-	Key     string            `toml:"key"`      // hexadecimal, 16 bytes or more: proves that a message is the fleet's
-	OldKey  string            `toml:"old_key"`  // taken as well, while the key is being changed
-	Zone    string            `toml:"zone"`     // where the node stands
-	Period  float64           `toml:"period_s"` // between two probes, 0.05 to 60; 1 where it is missing
-	Via     map[string]string `toml:"via"`      // where this node reaches an address, if that is elsewhere
-	Region  string            `toml:"region,omitempty"`
-	Control []ControlServer   `toml:"control,omitempty"` // where the node follows the configuration; none for not at all
-	keys    [][]byte
+	Fleet   string            `toml:"fleet"`             // id of the fleet: messages of another fleet are rejected
+	Address string            `toml:"address"`           // of this node, for messages among members: numeric, with a port (UDP)
+	Join    []string          `toml:"join"`              // addresses of some members, which may contain this node's own
+	Key     string            `toml:"key"`               // hexadecimal, 16 bytes or more: signs and verifies messages
+	OldKey  string            `toml:"old_key"`           // accepted as well, while the key is being changed; empty for none
+	Zone    string            `toml:"zone"`              // of the node; may be empty
+	Period  float64           `toml:"period_s"`          // seconds between two probes, 0.05 to 60; 1 where it is missing
+	Via     map[string]string `toml:"via"`               // where this node reaches an address, if that is elsewhere
+	Region  string            `toml:"region,omitempty"`  // of the node; needed where Control is not empty
+	Control []ControlServer   `toml:"control,omitempty"` // servers from which the node follows the configuration; may be empty
+
+	keys [][]byte // decoded: Key, and OldKey where it is not empty
 }
 
-// Read reads a fleet file, strictly; an error names the file, the line and the key.
+// Read reads and checks a fleet file. An error about its content names the file, the line and the key.
 func Read(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,50 +55,84 @@
 	return c, nil
 }
 
-// Parse reads a fleet file's text; path is for messages.
+// Parse reads and checks the text of a fleet file; the path is only for errors, which name the line and the key as well.
 func Parse(path string, text []byte) (Config, error) {
 	var c Config
 	if err := strict.Decode(path, text, &c); err != nil {
 		return c, err
 	}
 	if c.Period == 0 {
-		c.Period = usualPeriod
+		c.Period = defaultPeriodSeconds
 	}
-	if where, err := c.check(); err != nil {
-		return c, where.Wrong(path, text, err)
+	if place, err := c.check(); err != nil {
+		return c, place.Wrong(path, text, err)
 	}
-	c.keys, _ = fleetkey.Decode(c.Key, c.OldKey)
+	keys, err := c.decodeKeys()
+	if err != nil {
+		return c, err
+	}
+	c.keys = keys
 	return c, nil
 }
 
-// check gives the first thing with which no node can be a member.
+// decodeKeys returns the keys, the one to sign with first.
+func (c Config) decodeKeys() ([][]byte, error) {
+	keys, err := fleetkey.Decode(c.Key, c.OldKey)
+	if err != nil {
+		return nil, err
+	}
+	return keys, nil
+}
+
+// check returns the first error with which no node can be a member, and its place in the file.
 func (c Config) check() (strict.Place, error) {
 	top := func(key string) strict.Place { return strict.Place{Key: key} }
+	if c.Fleet == "" {
+		return top("fleet"), errNoFleet
+	}
 	own, err := peers.ParseAddress(c.Address)
-	switch {
-	case c.Fleet == "":
-		return top("fleet"), errors.New("fleet: a fleet has an id")
-	case err != nil:
+	if err != nil {
 		return top("address"), fmt.Errorf("address: %w", err)
-	case !(c.Period >= leastPeriod && c.Period <= mostPeriod):
-		return top("period_s"), fmt.Errorf("period_s: %g is not between %g and %g", c.Period, leastPeriod, mostPeriod)
-	case len(c.Join) > mostJoin:
-		return top("join"), fmt.Errorf("join: %d addresses, and %d do", len(c.Join), mostJoin)
+	}
+	if !(c.Period >= minPeriodSeconds && c.Period <= maxPeriodSeconds) { // this form excludes NaN as well
+		return top("period_s"), fmt.Errorf("period_s: %g is not between %g and %g", c.Period, minPeriodSeconds, maxPeriodSeconds)
+	}
+	if err := c.checkJoin(own); err != nil {
+		return top("join"), err
+	}
+	if place, err := c.checkVia(); err != nil {
+		return place, err
+	}
+	if _, err := fleetkey.Decode(c.Key, c.OldKey); err != nil {
+		return top(err.Setting), err
+	}
+	return c.checkControl()
+}
+
+// checkJoin checks the addresses to join at. One of them at least is not the node's own.
+func (c Config) checkJoin(own netip.AddrPort) error {
+	if len(c.Join) > maxJoinAddresses {
+		return fmt.Errorf("join: %d addresses, and %d are allowed", len(c.Join), maxJoinAddresses)
 	}
 	seen := map[netip.AddrPort]bool{}
 	for _, text := range c.Join {
-		at, err := peers.ParseAddress(text)
+		address, err := peers.ParseAddress(text)
 		if err != nil {
-			return top("join"), fmt.Errorf("join: %w", err)
+			return fmt.Errorf("join: %w", err)
 		}
-		if seen[at] {
-			return top("join"), fmt.Errorf("join: %s stands there twice", text)
+		if seen[address] {
+			return fmt.Errorf("join: %s is listed twice", text)
 		}
-		seen[at] = true
+		seen[address] = true
 	}
 	if len(c.Join) == 0 || len(c.Join) == 1 && seen[own] {
-		return top("join"), errors.New("join: there is nobody else to join")
+		return errNoOtherToJoin
 	}
+	return nil
+}
+
+// checkVia checks the addresses that are reached elsewhere.
+func (c Config) checkVia() (strict.Place, error) {
 	for from, to := range c.Via {
 		for _, text := range []string{from, to} {
 			if _, err := peers.ParseAddress(text); err != nil {
@@ -100,8 +140,5 @@
 			}
 		}
 	}
-	if _, err := fleetkey.Decode(c.Key, c.OldKey); err != nil {
-		return top(err.Setting), err
-	}
-	return c.checkControl()
+	return strict.Place{}, nil
 }
--- a/internal/fleet/control_config.go
+++ b/internal/fleet/control_config.go
@@ -14,12 +14,15 @@
 
 // ControlServer is a control server, as the fleet file names it.
 type ControlServer struct {
-	Name    string `toml:"name"`
-	Address string `toml:"address"` // numeric, with a port (TCP)
+	Name    string `toml:"name"`    // unique among the servers
+	Address string `toml:"address"` // numeric, with a port (TCP); unique as well
 	Region  string `toml:"region"`
 }
 
-// servers gives the control servers as a follower knows them.
+// errMissing is the error of a name that is empty.
+var errMissing = errors.New("is missing")
+
+// servers returns the control servers as a follower takes them.
 func (c Config) servers() []configfeed.ServerAddress {
 	servers := make([]configfeed.ServerAddress, 0, len(c.Control))
 	for _, s := range c.Control {
@@ -28,43 +31,66 @@
 	return servers
 }
 
-// checkControl gives the first thing with which no node can follow its control servers.
+// checkControl returns the first error with which no node can follow its control servers, and its place in the file.
 func (c Config) checkControl() (strict.Place, error) {
-	if err := checkName("region", c.Region); err != nil && (len(c.Control) > 0 || c.Region != "") {
-		return strict.Place{Key: "region"}, err
-	}
-	names, addresses := map[string]bool{}, map[netip.AddrPort]bool{}
-	for i, s := range c.Control {
-		place := func(key string) strict.Place { return strict.Place{Table: "control", Nth: i, Key: key} }
-		if err := checkName("name", s.Name); err != nil {
-			return place("name"), fmt.Errorf("control.%w", err)
-		}
-		if err := checkName("region", s.Region); err != nil {
-			return place("region"), fmt.Errorf("control.%w", err)
+	if len(c.Control) > 0 || c.Region != "" {
+		if err := checkName(c.Region); err != nil {
+			return strict.Place{Key: "region"}, &settingError{key: "region", err: err}
 		}
-		address, err := peers.ParseAddress(s.Address)
-		switch {
-		case err != nil:
-			return place("address"), fmt.Errorf("control.address: %w", err)
-		case names[s.Name]:
-			return place("name"), fmt.Errorf("control.name: %s stands there twice", s.Name)
-		case addresses[address]:
-			return place("address"), fmt.Errorf("control.address: %s stands there twice", s.Address)
+	}
+	names := map[string]bool{}
+	addresses := map[netip.AddrPort]bool{}
+	for i, server := range c.Control {
+		err := server.check(names, addresses)
+		if err != nil {
+			return strict.Place{Table: "control", Nth: i, Key: err.key}, fmt.Errorf("control.%w", err)
 		}
-		names[s.Name], addresses[address] = true, true
 	}
 	return strict.Place{}, nil
 }
 
-// checkName tells whether a text can be a server's or region's name.
-func checkName(key, name string) error {
-	switch {
-	case name == "":
-		return errors.New(key + ": is missing")
-	case len(name) > configfeed.MaxNameBytes:
-		return fmt.Errorf("%s: %d bytes, and %d do", key, len(name), configfeed.MaxNameBytes)
-	case strings.ContainsFunc(name, func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }):
-		return fmt.Errorf("%s: %q has a space or an unprintable character", key, name)
+// settingError is the error of one key of a table in the fleet file.
+type settingError struct {
+	key string
+	err error
+}
+
+func (e *settingError) Error() string { return e.key + ": " + e.err.Error() }
+func (e *settingError) Unwrap() error { return e.err }
+
+// check returns the first error of a server, or nil, and adds it to the names and addresses that are taken.
+func (s ControlServer) check(names map[string]bool, addresses map[netip.AddrPort]bool) *settingError {
+	if err := checkName(s.Name); err != nil {
+		return &settingError{key: "name", err: err}
+	}
+	if err := checkName(s.Region); err != nil {
+		return &settingError{key: "region", err: err}
+	}
+	address, err := peers.ParseAddress(s.Address)
+	if err != nil {
+		return &settingError{key: "address", err: err}
+	}
+	if names[s.Name] {
+		return &settingError{key: "name", err: fmt.Errorf("%s is listed twice", s.Name)}
+	}
+	if addresses[address] {
+		return &settingError{key: "address", err: fmt.Errorf("%s is listed twice", s.Address)}
+	}
+	names[s.Name] = true
+	addresses[address] = true
+	return nil
+}
+
+// checkName returns an error where a text cannot be the name of a server or a region.
+func checkName(name string) error {
+	if name == "" {
+		return errMissing
+	}
+	if len(name) > configfeed.MaxNameBytes {
+		return fmt.Errorf("%d bytes, and %d are allowed", len(name), configfeed.MaxNameBytes)
+	}
+	if strings.ContainsFunc(name, func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }) {
+		return fmt.Errorf("%q contains a space or an unprintable character", name)
 	}
 	return nil
 }
--- a/internal/fleet/control_config_test.go
+++ b/internal/fleet/control_config_test.go
@@ -45,11 +45,11 @@
 	}
 	for _, c := range []struct{ from, to, line, says string }{
 		{`region = "west"` + "\n\n[via]", "[via]", "1", "region: is missing"},
-		{`region = "west"` + "\n\n[via]", "region = \"we st\"\n[via]", "5", "region: \"we st\" has a space"},
+		{`region = "west"` + "\n\n[via]", "region = \"we st\"\n[via]", "5", "region: \"we st\" contains a space"},
 		{`name = "c1"`, `name = ""`, "11", "control.name: is missing"},
-		{`name = "c2"`, `name = "c1"`, "16", "control.name: c1 stands there twice"},
-		{`name = "c2"`, `name = "` + strings.Repeat("c", 65) + `"`, "16", "control.name: 65 bytes, and 64 do"},
-		{`"127.0.1.2:7100"`, `"127.0.1.1:7100"`, "17", "control.address: 127.0.1.1:7100 stands there twice"},
+		{`name = "c2"`, `name = "c1"`, "16", "control.name: c1 is listed twice"},
+		{`name = "c2"`, `name = "` + strings.Repeat("c", 65) + `"`, "16", "control.name: 65 bytes, and 64 are allowed"},
+		{`"127.0.1.2:7100"`, `"127.0.1.1:7100"`, "17", "control.address: 127.0.1.1:7100 is listed twice"},
 		{`address = "127.0.1.2:7100"`, `address = "c2:7100"`, "17", "control.address"},
 		{`address = "127.0.1.2:7100"`, ``, "15", "control.address"},
 		{`region = "east"`, ``, "15", "control.region: is missing"},
--- a/internal/fleet/introduce.go
+++ b/internal/fleet/introduce.go
@@ -4,6 +4,8 @@
 	"context"
 	"encoding/hex"
 	"errors"
+	"fmt"
+	"net/netip"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -13,63 +15,94 @@
 	"gorseledge/internal/peers"
 )
 
-// introducer is the name under which members are introduced; it is nobody's.
-const introducer = "introducer"
+const (
+	// introducer is the sender's name in introductions. No node has it.
+	introducer = "introducer"
+	// updateOverheadBytes is the most that protobuf adds to an encoded update in a message: the field's tag and length.
+	updateOverheadBytes = 3
+)
+
+// errIntroductionTooLong is returned for an introduction that does not fit into a datagram.
+var errIntroductionTooLong = errors.New("the introduction does not fit into a datagram")
 
-// Introduce tells the members at the addresses of to of all members given, by messages of the fleet as they
-// exchange their state. A large test fleet knows itself in seconds by it, where its own exchange takes many periods.
-// Each receiver gets a message a pause at most, so that no socket's buffer overflows; what is lost comes with the
-// fleet's own exchange. Fleet and Key of the config are read, and the messages come from its Address.
+// Introduce sends updates about all given members to the members at the addresses in to, in the messages with which
+// members exchange their state. A large test fleet knows itself in seconds by it, where its own exchange takes many
+// periods. Each receiver gets one message a pause, so that its socket's buffer does not overflow; lost messages are made
+// up for by the fleet's own exchange. Of the config it reads Fleet, Key and Address, from which the messages come.
 func Introduce(ctx context.Context, c Config, all []membership.Member, to []string, pause time.Duration) error {
 	key, err := hex.DecodeString(c.Key)
 	if err != nil {
-		return err
+		return fmt.Errorf("introduce members: decode the fleet's key: %w", err)
 	}
 	c.keys = [][]byte{key}
+	receivers, err := parseAddresses(to)
+	if err != nil {
+		return fmt.Errorf("introduce members: %w", err)
+	}
 	socket, err := peers.Open(ctx, c.Address)
 	if err != nil {
-		return err
+		return fmt.Errorf("introduce members: %w", err)
 	}
 	defer socket.Close()
-	closer := newAuthenticator(c)
-	start := uint64(time.Now().UnixMicro())
-	for _, message := range introductions(all, start) {
-		text, err := closer.sign(message)
-		if err != nil || len(text) > maxDatagramBytes {
-			return errors.Join(err, errors.New("an introduction does not fit"))
+	authenticator := newAuthenticator(c)
+	for _, message := range introductions(all, uint64(time.Now().UnixMicro())) {
+		datagram, err := authenticator.sign(message)
+		if err == nil && len(datagram) > maxDatagramBytes {
+			err = errIntroductionTooLong
+		}
+		if err != nil {
+			return fmt.Errorf("introduce members: %w", err)
 		}
-		began := time.Now()
-		for _, receiver := range to {
-			at, err := peers.ParseAddress(receiver)
-			if err != nil {
-				return err
-			}
-			socket.Send([][]byte{text}, at)
+		next := time.Now().Add(pause)
+		for _, receiver := range receivers { // one call each, as the time limit of a call is for all its receivers
+			socket.Send([][]byte{datagram}, receiver)
 		}
-		select {
-		case <-time.After(time.Until(began.Add(pause))):
-		case <-ctx.Done():
+		sleep(ctx, time.Until(next))
+		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-// introductions gives messages that together name all members, as many in each as fit.
-func introductions(all []membership.Member, start uint64) (out []*wire.Message) {
+// parseAddresses parses the addresses of nodes.
+func parseAddresses(texts []string) ([]netip.AddrPort, error) {
+	addresses := make([]netip.AddrPort, 0, len(texts))
+	for _, text := range texts {
+		address, err := peers.ParseAddress(text)
+		if err != nil {
+			return nil, err
+		}
+		addresses = append(addresses, address)
+	}
+	return addresses, nil
+}
+
+// introductions returns messages that together have an update about each member, as many in each message as fit. Start is
+// that of the sender, in Unix microseconds.
+func introductions(all []membership.Member, start uint64) []*wire.Message {
+	var messages []*wire.Message
 	var message *wire.Message
 	size := maxMessageBytes
 	for _, m := range all {
-		u := &wire.Update{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, State: uint32(m.State), Address: m.Address,
-			Zone: m.Zone, Build: m.Build, Ready: m.Ready}
-		need := proto.Size(u) + 3
-		if size+need > maxMessageBytes {
+		update := &wire.Update{
+			Name:        m.Name,
+			Start:       m.Start,
+			Incarnation: m.Incarnation,
+			State:       uint32(m.State),
+			Address:     m.Address,
+			Zone:        m.Zone,
+			Build:       m.Build,
+			Ready:       m.Ready,
+		}
+		updateSize := proto.Size(update) + updateOverheadBytes
+		if size+updateSize > maxMessageBytes {
 			message = &wire.Message{Kind: wire.Message_STATE, From: introducer, Start: start}
-			out = append(out, message)
+			messages = append(messages, message)
 			size = proto.Size(message)
 		}
-		message.Updates = append(message.Updates, u)
-		size += need
+		message.Updates = append(message.Updates, update)
+		size += updateSize
 	}
-	return out
+	return messages
 }
--- a/internal/fleet/traffic.go
+++ b/internal/fleet/traffic.go
@@ -7,12 +7,13 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// messageKinds is the number of kinds that are counted apart; one that this build does not know counts as NONE.
+// messageKinds is the number of kinds that are counted apart. A kind that this build does not know counts as NONE.
 const messageKinds = int(wire.Message_WORDS) + 1
 
-// trafficCounts counts messages by kind. The caller has the lock.
+// trafficCounts counts messages and their bytes by kind. It is not safe for concurrent use.
 type trafficCounts [messageKinds]view.Traffic
 
+// of returns the counts of a kind.
 func (t *trafficCounts) of(kind wire.Message_Kind) *view.Traffic {
 	if kind < 0 || int(kind) >= messageKinds {
 		kind = wire.Message_NONE
@@ -20,26 +21,29 @@
 	return &t[kind]
 }
 
+// sent counts a datagram that was sent.
 func (t *trafficCounts) sent(kind wire.Message_Kind, bytes int) {
 	c := t.of(kind)
 	c.SentMessages++
 	c.SentBytes += bytes
 }
 
+// received counts a datagram that was accepted.
 func (t *trafficCounts) received(kind wire.Message_Kind, bytes int) {
 	c := t.of(kind)
 	c.ReceivedMessages++
 	c.ReceivedBytes += bytes
 }
 
-// nonZero gives the counts of the kinds that occurred, in the order of the kinds.
-func (t *trafficCounts) nonZero() (out []view.Traffic) {
+// nonZero returns the counts of the kinds that occurred, in the order of the kinds.
+func (t *trafficCounts) nonZero() []view.Traffic {
+	var counts []view.Traffic
 	for kind, c := range t {
 		if c.SentMessages+c.ReceivedMessages == 0 {
 			continue
 		}
 		c.Kind = strings.ToLower(wire.Message_Kind(kind).String())
-		out = append(out, c)
+		counts = append(counts, c)
 	}
-	return out
+	return counts
 }
