--- /dev/null
+++ b/internal/fleet/authenticator_test.go
@@ -0,0 +1,143 @@
+package fleet
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"gorseledge/internal/membership/wire"
+)
+
+// signedPing returns the next datagram of a sender.
+func signedPing(t *testing.T, sender *authenticator) []byte {
+	t.Helper()
+	datagram, err := sender.sign(&wire.Message{Kind: wire.Message_PING, From: "n1", Start: 5, About: "n2"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return datagram
+}
+
+// checkVerified checks the reason for which a datagram is rejected, or that it is accepted.
+func checkVerified(t *testing.T, receiver *authenticator, datagram []byte, want rejection) {
+	t.Helper()
+	if _, reason := receiver.verify(datagram); reason != want {
+		t.Errorf("%q, want %q", reason, want)
+	}
+}
+
+func TestDatagramIsAcceptedOnlyFromTheFleetAndOnce(t *testing.T) {
+	sender := newTestAuthenticator(t, "lima", testKey)
+	receiver := newTestAuthenticator(t, "lima", testKey)
+	first := signedPing(t, sender)
+	if message, reason := receiver.verify(first); reason != accepted || message.About != "n2" {
+		t.Fatalf("%v, %v", message, reason)
+	}
+	changed := bytes.Clone(signedPing(t, sender))
+	changed[len(changed)-20] ^= 1
+	later := bytes.Clone(signedPing(t, sender))
+	later[0] = datagramVersion + 1
+	for _, c := range []struct {
+		name     string
+		datagram []byte
+		want     rejection
+	}{
+		{"the same again", first, replayed},
+		{"empty", nil, malformed},
+		{"a changed byte", changed, invalidMAC},
+		{"a later version", later, unknownVersion},
+		{"noise", []byte{datagramVersion, 255, 255, 3, 1}, malformed},
+		{"too long", make([]byte, 300), malformed},
+		{"another fleet", signedPing(t, newTestAuthenticator(t, "cusco", testKey)), otherFleet},
+		{"another key", signedPing(t, newTestAuthenticator(t, "lima", "another key of it")), invalidMAC},
+	} {
+		t.Run(c.name, func(t *testing.T) { checkVerified(t, receiver, c.datagram, c.want) })
+	}
+}
+
+func TestOldKeyIsAcceptedWhileItIsChanged(t *testing.T) {
+	sender := newTestAuthenticator(t, "lima", testKey)
+	receiver := newTestAuthenticator(t, "lima", "a newer key of it", testKey)
+	checkVerified(t, receiver, signedPing(t, sender), accepted)
+}
+
+func TestLateDatagramIsAcceptedWithinTheWindow(t *testing.T) {
+	sender := newTestAuthenticator(t, "lima", testKey)
+	receiver := newTestAuthenticator(t, "lima", testKey)
+	var datagrams [][]byte
+	for range replayWindowSize + 6 {
+		datagrams = append(datagrams, signedPing(t, sender))
+	}
+	for late := range datagrams { // the last datagram comes first
+		want := accepted
+		if late >= replayWindowSize {
+			want = replayed
+		}
+		if _, reason := receiver.verify(datagrams[len(datagrams)-1-late]); reason != want {
+			t.Errorf("%d late: %q, want %q", late, reason, want)
+		}
+	}
+	for i, datagram := range datagrams {
+		if _, reason := receiver.verify(datagram); reason != replayed {
+			t.Fatalf("datagram %d was accepted twice", i)
+		}
+	}
+}
+
+// A member that sends under ever new names and starts does not fill the memory.
+func TestRememberedSendersAreBounded(t *testing.T) {
+	a := newTestAuthenticator(t, "lima", testKey)
+	for i := range 2 * maxSenders {
+		a.checkReplay("n"+fmt.Sprint(i), 1, 1)
+		a.checkReplay("n0", uint64(2+i), 1)
+	}
+	if len(a.windows) > maxSenders || len(a.windows["n0"]) > processesPerName {
+		t.Errorf("%d names remembered, %d processes of one", len(a.windows), len(a.windows["n0"]))
+	}
+}
+
+func TestMessagesOfAnOlderProcessThanTheLatestTwoAreReplays(t *testing.T) {
+	a := newTestAuthenticator(t, "lima", testKey)
+	for _, c := range []struct {
+		start uint64
+		want  rejection
+	}{{5, accepted}, {7, accepted}, {6, accepted}, {5, replayed}, {7, replayed}, {8, accepted}, {6, replayed}} {
+		if got := a.checkReplay("n1", c.start, 1); got != c.want {
+			t.Errorf("start %d: %q, want %q", c.start, got, c.want)
+		}
+	}
+}
+
+func TestDatagramBytesIsTheSizeOfASignedMessage(t *testing.T) {
+	sender := newTestAuthenticator(t, "lima", testKey)
+	sender.count = 1 << 13
+	for _, about := range []string{"n2", "a name that makes the message longer than one byte of length can tell, as some are, so that " +
+		"the length itself takes two bytes: it goes on a little"} {
+		message := &wire.Message{Kind: wire.Message_PING, From: "n1", Start: 5, About: about}
+		datagram, err := sender.sign(message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := DatagramBytes(proto.Size(message)); got != len(datagram) {
+			t.Errorf("%d bytes, and the datagram has %d", got, len(datagram))
+		}
+	}
+}
+
+func FuzzVerify(f *testing.F) {
+	c := Config{Fleet: "lima", keys: [][]byte{[]byte(testKey)}}
+	datagram, err := newAuthenticator(c).sign(&wire.Message{From: "n1"})
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(datagram)
+	f.Add([]byte{1, 10, 4, 0, 0, 0, 0})
+	f.Fuzz(func(t *testing.T, datagram []byte) {
+		message, reason := newAuthenticator(c).verify(datagram)
+		if reason == accepted && message.From == "" {
+			t.Fatal("a message without a sender was accepted")
+		}
+	})
+}
