--- /dev/null
+++ b/internal/handover/descriptors.go
@@ -0,0 +1,128 @@
+package handover
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+	"time"
+)
+
+const (
+	descriptorBytes       = 4 // of one descriptor in a control message
+	maxDescriptorsPerRead = 4 // a message comes with two at most
+)
+
+var (
+	errNoDescriptor = errors.New("a descriptor has not come")
+	errNoListener   = errors.New("the descriptor that came is no TCP listener")
+	errNoConnection = errors.New("the descriptor that came is no TCP connection")
+)
+
+// Read reads the stream of lines and keeps the descriptors that come with it. It is for the link's own scanner.
+func (l *Link) Read(p []byte) (int, error) {
+	control := make([]byte, syscall.CmsgSpace(maxDescriptorsPerRead*descriptorBytes))
+	count, controlBytes, _, _, err := l.conn.ReadMsgUnix(p, control)
+	if controlBytes > 0 {
+		l.keepDescriptors(control[:controlBytes])
+	}
+	return max(count, 0), err
+}
+
+// keepDescriptors keeps the descriptors of a control message. Anything else in it is ignored.
+func (l *Link) keepDescriptors(control []byte) {
+	messages, err := syscall.ParseSocketControlMessage(control)
+	if err != nil {
+		return
+	}
+	for i := range messages {
+		if descriptors, err := syscall.ParseUnixRights(&messages[i]); err == nil {
+			l.descriptors = append(l.descriptors, descriptors...)
+		}
+	}
+}
+
+// SendSockets sends sockets, at most two, within a second. They are received with the message that follows. The caller
+// keeps its own descriptors of them.
+func (l *Link) SendSockets(sockets ...syscall.Conn) error {
+	if err := l.sendDescriptors(nil, sockets); err != nil {
+		return fmt.Errorf("sending sockets to the other process: %w", err)
+	}
+	return nil
+}
+
+// sendDescriptors sends descriptors and those of the sockets that remain, each held while it is in use. A copy made by
+// File instead would set the socket to blocking mode, for both processes.
+func (l *Link) sendDescriptors(descriptors []int, remaining []syscall.Conn) error {
+	if len(remaining) == 0 {
+		l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
+		_, _, err := l.conn.WriteMsgUnix([]byte("\n"), syscall.UnixRights(descriptors...), nil)
+		return err
+	}
+	raw, err := remaining[0].SyscallConn()
+	if err != nil {
+		return err
+	}
+	var sendErr error
+	err = raw.Control(func(descriptor uintptr) {
+		sendErr = l.sendDescriptors(append(descriptors, int(descriptor)), remaining[1:])
+	})
+	return errors.Join(err, sendErr)
+}
+
+// takeFile takes the oldest descriptor that was received.
+func (l *Link) takeFile() (*os.File, error) {
+	if len(l.descriptors) == 0 {
+		return nil, errNoDescriptor
+	}
+	file := os.NewFile(uintptr(l.descriptors[0]), "received")
+	l.descriptors = l.descriptors[1:]
+	return file, nil
+}
+
+// Listener returns the listening socket that was received next. The caller closes it.
+func (l *Link) Listener() (*net.TCPListener, error) {
+	file, err := l.takeFile()
+	if err != nil {
+		return nil, fmt.Errorf("receiving the listener: %w", err)
+	}
+	defer file.Close()
+	listener, err := net.FileListener(file)
+	if err != nil {
+		return nil, fmt.Errorf("receiving the listener: %w", err)
+	}
+	tcpListener, ok := listener.(*net.TCPListener)
+	if !ok {
+		listener.Close()
+		return nil, errNoListener
+	}
+	return tcpListener, nil
+}
+
+// Conn returns the connection that was received next. The caller closes it.
+func (l *Link) Conn() (*net.TCPConn, error) {
+	file, err := l.takeFile()
+	if err != nil {
+		return nil, fmt.Errorf("receiving a connection: %w", err)
+	}
+	defer file.Close()
+	conn, err := net.FileConn(file)
+	if err != nil {
+		return nil, fmt.Errorf("receiving a connection: %w", err)
+	}
+	tcpConn, ok := conn.(*net.TCPConn)
+	if !ok {
+		conn.Close()
+		return nil, errNoConnection
+	}
+	return tcpConn, nil
+}
+
+// CloseReceived closes the descriptors that were received and not taken.
+func (l *Link) CloseReceived() {
+	for _, descriptor := range l.descriptors {
+		syscall.Close(descriptor)
+	}
+	l.descriptors = nil
+}
--- a/internal/handover/handover_golden_test.go
+++ b/internal/handover/handover_golden_test.go
@@ -114,9 +114,9 @@
 		},
 		Connections: []node.InheritedConnection{goldenSitting(),
 			{ID: "d4e5 <&>", ClientKey: 9, Host: "s-77d10e42", Load: 0.34375}},
-		EndedFlows:     map[uint64]uint64{11: 12, 18446744073709551613: 18446744073709551612},
-		Descriptors:    321,
-		Revision:       goldenRevision(),
+		EndedFlows:               map[uint64]uint64{11: 12, 18446744073709551613: 18446744073709551612},
+		Descriptors:              321,
+		Revision:                 goldenRevision(),
 		AdministrativelyDisabled: []string{"s-5be2a07c", "s-77d10e42"},
 	}
 }
@@ -358,8 +358,8 @@
 	for _, want := range []int{1, 3} {
 		got := make([]byte, 8)
 		n, err := receiver.Read(got)
-		if err != nil || string(got[:n]) != "\n" || len(receiver.passed) != want {
-			t.Errorf("%q with %d descriptors, %v; want %q with %d", got[:n], len(receiver.passed), err, "\n", want)
+		if err != nil || string(got[:n]) != "\n" || len(receiver.descriptors) != want {
+			t.Errorf("%q with %d descriptors, %v; want %q with %d", got[:n], len(receiver.descriptors), err, "\n", want)
 		}
 	}
 	receiver.CloseReceived()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -153,7 +153,7 @@
 		{"another version", `{"version":2,"ask":"claim"}` + "\n", "another version"},
 		{"no version", `{"ask":"claim"}` + "\n", "another version"},
 		{"no JSON", "OPEN 1 2 c=chat\r\n", "parse"},
-		{"no end", strings.Repeat("x", longest+1), "too long"},
+		{"no end", strings.Repeat("x", maxMessageBytes+1), "too long"},
 	} {
 		predecessor, successor := joined(t, Path(t.TempDir(), "a:1"))
 		go func() {
@@ -170,7 +170,7 @@
 	if _, err := predecessor.Receive(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error(err)
 	}
-	if err := successor.Send(Message{Transfer: &node.ConnectionTransfer{OpeningLine: strings.Repeat("x", longest)}}); err == nil {
+	if err := successor.Send(Message{Transfer: &node.ConnectionTransfer{OpeningLine: strings.Repeat("x", maxMessageBytes)}}); err == nil {
 		t.Error("a message without bound was sent")
 	}
 }
--- /dev/null
+++ b/internal/node/inputs.go
@@ -0,0 +1,148 @@
+package node
+
+import (
+	"gorseledge/internal/discovery/endpoint"
+	"gorseledge/internal/node/live"
+	"gorseledge/internal/peers"
+)
+
+// Conn names a connection. Its owner numbers accepted connections with odd numbers, the node those it dials with even
+// ones. Zero names none.
+type Conn uint64
+
+// End says what the far side of a connection did to its sending.
+type End uint8
+
+// The states of a far side's sending.
+const (
+	Open   End = iota // it goes on
+	Ended             // it ended in good order
+	Broken            // it was cut off by a reset or any other failure
+)
+
+// Input is one thing that happened outside the node.
+type Input interface{ input() }
+
+// Inputs about connections. ReadDone, WriteDone and Dialed for a connection that the node has closed are ignored.
+type (
+	// Accepted is a client's new connection.
+	Accepted struct{ Conn Conn }
+	// Dialed is the result of a Dial. LocalFailure says that the node itself lacked something, which is no sign against
+	// the host.
+	Dialed struct {
+		Conn         Conn
+		Err          error
+		LocalFailure bool
+	}
+	// ReadDone is the result of a Read: N bytes stand in its buffer, and End came after them.
+	ReadDone struct {
+		Conn Conn
+		N    int
+		End  End
+	}
+	// WriteDone is the result of a Write: N bytes were taken by the system.
+	WriteDone struct {
+		Conn   Conn
+		N      int
+		Failed bool
+	}
+	// ClientGone says that a client has ended its sending, or broke its connection, behind what is read of it so far.
+	ClientGone struct{ Conn Conn }
+	// Closed confirms a Close: the connection's descriptor is free again.
+	Closed struct{ Conn Conn }
+)
+
+// Inputs from discovery.
+type (
+	// ListReceived is an endpoint list, complete or of changes.
+	ListReceived struct{ List endpoint.List }
+	// WatchAlive is a sign of life of the watch: its answer has begun, or some of it came, if only an empty line.
+	// MidLine says that a line has begun and not ended yet.
+	WatchAlive struct{ MidLine bool }
+	// WatchFailed says that the watch, or the call for one, has failed or ended.
+	WatchFailed struct{ Reason string }
+	// DiscoveryMoved says that discovery is at another address now, and the old one about to go.
+	DiscoveryMoved struct{}
+)
+
+// Inputs from the process and its fleet.
+type (
+	// TimerFired comes when a SetTimer is due; it may come at any time.
+	TimerFired struct{}
+	// Shutdown asks for a graceful shutdown.
+	Shutdown struct{}
+	// ListenerOpened says that the listener is open.
+	ListenerOpened struct{}
+	// NodesChanged is how many nodes share the hosts now, this one included.
+	NodesChanged struct{ Nodes int }
+	// SettingsReceived is a revision of the live settings, answered by SettingsApplied in the same Apply.
+	SettingsReceived struct{ Revision live.Revision }
+	// GossipReceived is the load reports of another node.
+	GossipReceived struct{ Loads []peers.HostLoad }
+	// Query is a question of the second address or of a successor, answered by Reply in the same Apply. Host is a name
+	// for DisableHost and EnableHost, and empty otherwise.
+	Query struct {
+		Question Question
+		Host     string
+	}
+)
+
+// Inputs from the other process of an upgrade.
+type (
+	// HandoverReceived is the state that the predecessor hands over.
+	HandoverReceived struct{ State *HandoverState }
+	// PeerProcessChanged is what the other process notifies this one of.
+	PeerProcessChanged struct{ Update HandoverUpdate }
+	// ConnectionReceived is an open connection of the predecessor's, under the number of an accepted one. The number of
+	// its host's connection follows by BindHostConnection.
+	ConnectionReceived struct {
+		Conn     Conn
+		Transfer *ConnectionTransfer
+	}
+	// ConnectionSent is the result of a SendConnection.
+	ConnectionSent struct {
+		Conn Conn
+		OK   bool
+	}
+	// SuccessorGone says that the successor has ended.
+	SuccessorGone struct{}
+	// PredecessorGone says that the predecessor has ended.
+	PredecessorGone struct{}
+)
+
+func (Accepted) input()           {}
+func (Dialed) input()             {}
+func (ReadDone) input()           {}
+func (WriteDone) input()          {}
+func (Closed) input()             {}
+func (ClientGone) input()         {}
+func (ListReceived) input()       {}
+func (WatchAlive) input()         {}
+func (WatchFailed) input()        {}
+func (DiscoveryMoved) input()     {}
+func (TimerFired) input()         {}
+func (Shutdown) input()           {}
+func (Query) input()              {}
+func (ListenerOpened) input()     {}
+func (HandoverReceived) input()   {}
+func (PeerProcessChanged) input() {}
+func (GossipReceived) input()     {}
+func (NodesChanged) input()       {}
+func (SettingsReceived) input()   {}
+func (ConnectionReceived) input() {}
+func (ConnectionSent) input()     {}
+func (SuccessorGone) input()      {}
+func (PredecessorGone) input()    {}
+
+// Question is what the second address or a successor may ask.
+type Question uint8
+
+// The questions.
+const (
+	IsReady       Question = iota // may clients be sent here?
+	GetFigures                    // the figures
+	DisableHost                   // the host takes no new flows from now on
+	EnableHost                    // it takes them again, if the list and the balancer allow it
+	ClaimHandover                 // the state for a successor, which is notified of changes from then on
+	TakeOver                      // the state once more: the successor takes the clients from now on
+)
--- a/internal/node/reasons.go
+++ b/internal/node/reasons.go
@@ -1,33 +1,33 @@
 package node
 
-// Reason is the code with which a client's connection ends; docs/oncall.md has the table.
+// Reason is the code with which a client's connection ends in the log; docs/oncall.md has the table.
 type Reason string
 
 // Every client's connection ends with one of these.
 const (
-	Served              Reason = "served"        // the host said so
-	MigratedByHost      Reason = "sent-away"     // the host asked the client to move
-	HostEnded           Reason = "host-ended"    // the host ended it without a word
-	HostReset           Reason = "host-reset"    // the host broke it
-	HostSilent          Reason = "host-silent"   // nothing came back from the host
+	Served              Reason = "served"        // the host has served the flow to its end
+	MigratedByHost      Reason = "sent-away"     // the host asked the client to connect again
+	HostEnded           Reason = "host-ended"    // the host ended the connection without announcing it
+	HostReset           Reason = "host-reset"    // the host broke the connection
+	HostSilent          Reason = "host-silent"   // no answer came back from the host
 	HostProtocolError   Reason = "host-odd"      // a line of the host was too long
 	ClientEnded         Reason = "client-ended"  // the client ended an established connection
-	ClientReset         Reason = "client-reset"  // the client broke it
+	ClientReset         Reason = "client-reset"  // the client broke the connection
 	ClientLeft          Reason = "client-left"   // the client did not wait for an answer
-	ClientProtocolError Reason = "client-odd"    // a line of the client was too long
-	Migrated            Reason = "moved"         // the module moved it
-	MigratedAtShutdown  Reason = "moved-leaving" // the node leaves
-	Rejected            Reason = "rejected"      // the module gave it up, trying again is harmless
-	Aborted             Reason = "aborted"       // the module gave it up
-	BadLine             Reason = "bad-line"      // no opening line
-	NoTimeout           Reason = "no-timeout"    // no connect timeout in it
-	DuplicateFlowID     Reason = "same-id"       // the id of another client's flow that is open here
-	UnknownType         Reason = "unknown-type"  // a service type that the settings do not have
-	UnknownHost         Reason = "unknown-host"  // said to be open at a host that is not on the list
-	NotRestored         Reason = "not-carried"   // said to be open at a host that did not take it up
+	ClientProtocolError Reason = "client-odd"    // a line of the client was too long, or it sent too much too early
+	Migrated            Reason = "moved"         // the balancer migrated the flow
+	MigratedAtShutdown  Reason = "moved-leaving" // the node shuts down
+	Rejected            Reason = "rejected"      // the balancer gave the flow up, a new request is harmless
+	Aborted             Reason = "aborted"       // the balancer gave the flow up, it may have run
+	BadLine             Reason = "bad-line"      // the first line is no opening line
+	NoTimeout           Reason = "no-timeout"    // the opening line has no connect timeout
+	DuplicateFlowID     Reason = "same-id"       // the flow id is that of another client's flow
+	UnknownType         Reason = "unknown-type"  // the settings do not have the service type
+	UnknownHost         Reason = "unknown-host"  // the flow is said to be open at a host that is not on the list
+	NotRestored         Reason = "not-carried"   // the flow is said to be open at a host that did not take it up
 	NoDescriptors       Reason = "no-sockets"    // too few descriptors are left
 	NoLine              Reason = "no-line"       // no line came in time
-	ReadinessChecked    Reason = "checked"       // a connection that only asked whether the node is ready
-	HandedOver          Reason = "handed-over"   // an open connection goes on at the process that takes this one's place
-	ShuttingDown        Reason = "leaving"       // came or was still there while the node leaves
+	ReadinessChecked    Reason = "checked"       // the client only asked whether the node is ready
+	HandedOver          Reason = "handed-over"   // the connection goes on at the successor
+	ShuttingDown        Reason = "leaving"       // the client came, or was still there, at the end of a shutdown
 )
