--- a/internal/node/legacy_golden_test.go
+++ b/internal/node/handover_golden_test.go
@@ -53,8 +53,8 @@
 	return New(1700000100, Start{Settings: settings, Listener: rest, MaxDescriptors: 900, DescriptorOverhead: 20, NotListening: true, Handover: state})
 }
 
-// handedOver returns the node's answer to a successor that claims its state, as JSON.
-func handedOver(t *testing.T, n *Node) []byte {
+// claimedState returns the node's answer to a successor that claims its state, as JSON.
+func claimedState(t *testing.T, n *Node) []byte {
 	t.Helper()
 	for _, effect := range n.Apply(1700000100, Query{Question: ClaimHandover}) {
 		if answer, ok := effect.(Reply); ok {
@@ -70,7 +70,7 @@
 }
 
 func TestInheritedStateIsHandedOn(t *testing.T) {
-	got, want := handedOver(t, inheritingNode(t)), readGolden(t, "handed-on.json")
+	got, want := claimedState(t, inheritingNode(t)), readGolden(t, "handed-on.json")
 	if !bytes.Equal(got, want) {
 		t.Errorf("handed on:\n%s\nwant:\n%s", got, want)
 	}
@@ -93,7 +93,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := inheritingNode(t)
-			if before := handedOver(t, n); !strings.Contains(string(before), c.before) {
+			if before := claimedState(t, n); !strings.Contains(string(before), c.before) {
 				t.Fatalf("no %s before, in %s", c.before, before)
 			}
 			var news HandoverUpdate
@@ -101,7 +101,7 @@
 				t.Fatal(err)
 			}
 			n.Apply(1700000100, PeerProcessChanged{news})
-			after := string(handedOver(t, n))
+			after := string(claimedState(t, n))
 			if !strings.Contains(after, c.after) || strings.Contains(after, c.before) {
 				t.Errorf("%s and no %s expected, in %s", c.after, c.before, after)
 			}
