--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -1,111 +1,143 @@
 package node
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 )
 
-// How each side's end reaches the other, and what is passed on before.
+// connectionEnd is a way in which an established connection ends.
+type connectionEnd struct {
+	name        string
+	event       func(harness *testHarness, client, host Conn)
+	toClient    string // what the client gets after the receipt
+	toHost      string // what the host gets after the opening line
+	clientState string // how each side's connection ends
+	hostState   string
+	reason      Reason
+}
+
+var longLine = strings.Repeat("z", 4000) + "\r\n"
+
+var hostEnds = []connectionEnd{
+	{"served", func(harness *testHarness, client, host Conn) {
+		harness.receive(client, "M 1\r\n", Open)
+		harness.receive(host, "M 1\r\nBYE\r\n", Ended)
+	}, "M 1\r\nBYE\r\n", "M 1\r\n", "write closed", "closed", Served},
+	{"migrated by its host", func(harness *testHarness, _, host Conn) {
+		harness.receive(host, "MOVE\r\n", Ended)
+	}, "MOVE\r\n", "", "write closed", "closed", MigratedByHost},
+	{"host resets", func(harness *testHarness, _, host Conn) {
+		harness.receive(host, "M 2\r\nM", Broken)
+	}, "M 2\r\n", "", "reset", "closed", HostReset},
+	{"host ends without announcing it", func(harness *testHarness, _, host Conn) {
+		harness.receive(host, "", Ended)
+	}, "", "", "write closed", "closed", HostEnded},
+	{"host announces its end but stays", func(harness *testHarness, _, host Conn) {
+		harness.receive(host, "BYE\r\n", Open)
+		harness.advance(1.01)
+	}, "BYE\r\n", "", "write closed", "closed", Served},
+	{"line too long from the host", func(harness *testHarness, _, host Conn) {
+		harness.receive(host, strings.Repeat("q", 4097), Open)
+	}, "", "", "write closed", "reset", HostProtocolError},
+	{"host is silent while a line waits", func(harness *testHarness, client, _ Conn) {
+		harness.receive(client, "M 1\r\n", Open)
+		harness.advance(suspectAfter + confirmTimeout + 0.1)
+	}, "MOVE\r\n", "M 1\r\n", "write closed", "closed", HostSilent},
+	{"host is silent in the midst of a line", func(harness *testHarness, client, host Conn) {
+		harness.receive(client, "M 1\r\n", Open)
+		harness.advance(0.1)
+		harness.receive(host, "M", Open)
+		harness.advance(connectionSilentAfter + confirmTimeout + 0.1)
+	}, "MOVE\r\n", "M 1\r\n", "write closed", "closed", HostSilent},
+}
+
+var clientEnds = []connectionEnd{
+	{"client ends, host answers", func(harness *testHarness, client, host Conn) {
+		harness.receive(client, "M 1\r\n", Ended)
+		if harness.connectionState[host] != "write closed" {
+			harness.Fatalf("the host's side is %q", harness.connectionState[host])
+		}
+		harness.receive(host, "M 1\r\n", Open)
+		harness.receive(host, "BYE\r\n", Ended)
+	}, "M 1\r\nBYE\r\n", "M 1\r\n", "closed", "closed", ClientEnded},
+	{"client ends, host does not", func(harness *testHarness, client, _ Conn) {
+		harness.receive(client, "", Ended)
+		harness.advance(hostEndTimeout + 0.1)
+	}, "", "", "closed", "closed", ClientEnded},
+	{"client resets", func(harness *testHarness, client, _ Conn) {
+		harness.receive(client, "", Broken)
+	}, "", "", "closed", "reset", ClientReset},
+	{"line too long from the client", func(harness *testHarness, client, _ Conn) {
+		harness.receive(client, strings.Repeat("q", 4097), Open)
+	}, "", "", "write closed", "reset", ClientProtocolError},
+	{"writes to the client fail", func(harness *testHarness, client, host Conn) {
+		harness.blocked[client] = true
+		harness.receive(host, "M 1\r\n", Open)
+		harness.apply(WriteDone{client, 0, true})
+		harness.advance(failedWriteGrace + 0.05)
+	}, "", "", "closed", "reset", ClientReset},
+}
+
+var forwardedBeforeEnd = []connectionEnd{
+	{"joined and partial lines", func(harness *testHarness, client, host Conn) {
+		harness.receive(client, "A\r\nB\r\nC", Open)
+		harness.receive(client, "D\r\n", Open)
+		harness.receive(host, "LOAD 5\r\nX", Open)
+		harness.receive(host, "Y\r\nBYE\r\n", Ended)
+	}, "LOAD 5\r\nXY\r\nBYE\r\n", "A\r\nB\r\nCD\r\n", "write closed", "closed", Served},
+	{"more than a buffer holds", func(harness *testHarness, client, host Conn) {
+		for range 5 {
+			harness.receive(client, longLine, Open)
+			harness.receive(host, longLine, Open)
+		}
+		harness.receive(host, "BYE\r\n", Ended)
+	}, strings.Repeat(longLine, 5) + "BYE\r\n", strings.Repeat(longLine, 5), "write closed", "closed", Served},
+}
+
+// The end of one side reaches the other in the same way, and whole lines from before it are forwarded.
 func TestEndOfOneSideReachesTheOther(t *testing.T) {
-	long := strings.Repeat("z", 4000) + "\r\n"
-	cases := []struct {
-		name     string
-		do       func(w *testHarness, c, h Conn)
-		toClient string // after the receipt
-		toHost   string // after the first line
-		c, h     string // how each side's connection ends
-		reason   Reason
-	}{
-		{"served", func(w *testHarness, c, h Conn) { w.receive(c, "M 1\r\n", Open); w.receive(h, "M 1\r\nBYE\r\n", Ended) },
-			"M 1\r\nBYE\r\n", "M 1\r\n", "shut", "closed", Served},
-		{"sent away by its host", func(w *testHarness, c, h Conn) { w.receive(h, "MOVE\r\n", Ended) },
-			"MOVE\r\n", "", "shut", "closed", MigratedByHost},
-		{"host resets", func(w *testHarness, c, h Conn) { w.receive(h, "M 2\r\nM", Broken) }, "M 2\r\n", "", "reset",
-			"closed", HostReset},
-		{"host ends without a word", func(w *testHarness, c, h Conn) { w.receive(h, "", Ended) }, "", "", "shut", "closed",
-			HostEnded},
-		{"host says bye but stays", func(w *testHarness, c, h Conn) { w.receive(h, "BYE\r\n", Open); w.advance(1.01) },
-			"BYE\r\n", "", "shut", "closed", Served},
-		{"client ends, host answers", func(w *testHarness, c, h Conn) {
-			w.receive(c, "M 1\r\n", Ended)
-			if w.connectionState[h] != "shut" {
-				w.Fatalf("the host's side is %q", w.connectionState[h])
-			}
-			w.receive(h, "M 1\r\n", Open)
-			w.receive(h, "BYE\r\n", Ended)
-		}, "M 1\r\nBYE\r\n", "M 1\r\n", "closed", "closed", ClientEnded},
-		{"client ends, host does not", func(w *testHarness, c, h Conn) { w.receive(c, "", Ended); w.advance(hostEndTimeout + 0.1) },
-			"", "", "closed", "closed", ClientEnded},
-		{"client resets", func(w *testHarness, c, h Conn) { w.receive(c, "", Broken) }, "", "", "closed", "reset",
-			ClientReset},
-		{"joined and partial lines", func(w *testHarness, c, h Conn) {
-			w.receive(c, "A\r\nB\r\nC", Open)
-			w.receive(c, "D\r\n", Open)
-			w.receive(h, "LOAD 5\r\nX", Open)
-			w.receive(h, "Y\r\nBYE\r\n", Ended)
-		}, "LOAD 5\r\nXY\r\nBYE\r\n", "A\r\nB\r\nCD\r\n", "shut", "closed", Served},
-		{"more than a ring holds", func(w *testHarness, c, h Conn) {
-			for range 5 {
-				w.receive(c, long, Open)
-				w.receive(h, long, Open)
-			}
-			w.receive(h, "BYE\r\n", Ended)
-		}, strings.Repeat(long, 5) + "BYE\r\n", strings.Repeat(long, 5), "shut", "closed", Served},
-		{"over-long from the client", func(w *testHarness, c, h Conn) { w.receive(c, strings.Repeat("q", 4097), Open) },
-			"", "", "shut", "reset", ClientProtocolError},
-		{"over-long from the host", func(w *testHarness, c, h Conn) { w.receive(h, strings.Repeat("q", 4097), Open) },
-			"", "", "shut", "reset", HostProtocolError},
-		{"host is silent while a line waits", func(w *testHarness, c, h Conn) {
-			w.receive(c, "M 1\r\n",
-				Open)
-			w.advance(suspectAfter + confirmTimeout + 0.1)
-		},
-			"MOVE\r\n", "M 1\r\n", "shut", "closed", HostSilent},
-		{"host is silent in the midst of a line", func(w *testHarness, c, h Conn) {
-			w.receive(c, "M 1\r\n", Open)
-			w.advance(0.1)
-			w.receive(h, "M", Open)
-			w.advance(connectionSilentAfter + confirmTimeout + 0.1)
-		}, "MOVE\r\n", "M 1\r\n", "shut", "closed", HostSilent},
-		{"writes to the client fail", func(w *testHarness, c, h Conn) {
-			w.blocked[c] = true
-			w.receive(h, "M 1\r\n", Open)
-			w.apply(WriteDone{c, 0, true})
-			w.advance(failedWriteGrace + 0.05)
-		}, "", "", "closed", "reset", ClientReset},
+	for _, cases := range [][]connectionEnd{hostEnds, clientEnds, forwardedBeforeEnd} {
+		for _, c := range cases {
+			t.Run(c.name, func(t *testing.T) { checkConnectionEnd(t, c) })
+		}
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			w := newHarness(t, "proxy", 3, 100)
-			client, host := w.establish(chatRequest)
-			first := w.written[host]
-			c.do(w, client, host)
-			if got := strings.TrimPrefix(w.written[client], "UP 77\r\n"); got != c.toClient {
-				t.Errorf("the client got %.60q, wanted %.60q", got, c.toClient)
-			}
-			if got := strings.TrimPrefix(w.written[host], first); got != c.toHost {
-				t.Errorf("the host got %.60q, wanted %.60q", got, c.toHost)
-			}
-			if w.connectionState[client] != c.c || w.connectionState[host] != c.h {
-				t.Errorf("client's side %q, host's side %q, wanted %q and %q", w.connectionState[client], w.connectionState[host], c.c, c.h)
-			}
-			w.checkReleased()
-			if got := w.endReasons(); len(got) != 1 || got[0] != c.reason {
-				t.Errorf("reasons %v, wanted %s", got, c.reason)
-			}
-		})
+}
+
+func checkConnectionEnd(t *testing.T, c connectionEnd) {
+	t.Helper()
+	harness := newHarness(t, "proxy", 3, 100)
+	client, host := harness.establish(chatRequest)
+	first := harness.written[host]
+	c.event(harness, client, host)
+	if got := strings.TrimPrefix(harness.written[client], "UP 77\r\n"); got != c.toClient {
+		t.Errorf("the client got %.60q, wanted %.60q", got, c.toClient)
+	}
+	if got := strings.TrimPrefix(harness.written[host], first); got != c.toHost {
+		t.Errorf("the host got %.60q, wanted %.60q", got, c.toHost)
+	}
+	clientState, hostState := harness.connectionState[client], harness.connectionState[host]
+	if clientState != c.clientState || hostState != c.hostState {
+		t.Errorf("client's side %q, host's side %q, wanted %q and %q", clientState, hostState, c.clientState, c.hostState)
+	}
+	harness.checkReleased()
+	if got := harness.endReasons(); len(got) != 1 || got[0] != c.reason {
+		t.Errorf("reasons %v, wanted %s", got, c.reason)
 	}
 }
 
-// A stream that its host ends in good order is no sign of a jam there; one that breaks is.
+// A flow that its host ends in good order is no sign of an overload there; one that breaks is.
 func TestOrderlyEndIsNoSignOfOverload(t *testing.T) {
 	for end, again := range map[End]bool{Ended: true, Broken: false} {
-		w := newHarness(t, "proxy", 1, 100)
-		_, host := w.establish(chatRequest)
-		w.receive(host, "", end)
-		w.advance(0.1)
-		if w.openFlow(chatRequest); (len(w.flowDials) == 2) != again {
-			t.Errorf("end %d: %d dials", end, len(w.flowDials))
-		}
+		t.Run(fmt.Sprintf("end %d", end), func(t *testing.T) {
+			harness := newHarness(t, "proxy", 1, 100)
+			_, host := harness.establish(chatRequest)
+			harness.receive(host, "", end)
+			harness.advance(0.1)
+			harness.openFlow(chatRequest)
+			if (len(harness.flowDials) == 2) != again {
+				t.Errorf("%d dials", len(harness.flowDials))
+			}
+		})
 	}
 }
--- a/internal/node/connection_io_test.go
+++ b/internal/node/connection_io_test.go
@@ -14,27 +14,29 @@
 		{"the client", func(_, h Conn) Conn { return h }, func(c, _ Conn) Conn { return c }},
 		{"the host", func(c, _ Conn) Conn { return c }, func(_, h Conn) Conn { return h }},
 	} {
-		w := newHarness(t, "proxy", 3, 100)
-		client, host := w.establish(chatRequest)
-		from, stuck := c.from(client, host), c.stuck(client, host)
-		w.blocked[stuck] = true
-		taken := 0
-		for w.pendingReads[from] != nil && taken <= 1<<20 {
-			into := w.pendingReads[from]
-			delete(w.pendingReads, from)
-			for i := range into {
-				if into[i] = 'x'; (taken+i)%100 == 99 {
-					into[i] = '\n'
+		t.Run(c.name, func(t *testing.T) {
+			harness := newHarness(t, "proxy", 3, 100)
+			client, host := harness.establish(chatRequest)
+			from, stuck := c.from(client, host), c.stuck(client, host)
+			harness.blocked[stuck] = true
+			taken := 0
+			for harness.pendingReads[from] != nil && taken <= 1<<20 {
+				into := harness.pendingReads[from]
+				delete(harness.pendingReads, from)
+				for i := range into {
+					if into[i] = 'x'; (taken+i)%100 == 99 {
+						into[i] = '\n'
+					}
 				}
+				taken += len(into)
+				harness.apply(ReadDone{from, len(into), Open})
 			}
-			taken += len(into)
-			w.apply(ReadDone{from, len(into), Open})
-		}
-		if taken > bufferSize {
-			t.Errorf("%s does not read: %d bytes were taken from the other", c.name, taken)
-		}
-		if other, _ := w.establish(chatRequest); w.written[other] != "UP 77\r\n" {
-			t.Errorf("%s does not read: another was told %q", c.name, w.written[other])
-		}
+			if taken > bufferSize {
+				t.Errorf("%d bytes were taken from the other", taken)
+			}
+			if other, _ := harness.establish(chatRequest); harness.written[other] != "UP 77\r\n" {
+				t.Errorf("another was told %q", harness.written[other])
+			}
+		})
 	}
 }
--- a/internal/node/deadlines_test.go
+++ b/internal/node/deadlines_test.go
@@ -11,22 +11,24 @@
 // wake for nothing: where many nodes share a machine, each pays for the others' wakes.
 func TestIdleNodeWakesForItsBalancerAlone(t *testing.T) {
 	for _, hosts := range []int{10, 60, 1000} {
-		w := newHarness(t, "proxy", hosts, 1000)
-		wakes, at := 0, w.now
-		for end := w.now + 10; ; wakes++ {
-			for _, e := range w.node.Apply(at, TimerFired{}) {
-				if timer, ok := e.(SetTimer); ok {
-					w.now = timer.At
+		t.Run(fmt.Sprintf("%d hosts", hosts), func(t *testing.T) {
+			harness := newHarness(t, "proxy", hosts, 1000)
+			wakes, at := 0, harness.now
+			for end := harness.now + 10; ; wakes++ {
+				for _, e := range harness.node.Apply(at, TimerFired{}) {
+					if timer, ok := e.(SetTimer); ok {
+						harness.now = timer.At
+					}
 				}
+				if at == harness.now || harness.now > end {
+					break
+				}
+				at = harness.now
 			}
-			if at == w.now || w.now > end {
-				break
+			if wakes > 42 || wakes < 30 {
+				t.Errorf("%d hosts: %d wakes in 10 s, wanted four a second", hosts, wakes)
 			}
-			at = w.now
-		}
-		if wakes > 42 || wakes < 30 {
-			t.Errorf("%d hosts: %d wakes in 10 s, wanted four a second", hosts, wakes)
-		}
+		})
 	}
 }
 
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -15,15 +15,15 @@
 
 // The primary is entry CA mod n of the list by id, with the numbers that names and keys stand for.
 func TestPrimaryFollowsClientKeyAndHostID(t *testing.T) {
-	w := newHarness(t, "pass", 7, 1000)
+	harness := newHarness(t, "pass", 7, 1000)
 	for _, key := range []uint64{1, 0xa1, 0x7f3a9c21e0b4d655, 0x0008cb70f96f9305} {
-		w.openFlow(fmt.Sprintf("%016x c=chat,t=acme,d=2000", key))
+		harness.openFlow(fmt.Sprintf("%016x c=chat,t=acme,d=2000", key))
 		var be [8]byte
 		for i := range be {
 			be[i] = byte(key >> (56 - 8*i))
 		}
 		want := fmt.Sprint("h", xxhash.Sum64(be[:])%7)
-		if got := w.dialedAddress[w.flowDials[len(w.flowDials)-1]]; got != want {
+		if got := harness.dialedAddress[harness.flowDials[len(harness.flowDials)-1]]; got != want {
 			t.Errorf("key %x went to %s, wanted %s", key, got, want)
 		}
 	}
@@ -39,53 +39,57 @@
 
 // The node is ready once discovery told a list, or when discovery is out and the old list must do.
 func TestReadyOnceThereIsAList(t *testing.T) {
-	ready := func(w *testHarness) bool {
-		c := w.accept()
-		w.receive(c, "PING\r\n", Ended)
-		return w.written[c] == "PONG\r\n"
+	ready := func(harness *testHarness) bool {
+		c := harness.accept()
+		harness.receive(c, "PING\r\n", Ended)
+		return harness.written[c] == "PONG\r\n"
 	}
 	r, d, err := settings.Parse(fmt.Appendf(nil, settingsJSON, "pass"), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fresh := func(known endpoint.List) *testHarness {
-		w := newHarness(t, "pass", 0, 100)
-		w.node = New(w.now, Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: 100})
-		w.watchIndices = nil
-		w.advance(1)
-		return w
+		harness := newHarness(t, "pass", 0, 100)
+		harness.node = New(harness.now, Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: 100})
+		harness.watchIndices = nil
+		harness.advance(1)
+		return harness
 	}
-	w := fresh(hostList(2))
-	if ready(w) || !slices.Equal(w.watchIndices, []int64{6}) {
-		t.Fatalf("ready before discovery has answered, or watches %v", w.watchIndices)
+	harness := fresh(hostList(2))
+	if ready(harness) || !slices.Equal(harness.watchIndices, []int64{6}) {
+		t.Fatalf("ready before discovery has answered, or watches %v", harness.watchIndices)
 	}
-	w.apply(WatchFailed{Reason: "503"})
-	if w.advance(3); ready(w) || len(w.watchIndices) != 2 {
-		t.Fatalf("ready after one failed call, or watches %v", w.watchIndices)
+	harness.apply(WatchFailed{Reason: "503"})
+	harness.advance(3)
+	if ready(harness) || len(harness.watchIndices) != 2 {
+		t.Fatalf("ready after one failed call, or watches %v", harness.watchIndices)
 	}
-	if w.apply(WatchFailed{Reason: "503"}); !ready(w) {
+	harness.apply(WatchFailed{Reason: "503"})
+	if !ready(harness) {
 		t.Fatal("not ready on the old list though discovery is out")
 	}
-	w = fresh(endpoint.List{})
-	w.apply(WatchFailed{Reason: "503"})
-	if w.apply(WatchFailed{Reason: "503"}); ready(w) {
+	harness = fresh(endpoint.List{})
+	harness.apply(WatchFailed{Reason: "503"})
+	harness.apply(WatchFailed{Reason: "503"})
+	if ready(harness) {
 		t.Fatal("ready without any host")
 	}
-	if w.apply(ListReceived{hostList(2)}); !ready(w) {
+	harness.apply(ListReceived{hostList(2)})
+	if !ready(harness) {
 		t.Fatal("not ready with a list")
 	}
 }
 
 // Lists that are odd, and hosts that drain, go or come again.
 func TestListDecidesWhereFlowsGo(t *testing.T) {
-	w := newHarness(t, "pass", 1, 1000)
+	harness := newHarness(t, "pass", 1, 1000)
 	where := func() string {
-		before := len(w.flowDials)
-		c := w.openFlow(chatRequest)
-		if len(w.flowDials) == before {
-			return strings.Fields(w.written[c])[0]
+		before := len(harness.flowDials)
+		c := harness.openFlow(chatRequest)
+		if len(harness.flowDials) == before {
+			return strings.Fields(harness.written[c])[0]
 		}
-		return w.dialedAddress[w.flowDials[before]]
+		return harness.dialedAddress[harness.flowDials[before]]
 	}
 	one := func(name, address, status string) ListReceived {
 		return ListReceived{endpoint.List{Index: 9, Hosts: []endpoint.Host{{Name: name, Address: address, Status: status}}}}
@@ -105,7 +109,8 @@
 		{"not on a whole list", ListReceived{hostList(0)}, "BUSY"},
 	}
 	for _, s := range steps {
-		if w.apply(s.in); where() != s.want {
+		harness.apply(s.in)
+		if where() != s.want {
 			t.Errorf("%s: sent to %s, wanted %s", s.name, where(), s.want)
 		}
 	}
@@ -133,36 +138,38 @@
 		{"serving all the while", "chat", "SERVING", false, true},
 		{"draining once its line is written", "chat", "DRAINING", true, true},
 	} {
-		w := newHarness(t, "proxy", 2, 1000)
-		client, dial := Conn(0), Conn(0)
-		for i := 0; w.dialedAddress[dial] != "h0"; i++ {
-			client = w.openFlow(fmt.Sprintf("%x c=%s,t=acme,d=2000", i+1, c.kind))
-			if dial = w.flowDials[len(w.flowDials)-1]; w.dialedAddress[dial] != "h0" {
-				w.receive(client, "", Ended)
+		t.Run(c.name, func(t *testing.T) {
+			harness := newHarness(t, "proxy", 2, 1000)
+			client, dial := Conn(0), Conn(0)
+			for i := 0; harness.dialedAddress[dial] != "h0"; i++ {
+				client = harness.openFlow(fmt.Sprintf("%x c=%s,t=acme,d=2000", i+1, c.kind))
+				if dial = harness.flowDials[len(harness.flowDials)-1]; harness.dialedAddress[dial] != "h0" {
+					harness.receive(client, "", Ended)
+				}
 			}
-		}
-		if c.up {
-			w.completeLastDial()
-		}
-		dials := len(w.flowDials)
-		w.apply(ListReceived{change(hostList(2), c.status)})
-		if c.stays {
-			if len(w.flowDials) != dials || w.connectionState[dial] == "closed" {
-				t.Errorf("%s: called back", c.name)
+			if c.up {
+				harness.completeLastDial()
 			}
-			continue
-		}
-		w.apply(Dialed{Conn: dial}) // it came up all the same
-		if w.connectionState[dial] != "closed" || w.written[dial] != "" {
-			t.Errorf("%s: %s, and told %q", c.name, w.connectionState[dial], w.written[dial])
-		}
-		if len(w.flowDials) != dials+1 || w.dialedAddress[w.flowDials[dials]] != "h1" {
-			t.Fatalf("%s: not sent elsewhere", c.name)
-		}
-		w.receive(w.completeLastDial(), "UP 7\r\n", Open)
-		if w.written[client] != "UP 7\r\n" {
-			t.Errorf("%s: the client was told %q", c.name, w.written[client])
-		}
+			dials := len(harness.flowDials)
+			harness.apply(ListReceived{change(hostList(2), c.status)})
+			if c.stays {
+				if len(harness.flowDials) != dials || harness.connectionState[dial] == "closed" {
+					t.Errorf("called back")
+				}
+				return
+			}
+			harness.apply(Dialed{Conn: dial}) // it came up all the same
+			if harness.connectionState[dial] != "closed" || harness.written[dial] != "" {
+				t.Errorf("%s, and told %q", harness.connectionState[dial], harness.written[dial])
+			}
+			if len(harness.flowDials) != dials+1 || harness.dialedAddress[harness.flowDials[dials]] != "h1" {
+				t.Fatalf("not sent elsewhere")
+			}
+			harness.receive(harness.completeLastDial(), "UP 7\r\n", Open)
+			if harness.written[client] != "UP 7\r\n" {
+				t.Errorf("the client was told %q", harness.written[client])
+			}
+		})
 	}
 }
 
@@ -174,7 +181,8 @@
 	world := func() *testHarness { return newHarnessWith(t, talking, "pass", 2, 100) }
 	one, other := world(), world()
 	for range 200 { // by its second round it has asked all hosts
-		if one.advance(0.25); len(one.healthChecks) == 2 {
+		one.advance(0.25)
+		if len(one.healthChecks) == 2 {
 			break
 		}
 	}
@@ -232,22 +240,24 @@
 		{"a name that is no number", []endpoint.List{{Index: 6, Complete: true, Hosts: []endpoint.Host{{Name: "\x00é", Address: "h3",
 			Status: "SERVING"}}}}, 1, 6, "h3"},
 	} {
-		w := newHarness(t, "proxy", 2, 1000)
-		for _, l := range c.lists {
-			w.apply(ListReceived{l})
-		}
-		client := w.openFlow(chatRequest)
-		got := strings.TrimSpace(w.written[client])
-		if len(w.flowDials) > 0 {
-			got = w.dialedAddress[w.flowDials[0]]
-		}
-		if !strings.HasPrefix(got, c.to) {
-			t.Errorf("%s: to %q, wanted %q", c.name, got, c.to)
-		}
-		w.apply(WatchFailed{Reason: "the end"})
-		w.advance(8)
-		if len(w.watchIndices) == 0 || w.watchIndices[len(w.watchIndices)-1] != c.index {
-			t.Errorf("%s: watches from %v, wanted the last from %d", c.name, w.watchIndices, c.index)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			harness := newHarness(t, "proxy", 2, 1000)
+			for _, l := range c.lists {
+				harness.apply(ListReceived{l})
+			}
+			client := harness.openFlow(chatRequest)
+			got := strings.TrimSpace(harness.written[client])
+			if len(harness.flowDials) > 0 {
+				got = harness.dialedAddress[harness.flowDials[0]]
+			}
+			if !strings.HasPrefix(got, c.to) {
+				t.Errorf("to %q, wanted %q", got, c.to)
+			}
+			harness.apply(WatchFailed{Reason: "the end"})
+			harness.advance(8)
+			if len(harness.watchIndices) == 0 || harness.watchIndices[len(harness.watchIndices)-1] != c.index {
+				t.Errorf("watches from %v, wanted the last from %d", harness.watchIndices, c.index)
+			}
+		})
 	}
 }
--- a/internal/node/figures_test.go
+++ b/internal/node/figures_test.go
@@ -6,77 +6,95 @@
 	"testing"
 )
 
-// Where each kind of end is counted, and that junk is no flow.
+// Counts of flows that were established, rejected, aborted and left by their client.
+const (
+	noFlow         = "0 0 0 0"
+	oneEstablished = "1 0 0 0"
+)
+
+// countedFlows are flows, and junk that is no flow, with how each is counted.
+var countedFlows = []struct {
+	name       string
+	do         func(harness *testHarness)
+	tally      string // established, rejected, aborted, left
+	dispatched int
+	open       int
+}{
+	{"nothing came", func(harness *testHarness) {}, noFlow, 0, 0},
+	{"established", func(harness *testHarness) { harness.establish(chatRequest) }, oneEstablished, 1, 1},
+	{"established and ended", func(harness *testHarness) {
+		c, h := harness.establish(chatRequest)
+		harness.receive(c, "", Ended)
+		harness.receive(h, "", Ended)
+	}, oneEstablished, 1, 0},
+	{"rejected after an attempt that never ran", func(harness *testHarness) {
+		harness.openFlow(orderRequest)
+		for range 3 {
+			harness.receive(harness.completeLastDial(), "BUSY\r\n", Open)
+		}
+	}, "0 1 0 0", 3, 0},
+	{"aborted", func(harness *testHarness) {
+		harness.openFlow(orderRequest)
+		harness.receive(harness.completeLastDial(), "ERR\r\n", Open)
+	}, "0 0 1 0", 1, 0},
+	{"nothing was reached", func(harness *testHarness) {
+		harness.openFlow(chatRequest)
+		for range 3 {
+			failDial(harness, harness.flowDials[len(harness.flowDials)-1])
+		}
+	}, "0 1 0 0", 0, 0},
+	{"a line that is not written to its end", func(harness *testHarness) {
+		harness.openFlow(orderRequest)
+		h := harness.flowDials[0]
+		harness.blocked[h] = true
+		harness.completeDial(h)
+		harness.apply(WriteDone{h, 5, true})
+		harness.receive(h, "", Broken)
+	}, noFlow, 0, 1},
+	{"the answer comes before the result of the write", func(harness *testHarness) {
+		harness.openFlow(orderRequest)
+		h := harness.flowDials[0]
+		harness.blocked[h] = true
+		harness.completeDial(h)
+		harness.receive(h, "ERR\r\n", Open)
+	}, "0 0 1 0", 1, 0},
+	{"the client does not wait", func(harness *testHarness) {
+		harness.receive(harness.openFlow(chatRequest), "", Ended)
+	}, "0 0 0 1", 0, 0},
+	{"the client sends more than a buffer holds", func(harness *testHarness) {
+		harness.receive(harness.openFlow(chatRequest), fmt.Sprintf("%5000d%5000d", 1, 2), Open)
+	}, "0 0 1 0", 0, 0},
+	{"junk", func(harness *testHarness) {
+		for _, text := range []string{
+			"HELLO\r\n",
+			"OPEN 1 a1 c=chat\r\n",
+			"OPEN 1 a1 c=none,d=5\r\n",
+			"OPEN 1 a1 c=chat,d=5\r\nM\r\n",
+		} {
+			harness.receive(harness.accept(), text, Open)
+		}
+		harness.receive(harness.accept(), "PING\r\n", Open)
+	}, noFlow, 0, 0},
+	{"the id of another client's flow", func(harness *testHarness) {
+		harness.establish(chatRequest)
+		c := harness.accept()
+		harness.receive(c, fmt.Sprintf("OPEN %x b2 c=chat,d=900\r\n", 0x1000+harness.lastAccepted-2), Open)
+	}, oneEstablished, 1, 1},
+	{"no descriptor for its host", func(harness *testHarness) {
+		c := harness.accept()
+		harness.node.connections.limit = descriptorReserve
+		harness.receive(c, "OPEN 1 "+chatRequest+"\r\n", Open)
+	}, "0 1 0 0", 0, 0},
+	{"restored at a host that is not listed", func(harness *testHarness) { harness.openFlow(chatRequest + ",at=s-77") }, "0 1 0 0", 0, 0},
+}
+
+// Each flow is counted once, by its answer, and junk is no flow.
 func TestFlowIsCountedByItsAnswer(t *testing.T) {
-	const whole, none = "1 0 0 0", "0 0 0 0"
-	for _, c := range []struct {
-		name       string
-		do         func(w *testHarness)
-		tally      string // established, rejected, aborted, left
-		dispatched int
-		open       int
-	}{
-		{"nothing came", func(w *testHarness) {}, none, 0, 0},
-		{"established", func(w *testHarness) { w.establish(chatRequest) }, whole, 1, 1},
-		{"established and ended", func(w *testHarness) {
-			c, h := w.establish(chatRequest)
-			w.receive(c, "", Ended)
-			w.receive(h, "", Ended)
-		}, whole, 1, 0},
-		{"rejected after a connect that never ran", func(w *testHarness) {
-			w.openFlow(orderRequest)
-			for range 3 {
-				w.receive(w.completeLastDial(), "BUSY\r\n", Open)
-			}
-		}, "0 1 0 0", 3, 0},
-		{"aborted", func(w *testHarness) { w.openFlow(orderRequest); w.receive(w.completeLastDial(), "ERR\r\n", Open) }, "0 0 1 0", 1, 0},
-		{"nothing was reached", func(w *testHarness) {
-			w.openFlow(chatRequest)
-			for range 3 {
-				failDial(w, w.flowDials[len(w.flowDials)-1])
-			}
-		}, "0 1 0 0", 0, 0},
-		{"a line that did not go out whole", func(w *testHarness) {
-			w.openFlow(orderRequest)
-			h := w.flowDials[0]
-			w.blocked[h] = true
-			w.completeDial(h)
-			w.apply(WriteDone{h, 5, true})
-			w.receive(h, "", Broken)
-		}, none, 0, 1},
-		{"the answer overtakes the word that its line is out", func(w *testHarness) {
-			w.openFlow(orderRequest)
-			h := w.flowDials[0]
-			w.blocked[h] = true
-			w.completeDial(h)
-			w.receive(h, "ERR\r\n", Open)
-		}, "0 0 1 0", 1, 0},
-		{"the client does not wait", func(w *testHarness) { w.receive(w.openFlow(chatRequest), "", Ended) }, "0 0 0 1", 0, 0},
-		{"no more waiting than a line", func(w *testHarness) {
-			w.receive(w.openFlow(chatRequest), fmt.Sprintf("%5000d%5000d", 1, 2), Open)
-		}, "0 0 1 0", 0, 0},
-		{"junk", func(w *testHarness) {
-			for _, text := range []string{"HELLO\r\n", "OPEN 1 a1 c=chat\r\n", "OPEN 1 a1 c=none,d=5\r\n", "OPEN 1 a1 c=chat,d=5\r\nM\r\n"} {
-				w.receive(w.accept(), text, Open)
-			}
-			w.receive(w.accept(), "PING\r\n", Open)
-		}, none, 0, 0},
-		{"the id of another client's flow", func(w *testHarness) {
-			w.establish(chatRequest)
-			c := w.accept()
-			w.receive(c, fmt.Sprintf("OPEN %x b2 c=chat,d=900\r\n", 0x1000+w.lastAccepted-2), Open)
-		}, whole, 1, 1},
-		{"no descriptor for its host", func(w *testHarness) {
-			c := w.accept()
-			w.node.connections.limit = descriptorReserve
-			w.receive(c, "OPEN 1 "+chatRequest+"\r\n", Open)
-		}, "0 1 0 0", 0, 0},
-		{"open at a host that is not listed", func(w *testHarness) { w.openFlow(chatRequest + ",at=s-77") }, "0 1 0 0", 0, 0},
-	} {
+	for _, c := range countedFlows {
 		t.Run(c.name, func(t *testing.T) {
-			w := newHarness(t, "proxy", 3, 100)
-			c.do(w)
-			f := w.checkedFigures()
+			harness := newHarness(t, "proxy", 3, 100)
+			c.do(harness)
+			f := harness.checkedFigures()
 			var sum FlowCounts
 			for _, t := range f.Types {
 				sum.Established += t.Established
@@ -95,16 +113,18 @@
 // The figures add up after every step of random sequences, a node asked to leave included.
 func TestFiguresAddUpAfterAnyInput(t *testing.T) {
 	for seed := range uint64(200) {
-		w := newHarness(t, []string{"proxy", "pass"}[seed%2], 3, 100)
-		chance := rand.New(rand.NewPCG(seed, 1))
-		applyRandomInputs(w, chance, 120)
-		if seed%3 == 0 {
-			w.apply(Shutdown{})
-			applyRandomInputs(w, chance, 40)
-		}
-		w.advance(12)
-		if f := w.checkedFigures(); f.Waiting != 0 {
-			t.Fatalf("seed %d: %d wait for ever", seed, f.Waiting)
-		}
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			harness := newHarness(t, []string{"proxy", "pass"}[seed%2], 3, 100)
+			chance := rand.New(rand.NewPCG(seed, 1))
+			applyRandomInputs(harness, chance, 120)
+			if seed%3 == 0 {
+				harness.apply(Shutdown{})
+				applyRandomInputs(harness, chance, 40)
+			}
+			harness.advance(12)
+			if f := harness.checkedFigures(); f.Waiting != 0 {
+				t.Fatalf("seed %d: %d wait for ever", seed, f.Waiting)
+			}
+		})
 	}
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -10,39 +10,39 @@
 	f.Add([]byte("PING\r\nOPEN 1 a1 c=order,d=1\r\nM\r\n"), []byte("BUSY\r\n"), uint8(7))
 	f.Add([]byte("\xff\x00\n"), []byte("MOVE"), uint8(0))
 	f.Fuzz(func(t *testing.T, fromClient, fromHost []byte, ends uint8) {
-		w := newHarness(t, "proxy", 3, 100)
-		c := w.accept()
-		w.receive(c, string(fromClient), Open)
-		for i := 0; i < len(w.flowDials); i++ {
-			h := w.flowDials[i]
-			if w.node.connections.byID[h] == nil || w.connectionState[h] != "dialed" {
+		harness := newHarness(t, "proxy", 3, 100)
+		c := harness.accept()
+		harness.receive(c, string(fromClient), Open)
+		for i := 0; i < len(harness.flowDials); i++ {
+			h := harness.flowDials[i]
+			if harness.node.connections.byID[h] == nil || harness.connectionState[h] != "dialed" {
 				continue
 			}
-			w.completeDial(h)
-			if w.pendingReads[h] != nil && w.node.connections.byID[h] != nil {
+			harness.completeDial(h)
+			if harness.pendingReads[h] != nil && harness.node.connections.byID[h] != nil {
 				for rest := string(fromHost); ; rest = rest[len(rest)/2+len(rest)%2:] {
-					if w.pendingReads[h] == nil || w.node.connections.byID[h] == nil {
+					if harness.pendingReads[h] == nil || harness.node.connections.byID[h] == nil {
 						break
 					}
-					w.receive(h, rest[:len(rest)/2+len(rest)%2], End(ends)%3)
+					harness.receive(h, rest[:len(rest)/2+len(rest)%2], End(ends)%3)
 					if rest == "" || ends%3 != 0 {
 						break
 					}
 				}
 			}
 		}
-		w.advance(2.5)
-		if w.node.connections.byID[c] != nil && w.pendingReads[c] != nil {
-			w.receive(c, "", Ended)
+		harness.advance(2.5)
+		if harness.node.connections.byID[c] != nil && harness.pendingReads[c] != nil {
+			harness.receive(c, "", Ended)
 		}
-		w.advance(firstLineTimeout + hostEndTimeout + connectionSilentAfter)
-		for _, left := range w.node.connections.byID {
+		harness.advance(firstLineTimeout + hostEndTimeout + connectionSilentAfter)
+		for _, left := range harness.node.connections.byID {
 			if left.role != healthCheckRole { // probes of a host that was set aside go on
 				t.Fatalf("a connection of role %d is left", left.role)
 			}
 		}
-		if len(w.records) != 1 || w.records[0].Reason == "" {
-			t.Fatalf("records %v", w.records)
+		if len(harness.records) != 1 || harness.records[0].Reason == "" {
+			t.Fatalf("records %v", harness.records)
 		}
 	})
 }
--- a/internal/node/handover_harness_test.go
+++ b/internal/node/handover_harness_test.go
@@ -7,59 +7,59 @@
 	"gorseledge/internal/settings"
 )
 
-// startSuccessor makes a process that takes over from w; what goes over crosses as JSON.
-func (w *testHarness) startSuccessor(mode string) *testHarness {
-	w.Helper()
+// startSuccessor makes a process that takes over from harness; what goes over crosses as JSON.
+func (harness *testHarness) startSuccessor(mode string) *testHarness {
+	harness.Helper()
 	r, d, err := settings.Parse(fmt.Appendf(nil, settingsJSON, mode), 8)
 	if err != nil {
-		w.Fatal(err)
+		harness.Fatal(err)
 	}
-	h := newHarness(w.T, mode, 0, 100)
-	h.now, h.lastAccepted, h.watchIndices = w.now, 1001, nil
-	h.node = New(h.now, Start{Settings: r, Listener: d, MaxDescriptors: w.node.connections.configuredLimit, DescriptorOverhead: 20, NotListening: true, Handover: exchangeJSON(w, w.query(ClaimHandover, "").Handover)})
-	h.apply(TimerFired{})
-	return h
+	successor := newHarness(harness.T, mode, 0, 100)
+	successor.now, successor.lastAccepted, successor.watchIndices = harness.now, 1001, nil
+	successor.node = New(successor.now, Start{Settings: r, Listener: d, MaxDescriptors: harness.node.connections.configuredLimit, DescriptorOverhead: 20, NotListening: true, Handover: exchangeJSON(harness, harness.query(ClaimHandover, "").Handover)})
+	successor.apply(TimerFired{})
+	return successor
 }
 
-func exchangeJSON[T any](w *testHarness, in T) (out T) {
-	w.Helper()
+func exchangeJSON[T any](harness *testHarness, in T) (out T) {
+	harness.Helper()
 	text, err := json.Marshal(in)
 	if err == nil {
 		err = json.Unmarshal(text, &out)
 	}
 	if err != nil {
-		w.Fatal(err)
+		harness.Fatal(err)
 	}
 	return out
 }
 
 // take has a successor take the clients.
-func (w *testHarness) handOverTo(h *testHarness) {
-	w.Helper()
-	h.apply(HandoverReceived{exchangeJSON(w, w.query(TakeOver, "").Handover)})
-	h.apply(ListenerOpened{})
+func (harness *testHarness) handOverTo(successor *testHarness) {
+	harness.Helper()
+	successor.apply(HandoverReceived{exchangeJSON(harness, harness.query(TakeOver, "").Handover)})
+	successor.apply(ListenerOpened{})
 }
 
-// deliverTransfers brings what was passed and told from w to h, or back where it is lost; names gives each connection's
-// number at h.
-func (w *testHarness) deliverTransfers(h *testHarness, lost bool) (names map[Conn]Conn) {
-	w.Helper()
+// deliverTransfers brings what was passed and told from harness to successor, or back where it is lost; names gives each connection's
+// number at successor.
+func (harness *testHarness) deliverTransfers(successor *testHarness, lost bool) (names map[Conn]Conn) {
+	harness.Helper()
 	names = map[Conn]Conn{}
-	for ; len(w.transfers) > 0; w.transfers = w.transfers[1:] {
-		p := w.transfers[0]
-		if w.pendingReads[p.Conn] != nil || w.pendingReads[p.Host] != nil {
-			w.Fatal("passed a connection that is still read")
+	for ; len(harness.transfers) > 0; harness.transfers = harness.transfers[1:] {
+		p := harness.transfers[0]
+		if harness.pendingReads[p.Conn] != nil || harness.pendingReads[p.Host] != nil {
+			harness.Fatal("passed a connection that is still read")
 		}
 		if !lost {
-			h.lastAccepted += 2
-			h.connectionState[h.node.connections.lastDialed+2] = ""
-			h.apply(ConnectionReceived{h.lastAccepted, exchangeJSON(w, p.Transfer)})
-			names[p.Conn], names[p.Host] = h.lastAccepted, h.boundHost.Conn
+			successor.lastAccepted += 2
+			successor.connectionState[successor.node.connections.lastDialed+2] = ""
+			successor.apply(ConnectionReceived{successor.lastAccepted, exchangeJSON(harness, p.Transfer)})
+			names[p.Conn], names[p.Host] = successor.lastAccepted, successor.boundHost.Conn
 		}
-		w.apply(ConnectionSent{p.Conn, !lost})
+		harness.apply(ConnectionSent{p.Conn, !lost})
 	}
-	for ; len(w.updates) > 0; w.updates = w.updates[1:] {
-		h.apply(PeerProcessChanged{exchangeJSON(w, w.updates[0])})
+	for ; len(harness.updates) > 0; harness.updates = harness.updates[1:] {
+		successor.apply(PeerProcessChanged{exchangeJSON(harness, harness.updates[0])})
 	}
 	return names
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -7,198 +7,258 @@
 	"testing"
 
 	"gorseledge/internal/discovery/endpoint"
+	"gorseledge/placement"
 )
 
-// What two processes that are one node know of each other.
+// handOverWithBlockedClient starts a predecessor and a successor that has taken its clients. The connection of client is
+// blocked, so it stays at the predecessor. One of three hosts is disabled.
+func handOverWithBlockedClient(t *testing.T) (predecessor, successor *testHarness, client Conn) {
+	t.Helper()
+	predecessor = newHarness(t, "pass", 3, 100)
+	client, host := predecessor.establish("a1 c=chat,t=acme,d=2000")
+	predecessor.blocked[client] = true
+	predecessor.receive(host, "M 1\r\n", Open)
+	predecessor.query(DisableHost, "s-00000066")
+	successor = predecessor.startSuccessor("pass")
+	predecessor.handOverTo(successor)
+	predecessor.deliverTransfers(successor, false)
+	return predecessor, successor, client
+}
+
+// openingOf returns the beginning of an opening line with the id of a client's flow.
+func openingOf(client Conn) string { return fmt.Sprintf("OPEN %x ", 0x1000+client) }
+
+// oneNodeCases are what two processes that are one node know of each other.
+var oneNodeCases = []struct {
+	name  string
+	check func(t *testing.T, predecessor, successor *testHarness, client Conn)
+}{
+	{"ready at once, from the predecessor's list", checkReadyFromPredecessorsList},
+	{"disabled hosts stay disabled", checkDisabledHostsStayDisabled},
+	{"a query at the successor reaches the predecessor", checkQueryReachesPredecessor},
+	{"a query at the predecessor reaches the successor, and comes to rest", checkQueryReachesSuccessor},
+	{"the id of a flow at the predecessor is refused", checkInheritedIDIsRefused},
+	{"packets that come by the successor find their host", checkPacketsFindTheirHost},
+	{"what the predecessor holds counts against the limit, until it is gone", checkReservedDescriptors},
+	{"connections that did not come are forgotten in time", checkInheritedExpires},
+	{"the end of a flow at the predecessor is notified", checkEndAtPredecessor},
+	{"a third process learns all of both", checkThirdProcess},
+	{"a successor that is gone gives the clients back", checkSuccessorGone},
+}
+
+func checkReadyFromPredecessorsList(t *testing.T, _, successor *testHarness, _ Conn) {
+	ready := successor.query(IsReady, "").OK
+	watches := successor.watchIndices
+	if !ready || successor.listenerRequests != 1 || len(watches) > 1 || len(watches) == 1 && watches[0] != 6 {
+		t.Errorf("ready %v, listener asked for %d times, watches %v", ready, successor.listenerRequests, watches)
+	}
+}
+
+func checkDisabledHostsStayDisabled(t *testing.T, _, successor *testHarness, _ Conn) {
+	if f := successor.query(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 1 {
+		t.Errorf("%d listed, %d unavailable", f.Listed, f.Unavailable)
+	}
+}
+
+func checkQueryReachesPredecessor(t *testing.T, predecessor, successor *testHarness, _ Conn) {
+	successor.query(EnableHost, "s-00000066")
+	successor.query(DisableHost, "s-00000065")
+	successor.deliverTransfers(predecessor, false)
+	if predecessor.unavailable() != 1 || successor.unavailable() != 1 || len(predecessor.updates) == 0 {
+		t.Errorf("%d and %d unavailable, %v", predecessor.unavailable(), successor.unavailable(), predecessor.updates)
+	}
+}
+
+func checkQueryReachesSuccessor(t *testing.T, predecessor, successor *testHarness, _ Conn) {
+	predecessor.query(DisableHost, "s-00000065")
+	predecessor.deliverTransfers(successor, false)
+	successor.deliverTransfers(predecessor, false)
+	predecessor.deliverTransfers(successor, false)
+	updates := len(predecessor.updates) + len(successor.updates)
+	if predecessor.unavailable() != 2 || successor.unavailable() != 2 || updates != 0 {
+		t.Errorf("%d and %d unavailable, %v %v", predecessor.unavailable(), successor.unavailable(),
+			predecessor.updates, successor.updates)
+	}
+}
+
+func checkInheritedIDIsRefused(t *testing.T, _, successor *testHarness, client Conn) {
+	other := successor.accept()
+	successor.receive(other, openingOf(client)+"b2 c=chat,d=900\r\n", Open)
+	if successor.written[other] != "BUSY\r\n" {
+		t.Errorf("sent %q", successor.written[other])
+	}
+}
+
+func checkPacketsFindTheirHost(t *testing.T, predecessor, successor *testHarness, client Conn) {
+	want := predecessor.dialedAddress[predecessor.flowDials[0]]
+	for attempt := range 2 {
+		successor.receive(successor.accept(), openingOf(client)+"a1 c=chat,t=acme,d=900,mid=1\r\n", Open)
+		if got := successor.dialedAddress[successor.flowDials[attempt]]; got != want {
+			t.Errorf("sent to %s, its host is %s", got, want)
+		}
+		if len(successor.node.flows.ids.inherited) != 0 {
+			t.Error("it still counts as the predecessor's")
+		}
+	}
+}
+
+func checkReservedDescriptors(t *testing.T, predecessor, successor *testHarness, _ Conn) {
+	used := predecessor.node.connections.used()
+	if successor.node.connections.reserved != used+20+inFlightReserve || used < 2 {
+		t.Errorf("%d reserved, %d used", successor.node.connections.reserved, used)
+	}
+	successor.apply(PredecessorGone{})
+	if successor.node.connections.reserved != 0 {
+		t.Errorf("%d reserved for no process", successor.node.connections.reserved)
+	}
+}
+
+func checkInheritedExpires(t *testing.T, _, successor *testHarness, _ Conn) {
+	successor.apply(PredecessorGone{})
+	successor.advance(inheritedTimeout / 2)
+	if len(successor.node.flows.ids.inherited) != 1 {
+		t.Error("forgotten too soon")
+	}
+	successor.advance(inheritedTimeout)
+	if len(successor.node.flows.ids.inherited) != 0 {
+		t.Error("not forgotten")
+	}
+}
+
+func checkEndAtPredecessor(t *testing.T, predecessor, successor *testHarness, client Conn) {
+	predecessor.advance(1) // a blocked connection is not waited for
+	predecessor.receive(client, "", Broken)
+	predecessor.deliverTransfers(successor, false)
+	if len(successor.node.flows.ids.inherited) != 0 {
+		t.Error("it still counts as open")
+	}
+	other := successor.accept()
+	successor.receive(other, openingOf(client)+"b2 c=chat,d=900\r\n", Open)
+	if successor.written[other] != "BUSY\r\n" {
+		t.Errorf("its id is free for others: %q", successor.written[other])
+	}
+}
+
+func checkThirdProcess(t *testing.T, _, successor *testHarness, client Conn) {
+	successor.query(DisableHost, "s-00000064")
+	third := successor.startSuccessor("pass")
+	successor.handOverTo(third)
+	successor.deliverTransfers(third, false)
+	id := strings.Fields(openingOf(client))[1]
+	if third.unavailable() != 2 || third.node.flows.ids.inherited[id] == nil {
+		t.Errorf("%+v, %v", third.node.currentFigures(), third.node.flows.ids.inherited)
+	}
+}
+
+func checkSuccessorGone(t *testing.T, predecessor, _ *testHarness, _ Conn) {
+	predecessor.apply(SuccessorGone{})
+	if predecessor.node.connections.limit != 100 || predecessor.node.upgrade.clientsHandedOver {
+		t.Errorf("limit %d, clients handed over %v", predecessor.node.connections.limit,
+			predecessor.node.upgrade.clientsHandedOver)
+	}
+}
+
+// The predecessor and the successor act as one node while there are two processes.
 func TestPredecessorAndSuccessorActAsOneNode(t *testing.T) {
-	stuck := func(t *testing.T) (w, h *testHarness, client Conn) { // its connection stays at the predecessor
-		w = newHarness(t, "pass", 3, 100)
-		client, host := w.establish("a1 c=chat,t=acme,d=2000")
-		w.blocked[client] = true
-		w.receive(host, "M 1\r\n", Open)
-		w.query(DisableHost, "s-00000066")
-		h = w.startSuccessor("pass")
-		w.handOverTo(h)
-		w.deliverTransfers(h, false)
-		return w, h, client
-	}
-	id := func(c Conn) string { return fmt.Sprintf("OPEN %x ", 0x1000+c) }
-	for _, c := range []struct {
-		name string
-		do   func(t *testing.T, w, h *testHarness, client Conn)
-	}{
-		{"ready at once, from the predecessor's list", func(t *testing.T, w, h *testHarness, _ Conn) {
-			if !h.query(IsReady, "").OK || h.listenerRequests != 1 || len(h.watchIndices) > 1 || len(h.watchIndices) == 1 && h.watchIndices[0] != 6 {
-				t.Errorf("ready said %d times, watches %v", h.listenerRequests, h.watchIndices)
-			}
-		}},
-		{"hosts out stay out", func(t *testing.T, w, h *testHarness, _ Conn) {
-			if f := h.query(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 1 {
-				t.Errorf("%d listed, %d avoided", f.Listed, f.Unavailable)
-			}
-		}},
-		{"a call at the successor reaches the predecessor", func(t *testing.T, w, h *testHarness, _ Conn) {
-			h.query(EnableHost, "s-00000066")
-			h.query(DisableHost, "s-00000065")
-			h.deliverTransfers(w, false)
-			if a, b := w.node.currentFigures().Unavailable, h.node.currentFigures().Unavailable; a != 1 || b != 1 || len(w.updates) == 0 {
-				t.Errorf("%d and %d avoided, %v", a, b, w.updates)
-			}
-		}},
-		{"a call at the predecessor reaches the successor, and comes to rest", func(t *testing.T, w, h *testHarness, _ Conn) {
-			w.query(DisableHost, "s-00000065")
-			w.deliverTransfers(h, false)
-			h.deliverTransfers(w, false)
-			w.deliverTransfers(h, false)
-			if a, b := w.node.currentFigures().Unavailable, h.node.currentFigures().Unavailable; a != 2 || b != 2 || len(w.updates)+len(h.updates) != 0 {
-				t.Errorf("%d and %d avoided, %v %v", a, b, w.updates, h.updates)
-			}
-		}},
-		{"the id of a flow at the predecessor is refused", func(t *testing.T, w, h *testHarness, client Conn) {
-			c := h.accept()
-			h.receive(c, id(client)+"b2 c=chat,d=900\r\n", Open)
-			if h.written[c] != "BUSY\r\n" {
-				t.Errorf("told %q", h.written[c])
-			}
-		}},
-		{"packets that come by the successor find their host", func(t *testing.T, w, h *testHarness, client Conn) {
-			at := w.dialedAddress[w.flowDials[0]]
-			for try, line := range []string{id(client) + "a1 c=chat,t=acme,d=900,mid=1\r\n", id(client) + "a1 c=chat,t=acme,d=900,mid=1\r\n"} {
-				h.receive(h.accept(), line, Open)
-				if got := h.dialedAddress[h.flowDials[try]]; got != at {
-					t.Errorf("sent to %s, it sits at %s", got, at)
-				}
-				if len(h.node.flows.ids.inherited) != 0 {
-					t.Error("it still sits at the predecessor")
-				}
-			}
-		}},
-		{"what the predecessor holds counts against the limit, until it is gone", func(t *testing.T, w, h *testHarness, _ Conn) {
-			if h.node.connections.reserved != w.node.connections.used()+20+inFlightReserve || w.node.connections.used() < 2 {
-				t.Errorf("%d lent, %d held", h.node.connections.reserved, w.node.connections.used())
-			}
-			if h.apply(PredecessorGone{}); h.node.connections.reserved != 0 {
-				t.Errorf("%d lent by nobody", h.node.connections.reserved)
-			}
-		}},
-		{"connections that did not come are forgotten in time", func(t *testing.T, w, h *testHarness, _ Conn) {
-			h.apply(PredecessorGone{})
-			if h.advance(inheritedTimeout / 2); len(h.node.flows.ids.inherited) != 1 {
-				t.Error("forgotten too soon")
-			}
-			if h.advance(inheritedTimeout); len(h.node.flows.ids.inherited) != 0 {
-				t.Error("not forgotten")
-			}
-		}},
-		{"the end of one at the predecessor is told", func(t *testing.T, w, h *testHarness, client Conn) {
-			w.advance(1) // what does not go out is not waited for
-			w.receive(client, "", Broken)
-			if w.deliverTransfers(h, false); len(h.node.flows.ids.inherited) != 0 {
-				t.Error("it still sits there")
-			}
-			c := h.accept()
-			h.receive(c, id(client)+"b2 c=chat,d=900\r\n", Open)
-			if h.written[c] != "BUSY\r\n" {
-				t.Errorf("its id is free for others: %q", h.written[c])
-			}
-		}},
-		{"a third process learns all of both", func(t *testing.T, w, h *testHarness, client Conn) {
-			h.query(DisableHost, "s-00000064")
-			third := h.startSuccessor("pass")
-			h.handOverTo(third)
-			h.deliverTransfers(third, false)
-			if third.node.currentFigures().Unavailable != 2 || third.node.flows.ids.inherited[strings.Fields(id(client))[1]] == nil {
-				t.Errorf("%+v, %v", third.node.currentFigures(), third.node.flows.ids.inherited)
-			}
-		}},
-		{"a successor that is gone gives the clients back", func(t *testing.T, w, h *testHarness, _ Conn) {
-			if w.apply(SuccessorGone{}); w.node.connections.limit != 100 || w.node.upgrade.clientsHandedOver {
-				t.Errorf("limit %d, given %v", w.node.connections.limit, w.node.upgrade.clientsHandedOver)
-			}
-		}},
-	} {
+	for _, c := range oneNodeCases {
 		t.Run(c.name, func(t *testing.T) {
-			w, h, client := stuck(t)
-			c.do(t, w, h, client)
+			predecessor, successor, client := handOverWithBlockedClient(t)
+			c.check(t, predecessor, successor, client)
 		})
 	}
 }
 
-// A call that crosses with the predecessor's word is not undone by it.
+// A query that crosses with the predecessor's state is not undone by it.
 func TestQueryThatCrossesWithHandoverStands(t *testing.T) {
-	w := newHarness(t, "pass", 3, 100)
-	h := w.startSuccessor("pass")
-	late := w.query(TakeOver, "").Handover // said before the call below
-	h.query(DisableHost, "s-00000065")
-	h.apply(HandoverReceived{exchangeJSON(w, late)})
-	if h.node.currentFigures().Unavailable != 1 {
-		t.Error("put back by what the predecessor had said before")
+	predecessor := newHarness(t, "pass", 3, 100)
+	successor := predecessor.startSuccessor("pass")
+	state := predecessor.query(TakeOver, "").Handover // from before the query below
+	successor.query(DisableHost, "s-00000065")
+	successor.apply(HandoverReceived{exchangeJSON(predecessor, state)})
+	if successor.unavailable() != 1 {
+		t.Error("enabled by the predecessor's earlier state")
 	}
 }
 
 // A successor of a node that had no list yet waits for its own.
 func TestSuccessorWithoutListWaitsForItsOwn(t *testing.T) {
-	w := newHarness(t, "pass", 0, 100)
-	w.node.endpoints.listReceived = false
-	h := w.startSuccessor("pass")
-	if h.listenerRequests != 0 || h.query(IsReady, "").OK {
+	predecessor := newHarness(t, "pass", 0, 100)
+	predecessor.node.endpoints.listReceived = false
+	successor := predecessor.startSuccessor("pass")
+	if successor.listenerRequests != 0 || successor.query(IsReady, "").OK {
 		t.Fatal("ready without a list")
 	}
-	if h.apply(ListReceived{hostList(2)}); h.listenerRequests != 1 || h.query(IsReady, "").OK {
-		t.Fatal("could not serve, or was ready before its door was open")
+	successor.apply(ListReceived{hostList(2)})
+	if successor.listenerRequests != 1 || successor.query(IsReady, "").OK {
+		t.Fatal("could not serve, or was ready before its listener was open")
 	}
-	if h.apply(ListenerOpened{}); !h.query(IsReady, "").OK {
+	successor.apply(ListenerOpened{})
+	if !successor.query(IsReady, "").OK {
 		t.Fatal("not ready")
 	}
 }
 
-// Both together never send a cold host more than the one would have: the predecessor has no part of it any more.
+// setSlowStart gives a balancer a long slow start in which a host bears little.
+func setSlowStart(balancer *placement.Balancer) {
+	balancer.SlowStartTime = 100
+	balancer.SlowStartShare = 0.1
+	balancer.OverloadWindow = 1000
+	balancer.OverloadMultiple = 2
+}
+
+// Both processes together never send a host in slow start more than one process would: the predecessor's part is spent.
 func TestSlowStartBudgetIsShared(t *testing.T) {
-	w := newHarness(t, "pass", 0, 1000)
-	w.apply(ListReceived{endpoint.List{Index: 9, Complete: true, Hosts: []endpoint.Host{{Name: "s-00000064", Address: "h0", Status: "SERVING",
-		StartedAtMS: (w.now - 1) * 1e3}}}})
-	w.node.balancer.SlowStartTime, w.node.balancer.SlowStartShare, w.node.balancer.OverloadWindow, w.node.balancer.OverloadMultiple = 100, 0.1, 1000, 2
-	w.node.balancer.StartedAt = 0 // a window before this one at the least; its successor begins within it
-	h := w.startSuccessor("pass")
-	h.node.balancer.SlowStartTime, h.node.balancer.SlowStartShare, h.node.balancer.OverloadWindow, h.node.balancer.OverloadMultiple = 100, 0.1, 1000, 2
+	predecessor := newHarness(t, "pass", 0, 1000)
+	started := endpoint.Host{
+		Name: "s-00000064", Address: "h0", Status: "SERVING", StartedAtMS: (predecessor.now - 1) * 1e3,
+	}
+	predecessor.apply(ListReceived{endpoint.List{Index: 9, Complete: true, Hosts: []endpoint.Host{started}}})
+	setSlowStart(predecessor.node.balancer)
+	predecessor.node.balancer.StartedAt = 0 // a window before this one at the least; its successor begins within it
+	successor := predecessor.startSuccessor("pass")
+	setSlowStart(successor.node.balancer)
 	for range 40 {
-		w.openFlow("a1 c=chat,d=900")
+		predecessor.openFlow("a1 c=chat,d=900")
 	}
-	spent := len(w.flowDials)
-	w.handOverTo(h)
+	before := len(predecessor.flowDials)
+	predecessor.handOverTo(successor)
 	for range 40 {
-		w.openFlow("a1 c=chat,d=900")
-		h.openFlow("a1 c=chat,d=900")
+		predecessor.openFlow("a1 c=chat,d=900")
+		successor.openFlow("a1 c=chat,d=900")
 	}
-	if spent == 0 || len(w.flowDials) != spent || len(h.flowDials) != 0 {
-		t.Errorf("%d connects before; after it %d at the predecessor, %d at the successor", spent, len(w.flowDials)-spent, len(h.flowDials))
+	after := len(predecessor.flowDials) - before
+	if before == 0 || after != 0 || len(successor.flowDials) != 0 {
+		t.Errorf("%d attempts before; after it %d at the predecessor, %d at the successor", before, after,
+			len(successor.flowDials))
 	}
 }
 
-// Hand-overs at any moment of random sequences: figures add up at both, and nothing is left of either.
+// The figures add up at both processes whatever the moment of an upgrade in a random sequence of inputs.
 func TestFiguresAddUpWhateverTheMomentOfAnUpgrade(t *testing.T) {
 	for seed := range uint64(120) {
-		chance := rand.New(rand.NewPCG(seed, 2))
-		w := newHarness(t, "pass", 3, 100)
-		applyRandomInputs(w, chance, 60)
-		h := w.startSuccessor("pass")
-		applyRandomInputs(w, chance, 10)
-		w.handOverTo(h)
-		for range 10 {
-			applyRandomInputs(w, chance, 4)
-			w.deliverTransfers(h, chance.IntN(3) == 0)
-			applyRandomInputs(h, chance, 4)
-			h.deliverTransfers(w, false)
-		}
-		w.apply(Shutdown{})
-		for range 5 {
-			w.advance(0.5)
-			w.deliverTransfers(h, false)
-			h.now = w.now
-			h.apply(TimerFired{})
-			w.checkedFigures()
-			h.checkedFigures()
-		}
-		h.apply(PredecessorGone{})
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			chance := rand.New(rand.NewPCG(seed, 2))
+			predecessor := newHarness(t, "pass", 3, 100)
+			applyRandomInputs(predecessor, chance, 60)
+			successor := predecessor.startSuccessor("pass")
+			applyRandomInputs(predecessor, chance, 10)
+			predecessor.handOverTo(successor)
+			for range 10 {
+				applyRandomInputs(predecessor, chance, 4)
+				predecessor.deliverTransfers(successor, chance.IntN(3) == 0)
+				applyRandomInputs(successor, chance, 4)
+				successor.deliverTransfers(predecessor, false)
+			}
+			predecessor.apply(Shutdown{})
+			for range 5 {
+				predecessor.advance(0.5)
+				predecessor.deliverTransfers(successor, false)
+				successor.now = predecessor.now
+				successor.apply(TimerFired{})
+				predecessor.checkedFigures()
+				successor.checkedFigures()
+			}
+			successor.apply(PredecessorGone{})
+		})
 	}
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -18,270 +18,360 @@
 	{"name":"order","effect":"once","group":"all","give_up_us":2000000,"setup_target_us":300000},
 	{"name":"mail","effect":"by_key","group":"all","give_up_us":2000000,"memory_span_us":5000000}]}`
 
-// testHarness stands in for all that is outside the core: it carries out effects and keeps what was written.
+// What follows the id in the opening lines of an idempotent and of a non-idempotent flow.
+const (
+	chatRequest  = "a1 c=chat,t=acme,d=2000"
+	orderRequest = "a1 c=order,t=acme,d=2000"
+)
+
+// testHarness stands in for the owner of a node: it carries out effects and keeps what the node has asked for.
 type testHarness struct {
 	*testing.T
-	node             *Node
-	now              float64
-	pendingReads     map[Conn][]byte
-	written          map[Conn]string
-	connectionState  map[Conn]string // dialed, failed, shut, closed, reset
-	dialedAddress    map[Conn]string
-	flowDials        []Conn // for flows
-	healthChecks     []Conn
-	records          []Record
-	watchIndices     []int64
-	watchSilent      bool // the watch says nothing
-	stoppedWatches   int
-	parallelWatches  int           // calls made beside another
-	blocked          map[Conn]bool // writes to these are not taken
-	blockedWrites    []WriteDone
-	lastAccepted     Conn
-	exited           bool
+	node *Node
+	now  float64
+
+	lastAccepted    Conn
+	connectionState map[Conn]string // dialed, failed, write closed, closed or reset; empty for open
+	pendingReads    map[Conn][]byte
+	written         map[Conn]string // all that was written
+	blocked         map[Conn]bool   // writes to these are not taken
+	blockedWrites   []WriteDone     // what such a write would have been answered with
+	flowDials       []Conn
+	healthChecks    []Conn
+	dialedAddress   map[Conn]string
+	records         []Record
+
+	watchSilent     bool    // advance does not have the watch send anything
+	watchIndices    []int64 // of the watches asked for
+	parallelWatches int     // of these, those beside another call
+	stoppedWatches  int
+	discoveryMoves  []string
+
 	reply            Reply
-	updates          []HandoverUpdate
-	listenerRequests int
-	transfers        []SendConnection
-	boundHost        BindHostConnection
 	gossip           []peers.HostLoad
+	settingsResults  []SettingsApplied
+	listenerRequests int
+	exited           bool
 
-	settingsResults []SettingsApplied
-	discoveryMoves  []string
+	updates   []HandoverUpdate
+	transfers []SendConnection
+	boundHost BindHostConnection
 }
 
-func newHarness(t *testing.T, mode string, hosts, sockets int) *testHarness {
-	return newHarnessWith(t, settingsJSON, mode, hosts, sockets)
+// newHarness returns a harness of a node that has received a list of hosts.
+func newHarness(t *testing.T, mode string, hosts, descriptors int) *testHarness {
+	t.Helper()
+	return newHarnessWith(t, settingsJSON, mode, hosts, descriptors)
 }
 
-func newHarnessWith(t *testing.T, settingsText, mode string, hosts, sockets int) *testHarness {
-	r, d, err := settings.Parse(fmt.Appendf(nil, settingsText, mode), 7)
+func newHarnessWith(t *testing.T, settingsText, mode string, hosts, descriptors int) *testHarness {
+	t.Helper()
+	balancer, listener, err := settings.Parse(fmt.Appendf(nil, settingsText, mode), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &testHarness{T: t, now: 1e9, pendingReads: map[Conn][]byte{}, written: map[Conn]string{}, connectionState: map[Conn]string{},
-		dialedAddress: map[Conn]string{}, blocked: map[Conn]bool{}, lastAccepted: 1}
-	w.node = New(w.now, Start{Settings: r, Listener: d, CachedList: endpoint.List{Index: 5, Complete: true}, MaxDescriptors: sockets})
-	w.apply(TimerFired{})
-	w.apply(ListReceived{hostList(hosts)})
-	return w
+	harness := &testHarness{
+		T:               t,
+		now:             1e9,
+		lastAccepted:    1,
+		connectionState: map[Conn]string{},
+		pendingReads:    map[Conn][]byte{},
+		written:         map[Conn]string{},
+		blocked:         map[Conn]bool{},
+		dialedAddress:   map[Conn]string{},
+	}
+	harness.node = New(harness.now, Start{
+		Settings:       balancer,
+		Listener:       listener,
+		CachedList:     endpoint.List{Index: 5, Complete: true},
+		MaxDescriptors: descriptors,
+	})
+	harness.apply(TimerFired{})
+	harness.apply(ListReceived{hostList(hosts)})
+	return harness
 }
 
 // hostList lists hosts whose ids rise with their place.
 func hostList(hosts int) endpoint.List {
-	l := endpoint.List{Index: 6, Complete: true}
+	list := endpoint.List{Index: 6, Complete: true}
 	for i := range hosts {
-		l.Hosts = append(l.Hosts, endpoint.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: fmt.Sprint("h", i),
-			Zone:   "a",
-			Status: "SERVING", Weight: 1})
+		list.Hosts = append(list.Hosts, endpoint.Host{
+			Name:    fmt.Sprintf("s-%08x", 100+i),
+			Address: fmt.Sprint("h", i),
+			Zone:    "a",
+			Status:  "SERVING",
+			Weight:  1,
+		})
 	}
-	return l
+	return list
 }
 
-func (w *testHarness) apply(in Input) {
-	w.Helper()
-	for todo := []Input{in}; len(todo) > 0; todo = todo[1:] {
-		for _, e := range w.node.Apply(w.now, todo[0]) {
-			switch e := e.(type) {
-			case Read:
-				if w.pendingReads[e.Conn] != nil || w.connectionState[e.Conn] == "closed" {
-					w.Fatal("a second read on a connection, or one on a closed connection")
-				}
-				w.pendingReads[e.Conn] = e.Into
-			case Write:
-				if h := w.connectionState[e.Conn]; h != "" {
-					w.Fatalf("wrote %q to a connection that is %s", e.Data, h)
-				}
-				if w.blocked[e.Conn] {
-					w.blockedWrites = append(w.blockedWrites, WriteDone{e.Conn, len(e.Data), false})
-					continue
-				}
-				w.written[e.Conn] += string(e.Data)
-				todo = append(todo, WriteDone{e.Conn, len(e.Data), false})
-			case Dial:
-				if c := w.node.connections.byID[e.Conn]; c != nil && c.role == healthCheckRole {
-					w.healthChecks = append(w.healthChecks, e.Conn)
-				} else {
-					w.flowDials = append(w.flowDials, e.Conn)
-				}
-				w.dialedAddress[e.Conn] = e.Address
-				w.connectionState[e.Conn] = "dialed"
-			case CloseWrite:
-				w.connectionState[e.Conn] = "shut"
-			case Close:
-				if w.connectionState[e.Conn] != "failed" {
-					todo = append(todo, Closed{e.Conn})
-				}
-				w.connectionState[e.Conn] = "closed"
-				if e.Reset {
-					w.connectionState[e.Conn] = "reset"
-				}
-			case Watch:
-				w.watchIndices = append(w.watchIndices, e.Index)
-				if e.Beside {
-					w.parallelWatches++
-				}
-			case StopWatch:
-				w.stoppedWatches++
-			case LogConnection:
-				w.records = append(w.records, e.Record)
-			case Exit:
-				w.exited = true
-			case Reply:
-				w.reply = e
-			case UpdatePeerProcess:
-				w.updates = append(w.updates, e.Update)
-			case OpenListener:
-				w.listenerRequests++
-			case StopReading:
-				if w.pendingReads[e.Conn] == nil {
-					w.Fatal("halted a connection that is not read")
-				}
-				delete(w.pendingReads, e.Conn)
-				todo = append(todo, ReadDone{e.Conn, 0, Open})
-			case SendConnection:
-				w.transfers = append(w.transfers, e)
-			case BindHostConnection:
-				w.boundHost = e
-			case SendGossip:
-				w.gossip = append(w.gossip, e.Loads...)
-			case SettingsApplied:
-				w.settingsResults = append(w.settingsResults, e)
-			case MoveDiscovery:
-				w.discoveryMoves = append(w.discoveryMoves, e.Address)
+// apply gives the node an input and then the results of what it asks for, until it asks for nothing more.
+func (harness *testHarness) apply(input Input) {
+	harness.Helper()
+	for pending := []Input{input}; len(pending) > 0; pending = pending[1:] {
+		for _, effect := range harness.node.Apply(harness.now, pending[0]) {
+			if result := harness.carryOut(effect); result != nil {
+				pending = append(pending, result)
 			}
 		}
 	}
 }
 
-// receive has the far side send text, in as many reads as its ring needs, and then what end says.
-func (w *testHarness) receive(c Conn, text string, end End) {
-	w.Helper()
+// carryOut carries out an effect and returns its result, nil for none or for one that comes later.
+func (harness *testHarness) carryOut(effect Effect) Input {
+	harness.Helper()
+	switch effect := effect.(type) {
+	case Dial:
+		harness.dial(effect)
+	case Read:
+		harness.read(effect)
+	case StopReading:
+		return harness.stopReading(effect)
+	case Write:
+		return harness.write(effect)
+	case CloseWrite:
+		harness.connectionState[effect.Conn] = "write closed"
+	case Close:
+		return harness.close(effect)
+	case LogConnection:
+		harness.records = append(harness.records, effect.Record)
+	default:
+		harness.keep(effect)
+	}
+	return nil
+}
+
+// keep keeps an effect that is on no connection.
+func (harness *testHarness) keep(effect Effect) {
+	switch effect := effect.(type) {
+	case Watch:
+		harness.watchIndices = append(harness.watchIndices, effect.Index)
+		if effect.Beside {
+			harness.parallelWatches++
+		}
+	case StopWatch:
+		harness.stoppedWatches++
+	case MoveDiscovery:
+		harness.discoveryMoves = append(harness.discoveryMoves, effect.Address)
+	case Reply:
+		harness.reply = effect
+	case SendGossip:
+		harness.gossip = append(harness.gossip, effect.Loads...)
+	case SettingsApplied:
+		harness.settingsResults = append(harness.settingsResults, effect)
+	case OpenListener:
+		harness.listenerRequests++
+	case Exit:
+		harness.exited = true
+	case UpdatePeerProcess:
+		harness.updates = append(harness.updates, effect.Update)
+	case SendConnection:
+		harness.transfers = append(harness.transfers, effect)
+	case BindHostConnection:
+		harness.boundHost = effect
+	}
+}
+
+func (harness *testHarness) dial(dial Dial) {
+	if c := harness.node.connections.byID[dial.Conn]; c != nil && c.role == healthCheckRole {
+		harness.healthChecks = append(harness.healthChecks, dial.Conn)
+	} else {
+		harness.flowDials = append(harness.flowDials, dial.Conn)
+	}
+	harness.dialedAddress[dial.Conn] = dial.Address
+	harness.connectionState[dial.Conn] = "dialed"
+}
+
+func (harness *testHarness) read(read Read) {
+	harness.Helper()
+	if harness.pendingReads[read.Conn] != nil || harness.connectionState[read.Conn] == "closed" {
+		harness.Fatal("a second read on a connection, or one on a closed connection")
+	}
+	harness.pendingReads[read.Conn] = read.Into
+}
+
+func (harness *testHarness) stopReading(stop StopReading) Input {
+	harness.Helper()
+	if harness.pendingReads[stop.Conn] == nil {
+		harness.Fatal("stopped reading a connection that is not read")
+	}
+	delete(harness.pendingReads, stop.Conn)
+	return ReadDone{stop.Conn, 0, Open}
+}
+
+func (harness *testHarness) write(write Write) Input {
+	harness.Helper()
+	if state := harness.connectionState[write.Conn]; state != "" {
+		harness.Fatalf("wrote %q to a connection that is %s", write.Data, state)
+	}
+	done := WriteDone{write.Conn, len(write.Data), false}
+	if harness.blocked[write.Conn] {
+		harness.blockedWrites = append(harness.blockedWrites, done)
+		return nil
+	}
+	harness.written[write.Conn] += string(write.Data)
+	return done
+}
+
+// close closes a connection. A dial that failed has no descriptor to confirm.
+func (harness *testHarness) close(request Close) Input {
+	failed := harness.connectionState[request.Conn] == "failed"
+	harness.connectionState[request.Conn] = "closed"
+	if request.Reset {
+		harness.connectionState[request.Conn] = "reset"
+	}
+	if failed {
+		return nil
+	}
+	return Closed{request.Conn}
+}
+
+// receive has the far side of a connection send text, in as many reads as the buffer needs, and then do what end says.
+// A connection that the node ends meanwhile gets no more of it.
+func (harness *testHarness) receive(conn Conn, text string, end End) {
+	harness.Helper()
 	for first := true; first || text != ""; first = false {
-		into := w.pendingReads[c]
-		if h := w.connectionState[c]; into == nil && !first && h != "" && h != "dialed" {
-			return // what it said was enough
+		into := harness.pendingReads[conn]
+		state := harness.connectionState[conn]
+		if into == nil && !first && state != "" && state != "dialed" {
+			return
 		}
 		if into == nil {
-			w.Fatalf("nobody reads %.60q on connection %d, which is %q", text, c, w.connectionState[c])
+			harness.Fatalf("nothing reads %.60q on connection %d, which is %q", text, conn, state)
 		}
-		delete(w.pendingReads, c)
-		n := copy(into, text)
-		if text = text[n:]; text != "" {
-			w.apply(ReadDone{c, n, Open})
+		delete(harness.pendingReads, conn)
+		count := copy(into, text)
+		text = text[count:]
+		if text != "" {
+			harness.apply(ReadDone{conn, count, Open})
 		} else {
-			w.apply(ReadDone{c, n, end})
+			harness.apply(ReadDone{conn, count, end})
 		}
 	}
 }
 
-// failDial has a dial fail.
-func failDial(w *testHarness, h Conn) {
-	w.connectionState[h] = "failed"
-	w.apply(Dialed{h, errors.New("refused"), false})
+// accept has a client connect.
+func (harness *testHarness) accept() Conn {
+	harness.Helper()
+	harness.lastAccepted += 2
+	harness.apply(Accepted{harness.lastAccepted})
+	return harness.lastAccepted
 }
 
-func (w *testHarness) accept() Conn {
-	w.lastAccepted += 2
-	w.apply(Accepted{w.lastAccepted})
-	return w.lastAccepted
+// openFlow has a client connect and send its opening line.
+func (harness *testHarness) openFlow(request string) Conn {
+	harness.Helper()
+	client := harness.accept()
+	harness.receive(client, fmt.Sprintf("OPEN %x %s\r\n", 0x1000+client, request), Open)
+	return client
 }
 
-// openFlow has a client send its first line.
-func (w *testHarness) openFlow(what string) Conn {
-	w.Helper()
-	c := w.accept()
-	w.receive(c, fmt.Sprintf("OPEN %x %s\r\n", 0x1000+c, what), Open)
-	return c
+// establish has a client open a flow and its host confirm it.
+func (harness *testHarness) establish(request string) (client, host Conn) {
+	harness.Helper()
+	client = harness.openFlow(request)
+	host = harness.completeLastDial()
+	harness.receive(host, "UP 77\r\n", Open)
+	if harness.written[client] != "UP 77\r\n" {
+		harness.Fatalf("the client was sent %q", harness.written[client])
+	}
+	return client, host
 }
 
-// completeLastDial has the last dial succeed and gives its connection.
-func (w *testHarness) completeLastDial() Conn {
-	w.Helper()
-	if len(w.flowDials) == 0 {
-		w.Fatal("nothing was dialed")
+// completeLastDial has the last dial for a flow succeed and returns its connection.
+func (harness *testHarness) completeLastDial() Conn {
+	harness.Helper()
+	if len(harness.flowDials) == 0 {
+		harness.Fatal("nothing was dialed")
 	}
-	return w.completeDial(w.flowDials[len(w.flowDials)-1])
+	return harness.completeDial(harness.flowDials[len(harness.flowDials)-1])
 }
 
-func (w *testHarness) completeDial(h Conn) Conn {
-	w.Helper()
-	w.connectionState[h] = ""
-	w.apply(Dialed{h, nil, false})
-	return h
+// completeDial has a dial succeed.
+func (harness *testHarness) completeDial(conn Conn) Conn {
+	harness.Helper()
+	harness.connectionState[conn] = ""
+	harness.apply(Dialed{conn, nil, false})
+	return conn
 }
 
-// establish gives a client and its host after the receipt.
-func (w *testHarness) establish(what string) (client, host Conn) {
-	w.Helper()
-	client = w.openFlow(what)
-	host = w.completeLastDial()
-	w.receive(host, "UP 77\r\n", Open)
-	if w.written[client] != "UP 77\r\n" {
-		w.Fatalf("the client was told %q", w.written[client])
-	}
-	return client, host
+// failDial has a dial fail.
+func failDial(harness *testHarness, conn Conn) {
+	harness.Helper()
+	harness.connectionState[conn] = "failed"
+	harness.apply(Dialed{conn, errors.New("refused"), false})
 }
 
-// advance lets time go by, with a tick as often as the core could ask for one.
-// pass lets time go by, in which the watch says something now and then.
-func (w *testHarness) advance(seconds float64) {
-	for end := w.now + seconds; w.now < end; w.apply(TimerFired{}) {
-		w.now += 0.01
-		if !w.watchSilent && w.node.watch.state != watchIdle && w.now-w.node.watch.lastActivity >= 2 {
-			w.apply(WatchAlive{})
+// advance lets time pass, with a timer as often as the node could ask for one and a sign of life of the watch every two
+// seconds.
+func (harness *testHarness) advance(seconds float64) {
+	harness.Helper()
+	for end := harness.now + seconds; harness.now < end; harness.apply(TimerFired{}) {
+		harness.now += 0.01
+		watch := &harness.node.watch
+		if !harness.watchSilent && watch.state != watchIdle && harness.now-watch.lastActivity >= 2 {
+			harness.apply(WatchAlive{})
 		}
 	}
 }
 
-func (w *testHarness) endReasons() (reasons []Reason) {
-	for _, r := range w.records {
-		reasons = append(reasons, r.Reason)
+// query asks the node a question and returns its reply.
+func (harness *testHarness) query(question Question, host string) Reply {
+	harness.Helper()
+	harness.reply = Reply{Figures: Figures{Accepted: -1}}
+	harness.apply(Query{question, host})
+	if harness.reply.Figures.Accepted < 0 {
+		harness.Fatal("no reply")
 	}
-	return reasons
+	return harness.reply
 }
 
-// checkReleased checks that no trace of ended connections is kept.
-func (w *testHarness) checkReleased() {
-	w.Helper()
-	w.advance(lingerTimeout + 5)
-	if len(w.node.connections.byID) != 0 || w.node.connections.descriptors != 0 || slices.ContainsFunc(w.node.flows.byIndex,
-		func(f *flow) bool { return f != nil }) {
-		w.Fatalf("left: %d connections, %d descriptors, flows %v", len(w.node.connections.byID), w.node.connections.descriptors, w.node.flows.byIndex)
+// unavailable returns how many hosts on the list take no new flows.
+func (harness *testHarness) unavailable() int { return harness.node.currentFigures().Unavailable }
+
+// endReasons returns the reasons of the clients' connections that have ended.
+func (harness *testHarness) endReasons() (reasons []Reason) {
+	for _, record := range harness.records {
+		reasons = append(reasons, record.Reason)
 	}
+	return reasons
 }
 
-const chatRequest, orderRequest = "a1 c=chat,t=acme,d=2000", "a1 c=order,t=acme,d=2000"
-
-func (w *testHarness) query(q Question, host string) Reply {
-	w.Helper()
-	w.reply = Reply{Figures: Figures{Accepted: -1}}
-	w.apply(Query{q, host})
-	if w.reply.Figures.Accepted < 0 {
-		w.Fatal("no answer")
+// checkReleased checks that no trace of ended connections is kept.
+func (harness *testHarness) checkReleased() {
+	harness.Helper()
+	harness.advance(lingerTimeout + 5)
+	connections := &harness.node.connections
+	flows := harness.node.flows.byIndex
+	isHeld := func(f *flow) bool { return f != nil }
+	if len(connections.byID) != 0 || connections.descriptors != 0 || slices.ContainsFunc(flows, isHeld) {
+		harness.Fatalf("left: %d connections, %d descriptors, flows %v", len(connections.byID),
+			connections.descriptors, flows)
 	}
-	return w.reply
 }
 
-// checkedFigures checks what must hold of the figures after any input.
-func (w *testHarness) checkedFigures() Figures {
-	w.Helper()
-	f := w.node.currentFigures()
-	sum := f.Waiting
-	for _, t := range f.Types {
-		sum += t.Established + t.Rejected + t.Aborted + t.ClientLeft
+// checkedFigures returns the figures after it has checked what must hold of them after any input.
+func (harness *testHarness) checkedFigures() Figures {
+	harness.Helper()
+	figures := harness.node.currentFigures()
+	sum := figures.Waiting
+	for _, counts := range figures.Types {
+		sum += counts.Established + counts.Rejected + counts.Aborted + counts.ClientLeft
 	}
 	open, waiting := 0, 0
-	for _, g := range w.node.flows.byIndex {
-		if g != nil && !g.over {
-			open++
-			if !g.established {
-				waiting++
-			}
+	for _, f := range harness.node.flows.byIndex {
+		if f == nil || f.over {
+			continue
+		}
+		open++
+		if !f.established {
+			waiting++
 		}
 	}
-	if f.Accepted != sum || f.Open != open || f.Waiting != waiting {
-		w.Fatalf("taken %d, answered, left and waiting %d; open %d, counted %d; waiting %d, counted %d", f.Accepted, sum, open,
-			f.Open, waiting, f.Waiting)
+	if figures.Accepted != sum || figures.Open != open || figures.Waiting != waiting {
+		harness.Fatalf("accepted %d, answered, left and waiting %d; open %d, counted %d; waiting %d, counted %d",
+			figures.Accepted, sum, open, figures.Open, waiting, figures.Waiting)
 	}
-	return f
+	return figures
 }
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -17,42 +17,46 @@
 		{"not allowed", "NO\r\n", Open, false}, {"ended", "", Ended, false}, {"broken", "", Broken, false},
 		{"over-long", strings.Repeat("x", 5000), Open, false},
 	} {
-		w := newHarness(t, "pass", 2, 1000)
-		aside := func(fail bool) bool { // whether no key's flow goes to h0, where it fails if so asked
-			for i := range 12 {
-				client, h := w.openFlow(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1)), w.flowDials[len(w.flowDials)-1]
-				first := w.dialedAddress[h]
-				if first == "h0" && fail {
-					w.receive(w.completeLastDial(), "ERR\r\n", Open)
-				}
-				if w.receive(client, "", Ended); first == "h0" {
-					return false
+		t.Run(c.name, func(t *testing.T) {
+			harness := newHarness(t, "pass", 2, 1000)
+			aside := func(fail bool) bool { // whether no key's flow goes to h0, where it fails if so asked
+				for i := range 12 {
+					client, h := harness.openFlow(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1)), harness.flowDials[len(harness.flowDials)-1]
+					first := harness.dialedAddress[h]
+					if first == "h0" && fail {
+						harness.receive(harness.completeLastDial(), "ERR\r\n", Open)
+					}
+					harness.receive(client, "", Ended)
+					if first == "h0" {
+						return false
+					}
 				}
+				return true
 			}
-			return true
-		}
-		aside(true)
-		if !aside(false) {
-			t.Fatal("a host that fails is not set aside")
-		}
-		probes := 0
-		for range 1200 {
-			w.now += 0.01
-			w.apply(TimerFired{})
-			for ; len(w.healthChecks) > 0; w.healthChecks = w.healthChecks[1:] {
-				h := w.healthChecks[0]
-				if at := w.dialedAddress[h]; at != "h0" || w.connectionState[h] != "dialed" {
-					continue
-				}
-				if w.completeDial(h); w.written[h] != "PING\r\n" {
-					t.Fatalf("probed with %q", w.written[h])
+			aside(true)
+			if !aside(false) {
+				t.Fatal("a host that fails is not set aside")
+			}
+			probes := 0
+			for range 1200 {
+				harness.now += 0.01
+				harness.apply(TimerFired{})
+				for ; len(harness.healthChecks) > 0; harness.healthChecks = harness.healthChecks[1:] {
+					h := harness.healthChecks[0]
+					if at := harness.dialedAddress[h]; at != "h0" || harness.connectionState[h] != "dialed" {
+						continue
+					}
+					harness.completeDial(h)
+					if harness.written[h] != "PING\r\n" {
+						t.Fatalf("probed with %q", harness.written[h])
+					}
+					harness.receive(h, c.text, c.end)
+					probes++
 				}
-				w.receive(h, c.text, c.end)
-				probes++
 			}
-		}
-		if probes < 2 || aside(false) == c.back {
-			t.Errorf("%s: %d probes, wanted back %v", c.name, probes, c.back)
-		}
+			if probes < 2 || aside(false) == c.back {
+				t.Errorf("%d probes, wanted back %v", probes, c.back)
+			}
+		})
 	}
 }
--- a/internal/node/host_lines_test.go
+++ b/internal/node/host_lines_test.go
@@ -24,38 +24,41 @@
 		{"no loads are told", true, false, "LOAD 35090.7\r\n", true},
 		{"a small load before any other", true, true, "LOAD 1431.5\r\n", false},
 	} {
-		w := newHarness(t, "proxy", 1, 100)
-		w.node.listener.ReportsDelay, w.node.listener.ReportsLoad = c.delays, c.loads
-		_, host := w.establish(chatRequest)
-		w.receive(host, c.notes, Open)
-		w.advance(0.1)
-		if w.openFlow(chatRequest); (len(w.flowDials) == 1) != c.jammed {
-			t.Errorf("%s: %d dials", c.name, len(w.flowDials))
-		}
+		t.Run(c.name, func(t *testing.T) {
+			harness := newHarness(t, "proxy", 1, 100)
+			harness.node.listener.ReportsDelay, harness.node.listener.ReportsLoad = c.delays, c.loads
+			_, host := harness.establish(chatRequest)
+			harness.receive(host, c.notes, Open)
+			harness.advance(0.1)
+			harness.openFlow(chatRequest)
+			if (len(harness.flowDials) == 1) != c.jammed {
+				t.Errorf("%d dials", len(harness.flowDials))
+			}
+		})
 	}
 }
 
 // The module's moves reach the client between two lines.
 func TestSlowHostLosesSomeFlows(t *testing.T) {
-	w := newHarness(t, "proxy", 1, 1000)
+	harness := newHarness(t, "proxy", 1, 1000)
 	var clients, hosts []Conn
 	for i := range 6 {
-		c, h := w.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
+		c, h := harness.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
 		clients, hosts = append(clients, c), append(hosts, h)
 	}
 	for _, h := range hosts {
-		w.receive(h, "LOAD 100000\r\nhalf a li", Open)
+		harness.receive(h, "LOAD 100000\r\nhalf a li", Open)
 	}
-	w.receive(clients[0], "M\r\n", Open)
-	w.advance(0.2)
-	w.receive(hosts[0], "ne\r\n", Open) // four aims late
-	w.advance(0.6)
+	harness.receive(clients[0], "M\r\n", Open)
+	harness.advance(0.2)
+	harness.receive(hosts[0], "ne\r\n", Open) // four aims late
+	harness.advance(0.6)
 	moved := 0
 	for _, c := range clients {
-		if strings.HasSuffix(w.written[c], "\r\nMOVE\r\n") && w.connectionState[c] == "shut" {
+		if strings.HasSuffix(harness.written[c], "\r\nMOVE\r\n") && harness.connectionState[c] == "write closed" {
 			moved++
-		} else if strings.Contains(w.written[c], "MOVE") {
-			t.Fatalf("told %q", w.written[c])
+		} else if strings.Contains(harness.written[c], "MOVE") {
+			t.Fatalf("told %q", harness.written[c])
 		}
 	}
 	if moved == 0 || moved == len(clients) {
--- a/internal/node/live_settings_harness_test.go
+++ b/internal/node/live_settings_harness_test.go
@@ -31,55 +31,55 @@
 }
 
 // applySettings puts a document in force, or gives why it is not.
-func (w *testHarness) applySettings(number uint64, text string) error {
-	w.Helper()
-	answers := len(w.settingsResults)
-	w.apply(SettingsReceived{revision(w.T, number, text)})
-	if len(w.settingsResults) != answers+1 {
-		w.Fatalf("%d answers to a revision", len(w.settingsResults)-answers)
+func (harness *testHarness) applySettings(number uint64, text string) error {
+	harness.Helper()
+	answers := len(harness.settingsResults)
+	harness.apply(SettingsReceived{revision(harness.T, number, text)})
+	if len(harness.settingsResults) != answers+1 {
+		harness.Fatalf("%d answers to a revision", len(harness.settingsResults)-answers)
 	}
-	return w.settingsResults[answers].Err
+	return harness.settingsResults[answers].Err
 }
 
 // shortestRetryAfter gives the retry time of a flow that is turned away, in milliseconds.
-func shortestRetryAfter(w *testHarness) (ms int) {
+func shortestRetryAfter(harness *testHarness) (ms int) {
 	for i := range 4 {
-		w.query(DisableHost, fmt.Sprintf("s-%08x", 100+i))
+		harness.query(DisableHost, fmt.Sprintf("s-%08x", 100+i))
 	}
-	fmt.Sscanf(w.written[w.openFlow(chatRequest)], "BUSY %d", &ms)
+	fmt.Sscanf(harness.written[harness.openFlow(chatRequest)], "BUSY %d", &ms)
 	return ms
 }
 
 // countFailedDials gives how many connects a flow makes that all fail.
-func countFailedDials(w *testHarness) int {
-	w.openFlow(chatRequest)
-	for made := 0; made < len(w.flowDials); made++ {
-		failDial(w, w.flowDials[made])
+func countFailedDials(harness *testHarness) int {
+	harness.openFlow(chatRequest)
+	for made := 0; made < len(harness.flowDials); made++ {
+		failDial(harness, harness.flowDials[made])
 	}
-	return len(w.flowDials)
+	return len(harness.flowDials)
 }
 
 // outcomeOnWarmingHost gives how many of 240 flows go to the one of four hosts that has just started.
-func outcomeOnWarmingHost(w *testHarness) any {
-	w.node.connections.limit, w.node.connections.configuredLimit = 1000, 1000
+func outcomeOnWarmingHost(harness *testHarness) any {
+	harness.node.connections.limit, harness.node.connections.configuredLimit = 1000, 1000
 	for i := range 40 {
-		w.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
+		harness.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
 	}
 	l := hostList(4)
-	l.Hosts[1].StartedAtMS = w.now * 1e3
-	w.apply(ListReceived{l})
-	began := len(w.flowDials)
+	l.Hosts[1].StartedAtMS = harness.now * 1e3
+	harness.apply(ListReceived{l})
+	began := len(harness.flowDials)
 	for i := range 240 {
-		w.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
-		w.advance(0.025)
+		harness.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
+		harness.advance(0.025)
 	}
-	return w.dialsTo("h1", began)
+	return harness.dialsTo("h1", began)
 }
 
 // dialsTo tells how many of the connects that were made since go to an address, and whether one was written there.
-func (w *testHarness) dialsTo(address string, since int) (n int) {
-	for _, d := range w.flowDials[since:] {
-		if w.dialedAddress[d] == address {
+func (harness *testHarness) dialsTo(address string, since int) (n int) {
+	for _, d := range harness.flowDials[since:] {
+		if harness.dialedAddress[d] == address {
 			n++
 		}
 	}
--- a/internal/node/opening_test.go
+++ b/internal/node/opening_test.go
@@ -5,89 +5,103 @@
 	"testing"
 )
 
-// What a client gets for a first line, and the reason in the log.
+// A client's first line, or the end that comes in its place, decides its answer and the reason in the log.
 func TestOpeningLineIsAnswered(t *testing.T) {
-	cases := []struct {
-		name, text string
-		end        End
-		says       string
-		reason     Reason
+	tooLong := "OPEN 1 a1 c=chat,d=5,x=" + strings.Repeat("x", 4090) + "\r\n"
+	for _, c := range []struct {
+		name   string
+		text   string
+		end    End
+		reply  string
+		reason Reason
 	}{
 		{"another word", "HELLO\r\n", Open, "ERR\r\n", BadLine},
 		{"binary", "\x00\x01\xfe\n", Open, "ERR\r\n", BadLine},
-		{"over-long", strings.Repeat("x", 9000), Open, "ERR\r\n", ClientProtocolError},
-		{"over-long with an end", "OPEN 1 a1 c=chat,d=5,x=" + strings.Repeat("x", 4090) + "\r\n", Open, "ERR\r\n",
-			ClientProtocolError},
+		{"line too long", strings.Repeat("x", 9000), Open, "ERR\r\n", ClientProtocolError},
+		{"line too long with an end", tooLong, Open, "ERR\r\n", ClientProtocolError},
 		{"no timeout", "OPEN 1 a1 c=chat,t=acme\r\n", Open, "ERR\r\n", NoTimeout},
 		{"unknown service type", "OPEN 1 a1 c=else,t=acme,d=5\r\n", Open, "ERR\r\n", UnknownType},
 		{"open at an unknown host", "OPEN 1 a1 c=chat,t=acme,d=5,at=s-1\r\n", Open, "BUSY\r\n", UnknownHost},
-		{"many first lines at once", strings.Repeat("OPEN 1 a1 c=chat,t=acme,d=5\r\n", 200), Open, "ERR\r\n",
+		{"many opening lines at once", strings.Repeat("OPEN 1 a1 c=chat,t=acme,d=5\r\n", 200), Open, "ERR\r\n",
 			ClientProtocolError},
-		{"many questions at once", strings.Repeat("PING\r\n", 400), Open,
+		{"many readiness checks at once", strings.Repeat("PING\r\n", 400), Open,
 			strings.Repeat("PONG\r\n", 11) + "ERR\r\n", ClientProtocolError},
 		{"ready", "PING\r\nPING\r\n", Ended, "PONG\r\nPONG\r\n", ReadinessChecked},
 		{"reset after the check", "PING\r\n", Broken, "PONG\r\n", ReadinessChecked},
-		{"ended with nothing said", "", Ended, "", NoLine},
+		{"ended with nothing sent", "", Ended, "", NoLine},
 		{"half a line", "OPEN 1", Ended, "", NoLine},
-		{"reset with nothing said", "", Broken, "", ClientReset},
-	}
-	for _, c := range cases {
+		{"reset with nothing sent", "", Broken, "", ClientReset},
+	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newHarness(t, "proxy", 2, 100)
-			conn := w.accept()
-			w.receive(conn, c.text, c.end)
-			if w.written[conn] != c.says || len(w.flowDials) > 0 {
-				t.Fatalf("told %q with %d dials, wanted %q", w.written[conn], len(w.flowDials), c.says)
+			harness := newHarness(t, "proxy", 2, 100)
+			client := harness.accept()
+			harness.receive(client, c.text, c.end)
+			if harness.written[client] != c.reply || len(harness.flowDials) > 0 {
+				t.Fatalf("sent %q with %d dials, wanted %q", harness.written[client], len(harness.flowDials), c.reply)
 			}
-			w.checkReleased()
-			if got := w.endReasons(); len(got) != 1 || got[0] != c.reason {
+			harness.checkReleased()
+			if got := harness.endReasons(); len(got) != 1 || got[0] != c.reason {
 				t.Fatalf("reasons %v, wanted %s", got, c.reason)
 			}
 		})
 	}
+}
+
+// A client whose opening line does not come in time is rejected, and what it sends after that is no flow.
+func TestClientWithoutOpeningLineIsRejected(t *testing.T) {
 	for text, reason := range map[string]Reason{"": NoLine, "OPEN 1 a1": NoLine, "PING\r\n": ReadinessChecked} {
 		t.Run("no line in time after "+text, func(t *testing.T) {
-			w := newHarness(t, "proxy", 2, 100)
-			c := w.accept()
-			w.receive(c, text, Open)
-			if w.advance(1); len(w.records) != 0 || w.connectionState[c] != "" {
+			harness := newHarness(t, "proxy", 2, 100)
+			client := harness.accept()
+			harness.receive(client, text, Open)
+			harness.advance(1)
+			if len(harness.records) != 0 || harness.connectionState[client] != "" {
 				t.Fatal("ended too soon")
 			}
-			w.advance(1.5) // within the three seconds in which an end is owed
-			if !strings.HasSuffix(w.written[c], "BUSY\r\n") || w.connectionState[c] != "shut" {
-				t.Fatalf("told %q, and the client's side is %q", w.written[c], w.connectionState[c])
+			harness.advance(1.5) // within the three seconds in which an end is owed
+			state := harness.connectionState[client]
+			if !strings.HasSuffix(harness.written[client], "BUSY\r\n") || state != "write closed" {
+				t.Fatalf("sent %q, and the client's side is %q", harness.written[client], state)
 			}
-			w.receive(c, "OPEN 2 a1 c=chat,t=acme,d=500\r\n", Open) // in the moment of the end, which it has not seen yet
-			if len(w.flowDials) > 0 || len(w.node.flows.byIndex) > 0 {
+			harness.receive(client, "OPEN 2 a1 c=chat,t=acme,d=500\r\n", Open) // before it has seen the end
+			if len(harness.flowDials) > 0 || len(harness.node.flows.byIndex) > 0 {
 				t.Fatal("what came after the end was taken for a flow")
 			}
-			w.advance(1)
-			if got := w.endReasons(); len(got) != 1 || got[0] != reason {
+			harness.advance(1)
+			if got := harness.endReasons(); len(got) != 1 || got[0] != reason {
 				t.Fatalf("reasons %v", got)
 			}
 		})
 	}
-	t.Run("much after the last words", func(t *testing.T) {
-		w := newHarness(t, "proxy", 2, 100)
-		c := w.accept()
-		w.receive(c, "HELLO\r\n", Open)
-		if w.receive(c, strings.Repeat("x", 60000), Open); w.connectionState[c] != "reset" {
-			t.Fatalf("the client's side is %q", w.connectionState[c])
+}
+
+// A client that sends much without waiting for its answer is ended.
+func TestClientInputWithoutAnswerIsLimited(t *testing.T) {
+	t.Run("after the final answer", func(t *testing.T) {
+		harness := newHarness(t, "proxy", 2, 100)
+		client := harness.accept()
+		harness.receive(client, "HELLO\r\n", Open)
+		harness.receive(client, strings.Repeat("x", 60000), Open)
+		if harness.connectionState[client] != "reset" {
+			t.Fatalf("the client's side is %q", harness.connectionState[client])
 		}
-		w.checkReleased()
+		harness.checkReleased()
 	})
-	t.Run("much before the answer", func(t *testing.T) {
-		w := newHarness(t, "proxy", 2, 100)
-		c := w.openFlow(chatRequest)
-		h := w.completeLastDial()
-		w.receive(c, strings.Repeat("x", bufferSize), Open)
-		if w.connectionState[h] != "closed" || w.written[c] != "ERR\r\n" {
-			t.Fatalf("the host's side is %q, the client was told %q", w.connectionState[h], w.written[c])
+	t.Run("before the answer", func(t *testing.T) {
+		harness := newHarness(t, "proxy", 2, 100)
+		client := harness.openFlow(chatRequest)
+		host := harness.completeLastDial()
+		harness.receive(client, strings.Repeat("x", bufferSize), Open)
+		if harness.connectionState[host] != "closed" || harness.written[client] != "ERR\r\n" {
+			t.Fatalf("the host's side is %q, the client was sent %q", harness.connectionState[host],
+				harness.written[client])
 		}
-		w.checkReleased()
-	})
-	t.Run("an unknown member is served", func(t *testing.T) {
-		w := newHarness(t, "proxy", 2, 100)
-		w.establish("a1 c=chat,t=nobody,d=2000")
+		harness.checkReleased()
 	})
 }
+
+// A tenant that the settings do not have is served, without a quota.
+func TestUnknownTenantIsServed(t *testing.T) {
+	harness := newHarness(t, "proxy", 2, 100)
+	harness.establish("a1 c=chat,t=nobody,d=2000")
+}
--- a/internal/node/settings_handover_test.go
+++ b/internal/node/settings_handover_test.go
@@ -12,61 +12,62 @@
 // what comes later, and a host that either has out takes nothing at either.
 func TestRevisionGoesOverToSuccessor(t *testing.T) {
 	const out = "hosts.s-00000065.disabled_until_s = 1000000060\n"
-	w := newHarness(t, "pass", 3, 100)
-	if err := w.applySettings(1, out+"limits.max_connects = 2"); err != nil {
+	predecessor := newHarness(t, "pass", 3, 100)
+	if err := predecessor.applySettings(1, out+"limits.max_connects = 2"); err != nil {
 		t.Fatal(err)
 	}
-	w.query(DisableHost, "s-00000066")
-	h := w.startSuccessor("pass")
-	if h.node.live.revision.Number != 1 || h.node.balancer.MaxAttempts != 2 || h.node.currentFigures().Unavailable != 2 {
-		t.Fatalf("%+v, %d connects, %d out", h.node.live.revision, h.node.balancer.MaxAttempts, h.node.currentFigures().Unavailable)
+	predecessor.query(DisableHost, "s-00000066")
+	successor := predecessor.startSuccessor("pass")
+	if successor.node.live.revision.Number != 1 || successor.node.balancer.MaxAttempts != 2 || successor.unavailable() != 2 {
+		t.Fatalf("%+v, %d connects, %d out", successor.node.live.revision, successor.node.balancer.MaxAttempts, successor.unavailable())
 	}
-	if err := w.applySettings(2, out+"limits.max_connects = 1"); err != nil { // between claim and take
+	if err := predecessor.applySettings(2, out+"limits.max_connects = 1"); err != nil { // between claim and take
 		t.Fatal(err)
 	}
-	w.deliverTransfers(h, false)
-	if h.node.live.revision.Number != 2 || h.node.balancer.MaxAttempts != 1 {
-		t.Fatalf("%+v before the clients came", h.node.live.revision)
+	predecessor.deliverTransfers(successor, false)
+	if successor.node.live.revision.Number != 2 || successor.node.balancer.MaxAttempts != 1 {
+		t.Fatalf("%+v before the clients came", successor.node.live.revision)
 	}
-	w.handOverTo(h)
-	if h.node.currentFigures().Unavailable != 2 || len(h.discoveryMoves) != 0 {
-		t.Errorf("%d out", h.node.currentFigures().Unavailable)
+	predecessor.handOverTo(successor)
+	if successor.unavailable() != 2 || len(successor.discoveryMoves) != 0 {
+		t.Errorf("%d out", successor.unavailable())
 	}
 	for range 40 {
-		h.openFlow(chatRequest)
+		successor.openFlow(chatRequest)
 	}
-	if h.dialsTo("h1", 0)+h.dialsTo("h2", 0) != 0 || h.dialsTo("h0", 0) == 0 {
+	if successor.dialsTo("h1", 0)+successor.dialsTo("h2", 0) != 0 || successor.dialsTo("h0", 0) == 0 {
 		t.Error("a host that is out got a flow")
 	}
-	if err := h.applySettings(3, ""); err != nil { // the one that has the clients follows from here on
+	if err := successor.applySettings(3, ""); err != nil { // the one that has the clients follows from here on
 		t.Fatal(err)
 	}
-	h.deliverTransfers(w, false)
-	w.deliverTransfers(h, false)
-	if w.node.live.revision.Number != 3 || w.node.currentFigures().Unavailable != 1 || h.node.currentFigures().Unavailable != 1 || len(h.updates)+len(w.updates) != 0 {
-		t.Errorf("%d and %d in force, %d and %d out", w.node.live.revision.Number, h.node.live.revision.Number, w.node.currentFigures().Unavailable, h.node.currentFigures().Unavailable)
+	successor.deliverTransfers(predecessor, false)
+	predecessor.deliverTransfers(successor, false)
+	if predecessor.node.live.revision.Number != 3 || predecessor.unavailable() != 1 || successor.unavailable() != 1 || len(successor.updates)+len(predecessor.updates) != 0 {
+		t.Errorf("%d and %d in force, %d and %d out", predecessor.node.live.revision.Number, successor.node.live.revision.Number, predecessor.unavailable(), successor.unavailable())
 	}
-	if h.query(EnableHost, "s-00000066"); h.node.currentFigures().Unavailable != 0 {
+	successor.query(EnableHost, "s-00000066")
+	if successor.unavailable() != 0 {
 		t.Error("what was out by hand at the predecessor cannot be put back")
 	}
 }
 
 // A revision that does not fit the successor leaves no window for a host that the predecessor had out.
 func TestUnfitRevisionKeepsHostsDisabled(t *testing.T) {
-	w := newHarness(t, "pass", 3, 100)
-	if err := w.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060\nlimits.max_connects = 2"); err != nil {
+	predecessor := newHarness(t, "pass", 3, 100)
+	if err := predecessor.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060\nlimits.max_connects = 2"); err != nil {
 		t.Fatal(err)
 	}
-	left := exchangeJSON(w, w.query(ClaimHandover, "").Handover)
+	left := exchangeJSON(predecessor, predecessor.query(ClaimHandover, "").Handover)
 	fewer := strings.Replace(settingsJSON, `"max_connects":3`, `"max_connects":1`, 1)
 	r, d, err := settings.Parse(fmt.Appendf(nil, fewer, "pass"), 8)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := newHarness(t, "pass", 0, 100)
-	h.node = New(h.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, NotListening: true, Handover: left})
-	h.apply(TimerFired{})
-	if !h.node.live.revision.IsZero() || h.node.balancer.MaxAttempts != 1 || h.node.currentFigures().Unavailable != 1 {
-		t.Errorf("%+v, %d connects, %d out", h.node.live.revision, h.node.balancer.MaxAttempts, h.node.currentFigures().Unavailable)
+	successor := newHarness(t, "pass", 0, 100)
+	successor.node = New(successor.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, NotListening: true, Handover: left})
+	successor.apply(TimerFired{})
+	if !successor.node.live.revision.IsZero() || successor.node.balancer.MaxAttempts != 1 || successor.unavailable() != 1 {
+		t.Errorf("%+v, %d connects, %d out", successor.node.live.revision, successor.node.balancer.MaxAttempts, successor.unavailable())
 	}
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 )
@@ -19,44 +20,46 @@
 		{"pass", "UP 77\r\n", "", true, "", "UP 8\r\n"},
 	} {
 		t.Run(c.mode, func(t *testing.T) {
-			w := newHarness(t, c.mode, 3, 100)
-			open, _ := w.establish(chatRequest)
-			waiting := w.openFlow(chatRequest)
-			host := w.completeLastDial()
-			w.apply(Shutdown{})
-			w.advance(0.1)
-			late := w.openFlow(chatRequest)
-			w.receive(host, "UP 8\r\n", Open)
-			w.advance(0.3)
-			if w.written[open] != c.open || w.written[late] != c.late || w.written[waiting] != c.waitsFor || w.exited {
-				t.Fatalf("told %q, %q and %q, exited %v", w.written[open], w.written[late], w.written[waiting], w.exited)
+			harness := newHarness(t, c.mode, 3, 100)
+			open, _ := harness.establish(chatRequest)
+			waiting := harness.openFlow(chatRequest)
+			host := harness.completeLastDial()
+			harness.apply(Shutdown{})
+			harness.advance(0.1)
+			late := harness.openFlow(chatRequest)
+			harness.receive(host, "UP 8\r\n", Open)
+			harness.advance(0.3)
+			if harness.written[open] != c.open || harness.written[late] != c.late || harness.written[waiting] != c.waitsFor || harness.exited {
+				t.Fatalf("told %q, %q and %q, exited %v", harness.written[open], harness.written[late], harness.written[waiting], harness.exited)
 			}
-			ping := w.accept()
-			w.receive(ping, "PING\r\n", Ended)
-			if w.written[ping] != "ERR\r\n" {
-				t.Fatalf("ready while it leaves: %q", w.written[ping])
+			ping := harness.accept()
+			harness.receive(ping, "PING\r\n", Ended)
+			if harness.written[ping] != "ERR\r\n" {
+				t.Fatalf("ready while it leaves: %q", harness.written[ping])
 			}
-			w.advance(1.3)
-			if w.exited == c.stays {
-				t.Fatalf("exited %v", w.exited)
+			harness.advance(1.3)
+			if harness.exited == c.stays {
+				t.Fatalf("exited %v", harness.exited)
 			}
-			if w.advance(0.7); w.exited == c.stays { // 2 s, the longest connect timeout, and the margin
-				t.Fatalf("exited %v", w.exited)
+			harness.advance(0.7)
+			if harness.exited == c.stays { // 2 s, the longest connect timeout, and the margin
+				t.Fatalf("exited %v", harness.exited)
 			}
 			if c.stays {
-				if w.written[late] == "" {
+				if harness.written[late] == "" {
 					t.Fatal("a flow that was taken got no answer")
 				}
-				if late := w.openFlow(chatRequest); w.written[late] != "BUSY\r\n" {
-					t.Fatalf("one that comes too late is told %q", w.written[late])
+				if late := harness.openFlow(chatRequest); harness.written[late] != "BUSY\r\n" {
+					t.Fatalf("one that comes too late is told %q", harness.written[late])
 				}
-				w.advance(5) // an exit would end what goes on elsewhere when the node is killed
-				if w.exited || w.connectionState[open] != "" {
-					t.Fatalf("exited %v, a held connection is %q", w.exited, w.connectionState[open])
+				harness.advance(5) // an exit would end what goes on elsewhere when the node is killed
+				if harness.exited || harness.connectionState[open] != "" {
+					t.Fatalf("exited %v, a held connection is %q", harness.exited, harness.connectionState[open])
 				}
-				w.receive(open, "", Broken)
-				w.receive(waiting, "", Broken)
-				if w.advance(0.1); !w.exited {
+				harness.receive(open, "", Broken)
+				harness.receive(waiting, "", Broken)
+				harness.advance(0.1)
+				if !harness.exited {
 					t.Fatal("nothing is held, but it is still there")
 				}
 			}
@@ -67,13 +70,15 @@
 // A SIGHUP or SIGTERM while the list is lost: a flow that waits still gets its one answer.
 func TestSignalWhileDiscoveryIsOutLeavesFlowItsAnswer(t *testing.T) {
 	for _, in := range []Input{DiscoveryMoved{}, Shutdown{}} {
-		w := newHarness(t, "proxy", 1, 100)
-		c := w.openFlow(chatRequest)
-		w.apply(WatchFailed{Reason: "the end"})
-		w.apply(in)
-		w.receive(w.completeLastDial(), "UP 5\r\n", Open)
-		if want := "UP 5\r\n"; !strings.HasPrefix(w.written[c], want) {
-			t.Errorf("%T: told %q", in, w.written[c])
-		}
+		t.Run(fmt.Sprintf("%T", in), func(t *testing.T) {
+			harness := newHarness(t, "proxy", 1, 100)
+			c := harness.openFlow(chatRequest)
+			harness.apply(WatchFailed{Reason: "the end"})
+			harness.apply(in)
+			harness.receive(harness.completeLastDial(), "UP 5\r\n", Open)
+			if want := "UP 5\r\n"; !strings.HasPrefix(harness.written[c], want) {
+				t.Errorf("%T: told %q", in, harness.written[c])
+			}
+		})
 	}
 }
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -15,26 +15,26 @@
 		t.Fatal(err)
 	}
 	start := func() *testHarness {
-		w := newHarnessWith(t, settingsWithShares, "pass", 0, 100)
-		w.node = New(w.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, AwaitSettings: 1})
-		w.listenerRequests = 0
-		w.apply(TimerFired{})
-		return w
+		harness := newHarnessWith(t, settingsWithShares, "pass", 0, 100)
+		harness.node = New(harness.now, Start{Settings: r, Listener: d, MaxDescriptors: 100, AwaitSettings: 1})
+		harness.listenerRequests = 0
+		harness.apply(TimerFired{})
+		return harness
 	}
-	w := start()
-	w.apply(ListReceived{hostList(4)})
-	if w.listenerRequests != 0 || w.query(IsReady, "").OK {
+	harness := start()
+	harness.apply(ListReceived{hostList(4)})
+	if harness.listenerRequests != 0 || harness.query(IsReady, "").OK {
 		t.Error("opens before the settings are known")
 	}
-	if err := w.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil || w.listenerRequests != 1 {
-		t.Errorf("%v, opened %d times", err, w.listenerRequests)
+	if err := harness.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil || harness.listenerRequests != 1 {
+		t.Errorf("%v, opened %d times", err, harness.listenerRequests)
 	}
-	w = start()
-	if w.node.timers.armedAt > w.now+1 {
-		t.Errorf("woken at %f at the earliest, %f wanted", w.node.timers.armedAt, w.now+1)
+	harness = start()
+	if harness.node.timers.armedAt > harness.now+1 {
+		t.Errorf("woken at %f at the earliest, %f wanted", harness.node.timers.armedAt, harness.now+1)
 	}
-	w.advance(1)
-	if w.listenerRequests != 1 {
-		t.Errorf("opened %d times without a word of the settings", w.listenerRequests)
+	harness.advance(1)
+	if harness.listenerRequests != 1 {
+		t.Errorf("opened %d times without a word of the settings", harness.listenerRequests)
 	}
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"fmt"
 	"math"
 	"slices"
 	"strings"
@@ -11,16 +12,16 @@
 
 // Discovery that moves is asked again at once, whether or not it was being watched, and only once.
 func TestMovedDiscoveryIsWatchedAtOnce(t *testing.T) {
-	w := newHarness(t, "proxy", 3, 100)
+	harness := newHarness(t, "proxy", 3, 100)
 	for _, in := range []Input{DiscoveryMoved{}, WatchFailed{Reason: "gone"}, DiscoveryMoved{}} {
-		w.apply(in)
+		harness.apply(in)
 	}
-	if want := []int64{5, 6, 6}; !slices.Equal(w.watchIndices, want) {
-		t.Fatalf("watched from %v, wanted %v", w.watchIndices, want)
+	if want := []int64{5, 6, 6}; !slices.Equal(harness.watchIndices, want) {
+		t.Fatalf("watched from %v, wanted %v", harness.watchIndices, want)
 	}
-	w.advance(5) // the wish that the failure left is met already
-	if len(w.watchIndices) != 3 {
-		t.Fatalf("watched from %v", w.watchIndices)
+	harness.advance(5) // the wish that the failure left is met already
+	if len(harness.watchIndices) != 3 {
+		t.Fatalf("watched from %v", harness.watchIndices)
 	}
 }
 
@@ -32,36 +33,38 @@
 		tells bool
 		most  int // watches in a minute
 	}{{"refused", false, 70}, {"a list, then its end", true, 250}} {
-		w := newHarness(t, "proxy", 1, 100)
-		w.watchIndices = nil
-		w.node.watch.state = watchIdle
-		w.apply(WatchFailed{Reason: "the end"})
-		for seen := 0; w.now < 1e9+60; w.advance(0.01) {
-			if len(w.watchIndices) > seen {
-				seen = len(w.watchIndices)
-				if c.tells {
-					w.apply(ListReceived{hostList(1)})
+		t.Run(c.name, func(t *testing.T) {
+			harness := newHarness(t, "proxy", 1, 100)
+			harness.watchIndices = nil
+			harness.node.watch.state = watchIdle
+			harness.apply(WatchFailed{Reason: "the end"})
+			for seen := 0; harness.now < 1e9+60; harness.advance(0.01) {
+				if len(harness.watchIndices) > seen {
+					seen = len(harness.watchIndices)
+					if c.tells {
+						harness.apply(ListReceived{hostList(1)})
+					}
+					harness.apply(WatchFailed{Reason: "the end"})
 				}
-				w.apply(WatchFailed{Reason: "the end"})
 			}
-		}
-		if n := len(w.watchIndices); n < 4 || n > c.most {
-			t.Errorf("%s: %d watches in a minute", c.name, n)
-		}
+			if n := len(harness.watchIndices); n < 4 || n > c.most {
+				t.Errorf("%d watches in a minute", n)
+			}
+		})
 	}
 }
 
 // timeUntilWatch lets time go by without a word of the watch until it is asked for anew, and gives how long that took.
-func (w *testHarness) timeUntilWatch(most float64) float64 {
-	w.watchSilent = true
-	began, had := w.now, len(w.watchIndices)
-	for len(w.watchIndices) == had {
-		if w.now-began > most {
+func (harness *testHarness) timeUntilWatch(most float64) float64 {
+	harness.watchSilent = true
+	began, had := harness.now, len(harness.watchIndices)
+	for len(harness.watchIndices) == had {
+		if harness.now-began > most {
 			return math.Inf(1)
 		}
-		w.advance(0.01)
+		harness.advance(0.01)
 	}
-	return w.now - began
+	return harness.now - began
 }
 
 // Each way in which a watch can fall silent or end, and when the next is asked for. Guards against a list that gets
@@ -88,19 +91,21 @@
 		{"moved while it is waited for", []Input{WatchFailed{Reason: "503"}, DiscoveryMoved{}}, watchAnswerTimeout, watchAnswerTimeout + balancerTick, 0},
 		{"moved while it is silent", []Input{one("SERVING"), DiscoveryMoved{}}, watchAnswerTimeout, watchAnswerTimeout + balancerTick, 0},
 	} {
-		w := newHarness(t, "proxy", 3, 100)
-		for _, in := range c.before {
-			w.apply(in)
-		}
-		if took := w.timeUntilWatch(10); took < c.least-0.01 || took > c.most+0.02 {
-			t.Errorf("%s: asked anew after %.2f s, wanted %.2f to %.2f s", c.name, took, c.least, c.most)
-		}
-		if w.stoppedWatches != c.unwatches {
-			t.Errorf("%s: %d watches ended, wanted %d", c.name, w.stoppedWatches, c.unwatches)
-		}
-		if f := w.query(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 0 {
-			t.Errorf("%s: %d hosts listed, %d avoided", c.name, f.Listed, f.Unavailable)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			harness := newHarness(t, "proxy", 3, 100)
+			for _, in := range c.before {
+				harness.apply(in)
+			}
+			if took := harness.timeUntilWatch(10); took < c.least-0.01 || took > c.most+0.02 {
+				t.Errorf("asked anew after %.2f s, wanted %.2f to %.2f s", took, c.least, c.most)
+			}
+			if harness.stoppedWatches != c.unwatches {
+				t.Errorf("%d watches ended, wanted %d", harness.stoppedWatches, c.unwatches)
+			}
+			if f := harness.query(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 0 {
+				t.Errorf("%d hosts listed, %d avoided", f.Listed, f.Unavailable)
+			}
+		})
 	}
 }
 
@@ -110,32 +115,32 @@
 // Guards against a discovery that needs longer than that for a call, where who starts again is never answered; against
 // a call that got lost and held up the next; and against an agent that is given no second call.
 func TestUnansweredCallIsKeptAndRepeatedBeside(t *testing.T) {
-	w := newHarnessWith(t, strings.Replace(settingsJSON, "{", `{"membership_mode":"automatic",`, 1), "proxy", 3, 100)
-	w.apply(DiscoveryMoved{})
+	harness := newHarnessWith(t, strings.Replace(settingsJSON, "{", `{"membership_mode":"automatic",`, 1), "proxy", 3, 100)
+	harness.apply(DiscoveryMoved{})
 	for range 5 { // its own agent
-		if took := w.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*balancerTick {
+		if took := harness.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*balancerTick {
 			t.Fatalf("waited %.2f s for an agent, wanted %.0f s", took, watchAnswerTimeout)
 		}
 	}
-	if w.stoppedWatches != 5 || w.parallelWatches != 0 {
-		t.Errorf("%d calls of an agent given up, %d made beside, wanted 5 and 0", w.stoppedWatches, w.parallelWatches)
+	if harness.stoppedWatches != 5 || harness.parallelWatches != 0 {
+		t.Errorf("%d calls of an agent given up, %d made beside, wanted 5 and 0", harness.stoppedWatches, harness.parallelWatches)
 	}
-	w = newHarness(t, "proxy", 3, 100)
-	w.apply(DiscoveryMoved{})
+	harness = newHarness(t, "proxy", 3, 100)
+	harness.apply(DiscoveryMoved{})
 	for range 20 {
-		if took := w.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*balancerTick {
+		if took := harness.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*balancerTick {
 			t.Fatalf("waited %.2f s, wanted %.0f s", took, watchAnswerTimeout)
 		}
 	}
-	if w.stoppedWatches != 0 || w.parallelWatches != 20 {
-		t.Errorf("%d calls given up, %d made beside, wanted 0 and 20", w.stoppedWatches, w.parallelWatches)
+	if harness.stoppedWatches != 0 || harness.parallelWatches != 20 {
+		t.Errorf("%d calls given up, %d made beside, wanted 0 and 20", harness.stoppedWatches, harness.parallelWatches)
 	}
-	w.apply(WatchAlive{})
-	w.timeUntilWatch(5)
-	if w.stoppedWatches != 1 {
-		t.Errorf("%d watches ended, wanted the one that spoke", w.stoppedWatches)
+	harness.apply(WatchAlive{})
+	harness.timeUntilWatch(5)
+	if harness.stoppedWatches != 1 {
+		t.Errorf("%d watches ended, wanted the one that spoke", harness.stoppedWatches)
 	}
-	if took := w.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*balancerTick {
+	if took := harness.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*balancerTick {
 		t.Errorf("waited %.2f s after an answer, wanted %.0f s", took, watchAnswerTimeout)
 	}
 }
@@ -144,27 +149,29 @@
 // Guards against a list that gets old behind a watch which seems alive.
 func TestEndlessLineEndsTheWatch(t *testing.T) {
 	for _, ends := range []bool{false, true} {
-		w := newHarness(t, "proxy", 3, 100)
-		for i := range 60 {
-			w.advance(0.2)
-			w.apply(WatchAlive{MidLine: !ends || i%15 != 14}) // a line of three seconds, or one without an end
-		}
-		if given := w.stoppedWatches > 0; given == ends {
-			t.Errorf("a line that ends %v: %d watches given up", ends, w.stoppedWatches)
-		}
+		t.Run(fmt.Sprintf("line that ends %v", ends), func(t *testing.T) {
+			harness := newHarness(t, "proxy", 3, 100)
+			for i := range 60 {
+				harness.advance(0.2)
+				harness.apply(WatchAlive{MidLine: !ends || i%15 != 14}) // a line of three seconds, or one without an end
+			}
+			if given := harness.stoppedWatches > 0; given == ends {
+				t.Errorf("a line that ends %v: %d watches given up", ends, harness.stoppedWatches)
+			}
+		})
 	}
 }
 
 // What a watch still says that was given up counts, and one that speaks every two seconds is never given up.
 func TestLateListCounts(t *testing.T) {
-	w := newHarness(t, "proxy", 3, 100)
-	w.advance(60)
-	if w.stoppedWatches != 0 || !slices.Equal(w.watchIndices, []int64{5}) {
-		t.Fatalf("%d watches given up, asked from %v", w.stoppedWatches, w.watchIndices)
-	}
-	w.timeUntilWatch(10)
-	w.apply(ListReceived{endpoint.List{Index: 9, Hosts: []endpoint.Host{{Name: "s-00000064", Status: "DRAINING"}}}})
-	if f := w.query(GetFigures, "").Figures; f.Unavailable != 1 {
+	harness := newHarness(t, "proxy", 3, 100)
+	harness.advance(60)
+	if harness.stoppedWatches != 0 || !slices.Equal(harness.watchIndices, []int64{5}) {
+		t.Fatalf("%d watches given up, asked from %v", harness.stoppedWatches, harness.watchIndices)
+	}
+	harness.timeUntilWatch(10)
+	harness.apply(ListReceived{endpoint.List{Index: 9, Hosts: []endpoint.Host{{Name: "s-00000064", Status: "DRAINING"}}}})
+	if f := harness.query(GetFigures, "").Figures; f.Unavailable != 1 {
 		t.Error("a late word was not heard")
 	}
 }
