--- /dev/null
+++ b/internal/node/harness_test.go
@@ -0,0 +1,377 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+
+	"gorseledge/internal/discovery/endpoint"
+	"gorseledge/internal/peers"
+	"gorseledge/internal/settings"
+)
+
+const settingsJSON = `{"family_info":{"mode":"%s","message_aim_us":[50000,50000,50000]},"granularity_us":4000,
+	"limits":{"dial_timeout_us":250000,"max_connects":3,"max_retry_after_us":2000000,"probes":true,"retry_after":true},
+	"parties":[{"name":"acme"}],"zones":["a","b"],"siblings":1,"service_types":[
+	{"name":"chat","effect":"repeatable","group":"all","give_up_us":2000000,"setup_target_us":300000},
+	{"name":"order","effect":"once","group":"all","give_up_us":2000000,"setup_target_us":300000},
+	{"name":"mail","effect":"by_key","group":"all","give_up_us":2000000,"memory_span_us":5000000}]}`
+
+// What follows the id in the opening lines of an idempotent and of a non-idempotent flow.
+const (
+	chatRequest  = "a1 c=chat,t=acme,d=2000"
+	orderRequest = "a1 c=order,t=acme,d=2000"
+)
+
+// testHarness stands in for the owner of a node: it carries out effects and keeps what the node has asked for.
+type testHarness struct {
+	*testing.T
+	node *Node
+	now  float64
+
+	lastAccepted    Conn
+	connectionState map[Conn]string // dialed, failed, write closed, closed or reset; empty for open
+	pendingReads    map[Conn][]byte
+	written         map[Conn]string // all that was written
+	blocked         map[Conn]bool   // writes to these are not taken
+	blockedWrites   []WriteDone     // what such a write would have been answered with
+	flowDials       []Conn
+	healthChecks    []Conn
+	dialedAddress   map[Conn]string
+	records         []Record
+
+	watchSilent     bool    // advance does not have the watch send anything
+	watchIndices    []int64 // of the watches asked for
+	parallelWatches int     // of these, those beside another call
+	stoppedWatches  int
+	discoveryMoves  []string
+
+	reply            Reply
+	gossip           []peers.HostLoad
+	settingsResults  []SettingsApplied
+	listenerRequests int
+	exited           bool
+
+	updates   []HandoverUpdate
+	transfers []SendConnection
+	boundHost BindHostConnection
+}
+
+// newHarness returns a harness of a node that has received a list of hosts.
+func newHarness(t *testing.T, mode string, hosts, descriptors int) *testHarness {
+	t.Helper()
+	return newHarnessWith(t, settingsJSON, mode, hosts, descriptors)
+}
+
+func newHarnessWith(t *testing.T, settingsText, mode string, hosts, descriptors int) *testHarness {
+	t.Helper()
+	balancer, listener, err := settings.Parse(fmt.Appendf(nil, settingsText, mode), 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	harness := &testHarness{
+		T:               t,
+		now:             1e9,
+		lastAccepted:    1,
+		connectionState: map[Conn]string{},
+		pendingReads:    map[Conn][]byte{},
+		written:         map[Conn]string{},
+		blocked:         map[Conn]bool{},
+		dialedAddress:   map[Conn]string{},
+	}
+	harness.node = New(harness.now, Start{
+		Settings:       balancer,
+		Listener:       listener,
+		CachedList:     endpoint.List{Index: 5, Complete: true},
+		MaxDescriptors: descriptors,
+	})
+	harness.apply(TimerFired{})
+	harness.apply(ListReceived{hostList(hosts)})
+	return harness
+}
+
+// hostList lists hosts whose ids rise with their place.
+func hostList(hosts int) endpoint.List {
+	list := endpoint.List{Index: 6, Complete: true}
+	for i := range hosts {
+		list.Hosts = append(list.Hosts, endpoint.Host{
+			Name:    fmt.Sprintf("s-%08x", 100+i),
+			Address: fmt.Sprint("h", i),
+			Zone:    "a",
+			Status:  "SERVING",
+			Weight:  1,
+		})
+	}
+	return list
+}
+
+// apply gives the node an input and then the results of what it asks for, until it asks for nothing more.
+func (harness *testHarness) apply(input Input) {
+	harness.Helper()
+	for pending := []Input{input}; len(pending) > 0; pending = pending[1:] {
+		for _, effect := range harness.node.Apply(harness.now, pending[0]) {
+			if result := harness.carryOut(effect); result != nil {
+				pending = append(pending, result)
+			}
+		}
+	}
+}
+
+// carryOut carries out an effect and returns its result, nil for none or for one that comes later.
+func (harness *testHarness) carryOut(effect Effect) Input {
+	harness.Helper()
+	switch effect := effect.(type) {
+	case Dial:
+		harness.dial(effect)
+	case Read:
+		harness.read(effect)
+	case StopReading:
+		return harness.stopReading(effect)
+	case Write:
+		return harness.write(effect)
+	case CloseWrite:
+		harness.connectionState[effect.Conn] = "write closed"
+	case Close:
+		return harness.close(effect)
+	case LogConnection:
+		harness.records = append(harness.records, effect.Record)
+	default:
+		harness.keep(effect)
+	}
+	return nil
+}
+
+// keep keeps an effect that is on no connection.
+func (harness *testHarness) keep(effect Effect) {
+	switch effect := effect.(type) {
+	case Watch:
+		harness.watchIndices = append(harness.watchIndices, effect.Index)
+		if effect.Beside {
+			harness.parallelWatches++
+		}
+	case StopWatch:
+		harness.stoppedWatches++
+	case MoveDiscovery:
+		harness.discoveryMoves = append(harness.discoveryMoves, effect.Address)
+	case Reply:
+		harness.reply = effect
+	case SendGossip:
+		harness.gossip = append(harness.gossip, effect.Loads...)
+	case SettingsApplied:
+		harness.settingsResults = append(harness.settingsResults, effect)
+	case OpenListener:
+		harness.listenerRequests++
+	case Exit:
+		harness.exited = true
+	case UpdatePeerProcess:
+		harness.updates = append(harness.updates, effect.Update)
+	case SendConnection:
+		harness.transfers = append(harness.transfers, effect)
+	case BindHostConnection:
+		harness.boundHost = effect
+	}
+}
+
+func (harness *testHarness) dial(dial Dial) {
+	if c := harness.node.connections.byID[dial.Conn]; c != nil && c.role == healthCheckRole {
+		harness.healthChecks = append(harness.healthChecks, dial.Conn)
+	} else {
+		harness.flowDials = append(harness.flowDials, dial.Conn)
+	}
+	harness.dialedAddress[dial.Conn] = dial.Address
+	harness.connectionState[dial.Conn] = "dialed"
+}
+
+func (harness *testHarness) read(read Read) {
+	harness.Helper()
+	if harness.pendingReads[read.Conn] != nil || harness.connectionState[read.Conn] == "closed" {
+		harness.Fatal("a second read on a connection, or one on a closed connection")
+	}
+	harness.pendingReads[read.Conn] = read.Into
+}
+
+func (harness *testHarness) stopReading(stop StopReading) Input {
+	harness.Helper()
+	if harness.pendingReads[stop.Conn] == nil {
+		harness.Fatal("stopped reading a connection that is not read")
+	}
+	delete(harness.pendingReads, stop.Conn)
+	return ReadDone{stop.Conn, 0, Open}
+}
+
+func (harness *testHarness) write(write Write) Input {
+	harness.Helper()
+	if state := harness.connectionState[write.Conn]; state != "" {
+		harness.Fatalf("wrote %q to a connection that is %s", write.Data, state)
+	}
+	done := WriteDone{write.Conn, len(write.Data), false}
+	if harness.blocked[write.Conn] {
+		harness.blockedWrites = append(harness.blockedWrites, done)
+		return nil
+	}
+	harness.written[write.Conn] += string(write.Data)
+	return done
+}
+
+// close closes a connection. A dial that failed has no descriptor to confirm.
+func (harness *testHarness) close(request Close) Input {
+	failed := harness.connectionState[request.Conn] == "failed"
+	harness.connectionState[request.Conn] = "closed"
+	if request.Reset {
+		harness.connectionState[request.Conn] = "reset"
+	}
+	if failed {
+		return nil
+	}
+	return Closed{request.Conn}
+}
+
+// receive has the far side of a connection send text, in as many reads as the buffer needs, and then do what end says.
+// A connection that the node ends meanwhile gets no more of it.
+func (harness *testHarness) receive(conn Conn, text string, end End) {
+	harness.Helper()
+	for first := true; first || text != ""; first = false {
+		into := harness.pendingReads[conn]
+		state := harness.connectionState[conn]
+		if into == nil && !first && state != "" && state != "dialed" {
+			return
+		}
+		if into == nil {
+			harness.Fatalf("nothing reads %.60q on connection %d, which is %q", text, conn, state)
+		}
+		delete(harness.pendingReads, conn)
+		count := copy(into, text)
+		text = text[count:]
+		if text != "" {
+			harness.apply(ReadDone{conn, count, Open})
+		} else {
+			harness.apply(ReadDone{conn, count, end})
+		}
+	}
+}
+
+// accept has a client connect.
+func (harness *testHarness) accept() Conn {
+	harness.Helper()
+	harness.lastAccepted += 2
+	harness.apply(Accepted{harness.lastAccepted})
+	return harness.lastAccepted
+}
+
+// openFlow has a client connect and send its opening line.
+func (harness *testHarness) openFlow(request string) Conn {
+	harness.Helper()
+	client := harness.accept()
+	harness.receive(client, fmt.Sprintf("OPEN %x %s\r\n", 0x1000+client, request), Open)
+	return client
+}
+
+// establish has a client open a flow and its host confirm it.
+func (harness *testHarness) establish(request string) (client, host Conn) {
+	harness.Helper()
+	client = harness.openFlow(request)
+	host = harness.completeLastDial()
+	harness.receive(host, "UP 77\r\n", Open)
+	if harness.written[client] != "UP 77\r\n" {
+		harness.Fatalf("the client was sent %q", harness.written[client])
+	}
+	return client, host
+}
+
+// completeLastDial has the last dial for a flow succeed and returns its connection.
+func (harness *testHarness) completeLastDial() Conn {
+	harness.Helper()
+	if len(harness.flowDials) == 0 {
+		harness.Fatal("nothing was dialed")
+	}
+	return harness.completeDial(harness.flowDials[len(harness.flowDials)-1])
+}
+
+// completeDial has a dial succeed.
+func (harness *testHarness) completeDial(conn Conn) Conn {
+	harness.Helper()
+	harness.connectionState[conn] = ""
+	harness.apply(Dialed{conn, nil, false})
+	return conn
+}
+
+// failDial has a dial fail.
+func failDial(harness *testHarness, conn Conn) {
+	harness.Helper()
+	harness.connectionState[conn] = "failed"
+	harness.apply(Dialed{conn, errors.New("refused"), false})
+}
+
+// advance lets time pass, with a timer as often as the node could ask for one and a sign of life of the watch every two
+// seconds.
+func (harness *testHarness) advance(seconds float64) {
+	harness.Helper()
+	for end := harness.now + seconds; harness.now < end; harness.apply(TimerFired{}) {
+		harness.now += 0.01
+		watch := &harness.node.watch
+		if !harness.watchSilent && watch.state != watchIdle && harness.now-watch.lastActivity >= 2 {
+			harness.apply(WatchAlive{})
+		}
+	}
+}
+
+// query asks the node a question and returns its reply.
+func (harness *testHarness) query(question Question, host string) Reply {
+	harness.Helper()
+	harness.reply = Reply{Figures: Figures{Accepted: -1}}
+	harness.apply(Query{question, host})
+	if harness.reply.Figures.Accepted < 0 {
+		harness.Fatal("no reply")
+	}
+	return harness.reply
+}
+
+// unavailable returns how many hosts on the list take no new flows.
+func (harness *testHarness) unavailable() int { return harness.node.currentFigures().Unavailable }
+
+// endReasons returns the reasons of the clients' connections that have ended.
+func (harness *testHarness) endReasons() (reasons []Reason) {
+	for _, record := range harness.records {
+		reasons = append(reasons, record.Reason)
+	}
+	return reasons
+}
+
+// checkReleased checks that no trace of ended connections is kept.
+func (harness *testHarness) checkReleased() {
+	harness.Helper()
+	harness.advance(lingerTimeout + 5)
+	connections := &harness.node.connections
+	flows := harness.node.flows.byIndex
+	isHeld := func(f *flow) bool { return f != nil }
+	if len(connections.byID) != 0 || connections.descriptors != 0 || slices.ContainsFunc(flows, isHeld) {
+		harness.Fatalf("left: %d connections, %d descriptors, flows %v", len(connections.byID),
+			connections.descriptors, flows)
+	}
+}
+
+// checkedFigures returns the figures after it has checked what must hold of them after any input.
+func (harness *testHarness) checkedFigures() Figures {
+	harness.Helper()
+	figures := harness.node.currentFigures()
+	sum := figures.Waiting
+	for _, counts := range figures.Types {
+		sum += counts.Established + counts.Rejected + counts.Aborted + counts.ClientLeft
+	}
+	open, waiting := 0, 0
+	for _, f := range harness.node.flows.byIndex {
+		if f == nil || f.over {
+			continue
+		}
+		open++
+		if !f.established {
+			waiting++
+		}
+	}
+	if figures.Accepted != sum || figures.Open != open || figures.Waiting != waiting {
+		harness.Fatalf("accepted %d, answered, left and waiting %d; open %d, counted %d; waiting %d, counted %d",
+			figures.Accepted, sum, open, figures.Open, waiting, figures.Waiting)
+	}
+	return figures
+}
