--- a/placement/helper_test.go
+++ b/placement/helper_test.go
@@ -1,116 +1,222 @@
 package placement
 
-import "slices"
+import (
+	"slices"
+	"testing"
+)
 
-// fixture is a balancer with n ready servers whose ids are 100, 101, ... and whose indices run the other way.
-type fixture struct {
+// testStart is the time at which a testBalancer begins, in seconds.
+const testStart = 1000
+
+// testBalancer is a balancer with ready servers whose ids are 100, 101 and so on. A server's place is its position
+// by id; its index runs the other way. Its clock is now.
+type testBalancer struct {
 	*Balancer
 	now float64
 }
 
-func newFixture(n int, tune func(*Settings)) *fixture {
-	r := Settings{Seed: 7, Nodes: 2, Tick: 0.002, MaxAttempts: 3, HealthChecks: true, MaxRetryAfter: 2, SlowStartShare: 0.2,
-		SlowStartTime: 10, OverloadMultiple: 3, OverloadWindow: 2, ServiceTypes: []ServiceType{
-			{Idempotency: Idempotent, SetupObjective: 0.3, MessageObjective: 0.1}}}
-	if tune != nil {
-		tune(&r)
+// newTestBalancer returns a balancer that is one of two nodes and has been quiet for some minutes, with many
+// connections: its overload level and uncertainty are 0.
+func newTestBalancer(servers int, change func(*Settings)) *testBalancer {
+	settings := Settings{
+		Seed:             7,
+		Nodes:            2,
+		Tick:             0.002,
+		MaxAttempts:      3,
+		HealthChecks:     true,
+		MaxRetryAfter:    2,
+		SlowStartShare:   0.2,
+		SlowStartTime:    10,
+		OverloadMultiple: 3,
+		OverloadWindow:   2,
+		ServiceTypes:     []ServiceType{{Idempotency: Idempotent, SetupObjective: 0.3, MessageObjective: 0.1}},
+	}
+	if change != nil {
+		change(&settings)
 	}
-	g := &fixture{New(r), 1000}
-	g.overload.level, g.overload.uncertainty = 0, 0 // as after some quiet minutes, with many connections
+	b := &testBalancer{Balancer: New(settings), now: testStart}
+	b.overload.level = 0
+	b.overload.uncertainty = 0
+	b.UpdateEndpoints(b.now, ListFull, b.readyEndpoints(servers))
+	b.decisions()
+	return b
+}
+
+// endpoint returns the list entry of the server at a place.
+func (b *testBalancer) endpoint(place int, state EndpointState) Endpoint {
+	return Endpoint{Server: b.serverIndex(place), ID: uint32(100 + place), State: state, Zone: place % 2, Cell: place / 2}
+}
+
+// readyEndpoints returns the list entries of the servers at the first places.
+func (b *testBalancer) readyEndpoints(servers int) []Endpoint {
 	var list []Endpoint
-	for i := range n {
-		list = append(list, g.endpoint(i, Ready))
+	for place := range servers {
+		list = append(list, b.endpoint(place, Ready))
+	}
+	return list
+}
+
+// changeState brings a list change of one server's state. Its start time is long ago.
+func (b *testBalancer) changeState(place int, state EndpointState) {
+	b.UpdateEndpoints(b.now, ListChanges, []Endpoint{b.endpoint(place, state)})
+}
+
+// restartServer brings a list change of one server's start time.
+func (b *testBalancer) restartServer(place int, startedAt float64) {
+	b.listStarted(place, Ready, startedAt)
+}
+
+// listStarted brings a list change of one server's state and start time.
+func (b *testBalancer) listStarted(place int, state EndpointState, startedAt float64) {
+	item := b.endpoint(place, state)
+	item.StartedAt = startedAt
+	b.UpdateEndpoints(b.now, ListChanges, []Endpoint{item})
+}
+
+// serverIndex returns the host's index of the server at a place.
+func (b *testBalancer) serverIndex(place int) int {
+	if place > 20 {
+		return place
 	}
-	g.UpdateEndpoints(g.now, ListFull, list)
-	g.decisions()
-	return g
+	return 20 - place
 }
 
-// endpoint lists the server that is i-th by id.
-func (g *fixture) endpoint(i int, st EndpointState) Endpoint {
-	return Endpoint{Server: g.serverIndex(i), ID: uint32(100 + i), State: st, Zone: i % 2, Cell: i / 2}
+// serverAt returns the state of the server at a place.
+func (b *testBalancer) serverAt(place int) *server {
+	return b.server(b.serverIndex(place))
 }
 
-// serverIndex is the door's index of the server that is i-th by id.
-func (g *fixture) serverIndex(i int) int {
-	if i > 20 {
-		return i
+// ejectedServers returns how many servers are ejected.
+func (b *testBalancer) ejectedServers() int {
+	ejected := 0
+	for i := range b.servers {
+		if b.servers[i].outlier.ejected {
+			ejected++
+		}
 	}
-	return 20 - i
+	return ejected
 }
 
 // decisions returns the decisions of now, without wakes and log lines.
-func (g *fixture) decisions() (out []Decision) {
+func (b *testBalancer) decisions() []Decision {
+	var decisions []Decision
 	for {
-		d, ok := g.Next(g.now)
+		decision, ok := b.Next(b.now)
 		if !ok {
-			return out
+			return decisions
 		}
-		if d.Action != Wake && d.Action != Log {
-			out = append(out, d)
+		if decision.Action != Wake && decision.Action != Log {
+			decisions = append(decisions, decision)
 		}
 	}
 }
 
-// arrive brings a flow and returns what was decided for it and, for a connect, the place by id.
-func (g *fixture) arrive(id int, a Arrival) (Decision, int) {
-	if a.Timeout == 0 {
-		a.Timeout = 3
+// arrive adds a flow and returns what was decided for it and, for a Connect, the server's place. Without a decision
+// it returns one with the action Log.
+func (b *testBalancer) arrive(id int, arrival Arrival) (Decision, int) {
+	if arrival.Timeout == 0 {
+		arrival.Timeout = 3
 	}
-	g.AddFlow(g.now, id, a)
-	for _, d := range g.decisions() {
-		if d.Flow == id && d.Action <= Abort {
-			return d, g.serverIndex(d.Server)
+	b.AddFlow(b.now, id, arrival)
+	for _, decision := range b.decisions() {
+		if decision.Flow == id && decision.Action <= Abort {
+			return decision, b.serverIndex(decision.Server)
 		}
 	}
-	return Decision{Action: Log}, -1
+	return Decision{Action: Log}, none
 }
 
-// establish establishes n connections with the keys that follow from.
-func (g *fixture) establish(from, n int) {
-	for id := from; id < from+n; id++ {
-		if d, _ := g.arrive(id, Arrival{ClientKey: uint64(id + 1)}); d.Action == Connect {
-			g.Established(id, 0)
+// connectsTo reports whether a flow that arrives is sent to the server at a place.
+func (b *testBalancer) connectsTo(place, id int, arrival Arrival) bool {
+	decision, at := b.arrive(id, arrival)
+	return decision.Action == Connect && at == place
+}
+
+// establish adds flows with numbers from first on and establishes those that are sent to a server.
+func (b *testBalancer) establish(first, count int) {
+	for id := first; id < first+count; id++ {
+		decision, _ := b.arrive(id, Arrival{ClientKey: uint64(id + 1)})
+		if decision.Action == Connect {
+			b.Established(id, 0)
 		}
 	}
 }
 
-// advance lets time go by in steps of the housekeeping and collects what was decided.
-func (g *fixture) advance(seconds float64) (out []Decision) {
-	for end := g.now + seconds; g.now < end; {
-		g.now += housekeepingInterval
-		g.Woken(g.now)
-		out = append(out, g.decisions()...)
+// restoreFlows restores connections to the server at a place, with flow numbers from 900 on.
+func (b *testBalancer) restoreFlows(place, count int) {
+	for i := range count {
+		b.RestoreFlow(b.now, 900+i, Arrival{ClientKey: 1}, b.serverIndex(place))
+	}
+}
+
+// advance lets time go by in housekeeping intervals and returns what was decided meanwhile.
+func (b *testBalancer) advance(seconds float64) []Decision {
+	var decisions []Decision
+	end := b.now + seconds
+	for b.now < end {
+		b.now += housekeepingInterval
+		b.Woken(b.now)
+		decisions = append(decisions, b.decisions()...)
+	}
+	return decisions
+}
+
+// homes returns the places of a group's first homes.
+func (b *testBalancer) homes(group uint64, count int) []int {
+	b.updateUsable(b.now, false)
+	var homes []int
+	after := firstRank
+	for len(homes) < count {
+		place, rank := b.nextHome(hash64(group), after)
+		homes = append(homes, place)
+		after = rank
 	}
-	return out
+	return homes
 }
 
-// keyFor finds a client key whose primary among n is the one at place.
-func keyFor(place, n int) uint64 {
+// countActions returns how many decisions have an action.
+func countActions(decisions []Decision, action Action) int {
+	count := 0
+	for _, decision := range decisions {
+		if decision.Action == action {
+			count++
+		}
+	}
+	return count
+}
+
+// clientKeyFor returns a client key whose primary among some servers is the one at a place.
+func clientKeyFor(place, servers int) uint64 {
 	for key := uint64(1); ; key++ {
-		if int(hash64(key)%uint64(n)) == place {
+		if int(hash64(key)%uint64(servers)) == place {
 			return key
 		}
 	}
 }
 
-// groupFor finds a group whose first home among n servers is the one at place, and whose further ones follow.
-func groupFor(place, n int, further ...int) uint64 {
-	g := newFixture(n, nil)
-	want := append([]int{place}, further...)
+// groupKeyFor returns a group whose first homes among some servers are those at the places.
+func groupKeyFor(servers int, places ...int) uint64 {
+	b := newTestBalancer(servers, nil)
 	for group := uint64(1); ; group++ {
-		if slices.Equal(g.homes(group, len(want)), want) {
+		if slices.Equal(b.homes(group, len(places)), places) {
 			return group
 		}
 	}
 }
 
-// homes gives a group's first homes by their places.
-func (g *fixture) homes(group uint64, n int) (out []int) {
-	g.updateUsable(g.now, false)
-	for after := -1.0; len(out) < n; {
-		place, draw := g.nextHome(hash64(group), after)
-		out, after = append(out, place), draw
+// loadOnly is a load report without a round trip, and roundTripOnly one without a load.
+func loadOnly(load float64) LoadReport {
+	return LoadReport{Load: load}
+}
+
+func roundTripOnly(seconds float64) LoadReport {
+	return LoadReport{Load: -1, RoundTrip: seconds}
+}
+
+// requireReject fails the test unless a decision is a Reject with a Retry-After.
+func requireReject(t *testing.T, decision Decision) {
+	t.Helper()
+	if decision.Action != Reject || decision.Seconds <= 0 {
+		t.Fatalf("got %+v, want a Reject with a Retry-After", decision)
 	}
-	return out
 }
--- /dev/null
+++ b/placement/settings_test.go
@@ -0,0 +1,186 @@
+package placement
+
+import (
+	"math"
+	"testing"
+)
+
+// liveSettingCase changes one live setting, and what hangs on it.
+type liveSettingCase struct {
+	name   string
+	change func(*LiveSettings)
+	decide func(*testBalancer) any
+}
+
+var liveSettingCases = []liveSettingCase{
+	{"max attempts", func(s *LiveSettings) { s.MaxAttempts = 1 }, actionAfterFailedConnect},
+	{"max Retry-After", func(s *LiveSettings) { s.MaxRetryAfter = 200 }, longRetryAfter},
+	{"poll interval", func(s *LiveSettings) { s.PollInterval = 0.5 }, backoffAfterFourFailures},
+	{"slow-start share", func(s *LiveSettings) { s.SlowStartShare = 1 }, connectionsInSlowStart},
+	{"slow-start time", func(s *LiveSettings) { s.SlowStartTime = 0.01 }, connectionsInSlowStart},
+	{"overload multiple", func(s *LiveSettings) { s.OverloadMultiple = 12 }, connectionsInSlowStart},
+	{"overload window", func(s *LiveSettings) { s.OverloadWindow = 40 }, connectionsInSlowStart},
+	{"setup objective", func(s *LiveSettings) { s.Objectives[0].Setup = 2.5 }, firstTimeout},
+	{"message objective", func(s *LiveSettings) { s.Objectives[0].Message = 9 }, samePlaceAfterDelay},
+	{"quota", func(s *LiveSettings) { s.Quotas[0] = 0 }, actionOverQuota},
+}
+
+func actionAfterFailedConnect(b *testBalancer) any {
+	b.arrive(0, Arrival{ClientKey: 5})
+	b.AttemptEnded(b.now, 0, 0, ConnectFailed, false)
+	return b.decisions()[0].Action
+}
+
+func longRetryAfter(b *testBalancer) any {
+	for place := range 4 {
+		b.SetDisabled(b.now, b.serverIndex(place), true)
+	}
+	decision, _ := b.arrive(0, Arrival{ClientKey: 5})
+	return decision.Seconds > 50
+}
+
+func backoffAfterFourFailures(b *testBalancer) any {
+	for range 4 {
+		b.UpdateEndpoints(b.now, ListFailed, nil)
+	}
+	return b.polling.backoff
+}
+
+// connectionsInSlowStart returns how many of 200 flows within a second go to a server that has just started.
+func connectionsInSlowStart(b *testBalancer) any {
+	b.restartServer(3, b.now)
+	b.establish(0, 100)
+	for range 4 {
+		b.advance(housekeepingInterval)
+	}
+	b.establish(100, 100)
+	return b.serverAt(3).inFlight
+}
+
+func firstTimeout(b *testBalancer) any {
+	decision, _ := b.arrive(0, Arrival{ClientKey: 5})
+	return decision.Seconds
+}
+
+func samePlaceAfterDelay(b *testBalancer) any {
+	_, first := b.arrive(0, Arrival{ClientKey: 5})
+	b.Established(0, 0)
+	b.ReportDelay(b.now, 0, 0.15)
+	_, second := b.arrive(1, Arrival{ClientKey: 5})
+	return first == second
+}
+
+// actionOverQuota leaves capacity within the load thresholds, but none within what tenants over their quota may use.
+func actionOverQuota(b *testBalancer) any {
+	b.establish(0, 4)
+	for place := range 4 {
+		s := b.serverAt(place)
+		s.threshold.load = (s.assignedLoad + 0.02) / 0.9
+	}
+	decision, _ := b.arrive(9, Arrival{ClientKey: 5})
+	return decision.Action
+}
+
+func TestLiveSettingDecidesNext(t *testing.T) {
+	for _, c := range liveSettingCases {
+		t.Run(c.name, func(t *testing.T) {
+			withQuota := func(s *Settings) { s.Quotas = []float64{1000} }
+			unchanged := newTestBalancer(4, withQuota)
+			changed := newTestBalancer(4, withQuota)
+			live := changed.Settings.Live()
+			c.change(&live)
+			changed.ApplySettings(live)
+			before := c.decide(unchanged)
+			if after := c.decide(changed); before == after {
+				t.Errorf("%v under both", before)
+			}
+		})
+	}
+}
+
+// The first settings, put into force again, decide as if nothing had been changed.
+func TestRestoredSettingsDecideAsBefore(t *testing.T) {
+	withoutChange := newBalancerWithQuotas().decideEighty()
+	b := newBalancerWithQuotas()
+	b.changeAndRestoreSettings(t)
+	withChange := b.decideEighty()
+	if len(withoutChange) != len(withChange) {
+		t.Fatalf("%d decisions and %d", len(withoutChange), len(withChange))
+	}
+	for i := range withoutChange {
+		if withoutChange[i] != withChange[i] {
+			t.Fatalf("decision %d: %+v and %+v", i, withoutChange[i], withChange[i])
+		}
+	}
+}
+
+func newBalancerWithQuotas() *testBalancer {
+	return newTestBalancer(5, func(s *Settings) { s.Quotas = []float64{20, 30} })
+}
+
+func (b *testBalancer) changeAndRestoreSettings(t *testing.T) {
+	t.Helper()
+	start := b.Settings.Live()
+	other := b.Settings.Live()
+	other.MaxAttempts = 1
+	other.SlowStartTime = 99
+	other.Quotas[1] = 0
+	other.Objectives[0].Message = 0
+	b.ApplySettings(other)
+	if b.MaxAttempts != 1 || !math.IsInf(b.messageObjective, 1) || b.Quotas[1] != 0 || start.Quotas[1] != 30 {
+		t.Fatalf("%+v", b.Settings)
+	}
+	b.ApplySettings(start)
+}
+
+// decideEighty returns the decisions on 80 flows of three tenants, two thirds of which are established.
+func (b *testBalancer) decideEighty() []Decision {
+	var decisions []Decision
+	for id := range 80 {
+		decision, _ := b.arrive(id, Arrival{ClientKey: uint64(id + 1), Tenant: id % 3})
+		decisions = append(decisions, decision)
+		if id%3 > 0 {
+			b.Established(id, 0)
+		}
+		decisions = append(decisions, b.advance(housekeepingInterval)...)
+	}
+	return decisions
+}
+
+func TestLiveSettingsKeepDeadlinesOfWaitingFlows(t *testing.T) {
+	b := newTestBalancer(4, nil)
+	b.arrive(0, Arrival{ClientKey: 5, Timeout: 2})
+	deadline := b.flows[0].deadline
+	live := b.Settings.Live()
+	live.MaxAttempts = 1
+	live.MaxRetryAfter = 0
+	live.PollInterval = 1
+	live.Objectives[0].Setup = 9
+	live.OverloadWindow = 9
+	live.SlowStartTime = 99
+	b.ApplySettings(live)
+	if b.flows[0].deadline != deadline {
+		t.Errorf("deadline at %g, was %g", b.flows[0].deadline, deadline)
+	}
+}
+
+func TestLargeServerIsHomeOfMoreGroups(t *testing.T) {
+	const place = 2
+	b := newTestBalancer(4, nil)
+	before := b.groupsAtHome(place)
+	b.SetSize(b.serverIndex(place), 50)
+	if after := b.groupsAtHome(place); before > 50 || after < 90 {
+		t.Errorf("%d of 100 homes before, %d after", before, after)
+	}
+}
+
+// groupsAtHome returns how many of 100 groups have their first home at a place.
+func (b *testBalancer) groupsAtHome(place int) int {
+	groups := 0
+	for group := uint64(1); group <= 100; group++ {
+		if b.homes(group, 1)[0] == place {
+			groups++
+		}
+	}
+	return groups
+}
