--- a/placement/attempts.go
+++ b/placement/attempts.go
@@ -1,8 +1,15 @@
 package placement
 
-// answerMargin is the number of ticks before its timeout at which a flow gets its final answer, so that the answer
-// arrives before the client gives up.
-const answerMargin = 3
+const (
+	// answerMargin is the number of ticks before its timeout at which a flow gets its final answer, so that the answer
+	// arrives before the client gives up.
+	answerMargin = 3
+	// A Retry-After is spread evenly from leastRetryAfter on, over retryAfterSpread of the longest one.
+	leastRetryAfter  = 0.25
+	retryAfterSpread = 0.5
+	// uncertaintyLimit is the uncertainty, lowered for small fleets, above which a node counts as uncertain.
+	uncertaintyLimit = 0.5
+)
 
 // Outcome is how an attempt, an established connection or a health check ended.
 type Outcome uint8
@@ -94,7 +101,7 @@
 // mayAttemptNow reports whether a flow has time and attempts left, and whether the load on this node's servers
 // allows one.
 func (b *Balancer) mayAttemptNow(now float64, f *flow) bool {
-	paced := b.paceReturning(f) // drawn before any other condition is looked at, which keeps later draws equal
+	paced := b.paceReturning(f) // always first, because it may draw a random number
 	if paced || b.retryHeldBack(f) {
 		return false
 	}
@@ -134,7 +141,7 @@
 // finalAnswer returns a Reject where a retry by the client is safe, else an Abort. The Retry-After is spread, so
 // that rejected clients do not return together.
 func (b *Balancer) finalAnswer(now float64, id int) Decision {
-	retryAfter := b.MaxRetryAfter * (0.25 + 0.5*b.random())
+	retryAfter := b.MaxRetryAfter * (leastRetryAfter + retryAfterSpread*b.random())
 	if b.mayReject(now, &b.flows[id], retryAfter) {
 		return Decision{Action: Reject, Flow: id, Seconds: retryAfter}
 	}
@@ -142,8 +149,8 @@
 }
 
 // attemptTimeout returns the timeout of the next attempt. It leaves time for a retry where one is possible. A node
-// that is uncertain waits to the deadline. This prevents a shared store from being kept full by setups that were
-// given up in its queue and sent again.
+// that is uncertain waits to the deadline. This prevents setups that are given up and sent again
+// from filling the queue of a shared store.
 func (b *Balancer) attemptTimeout(now float64, f *flow) float64 {
 	left := f.deadline - now
 	serviceType := &b.ServiceTypes[f.serviceType]
@@ -175,7 +182,7 @@
 	return false
 }
 
-// mayReject reports whether the client of a flow may be told that a retry after some seconds is safe.
+// mayReject reports whether the client of a flow may retry safely after some seconds.
 func (b *Balancer) mayReject(now float64, f *flow, retryAfter float64) bool {
 	serviceType := &b.ServiceTypes[f.serviceType]
 	if f.ranAt < 0 || serviceType.Idempotency == Idempotent {
@@ -188,5 +195,5 @@
 // uncertain reports whether this node, one of many, has too few connections to tell the fault of one server from a
 // fault that all servers share.
 func (b *Balancer) uncertain() bool {
-	return b.overload.uncertainty*(1-smallFleet/float64(b.Nodes)) > 0.5
+	return b.overload.uncertainty*(1-smallFleet/float64(b.Nodes)) > uncertaintyLimit
 }
--- a/placement/balancer.go
+++ b/placement/balancer.go
@@ -16,7 +16,7 @@
 //   - The primary of a flow is the server at the position in the base list that the hash of its client key names.
 //     If that server takes no new flows, the hash names one of the usable servers instead.
 //   - A flow spills when its primary has more connections than the spill limit. It then visits the other servers
-//     until one has room.
+//     until one has capacity.
 //   - The home of a group of flows is the server with the lowest rank for the hash of the group. Its second home
 //     has the second lowest rank, and so on. A flow of a group spills from home to home.
 package placement
@@ -58,7 +58,7 @@
 	quotaPerServer   float64    // connections that the quotas of all tenants allow for each server and node
 	handedOver       bool       // a successor process takes the flows
 	nextDecayAt      float64    // when the counts of failures and successes are halved next
-	wakeAt           float64    // when the wake that was asked for is due, or noWake
+	wakeAt           float64    // when the requested wake is due, or noWake
 
 	loads       loadEstimates
 	concurrency concurrencyLimit
@@ -94,7 +94,7 @@
 	if decision, ok := b.nextFlowDecision(now); ok {
 		return decision, true
 	}
-	if b.wakeAt < 0 {
+	if b.wakeAt == noWake {
 		b.housekeep(now)
 	}
 	if len(b.queued) > 0 {
--- a/placement/concurrency.go
+++ b/placement/concurrency.go
@@ -11,6 +11,9 @@
 	limitDecreasePause = 0.2
 	// limitLiftPause is the time in seconds without a common failure after which the limit may be lifted.
 	limitLiftPause = 5
+	// The limit is lifted once it is above limitLiftFactor times the attempts in flight, and limitLiftSlack.
+	limitLiftFactor = 4
+	limitLiftSlack  = 8
 )
 
 // concurrencyLimit bounds the attempts in flight while attempts fail at many servers at once, as they do where a
@@ -51,7 +54,10 @@
 // liftConcurrencyLimit ends the limit once it is far above what is in flight.
 func (b *Balancer) liftConcurrencyLimit(now float64) {
 	c := &b.concurrency
-	if !c.active() || now-c.loweredAt <= limitLiftPause || c.limit <= float64(4*b.attemptsInFlight+8) {
+	if !c.active() || now-c.loweredAt <= limitLiftPause {
+		return
+	}
+	if c.limit <= float64(limitLiftFactor*b.attemptsInFlight+limitLiftSlack) {
 		return
 	}
 	c.limit = math.Inf(1)
--- a/placement/decision.go
+++ b/placement/decision.go
@@ -6,11 +6,11 @@
 // The actions of a decision. A flow gets any number of Connect decisions and at most one Reject or Abort.
 const (
 	Connect        Action = iota // send Flow to Server, within Seconds
-	Reject                       // tell the client of Flow to retry after Seconds; nothing has had an effect
+	Reject                       // answer the client of Flow that it may retry after Seconds; nothing has had an effect
 	Abort                        // end Flow without the promise that a retry is safe
-	Migrate                      // ask the client of Flow to connect again, to be placed elsewhere
+	Migrate                      // send the client of Flow away, to connect again
 	CheckHealth                  // send a health check to Server
-	GossipLoad                   // tell the other nodes the Load of Server
+	GossipLoad                   // notify the other nodes of the Load of Server
 	WatchEndpoints               // poll the endpoint list and watch it
 	Wake                         // call Woken after Seconds
 	Log                          // write Message to the log
--- a/placement/draining_test.go
+++ b/placement/draining_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A draining server may leave without a word to its clients. They migrate at the pace of other migrations, after the
+// A draining server may stop without notice to its clients. They migrate at the pace of other migrations, after the
 // time in which the server may send them away itself.
 func TestConnectionsMigrateFromDrainingServer(t *testing.T) {
 	for _, c := range []struct {
--- a/placement/ejection.go
+++ b/placement/ejection.go
@@ -7,6 +7,8 @@
 	maxEjectionTime   = 16.0
 	// outlierFailureShare is the share of failures above which a server is an outlier where others have none.
 	outlierFailureShare = 0.2
+	// commonFailureWeight is how much of the other servers' share of failures is added to outlierFailureShare.
+	commonFailureWeight = 2
 	// passesToReturn is the number of health checks in a row after which an ejected server is used again.
 	passesToReturn = 2
 )
@@ -59,7 +61,7 @@
 	if outcome == Failed || outcome == TimedOut {
 		b.limitConcurrency(now, commonFailures)
 	}
-	b.ejectOutlier(now, s, peers, outlierFailureShare+2*commonFailures, max(1, peers.ready/3))
+	b.ejectOutlier(now, s, peers, outlierFailureShare+commonFailureWeight*commonFailures, max(1, peers.ready/3))
 }
 
 // evidenceOfPeers leaves out the failures of the server in question: one faulty server is no sign of a shared fault.
--- a/placement/fleet_test.go
+++ b/placement/fleet_test.go
@@ -56,7 +56,7 @@
 	b.restartServer(startedPlace, b.now)
 	b.establish(node*1000, l.connectionsPerNode())
 	for i := range b.servers {
-		if b.servers[i].check.inFlight { // asked for while the flows arrived
+		if b.servers[i].check.inFlight { // requested while the flows arrived
 			l.answerCheck(b, i)
 		}
 	}
@@ -89,7 +89,7 @@
 	l.toLastServer += l.weight() * float64(b.serverAt(startedPlace).inFlight)
 }
 
-// What is nothing for one node may be a flood from a thousand. The sums stay within bounds for any number of nodes.
+// What is little for one node may be a flood from a thousand. The sums stay within bounds for any number of nodes.
 func TestLoadOfAllNodesIsBounded(t *testing.T) {
 	for _, nodes := range []int{1, 3, 80, 1000} {
 		load := fleetLoad{nodes: nodes, nodesRun: min(nodes, loadMaxNodes), firstPolls: make([]float64, 1000),
@@ -103,7 +103,7 @@
 		if load.checks > mostChecks {
 			t.Errorf("%d nodes: %.0f health checks in 5 s, want %.0f at the most", nodes, load.checks, mostChecks)
 		}
-		// The overload multiple of what a warm server's even share comes to, at a weight of a fifth.
+		// The overload multiple of what the even share of a server past its slow start comes to, at a weight of a fifth.
 		mostConnections := 0.2 * 3 * loadConnections / loadServers
 		if load.toLastServer > 1.5*mostConnections+load.weight() {
 			t.Errorf("%d nodes: %.0f connections to a server in slow start, want %.0f at the most", nodes,
--- a/placement/flow.go
+++ b/placement/flow.go
@@ -5,8 +5,12 @@
 	"math"
 )
 
-// none is the index of no server, and the time of an attempt that has not happened.
-const none = -1
+const (
+	// none is the index of no server.
+	none = -1
+	// never is the time of an attempt that has not been sent.
+	never = -1.0
+)
 
 // Arrival is a flow as it reaches this node.
 type Arrival struct {
@@ -29,7 +33,7 @@
 	established bool // the attempt became a connection
 	midFlow     bool
 	returning   bool
-	migrated    bool // the client was asked to connect again
+	migrated    bool // the client has been sent away
 
 	serviceType int
 	tenant      int
@@ -43,7 +47,7 @@
 	attempts  int     // so far
 	tried     []int   // servers of the attempts
 	sentAt    float64 // when the last attempt was sent
-	ranAt     float64 // when the first attempt that may have run was sent, or none
+	ranAt     float64 // when the first attempt that may have run was sent, or never
 	ranServer int     // its server
 }
 
@@ -64,8 +68,8 @@
 	b.markEstablished(f)
 }
 
-// newFlow puts an arrival into the flow table. The group stands in for a client key that is missing, and a random
-// number for both.
+// newFlow puts an arrival into the flow table. The group stands in for a client key that is missing, and a
+// random number for both. The number is drawn for every flow.
 func (b *Balancer) newFlow(id int, arrival Arrival) *flow {
 	for len(b.flows) <= id {
 		b.flows = append(b.flows, flow{})
@@ -83,7 +87,7 @@
 		load:        max(arrival.Load, 0),
 		server:      none,
 		tried:       f.tried[:0],
-		ranAt:       none,
+		ranAt:       never,
 	}
 	if arrival.GroupKey != 0 {
 		f.groupHash = hash64(arrival.GroupKey)
--- a/placement/handover.go
+++ b/placement/handover.go
@@ -144,7 +144,7 @@
 }
 
 // SetHandedOver says whether a successor takes the flows. As long as it does, this balancer has no budget at
-// servers in slow start and asks for no health checks.
+// servers in slow start and requests no health checks.
 func (b *Balancer) SetHandedOver(handedOver bool) {
 	b.handedOver = handedOver
 }
--- a/placement/health_checks.go
+++ b/placement/health_checks.go
@@ -8,6 +8,10 @@
 const (
 	// checkInterval is the mean time in seconds between two health checks of one ejected server.
 	checkInterval = 0.5
+	// A time between two health checks is drawn evenly from leastCheckInterval to leastCheckInterval + checkSpread,
+	// as a share of its mean.
+	leastCheckInterval = 0.75
+	checkSpread        = 0.5
 	// roundTripNoise is the variation in seconds of a health check's round trip on a sound network.
 	roundTripNoise = 4e-3
 	// roundTripSpread is the multiple of the shortest round trip at any server up to which a server is not slow.
@@ -19,7 +23,7 @@
 // checkState is what this node's health checks have shown of one server.
 type checkState struct {
 	inFlight          bool
-	requestedAt       float64 // when the last one was asked for
+	requestedAt       float64 // when the last one was requested
 	nextAt            float64 // when the next one may be
 	shortestRoundTrip float64 // in seconds; 0 for none
 	passed            int     // in a row
@@ -27,7 +31,7 @@
 
 // checkSchedule is what the health checks of all servers have in common.
 type checkSchedule struct {
-	nextRoundAt       float64 // when load reports of all servers are asked for next
+	nextRoundAt       float64 // when load reports of all servers are requested next
 	roundStartedAt    float64 // when they were last
 	shortestRoundTrip float64 // at any server, in seconds; 0 for none
 }
@@ -70,7 +74,7 @@
 	b.observeDelay(now, s, delayPerRoundTrip*b.messageObjective*math.Pow(excess, 2))
 }
 
-// startReportRound asks for the load reports of all servers at once, so that what they say goes out in one message.
+// startReportRound requests the load reports of all servers at once, so that one message carries all gossip.
 // The time to the next round is drawn, because nodes may start together.
 func (b *Balancer) startReportRound(now float64) {
 	if !b.LoadReports || now < b.checks.nextRoundAt {
@@ -100,7 +104,7 @@
 	return Decision{}, false
 }
 
-// checkDue reports whether a server needs a health check now: it is ejected, its load report is asked for, or its
+// checkDue reports whether a server needs a health check now: it is ejected, its load report is requested, or its
 // round trip is measured.
 func (b *Balancer) checkDue(now float64, s *server) bool {
 	if s.check.inFlight || now < s.check.nextAt || !s.listed || s.State != Ready || s.admin.disabled || b.handedOver {
@@ -121,7 +125,7 @@
 // ejected or whose measured round trip was long just now.
 func (b *Balancer) scheduleNextCheck(now float64, s *server) {
 	s.check.requestedAt = now
-	s.check.nextAt = now + checkInterval*(0.75+0.5*b.random())
+	s.check.nextAt = now + checkInterval*(leastCheckInterval+checkSpread*b.random())
 	slow := b.TimeHealthChecks && now-s.threshold.loweredAt < slowHold
 	if !s.outlier.ejected && !slow {
 		s.check.nextAt += checkInterval * float64(b.Nodes)
--- a/placement/load_reports.go
+++ b/placement/load_reports.go
@@ -21,7 +21,7 @@
 type reportedLoad struct {
 	load          float64 // load over capacity
 	receivedAt    float64
-	gossipPending bool // the other nodes are to be told of it
+	gossipPending bool // the other nodes have to be notified
 }
 
 // high reports whether a server was so loaded of late that its messages wait.
@@ -42,7 +42,7 @@
 	s.report.receivedAt = now
 }
 
-// GossipReceived reports the load over capacity of a server that another node was told of.
+// GossipReceived reports the load over capacity of a server, as reported to another node.
 func (b *Balancer) GossipReceived(now float64, index int, load float64) {
 	s := b.server(index)
 	s.report = reportedLoad{load: load, receivedAt: now}
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -12,12 +12,17 @@
 	thresholdRecovery = 0.02
 	// lostConnectionFactor is what a broken connection leaves of the load threshold.
 	lostConnectionFactor = 0.9
+	// delayWeight is the share by which a delay of one message objective lowers the load threshold.
+	delayWeight = 0.05
 	// leastDelayFactor is the least that a slow message leaves of the load threshold.
 	leastDelayFactor = 0.8
 	// overloadRise is how fast the overload level rises, in 1/s at a slow share of 1.
 	overloadRise = 2.0
 	// overloadFadeTime is the time in seconds in which the overload level falls to 1/e of its value.
 	overloadFadeTime = 60.0
+	// overloadBegins and overloadEnds are the slow shares at which a log line is written.
+	overloadBegins = 0.5
+	overloadEnds   = 0.1
 	// returnPacing is the factor from the slow share that an uncertain node sees to the share of returning clients
 	// that have to wait.
 	returnPacing = 2.5
@@ -25,7 +30,7 @@
 	smallFleet = 10
 )
 
-// loadThreshold is the load that a server bears, as far as this node has seen.
+// loadThreshold is the load up to which a server is not overloaded, as far as this node has seen.
 type loadThreshold struct {
 	load         float64 // of this node's connections; infinite until it was too much once
 	loweredAt    float64
@@ -56,7 +61,7 @@
 		s.threshold.overloadedAt = now
 	}
 	if delay > b.messageObjective/3 {
-		b.lowerThreshold(now, s, max(leastDelayFactor, 1-0.05*delay/b.messageObjective))
+		b.lowerThreshold(now, s, max(leastDelayFactor, 1-delayWeight*delay/b.messageObjective))
 	}
 }
 
@@ -108,8 +113,8 @@
 // logOverload writes a line when more than half of the servers in use have become slow, or nearly none still is.
 func (b *Balancer) logOverload(slow, used float64) {
 	o := &b.overload
-	ended := o.logged && o.slowShare < 0.1
-	began := !o.logged && o.slowShare > 0.5
+	ended := o.logged && o.slowShare < overloadEnds
+	began := !o.logged && o.slowShare > overloadBegins
 	if !ended && !began {
 		return
 	}
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// A threshold that was set before the loads were known does not keep flows away for long where servers bear much
-// more. It still does for the first seconds.
+// A threshold that was set before the loads were known does not keep flows away for long where servers can
+// take much more. It still does for the first seconds.
 func TestLowThresholdRises(t *testing.T) {
 	b := newTestBalancer(3, func(s *Settings) { s.Quotas = []float64{40, 20} }) // ten for each server and node
 	b.establish(0, 30)
@@ -63,7 +63,7 @@
 	}
 	b.advance(9)
 	if s.threshold.load < 0.3 {
-		t.Fatalf("threshold %g after 12 s, where servers bear 1", s.threshold.load)
+		t.Fatalf("threshold %g after 12 s, where servers can take 1", s.threshold.load)
 	}
 }
 
--- a/placement/primary.go
+++ b/placement/primary.go
@@ -18,6 +18,9 @@
 	furtherHomeShare = 0.8
 	// maxSearchedHomes is the number of homes among which a returning client is placed, unless its group needs more.
 	maxSearchedHomes = 3
+	// dealingLevel is the overload level above which mid-flow connections of a group that is dealt over many homes are
+	// looked for there.
+	dealingLevel = 0.5
 	// firstRank is below the rank of every home.
 	firstRank = -1.0
 	// hashBits is 2 to the number of bits of a hash that a fraction is made of.
@@ -68,7 +71,7 @@
 		_, p.homeRank = b.nextHome(f.groupHash, p.homeRank)
 	}
 	home, _ := b.nextHome(f.groupHash, p.homeRank)
-	dealtMidFlow := p.midFlow && homes > maxSearchedHomes && b.overload.level > 0.5
+	dealtMidFlow := p.midFlow && homes > maxSearchedHomes && b.overload.level > dealingLevel
 	if f.returning || search || dealtMidFlow || b.random() < b.overload.level {
 		p.position = home
 		p.spillLimit = min(p.spillLimit, b.homeLimit(p.meanInFlight))
@@ -76,7 +79,7 @@
 }
 
 // homesPerGroup returns over how many homes the clients of a group are dealt: one, unless a connection for each
-// node is more than a server bears by the quotas.
+// node is more than the quotas allow for a server.
 func (b *Balancer) homesPerGroup() int {
 	return int(min(1/cmp.Or(b.quotaPerServer, 1), float64(len(b.base))))
 }
--- a/placement/primary_test.go
+++ b/placement/primary_test.go
@@ -116,13 +116,13 @@
 }
 
 // Nodes that each place one client of a group at its home put as many there as there are nodes. Where the quotas say
-// that three servers bear less, the clients are dealt over as many homes as bear that, and every node finds a
+// that three servers can take less, the clients are dealt over as many homes as can take that, and every node finds a
 // client where any other placed it.
 func TestLargeGroupIsDealtOverHomes(t *testing.T) {
 	const nodes = groupNodes
 	for _, c := range []struct {
 		name        string
-		connections float64 // that a server bears by the quotas; 0 without quotas
+		connections float64 // that the quotas allow for a server; 0 without quotas
 		homes       int
 	}{
 		{"no quotas", 0, 1},
--- a/placement/reentry_test.go
+++ b/placement/reentry_test.go
@@ -24,7 +24,7 @@
 // A server that was enabled again is in slow start until a list names its start time, and one flow enters it soon.
 func TestEnabledServerIsSoonEnteredByOneFlow(t *testing.T) {
 	const servers, seeds = 8, 60
-	used, usedTwice, warm := 0, 0, 0
+	used, usedTwice, complete := 0, 0, 0
 	for seed := range uint64(seeds) {
 		b := newEnabledBalancer(seed, servers)
 		if weight := b.slowStartWeight(b.now, b.serverAt(2)); weight != b.SlowStartShare {
@@ -45,7 +45,7 @@
 		}
 		b.restartServer(2, 990)
 		if b.slowStartWeight(b.now, b.serverAt(2)) >= 1 {
-			warm++
+			complete++
 		}
 	}
 	if used < 55 {
@@ -54,8 +54,8 @@
 	if usedTwice > 20 {
 		t.Errorf("%d of 60 sent more than one flow to a server in slow start", usedTwice)
 	}
-	if warm != seeds {
-		t.Errorf("the listed start time counts in %d of 60", warm)
+	if complete != seeds {
+		t.Errorf("the listed start time counts in %d of 60", complete)
 	}
 }
 
@@ -82,7 +82,7 @@
 				}
 			}
 		}
-		// Half a connection for each node at a warm server, a weight of a fifth, and three times that.
+		// Half a connection for each node at a server past its slow start, a weight of a fifth, and three times that.
 		limit := max(2, float64(nodes)*0.5*0.2*3)
 		for window, attempts := range byWindow {
 			if float64(attempts) > limit {
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -52,12 +52,12 @@
 	WatchEndpoints   bool    // the endpoint list has to be polled
 	PollInterval     float64 // longest time between two polls without a watch; 0 for defaultPollInterval
 	LoadReports      bool    // health checks bring load reports
-	LoadGossip       bool    // nodes tell one another the loads that were reported to them
+	LoadGossip       bool    // nodes send one another the loads that were reported to them
 	TimeHealthChecks bool    // the round trip of health checks stands in for message delays
 	SlowStartShare   float64 // share of its capacity, above 0 to 1, that a server has when it starts
 	SlowStartTime    float64 // time after its start until a server has all its capacity
-	OverloadMultiple float64 // a warming server that gets more than this multiple of its capacity ...
-	OverloadWindow   float64 // ... for this long fails
+	OverloadMultiple float64 // a server in slow start fails under more than this multiple of its capacity
+	OverloadWindow   float64 // for how long such a server bears that
 	ServiceTypes     []ServiceType
 	Quotas           []float64 // by tenant: open connections of its quota over all nodes; nil for none
 }
--- a/placement/slow_start.go
+++ b/placement/slow_start.go
@@ -36,8 +36,9 @@
 }
 
 // withinSlowStartBudget reports whether this node may send one more attempt to a server in the current window. The
-// budget of all nodes is what a warm server's connections, spread over the slow-start time, come to in the window,
-// times the server's weight. A node whose process began in the window has no budget there, and none after its
+// budget of all nodes is what the connections of a server with its whole capacity, spread over the slow-start time,
+// come to in the window, times the server's weight and half of the overload multiple: a window of the server's own
+// may overlap two of these. A node whose process began in the window has no budget there, and none after its
 // handover, as another process of the node may have used it.
 func (b *Balancer) withinSlowStartBudget(now float64, s *server, weight, meanInFlight, leastShare float64) bool {
 	s.slowStart.advance(now, cmp.Or(b.OverloadWindow, 1))
@@ -75,7 +76,7 @@
 }
 
 // reentryServer returns a usable server that was enabled again and that no flow has entered since, or none. Each
-// node sends it one flow at the most, as far as a server in slow start bears that. This prevents such a server from
+// node sends it one flow at the most, as far as its slow-start weight allows. This prevents such a server from
 // being empty for long where few flows arrive.
 func (b *Balancer) reentryServer(now float64, f *flow, meanInFlight float64) int {
 	if f.attempts != 0 || f.midFlow {
--- a/placement/spill.go
+++ b/placement/spill.go
@@ -103,7 +103,7 @@
 	p.position = (p.position + 1) % len(b.usable)
 }
 
-// hasCapacity reports whether a server has room for the flow under its load threshold and is not overloaded now.
+// hasCapacity reports whether a server has capacity for the flow under its load threshold and is not overloaded now.
 func (b *Balancer) hasCapacity(now float64, p *path, s *server) bool {
 	if s.assignedLoad+p.load > p.thresholdPart*s.threshold.load {
 		return false
