--- a/placement/handover.go
+++ b/placement/handover.go
@@ -25,7 +25,7 @@
 	DisabledAt    float64 `json:"HandAt"`  // when it was, or when a server enabled again counts as started
 	EnterFrom     float64 `json:"Wanted"`  // when a new flow enters a server enabled again; 0 for none
 	ChecksPassed  int     `json:"Answers"` // health checks in a row
-	RoundingDraw  float64 `json:"Round"`   // decides about an excess of less than one connection
+	RoundingDraw  float64 `json:"Round"`   // decides whether this node exceeds a threshold of less than one connection
 }
 
 // HandoverState is what a balancer hands over to its successor beside the endpoint list. It names no flow. The JSON
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -32,10 +32,10 @@
 
 // loadThreshold is the load up to which a server is not overloaded, as far as this node has seen.
 type loadThreshold struct {
-	load         float64 // of this node's connections; infinite until it was too much once
+	load         float64 // of this node's connections; infinite until more was seen to be too much
 	loweredAt    float64
 	overloadedAt float64 // when the server was last seen to be overloaded
-	roundingDraw float64 // decides about an excess of less than one connection
+	roundingDraw float64 // decides whether this node exceeds a threshold of less than one connection
 }
 
 // overloadState is what this node sees of the load on all servers.
@@ -122,11 +122,12 @@
 	b.logf("overloaded: %v, %.0f of %.0f servers in use slow, %.0f%% sent home", o.logged, slow, used, 100*o.level)
 }
 
-// exceeded reports whether a server has more load than its threshold by so much that connections migrate. An excess
-// of less than one connection counts by the draw, so that all nodes together migrate a part of it.
+// exceeded reports whether a server has more load than its threshold by so much that connections migrate. Where
+// the threshold is less than one connection the draw decides, so that all nodes together migrate a part of them.
 func (t *loadThreshold) exceeded(load, meanUsualLoad float64) bool {
-	overOneConnection := t.load >= meanUsualLoad || load-t.load > t.roundingDraw*load
-	return load > thresholdSlack*t.load && overOneConnection
+	aboveOneConnection := t.load >= meanUsualLoad
+	drawn := load-t.load > t.roundingDraw*load
+	return load > thresholdSlack*t.load && (aboveOneConnection || drawn)
 }
 
 // overloadedNow reports whether a server was seen to be overloaded within overloadHold.
