--- a/placement/handover.go
+++ b/placement/handover.go
@@ -25,7 +25,7 @@
 	DisabledAt    float64 `json:"HandAt"`  // when it was, or when a server enabled again counts as started
 	EnterFrom     float64 `json:"Wanted"`  // when a new flow enters a server enabled again; 0 for none
 	ChecksPassed  int     `json:"Answers"` // health checks in a row
-	RoundingDraw  float64 `json:"Round"`   // decides about an excess of less than one connection
+	RoundingDraw  float64 `json:"Round"`   // decides whether this node exceeds a threshold of less than one connection
 }
 
 // HandoverState is what a balancer hands over to its successor beside the endpoint list. It names no flow. The JSON
@@ -144,7 +144,7 @@
 }
 
 // SetHandedOver says whether a successor takes the flows. As long as it does, this balancer has no budget at
-// servers in slow start and asks for no health checks.
+// servers in slow start and requests no health checks.
 func (b *Balancer) SetHandedOver(handedOver bool) {
 	b.handedOver = handedOver
 }
