--- a/internal/sockets/config.go
+++ b/internal/sockets/config.go
@@ -9,179 +9,171 @@
 	"net"
 	"os"
 	"slices"
-	"strconv"
-	"strings"
 
-	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/fleet/view"
-	"gorseledge/internal/line"
-	"gorseledge/internal/node"
 	"gorseledge/internal/peers"
-	"gorseledge/internal/settings"
 )
 
-// Config is what a node is told by its platform.
+// Config is a node's config file. The zero value is no valid config: Listen and Discovery are required.
 type Config struct {
-	Name      string   `json:"name"`
-	Listen    string   `json:"listen"`
-	Discovery string   `json:"discovery"`
-	Admin     string   `json:"admin_addr"` // the second address; none where it is empty
-	PeerAddr  string   `json:"peer_addr"`  // for messages among nodes; none where it is empty
-	Peers     []string `json:"peers"`      // the other nodes' addresses for them; this one's own may be among them
-	Seed      string   `json:"seed"`
-	Fleet     string   `json:"fleet"` // path of the fleet file; the node is on its own where it is empty
-	Limits    struct {
-		Cores    float64 `json:"cores"`
-		MemoryMB int64   `json:"memory_mb"`
-		Sockets  int     `json:"sockets"`
-	} `json:"limits"`
-	path     string
-	Known    json.RawMessage `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Name         string          `json:"name"`
+	Listen       string          `json:"listen"`     // address for clients
+	Discovery    string          `json:"discovery"`  // address of the discovery service
+	AdminAddress string          `json:"admin_addr"` // the second address; empty for none
+	PeerAddress  string          `json:"peer_addr"`  // for messages among nodes; empty for none
+	Peers        []string        `json:"peers"`      // the nodes' addresses for such messages, with or without this node's own
+	Seed         string          `json:"seed"`       // hexadecimal
+	FleetFile    string          `json:"fleet"`      // path; empty for a node on its own
+	Limits       Limits          `json:"limits"`
+	path         string          // of the config file itself
+	CachedList   json.RawMessage `json:"known"`
+	Settings     json.RawMessage `json:"settings"`
+}
+
+// Limits is what the platform grants the process.
+type Limits struct {
+	Cores    float64 `json:"cores"`     // processors, possibly a fraction
+	MemoryMB int64   `json:"memory_mb"` // MiB; 0 for no limit
+	Sockets  int     `json:"sockets"`   // descriptors; 0 or less for defaultMaxDescriptors
 }
 
 const (
-	ownDescriptors = 16  // standard streams, listener, poller, discovery
-	manySockets    = 512 // where no limit is told
-	callerShare    = 16  // one in so many descriptors may be with callers of the second address
-	mostCallers    = 32
+	defaultMaxDescriptors    = 512
+	descriptorsPerAdminConn  = 16 // one in so many descriptors may be with connections of the second address
+	maxAdminConnections      = 32
+	reservedDescriptors      = 16 // standard streams, listener, poller, discovery
+	controlServerDescriptors = 2  // a connection to a control server, and the next one while that is being closed
+	minConnectionDescriptors = 2  // a client's connection and its host's
 )
 
-// ReadConfig reads a node's config; the environment's variables stand in for what it lacks.
+// ReadConfig reads a node's config file. Where the file lacks an address or the name, the environment's LB_NAME,
+// LB_LISTEN, LB_DISCOVERY, LB_ADMIN_ADDR and LB_FLEET stand in. The settings are not checked here.
 func ReadConfig(path string) (Config, error) {
-	c := Config{path: path}
+	config := Config{path: path}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return c, fmt.Errorf("config: %w", err)
+		return config, fmt.Errorf("config: %w", err)
 	}
-	if err := json.Unmarshal(text, &c); err != nil {
-		return c, fmt.Errorf("config %s: %w", path, err)
+	if err := json.Unmarshal(text, &config); err != nil {
+		return config, fmt.Errorf("config %s: %w", path, err)
 	}
-	c.Name = cmp.Or(c.Name, os.Getenv("LB_NAME"))
-	c.Listen = cmp.Or(c.Listen, os.Getenv("LB_LISTEN"))
-	c.Discovery = cmp.Or(c.Discovery, os.Getenv("LB_DISCOVERY"))
-	c.Admin = cmp.Or(c.Admin, os.Getenv("LB_ADMIN_ADDR"))
-	c.Fleet = cmp.Or(c.Fleet, os.Getenv("LB_FLEET"))
+	config.Name = cmp.Or(config.Name, os.Getenv("LB_NAME"))
+	config.Listen = cmp.Or(config.Listen, os.Getenv("LB_LISTEN"))
+	config.Discovery = cmp.Or(config.Discovery, os.Getenv("LB_DISCOVERY"))
+	config.AdminAddress = cmp.Or(config.AdminAddress, os.Getenv("LB_ADMIN_ADDR"))
+	config.FleetFile = cmp.Or(config.FleetFile, os.Getenv("LB_FLEET"))
+	return config, config.checkAddresses()
+}
+
+// checkAddresses tells which of the addresses for clients, discovery and the second address is missing or wrong.
+func (c Config) checkAddresses() error {
 	if c.Listen == "" || c.Discovery == "" {
-		return c, fmt.Errorf("config %s: no address to listen on, or none of discovery", path)
+		return fmt.Errorf("config %s: no address to listen on, or none of discovery", c.path)
 	}
-	if c.Admin == "" {
-		return c, nil
+	if c.AdminAddress == "" {
+		return nil
 	}
-	if _, port, err := net.SplitHostPort(c.Admin); err != nil || port == "" {
-		return c, fmt.Errorf("config %s: admin_addr %q is no address with a port", path, c.Admin)
+	if _, port, err := net.SplitHostPort(c.AdminAddress); err != nil || port == "" {
+		return fmt.Errorf("config %s: admin_addr %q is no address with a port", c.path, c.AdminAddress)
 	}
-	if c.Admin == c.Listen {
-		return c, fmt.Errorf("config %s: admin_addr %q is the clients' address", path, c.Admin)
+	if c.AdminAddress == c.Listen {
+		return fmt.Errorf("config %s: admin_addr %q is the clients' address", c.path, c.AdminAddress)
 	}
-	return c, nil
+	return nil
 }
 
-// Check reads a config as a start would, with the fleet file that it names, and starts nothing.
+// Check reads a config as a start would, with the fleet file that it names, and starts nothing. Settings that cannot
+// be taken are a *settings.KeyError.
 func Check(path string) error {
-	c, err := ReadConfig(path)
-	if err == nil {
-		_, err = c.start()
+	config, err := ReadConfig(path)
+	if err != nil {
+		return err
 	}
-	if err == nil {
-		_, err = c.member()
+	if _, err := config.start(); err != nil {
+		return err
 	}
+	_, err = config.membership()
 	return err
 }
 
-// member is what the fleet file makes of a node. Without one, open is nil.
-type member struct {
-	open    func(view.Options) view.Part
-	follows bool // the configuration, from control servers
+// membership is a node's part in its fleet, as the fleet file describes it. The zero value is a node on its own.
+type membership struct {
+	open           func(view.Options) view.Part
+	followsControl bool // the node takes its live settings from control servers
 }
 
-// member reads the fleet file, if there is one.
-func (c Config) member() (member, error) {
-	if c.Fleet == "" {
-		return member{}, nil
+// membership reads the fleet file, if the config names one.
+func (c Config) membership() (membership, error) {
+	if c.FleetFile == "" {
+		return membership{}, nil
 	}
-	m, err := readFleet(c.Fleet, c.Name)
+	m, err := readFleetFile(c.FleetFile, c.Name)
 	if err == nil && c.Name == "" {
 		err = errors.New("fleet: a member has a name, and the config gives none")
 	}
 	return m, err
 }
 
-// differs tells whether something else than discovery and the list known is another here than there.
-func (c Config) differs(from Config) bool {
-	return c.Name != from.Name || c.Listen != from.Listen || c.Admin != from.Admin || c.Fleet != from.Fleet || c.Limits != from.Limits ||
-		c.PeerAddr != from.PeerAddr || !slices.Equal(c.Peers, from.Peers) || !bytes.Equal(c.Settings, from.Settings)
+// needsRestart tells whether another config differs from this one in more than the address of discovery and the
+// cached list.
+func (c Config) needsRestart(other Config) bool {
+	return c.Name != other.Name ||
+		c.Listen != other.Listen ||
+		c.AdminAddress != other.AdminAddress ||
+		c.FleetFile != other.FleetFile ||
+		c.Limits != other.Limits ||
+		c.PeerAddress != other.PeerAddress ||
+		!slices.Equal(c.Peers, other.Peers) ||
+		!bytes.Equal(c.Settings, other.Settings)
+}
+
+// maxDescriptors is how many descriptors the process may hold.
+func (c Config) maxDescriptors() int {
+	return cmp.Or(max(c.Limits.Sockets, 0), defaultMaxDescriptors)
 }
 
-// callers is how many connections the second address may hold.
-func (c Config) callers() int {
-	return min(max(cmp.Or(max(c.Limits.Sockets, 0), manySockets)/callerShare, 1), mostCallers)
+// adminConnections is how many connections the second address may hold.
+func (c Config) adminConnections() int {
+	return min(max(c.maxDescriptors()/descriptorsPerAdminConn, 1), maxAdminConnections)
 }
 
-// mixed tells what of the config belongs to another shape of deployment than its settings: messages among
-// nodes need both. Where they are allowed and no address is given, the node goes without.
-func (c Config) mixed(allowed bool) error {
-	if _, err := peers.Address(c.PeerAddr); c.PeerAddr != "" && err != nil {
-		return fmt.Errorf("peer_addr: %w", err)
-	}
-	for _, at := range c.Peers {
-		if _, err := peers.Address(at); err != nil {
+// descriptorOverhead is how many descriptors the process needs beside those of connections.
+func (c Config) descriptorOverhead() int {
+	overhead := reservedDescriptors
+	if c.AdminAddress != "" {
+		overhead += 1 + c.adminConnections()
+	}
+	if c.PeerAddress != "" {
+		overhead++
+	}
+	if c.FleetFile != "" {
+		overhead++
+	}
+	return overhead
+}
+
+// checkPeers checks the keys for messages among nodes, which the settings must allow. Where they are allowed and no
+// address is given, the node goes without.
+func (c Config) checkPeers(allowed bool) error {
+	if c.PeerAddress != "" {
+		if _, err := peers.Address(c.PeerAddress); err != nil {
+			return fmt.Errorf("peer_addr: %w", err)
+		}
+	}
+	for _, address := range c.Peers {
+		if _, err := peers.Address(address); err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
 	}
 	switch {
-	case !allowed && c.PeerAddr != "":
+	case !allowed && c.PeerAddress != "":
 		return errors.New("peer_addr: settings.limits.peers allows no messages among nodes")
 	case !allowed && len(c.Peers) > 0:
 		return errors.New("peers: settings.limits.peers allows no messages among nodes")
-	case c.PeerAddr == "" && len(c.Peers) > 0:
+	case c.PeerAddress == "" && len(c.Peers) > 0:
 		return errors.New("peers: there is no peer_addr to send from")
-	case c.PeerAddr != "" && len(c.Peers) == 0:
+	case c.PeerAddress != "" && len(c.Peers) == 0:
 		return errors.New("peer_addr: there are no peers to send to")
 	}
 	return nil
 }
-
-// numberOf gives a node's number among its siblings where the settings do not tell it: the one that its name ends with, as platforms number their nodes,
-// or else what a hash of the name gives, under which two may have one.
-func numberOf(name string) int {
-	digits := name[len(strings.TrimRight(name, "0123456789")):]
-	if number, err := strconv.ParseInt(digits, 10, 32); err == nil {
-		return int(number)
-	}
-	return int(line.Hash([]byte(name)) >> 33)
-}
-
-// start turns the config into what the core is told. A known list that does not parse is as good as none.
-func (c Config) start() (node.Start, error) {
-	r, d, err := settings.Parse(c.Settings, line.Number([]byte(c.Seed)))
-	if err == nil {
-		err = settings.Validate(r)
-	}
-	if err == nil {
-		err = c.mixed(r.LoadGossip)
-	}
-	if err != nil {
-		return node.Start{}, err
-	}
-	if r.NodeNumber < 0 {
-		r.NodeNumber = numberOf(c.Name)
-	}
-	r.LoadGossip = c.PeerAddr != "" || r.LoadGossip && c.Fleet != "" // members are told where no peers are named
-	known, err := endpoint.Parse(c.Known)
-	if err != nil {
-		known = endpoint.List{}
-	}
-	limit := cmp.Or(max(c.Limits.Sockets, 0), manySockets)
-	own := ownDescriptors
-	if c.Admin != "" {
-		own += 1 + c.callers()
-	}
-	if c.PeerAddr != "" {
-		own++
-	}
-	if c.Fleet != "" {
-		own++
-	}
-	return node.Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: max(limit-own, 2), DescriptorOverhead: own}, nil
-}
--- a/internal/sockets/effects.go
+++ b/internal/sockets/effects.go
@@ -1,88 +1,88 @@
 package sockets
 
 import (
-	"time"
-
-	"gorseledge/internal/handover"
 	"gorseledge/internal/node"
 )
 
-// perform carries out one effect; false says that it was the last.
-func (d *door) perform(e node.Effect) bool {
-	switch e := e.(type) {
+// perform carries out one effect of the core. It gives false for the last one.
+func (s *server) perform(effect node.Effect) bool {
+	switch e := effect.(type) {
 	case node.Read:
-		l := d.links[e.Conn]
-		if l.halted {
-			l.halted = false
-			l.socket.SetReadDeadline(time.Time{})
-		}
-		l.reads <- e.Into
+		s.connections[e.Conn].read(e.Into)
 	case node.Write:
-		if n, failed, whole := d.links[e.Conn].write(e.Data); whole {
-			d.next = append(d.next, node.WriteDone{Conn: e.Conn, N: n, Failed: failed})
-		}
+		s.write(e)
 	case node.Dial:
-		d.dial(e)
+		s.dial(e)
 	case node.CloseWrite:
-		if err := d.links[e.Conn].socket.CloseWrite(); err != nil {
-			d.log.Debug().Err(err).Msg("shut")
-		}
+		s.closeWrite(e.Conn)
 	case node.Close:
-		d.links[e.Conn].close(e.Reset)
-		delete(d.links, e.Conn)
+		s.connections[e.Conn].close(e.Reset)
+		delete(s.connections, e.Conn)
+	case node.StopReading:
+		s.connections[e.Conn].stopReading()
 	case node.Watch:
-		d.watch(e)
+		s.watchList(e)
 	case node.StopWatch:
-		d.unwatch(0)
+		s.discovery.stop(0)
+	case node.MoveDiscovery:
+		s.setLiveDiscovery(e.Address)
 	case node.SetTimer:
-		d.timer.Reset(time.Duration((e.At - d.now()) * 1e9))
+		s.timer.Reset(seconds(e.At - s.clock.now()))
 	case node.WriteLog:
-		d.log.Info().Msg(e.Line)
+		s.log.Info().Msg(e.Line)
 	case node.LogConnection:
-		r := e.Record
-		d.log.Info().Str("reason", string(r.Reason)).Str("type", r.Type).Str("host", r.Host).
-			Int("connects", r.Attempts).Float64("setup_s", round(r.Setup)).Float64("lasted_s", round(r.Duration)).
-			Uint64("up", r.BytesFromClient).Uint64("down", r.BytesToClient).Msg("ended")
+		s.logConnection(e.Record)
 	case node.Reply:
-		if e.Handover != nil {
-			d.successor.post(letter{Message: handover.Message{State: e.Handover}, door: d.passes()})
-		} else {
-			d.answer <- e
-		}
+		s.reply(e)
+	case node.SettingsApplied:
+		s.settingsReply <- e
 	case node.SendGossip:
-		if d.others != nil {
-			select {
-			case d.others <- e.Loads:
-			default: // the sender is behind: lost, as on the way
-			}
-		}
+		s.postGossip(e.Loads)
 	case node.UpdatePeerProcess:
-		if r := e.Update.Revision; r != nil && d.fleet != nil {
-			d.fleet.InForce(*r)
-		}
-		d.predecessor.post(letter{Message: handover.Message{Update: &e.Update}})
-		d.successor.post(letter{Message: handover.Message{Update: &e.Update}})
-	case node.SettingsApplied:
-		d.configured <- e
-	case node.MoveDiscovery:
-		d.relocate(e.Address)
-	case node.StopReading:
-		l := d.links[e.Conn]
-		l.halted = true
-		l.socket.SetReadDeadline(time.Unix(1, 0))
+		s.postUpdate(&e.Update)
 	case node.SendConnection:
-		d.pass(e)
+		s.sendConnection(e)
 	case node.BindHostConnection:
-		d.link(e.Conn, d.adopted)
-		d.adopted = nil
+		s.bindHostConnection(e.Conn)
 	case node.OpenListener:
-		d.open()
+		s.openListener()
 	case node.CloseListener:
-		d.shutter()
+		s.closeListener()
 	case node.Exit:
 		return false
 	}
 	return true
 }
 
-func round(seconds float64) float64 { return float64(int64(seconds*1e3+0.5)) / 1e3 }
+// write begins a write; the core hears its result after the effects under way, or later.
+func (s *server) write(e node.Write) {
+	result := s.connections[e.Conn].write(e.Data)
+	if result.complete {
+		s.pending = append(s.pending, node.WriteDone{Conn: e.Conn, N: result.written, Failed: result.failed})
+	}
+}
+
+func (s *server) closeWrite(conn node.Conn) {
+	if err := s.connections[conn].socket.CloseWrite(); err != nil {
+		s.log.Debug().Err(err).Msg("shut")
+	}
+}
+
+// reply gives the core's reply to who asked: the successor, where it has a state to hand over, or the second address.
+func (s *server) reply(e node.Reply) {
+	if e.Handover != nil {
+		s.postState(e.Handover)
+		return
+	}
+	s.queryReply <- e
+}
+
+// logConnection writes the log line of a client's connection that ended.
+func (s *server) logConnection(r node.Record) {
+	s.log.Info().Str("reason", string(r.Reason)).Str("type", r.Type).Str("host", r.Host).
+		Int("connects", r.Attempts).Float64("setup_s", milliseconds(r.Setup)).Float64("lasted_s", milliseconds(r.Duration)).
+		Uint64("up", r.BytesFromClient).Uint64("down", r.BytesToClient).Msg("ended")
+}
+
+// milliseconds rounds seconds, 0 or more, to milliseconds.
+func milliseconds(seconds float64) float64 { return float64(int64(seconds*1e3+0.5)) / 1e3 }
--- a/internal/sockets/listwatch.go
+++ b/internal/sockets/listwatch.go
@@ -1,46 +1,121 @@
 package sockets
 
 import (
+	"cmp"
 	"context"
 	"errors"
+	"slices"
 
+	"gorseledge/internal/discovery"
 	"gorseledge/internal/discovery/endpoint"
 	"gorseledge/internal/node"
 )
 
-var errOutpaced = errors.New("a call beside it was answered first")
+// errOverridden ends a call because another call beside it was answered first.
+var errOverridden = errors.New("a call beside it was answered first")
 
-// call is a call for the list, or the watch that it became.
-type call struct {
+// discoveryWatch is the watch of the endpoint list. It belongs to the loop.
+type discoveryWatch struct {
+	client      *discovery.Client
+	liveAddress string     // discovery's address by the live settings; empty for the config's
+	calls       []listCall // under way, oldest first; once one is answered it is the only one
+}
+
+// listCall is a call for the list, or the watch that it became.
+type listCall struct {
 	ctx context.Context
 	end context.CancelCauseFunc
 }
 
-// unwatch ends all calls for the list but so many of the oldest.
-func (d *door) unwatch(but int) {
-	but = min(but, len(d.calls))
-	for _, c := range d.calls[but:] {
-		c.end(nil)
+// stop ends all calls but so many of the oldest.
+func (w *discoveryWatch) stop(keep int) {
+	keep = min(keep, len(w.calls))
+	for _, call := range w.calls[keep:] {
+		call.end(nil)
 	}
-	d.calls = d.calls[:but]
+	w.calls = w.calls[:keep]
 }
 
-// watch begins a watch of the list in place of those before, or beside the oldest call, which discovery answers first.
-func (d *door) watch(e node.Watch) {
-	if e.Beside {
-		d.unwatch(1)
+// begin adds a call. With beside, the oldest call waits on for its answer, since discovery answers it first;
+// otherwise the new one takes the place of all.
+func (w *discoveryWatch) begin(ctx context.Context, beside bool) listCall {
+	if beside {
+		w.stop(1)
 	} else {
-		d.unwatch(0)
-	}
-	ctx, end := context.WithCancelCause(d.ctx)
-	d.calls = append(d.calls, call{ctx, end})
-	client := d.roster
-	d.group.Go(func() error {
-		err := client.Watch(ctx, e.Index, func(within bool) { d.send(spoke{ctx, within}) },
-			func(l endpoint.List) { d.send(listed{ctx, l}) })
+		w.stop(0)
+	}
+	ctx, end := context.WithCancelCause(ctx)
+	call := listCall{ctx: ctx, end: end}
+	w.calls = append(w.calls, call)
+	return call
+}
+
+// alive takes a sign of life from a call, which ends all others.
+func (w *discoveryWatch) alive(call context.Context, midLine bool) node.Input {
+	if call.Err() != nil { // canceled meanwhile: it says nothing about the watch that took its place
+		return nil
+	}
+	w.calls = slices.DeleteFunc(w.calls, func(c listCall) bool {
+		if c.ctx == call {
+			return false
+		}
+		c.end(errOverridden)
+		return true
+	})
+	return node.WatchAlive{MidLine: midLine}
+}
+
+// listReceived takes a list from a call. What a watch said before it was given up as silent counts; that of an
+// overridden call does not, since it may be older than what the other call brought.
+func (w *discoveryWatch) listReceived(call context.Context, list endpoint.List) node.Input {
+	if errors.Is(context.Cause(call), errOverridden) {
+		return nil
+	}
+	return node.ListReceived{List: list}
+}
+
+// failed takes the end of a call, which is a failure once no other is left.
+func (w *discoveryWatch) failed(call context.Context, reason string) node.Input {
+	if call.Err() != nil {
+		return nil
+	}
+	w.calls = slices.DeleteFunc(w.calls, func(c listCall) bool {
+		if c.ctx != call {
+			return false
+		}
+		c.end(nil)
+		return true
+	})
+	if len(w.calls) > 0 {
+		return nil
+	}
+	return node.WatchFailed{Reason: reason}
+}
+
+// watchList begins a call for the list.
+func (s *server) watchList(e node.Watch) {
+	call := s.discovery.begin(s.ctx, e.Beside)
+	client := s.discovery.client
+	ctx := call.ctx
+	alive := func(midLine bool) {
+		s.do(func() node.Input { return s.discovery.alive(ctx, midLine) })
+	}
+	listed := func(list endpoint.List) {
+		s.do(func() node.Input { return s.discovery.listReceived(ctx, list) })
+	}
+	s.group.Go(func() error {
+		err := client.Watch(ctx, e.Index, alive, listed)
 		if ctx.Err() == nil {
-			d.send(unwatched{ctx, err.Error()})
+			s.do(func() node.Input { return s.discovery.failed(ctx, err.Error()) })
 		}
 		return nil
 	})
 }
+
+// setLiveDiscovery takes discovery's address from the live settings; the empty one stands for the config's.
+func (s *server) setLiveDiscovery(address string) {
+	s.discovery.liveAddress = address
+	current := cmp.Or(address, s.config.Discovery)
+	s.discovery.client = discovery.New(current)
+	s.log.Info().Str("discovery", current).Bool("live", address != "").Msg("discovery by the live settings")
+}
--- a/internal/sockets/reload.go
+++ b/internal/sockets/reload.go
@@ -1,7 +1,6 @@
 package sockets
 
 import (
-	"cmp"
 	"context"
 	"os"
 
@@ -10,63 +9,63 @@
 	"gorseledge/internal/node/live"
 )
 
-// reread reads the config each time it is asked to, beside the loop: a slow disk holds no client up.
-func (d *door) reread(asked <-chan os.Signal) error {
+// reloadOnSignal reads the config each time it is asked to, beside the loop: a slow disk holds no client up.
+func (s *server) reloadOnSignal(reload <-chan os.Signal) error {
+	path := s.config.path
 	for {
 		select {
-		case <-d.ctx.Done():
+		case <-s.ctx.Done():
 			return nil
-		case <-asked:
-			c, err := ReadConfig(d.config.path)
+		case <-reload:
+			config, err := ReadConfig(path)
 			if err == nil {
-				_, err = c.start()
+				_, err = config.start()
 			}
-			d.send(reloaded{c, err})
+			s.do(func() node.Input { return s.reloaded(config, err) })
 		}
 	}
 }
 
-// reload takes a config that was read again. Discovery may be elsewhere now; the rest takes a new process.
-func (d *door) reload(c Config, err error) node.Input {
-	if err != nil { // guards against a half-written file ending a node that serves: the old one holds
-		d.log.Error().Err(err).Msg("config not taken, the old one holds")
+// reloaded takes a config that was read again. Discovery may be elsewhere now; the rest takes a new process. A config
+// that cannot be taken, which may be half-written, ends no node that serves: the previous one stays in force.
+func (s *server) reloaded(config Config, err error) node.Input {
+	if err != nil {
+		s.log.Error().Err(err).Msg("config not taken, the old one holds")
 		return nil
 	}
-	if d.config.differs(c) {
-		d.log.Warn().Msg("config read again: all but discovery waits for a restart")
+	if s.config.needsRestart(config) {
+		s.log.Warn().Msg("config read again: all but discovery waits for a restart")
 	}
-	moved := c.Discovery != d.config.Discovery
-	d.log.Info().Str("discovery", c.Discovery).Bool("moved", moved).Msg("config read again")
+	moved := config.Discovery != s.config.Discovery
+	s.log.Info().Str("discovery", config.Discovery).Bool("moved", moved).Msg("config read again")
 	if !moved {
 		return nil
 	}
-	d.config.Discovery = c.Discovery
-	if d.liveDiscovery != "" {
-		d.log.Info().Str("discovery", d.liveDiscovery).Msg("discovery stays where the live settings say")
+	s.config.Discovery = config.Discovery
+	if s.discovery.liveAddress != "" {
+		s.log.Info().Str("discovery", s.discovery.liveAddress).Msg("discovery stays where the live settings say")
 		return nil
 	}
-	d.roster = discovery.New(c.Discovery)
+	s.discovery.client = discovery.New(config.Discovery)
 	return node.DiscoveryMoved{}
 }
 
-// relocate takes discovery's address by the live settings; the empty one stands for the config's.
-func (d *door) relocate(address string) {
-	d.liveDiscovery = address
-	d.roster = discovery.New(cmp.Or(address, d.config.Discovery))
-	d.log.Info().Str("discovery", cmp.Or(address, d.config.Discovery)).Bool("live", address != "").Msg("discovery by the live settings")
-}
-
-// install has the core put a revision of the live settings in force, and returns once it is or cannot be.
-func (d *door) install(ctx context.Context, r live.Revision) (ignored []string, err error) {
-	answer := make(chan node.SettingsApplied, 1)
+// install has the core put a revision of the live settings in force, and returns once it is or cannot be. It gives the
+// keys that have no effect at this node; the error is the core's reason or the context's.
+func (s *server) install(ctx context.Context, revision live.Revision) (ignored []string, err error) {
+	reply := make(chan node.SettingsApplied, 1)
+	step := func() node.Input {
+		s.settingsReply = reply
+		return node.SettingsReceived{Revision: revision}
+	}
 	select {
-	case d.inputs <- reconfigure{r, answer}:
+	case s.events <- event{step: step}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	select {
-	case a := <-answer:
-		return a.Ignored, a.Err
+	case applied := <-reply:
+		return applied.Ignored, applied.Err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/sockets/sockets_golden_test.go
+++ b/internal/sockets/sockets_golden_test.go
@@ -45,8 +45,8 @@
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var written bytes.Buffer
-			d := &door{log: zerolog.New(&written)}
-			if !d.perform(c.effect) {
+			s := &server{log: zerolog.New(&written)}
+			if !s.perform(c.effect) {
 				t.Error("taken for the last effect")
 			}
 			if got := strings.TrimSuffix(written.String(), "\n"); got != strings.TrimSuffix(want[i], "\n") {
@@ -66,11 +66,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Config{Name: "n7", Listen: "127.0.0.1:5000", Discovery: "127.0.0.1:8500", Admin: "127.0.0.1:5001",
-		PeerAddr: "127.0.0.1:5002", Peers: []string{"127.0.0.1:5002", "127.0.0.1:5003"}, Seed: "ab12",
-		Fleet: "/etc/gorseledge/fleet.toml", path: path,
-		Known:    json.RawMessage(`{"index":41,"snapshot":true,"endpoints":[{"name":"s-1"}]}`),
-		Settings: json.RawMessage(`{"siblings":3,"zones":["a"]}`)}
+	want := Config{Name: "n7", Listen: "127.0.0.1:5000", Discovery: "127.0.0.1:8500", AdminAddress: "127.0.0.1:5001",
+		PeerAddress: "127.0.0.1:5002", Peers: []string{"127.0.0.1:5002", "127.0.0.1:5003"}, Seed: "ab12",
+		FleetFile: "/etc/gorseledge/fleet.toml", path: path,
+		CachedList: json.RawMessage(`{"index":41,"snapshot":true,"endpoints":[{"name":"s-1"}]}`),
+		Settings:   json.RawMessage(`{"siblings":3,"zones":["a"]}`)}
 	want.Limits.Cores, want.Limits.MemoryMB, want.Limits.Sockets = 1.5, 256, 640
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
@@ -107,8 +107,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Config{Name: "n7", Listen: "127.0.0.1:5000", Discovery: "127.0.0.1:8500", Admin: "127.0.0.1:5001",
-		Fleet: "/etc/gorseledge/fleet.toml", path: path}
+	want := Config{Name: "n7", Listen: "127.0.0.1:5000", Discovery: "127.0.0.1:8500", AdminAddress: "127.0.0.1:5001",
+		FleetFile: "/etc/gorseledge/fleet.toml", path: path}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
