--- a/internal/sockets/config.go
+++ b/internal/sockets/config.go
@@ -156,12 +156,12 @@
 // address is given, the node goes without.
 func (c Config) checkPeers(allowed bool) error {
 	if c.PeerAddress != "" {
-		if _, err := peers.Address(c.PeerAddress); err != nil {
+		if _, err := peers.ParseAddress(c.PeerAddress); err != nil {
 			return fmt.Errorf("peer_addr: %w", err)
 		}
 	}
 	for _, address := range c.Peers {
-		if _, err := peers.Address(address); err != nil {
+		if _, err := peers.ParseAddress(address); err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
 	}
