--- a/internal/configfeed/feedhttp/authentication.go
+++ b/internal/configfeed/feedhttp/authentication.go
@@ -17,33 +17,34 @@
 	headerMAC   = "Gorse-Mac"
 )
 
+// nonceBytes is the length of a nonce before its encoding, in bytes.
 const nonceBytes = 16
 
-// rejection says why a request or an answer is not accepted.
+// rejection is why a request or an answer is not authentic.
 type rejection string
 
 const (
-	accepted   rejection = ""
-	wrongFleet rejection = "fleet"
-	wrongNonce rejection = "nonce"
-	wrongMAC   rejection = "mac"
+	accepted   rejection = ""      // it is authentic
+	wrongFleet rejection = "fleet" // it is from another fleet
+	wrongNonce rejection = "nonce" // its nonce does not have the right length
+	wrongMAC   rejection = "mac"   // its MAC is not that of any key
 )
 
-// authenticator computes and checks the keyed MAC of requests and answers. The answer's covers the nonce of its
+// authenticator computes and verifies the keyed MAC of requests and answers. That of an answer covers the nonce of its
 // request, so that an old answer is not accepted for a new request.
 type authenticator struct {
-	fleet string
-	keys  [][]byte // the first one signs requests, all are accepted
+	fleet string   // identifier of the fleet
+	keys  [][]byte // the first one signs requests, any of them is accepted
 }
 
-// newNonce returns a nonce that is not used again.
+// newNonce returns a random nonce, in hexadecimal.
 func newNonce() string {
 	var nonce [nonceBytes]byte
-	rand.Read(nonce[:]) // never fails: it ends the program where the system gives no random bytes
+	rand.Read(nonce[:]) // never returns an error: the program ends if the system has no random bytes
 	return hex.EncodeToString(nonce[:])
 }
 
-// writeField adds a field with its length, so that no two lists of fields give the same bytes.
+// writeField adds a field after its length, so that no two lists of fields hash the same bytes.
 func writeField(h hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
@@ -51,7 +52,7 @@
 	h.Write(field)
 }
 
-// sum returns the MAC of a message; the purpose tells requests from answers.
+// sum returns the MAC of a message; the purpose distinguishes requests from answers.
 func (a *authenticator) sum(key []byte, purpose, method, target, nonce string, body []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	for _, field := range []string{purpose, method, target, a.fleet, nonce} {
@@ -61,12 +62,13 @@
 	return h.Sum(nil)
 }
 
+// requestPurpose is the purpose of a request.
 const requestPurpose = "request"
 
-// answerPurpose makes the status code part of what is authenticated.
+// answerPurpose returns the purpose of an answer, which makes its status part of what is authenticated.
 func answerPurpose(status int) string { return "answer " + http.StatusText(status) }
 
-// signRequest sets the headers of a request with this body and returns its nonce.
+// signRequest sets the headers that authenticate a request with a body, and returns its nonce.
 func (a *authenticator) signRequest(r *http.Request, body []byte) (nonce string) {
 	nonce = newNonce()
 	r.Header.Set(headerFleet, a.fleet)
@@ -76,7 +78,7 @@
 	return nonce
 }
 
-// checkRequest returns the key that a request was signed with, or why it is not accepted.
+// checkRequest returns the key that a request was signed with, or why it is rejected.
 func (a *authenticator) checkRequest(r *http.Request, body []byte) ([]byte, rejection) {
 	nonce := r.Header.Get(headerNonce)
 	mac, err := hex.DecodeString(r.Header.Get(headerMAC))
@@ -96,14 +98,14 @@
 	return nil, wrongMAC
 }
 
-// signAnswer sets the header of the answer to a request that was signed with key.
+// signAnswer sets the header that authenticates the answer to a request that was signed with key.
 func (a *authenticator) signAnswer(key []byte, r *http.Request, header http.Header, status int, body []byte) {
 	nonce := r.Header.Get(headerNonce)
 	mac := a.sum(key, answerPurpose(status), r.Method, r.URL.RequestURI(), nonce, body)
 	header.Set(headerMAC, hex.EncodeToString(mac))
 }
 
-// checkAnswer says whether an answer is the one to the request with this nonce.
+// checkAnswer returns why an answer is not the one to the request with a nonce, or accepted.
 func (a *authenticator) checkAnswer(r *http.Request, nonce string, answer *http.Response, body []byte) rejection {
 	mac, err := hex.DecodeString(answer.Header.Get(headerMAC))
 	if err != nil {
--- a/internal/configfeed/feedhttp/caller.go
+++ b/internal/configfeed/feedhttp/caller.go
@@ -12,41 +12,51 @@
 )
 
 const (
-	maxAnswerBytes    = 8 << 20 // a whole state with every character of it escaped, and room to spare
-	maxErrorBytes     = 200     // of an error's text that are shown
-	idleConnection    = 30 * time.Second
-	connectionBuffer  = 1 << 10
-	maxAnswerHeadSize = 8 << 10
+	maxAnswerBytes       = 8 << 20 // a complete state with every character escaped, and a margin
+	maxErrorBytes        = 200     // of the text of an error that are shown
+	idleConnectionTime   = 30 * time.Second
+	connectionBuffer     = 1 << 10 // bytes
+	maxAnswerHeaderBytes = 8 << 10
 )
 
-// StatusError is an answer by which a server refuses a request itself: Code is HTTP's, Text one line.
+// StatusError is the error of a request that a server answers with another status than 200.
 type StatusError struct {
-	Code int
-	Text string
+	Code int    // HTTP status code
+	Text string // one line
 }
 
+// Error returns the status code and the text.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Code, e.Text) }
 
-var errAnswerTooLarge = fmt.Errorf("an answer of more than %d bytes", maxAnswerBytes)
+var (
+	errAnswerTooLarge     = fmt.Errorf("an answer of more than %d bytes", maxAnswerBytes)
+	errAnswerNotAuthentic = errors.New("the answer is not authentic")
+)
 
-// caller sends authenticated requests and checks their answers. It keeps one idle connection to each address.
+// caller sends authenticated requests and verifies their answers. It keeps one idle connection to each address. It may be
+// used by several goroutines.
 type caller struct {
 	authenticator *authenticator
 	transport     *http.Transport
-	via           map[string]string // where an address is reached, if that is elsewhere
+	via           map[string]string // address to dial in place of an address; the others are dialed as they are
 	traffic       trafficCounter
 }
 
 func newCaller(a *authenticator, via map[string]string) *caller {
 	c := &caller{authenticator: a, via: via}
-	c.transport = &http.Transport{DialContext: c.traffic.dial, MaxIdleConnsPerHost: 1,
-		IdleConnTimeout: idleConnection, ReadBufferSize: connectionBuffer, WriteBufferSize: connectionBuffer,
-		MaxResponseHeaderBytes: maxAnswerHeadSize}
+	c.transport = &http.Transport{
+		DialContext:            c.traffic.dial,
+		MaxIdleConnsPerHost:    1,
+		IdleConnTimeout:        idleConnectionTime,
+		ReadBufferSize:         connectionBuffer,
+		WriteBufferSize:        connectionBuffer,
+		MaxResponseHeaderBytes: maxAnswerHeaderBytes,
+	}
 	return c
 }
 
 // call sends a request to an address and returns the body of its answer. The error is a *StatusError where the server
-// answered that it will not do what was asked.
+// answered with another status than 200.
 func (c *caller) call(ctx context.Context, address, method, target string, body []byte) ([]byte, error) {
 	if via, found := c.via[address]; found {
 		address = via
@@ -70,13 +80,18 @@
 	case len(text) > maxAnswerBytes:
 		return nil, errAnswerTooLarge
 	case answer.StatusCode != http.StatusOK:
-		line, _, _ := strings.Cut(strings.TrimSpace(string(text)), "\n")
-		return nil, &StatusError{Code: answer.StatusCode, Text: line[:min(len(line), maxErrorBytes)]}
+		return nil, newStatusError(answer.StatusCode, text)
 	case c.authenticator.checkAnswer(request, nonce, answer, text) != accepted:
-		return nil, errors.New("the answer is not authentic")
+		return nil, errAnswerNotAuthentic
 	}
 	return text, nil
 }
 
-// closeIdle closes a connection that waits for another request.
+// newStatusError returns the error of an answer: the first line of its body, bounded.
+func newStatusError(code int, body []byte) *StatusError {
+	line, _, _ := strings.Cut(strings.TrimSpace(string(body)), "\n")
+	return &StatusError{Code: code, Text: line[:min(len(line), maxErrorBytes)]}
+}
+
+// closeIdle closes the connections that wait for another request.
 func (c *caller) closeIdle() { c.transport.CloseIdleConnections() }
--- a/internal/configfeed/feedhttp/calls.go
+++ b/internal/configfeed/feedhttp/calls.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	maxHistoryBytes      = 4 << 20 // of keys and values in one answer
-	defaultHistoryLength = 50
-	maxTextBytes         = 200 // of an author, a note, an identifier
+	maxHistoryBytes      = 4 << 20 // of keys and values in one answer; the last revision may exceed it
+	defaultHistoryLength = 50      // revisions in an answer without a limit in the request
+	maxTextBytes         = 200     // of an author, a note or an identifier
 )
 
-// EpochRequest asks for a new epoch. It is taken only while the writer's newest version is IfVersion, so that a repeated
-// request does nothing more.
+// EpochRequest asks for a new epoch. It is rejected unless the writer's newest version is IfVersion, so that a retry does
+// not begin a further one.
 type EpochRequest struct {
 	IfVersion configfeed.Version `json:"if_version"`
-	Epoch     uint64             `json:"epoch,omitempty"` // zero for the one after the highest seen
+	Epoch     uint64             `json:"epoch,omitempty"` // zero for the one after the highest that was reported
 	Author    string             `json:"author"`
 	Note      string             `json:"note,omitempty"`
 }
@@ -32,13 +32,15 @@
 	Revisions []configfeed.Revision `json:"revisions"`
 }
 
+// badRequest returns the error of a request that cannot be accepted as it is.
 func badRequest(format string, values ...any) error {
 	return &StatusError{Code: http.StatusBadRequest, Text: fmt.Sprintf(format, values...)}
 }
 
+// errStopping is the error of a request that arrives or waits while the server stops.
 var errStopping = &StatusError{Code: http.StatusServiceUnavailable, Text: "the server is stopping"}
 
-// decode reads a body, strictly as to its form: what follows the value is an error.
+// decode reads a body of one JSON value; anything after it is an error.
 func decode(body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
 		return badRequest("the body is not what is wanted: %v", err)
@@ -46,7 +48,7 @@
 	return nil
 }
 
-// poll holds a poll until the core answers it or its caller goes.
+// poll holds a poll until the core answers it or its client has gone.
 func (s *Server) poll(r *http.Request, body []byte) (encodedAnswer, error) {
 	s.counters.polls.Add(1)
 	var p configfeed.Poll
@@ -58,12 +60,13 @@
 	}
 	answer := make(chan encodedAnswer, 1)
 	var request uint64
-	if !s.loop.post(func(now float64) []configfeed.ServerEffect {
+	posted := s.loop.post(func(now float64) []configfeed.ServerEffect {
 		s.lastRequest++
 		request = s.lastRequest
 		s.polls[request] = answer
 		return s.core.Polled(now, request, p)
-	}) {
+	})
+	if !posted {
 		return encodedAnswer{}, errStopping
 	}
 	select {
@@ -81,6 +84,7 @@
 	}
 }
 
+// checkPoll returns an error where a field of a poll is out of its range.
 func checkPoll(p configfeed.Poll) error {
 	switch {
 	case p.Follower == "" || len(p.Follower) > configfeed.MaxNameBytes:
@@ -95,7 +99,7 @@
 	return nil
 }
 
-// apply proposes entries and waits until they are on the disk or refused.
+// apply proposes entries and waits for the outcome.
 func (s *Server) apply(r *http.Request, body []byte) (encodedAnswer, error) {
 	s.counters.applies.Add(1)
 	var p configfeed.Proposal
@@ -118,6 +122,7 @@
 	})
 }
 
+// checkTexts returns an error where a text is too long.
 func checkTexts(texts ...string) error {
 	for _, text := range texts {
 		if len(text) > maxTextBytes {
@@ -127,7 +132,7 @@
 	return nil
 }
 
-// newEpoch begins an epoch where the newest version is the one that the caller has seen.
+// newEpoch begins an epoch if the newest version is the one that the client has seen.
 func (s *Server) newEpoch(r *http.Request, body []byte) (encodedAnswer, error) {
 	var e EpochRequest
 	if err := decode(body, &e); err != nil {
@@ -145,14 +150,18 @@
 	})
 }
 
-// propose asks the core for something that it answers by an outcome. A caller who goes does not end it.
-func (s *Server) propose(r *http.Request, ask func(now float64, request uint64) []configfeed.ServerEffect) (encodedAnswer, error) {
+// proposalInput is a call of the core that it answers by an outcome.
+type proposalInput func(now float64, request uint64) []configfeed.ServerEffect
+
+// propose makes a call of the core and waits for its outcome. A client that goes does not end it.
+func (s *Server) propose(r *http.Request, call proposalInput) (encodedAnswer, error) {
 	answer := make(chan configfeed.Outcome, 1)
-	if !s.loop.post(func(now float64) []configfeed.ServerEffect {
+	posted := s.loop.post(func(now float64) []configfeed.ServerEffect {
 		s.lastRequest++
 		s.proposals[s.lastRequest] = answer
-		return ask(now, s.lastRequest)
-	}) {
+		return call(now, s.lastRequest)
+	})
+	if !posted {
 		return encodedAnswer{}, errStopping
 	}
 	select {
@@ -168,22 +177,26 @@
 // readCore has the loop's goroutine read something of the core.
 func (s *Server) readCore(read func(now float64)) error {
 	done := make(chan struct{})
-	if !s.loop.post(func(now float64) []configfeed.ServerEffect {
+	posted := s.loop.post(func(now float64) []configfeed.ServerEffect {
 		defer close(done)
 		read(now)
 		return nil
-	}) {
+	})
+	if !posted {
 		return errStopping
 	}
 	<-done
 	return nil
 }
 
-func (s *Server) currentStatus() (status configfeed.ServerStatus, err error) {
-	err = s.readCore(func(now float64) { status = s.core.Status(now) })
+// currentStatus returns the status of the core.
+func (s *Server) currentStatus() (configfeed.ServerStatus, error) {
+	var status configfeed.ServerStatus
+	err := s.readCore(func(now float64) { status = s.core.Status(now) })
 	return status, err
 }
 
+// status answers with the server's status.
 func (s *Server) status(*http.Request, []byte) (encodedAnswer, error) {
 	status, err := s.currentStatus()
 	if err != nil {
@@ -192,7 +205,7 @@
 	return encodeAnswer(status)
 }
 
-// history describes the newest revisions, as many as are asked for by the parameter limit and fit into an answer.
+// history answers with the newest revisions: as many as the parameter limit asks for and an answer may hold.
 func (s *Server) history(r *http.Request, _ []byte) (encodedAnswer, error) {
 	limit, err := uintParameter(r, "limit", defaultHistoryLength)
 	if err != nil {
@@ -210,7 +223,8 @@
 
 // newestRevisions returns a copy of the last revisions, oldest first.
 func newestRevisions(all []configfeed.Revision, limit uint64) []configfeed.Revision {
-	from, size := len(all), 0
+	from := len(all)
+	size := 0
 	for from > 0 && uint64(len(all)-from) < limit && size < maxHistoryBytes {
 		from--
 		for _, entry := range all[from].Delta.Set {
@@ -220,14 +234,16 @@
 	return slices.Clone(all[from:])
 }
 
-// state describes the whole configuration as of a revision of the present epoch: of the newest one without a parameter.
+// state answers with the complete configuration as of a revision of the present epoch: of the newest one without the
+// parameter revision.
 func (s *Server) state(r *http.Request, _ []byte) (encodedAnswer, error) {
 	status, err := s.currentStatus()
 	if err != nil {
 		return encodedAnswer{}, err
 	}
 	version := status.Version
-	if version.Revision, err = uintParameter(r, "revision", version.Revision); err != nil {
+	version.Revision, err = uintParameter(r, "revision", version.Revision)
+	if err != nil {
 		return encodedAnswer{}, err
 	}
 	state, err := s.options.Store.At(version)
@@ -241,11 +257,11 @@
 	return encodeAnswer(state)
 }
 
-// uintParameter reads a parameter of a request.
-func uintParameter(r *http.Request, name string, otherwise uint64) (uint64, error) {
+// uintParameter returns a parameter of a request, or a default where it is missing.
+func uintParameter(r *http.Request, name string, missing uint64) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
-		return otherwise, nil
+		return missing, nil
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
--- a/internal/configfeed/feedhttp/client.go
+++ b/internal/configfeed/feedhttp/client.go
@@ -12,64 +12,80 @@
 )
 
 const (
-	applyAttempts   = 5 // a proposal is repeated under its identifier where its answer is lost
-	firstRetryDelay = 200 * time.Millisecond
+	maxApplyAttempts  = 5
+	initialRetryDelay = 200 * time.Millisecond // doubles with each retry
 )
 
-// Client makes the calls of an operator's commands. Addresses are those of control servers.
+// Client makes the calls of an operator's commands. Addresses are those of control servers. An error of a call is a
+// *StatusError where the server answered with another status than 200. A client may be used by several goroutines.
 type Client struct{ caller *caller }
 
-// NewClient returns a client of a fleet; via is where an address is reached, if that is elsewhere.
+// NewClient returns a client of a fleet with its keys, of which the first one signs. The map via names the address to
+// dial in place of an address; nil for none.
 func NewClient(fleet string, keys [][]byte, via map[string]string) *Client {
 	return &Client{caller: newCaller(&authenticator{fleet: fleet, keys: keys}, via)}
 }
 
-// NewProposalID returns an identifier that no other proposal has.
+// NewProposalID returns a random identifier for a proposal.
 func NewProposalID() string { return newNonce() }
 
-// Close closes the connections that are kept.
+// Close closes the idle connections.
 func (c *Client) Close() { c.caller.closeIdle() }
 
-func fetch[T any](ctx context.Context, c *Client, address, method, target string, body any) (answer T, err error) {
-	var text []byte
-	if body != nil {
-		if text, err = json.Marshal(body); err != nil {
-			return answer, err
-		}
+// get makes a call without a body and decodes its answer.
+func get[T any](ctx context.Context, c *Client, address, target string) (T, error) {
+	return fetch[T](ctx, c, address, http.MethodGet, target, nil)
+}
+
+// post makes a call with a body in JSON and decodes its answer.
+func post[T any](ctx context.Context, c *Client, address, target string, body any) (T, error) {
+	text, err := json.Marshal(body)
+	if err != nil {
+		var none T
+		return none, fmt.Errorf("encoding the body for %s: %w", target, err)
 	}
-	text, err = c.caller.call(ctx, address, method, target, text)
+	return fetch[T](ctx, c, address, http.MethodPost, target, text)
+}
+
+// fetch makes a call and decodes its answer.
+func fetch[T any](ctx context.Context, c *Client, address, method, target string, body []byte) (T, error) {
+	var answer T
+	text, err := c.caller.call(ctx, address, method, target, body)
 	if err != nil {
 		return answer, err
 	}
-	return answer, json.Unmarshal(text, &answer)
+	if err := json.Unmarshal(text, &answer); err != nil {
+		return answer, fmt.Errorf("decoding the answer to %s: %w", target, err)
+	}
+	return answer, nil
 }
 
-// Status asks a server what it knows.
+// Status returns what a server knows.
 func (c *Client) Status(ctx context.Context, address string) (configfeed.ServerStatus, error) {
-	return fetch[configfeed.ServerStatus](ctx, c, address, http.MethodGet, pathStatus, nil)
+	return get[configfeed.ServerStatus](ctx, c, address, pathStatus)
 }
 
-// History asks a server for its newest revisions, limit at the most.
+// History returns the newest revisions of a server, at most limit of them, oldest first.
 func (c *Client) History(ctx context.Context, address string, limit uint64) (HistoryAnswer, error) {
-	return fetch[HistoryAnswer](ctx, c, address, http.MethodGet, fmt.Sprintf("%s?limit=%d", pathHistory, limit), nil)
+	return get[HistoryAnswer](ctx, c, address, fmt.Sprintf("%s?limit=%d", pathHistory, limit))
 }
 
-// State asks a server for the configuration as of a revision of its present epoch.
+// State returns the configuration as of a revision of a server's present epoch.
 func (c *Client) State(ctx context.Context, address string, revision uint64) (configfeed.State, error) {
-	return fetch[configfeed.State](ctx, c, address, http.MethodGet, fmt.Sprintf("%s?revision=%d", pathState, revision), nil)
+	return get[configfeed.State](ctx, c, address, fmt.Sprintf("%s?revision=%d", pathState, revision))
 }
 
-// NewEpoch asks the writer for a new epoch.
+// NewEpoch asks the writer to begin an epoch. It does not retry.
 func (c *Client) NewEpoch(ctx context.Context, address string, e EpochRequest) (configfeed.Outcome, error) {
-	return fetch[configfeed.Outcome](ctx, c, address, http.MethodPost, pathEpoch, e)
+	return post[configfeed.Outcome](ctx, c, address, pathEpoch, e)
 }
 
-// Apply asks the writer for a new revision. Where an answer is lost, it asks again: the writer applies a proposal once.
-func (c *Client) Apply(ctx context.Context, address string, p configfeed.Proposal) (outcome configfeed.Outcome, err error) {
-	delay := firstRetryDelay
+// Apply asks the writer for a new revision. It retries where an answer is lost: the proposal's ID makes that idempotent.
+func (c *Client) Apply(ctx context.Context, address string, p configfeed.Proposal) (configfeed.Outcome, error) {
+	delay := initialRetryDelay
 	for attempt := 1; ; attempt++ {
-		outcome, err = fetch[configfeed.Outcome](ctx, c, address, http.MethodPost, pathApply, p)
-		if err == nil || attempt == applyAttempts || !isRetryable(err) {
+		outcome, err := post[configfeed.Outcome](ctx, c, address, pathApply, p)
+		if err == nil || attempt == maxApplyAttempts || !isRetryable(err) {
 			return outcome, err
 		}
 		select {
@@ -83,6 +99,9 @@
 
 // isRetryable reports whether another attempt may succeed.
 func isRetryable(err error) bool {
-	status := (*StatusError)(nil)
-	return !errors.As(err, &status) || status.Code == http.StatusServiceUnavailable
+	var status *StatusError
+	if !errors.As(err, &status) {
+		return true
+	}
+	return status.Code == http.StatusServiceUnavailable
 }
--- a/internal/configfeed/feedhttp/fleet_test.go
+++ b/internal/configfeed/feedhttp/fleet_test.go
@@ -103,14 +103,14 @@
 
 func (f *testServers) untilReady() {
 	f.t.Helper()
-	eventually(f.t, "the writer is ready", func() bool { return strings.HasPrefix(get(f.t, f.writer(), "/-/ready"), "yes") })
+	eventually(f.t, "the writer is ready", func() bool { return strings.HasPrefix(getText(f.t, f.writer(), "/-/ready"), "yes") })
 }
 
 // plainTransport keeps no connection.
 var plainTransport = &http.Transport{DisableKeepAlives: true}
 
-// get makes a call as operators' tools do.
-func get(t *testing.T, address, path string) string {
+// getText makes a call as operators' tools do.
+func getText(t *testing.T, address, path string) string {
 	t.Helper()
 	answer, err := (&http.Client{Transport: plainTransport, Timeout: eventualTimeout}).Get("http://" + address + path)
 	if err != nil {
@@ -127,7 +127,7 @@
 // metric reads a figure of a server.
 func metric(t *testing.T, address, name string) string {
 	t.Helper()
-	_, rest, found := strings.Cut(get(t, address, "/-/metrics"), "control."+name+":")
+	_, rest, found := strings.Cut(getText(t, address, "/-/metrics"), "control."+name+":")
 	if !found {
 		t.Fatalf("there is no figure %s", name)
 	}
--- a/internal/configfeed/feedhttp/follower.go
+++ b/internal/configfeed/feedhttp/follower.go
@@ -10,33 +10,35 @@
 	"gorseledge/internal/configfeed"
 )
 
-const maxLoggedKeys = 16 // of those that a state changes
+// maxLoggedKeys bounds the changed keys that one log line names.
+const maxLoggedKeys = 16
 
-// FollowerOptions are what a follower is made of.
+// FollowerOptions configure a follower.
 type FollowerOptions struct {
-	Fleet  string                    // id of the fleet
+	Fleet  string                    // identifier of the fleet
 	Keys   [][]byte                  // of the fleet; the first one signs
 	Config configfeed.FollowerConfig // name, servers and times
-	Via    map[string]string         // where a server's address is reached, if that is elsewhere
+	Via    map[string]string         // address to dial in place of a server's address; nil for none
 	Log    zerolog.Logger
-	// Install puts a state in force; changed holds the keys that differ from the one before. Where it fails, the state
-	// is refused, and the error's text is shown to operators. It runs on the follower's goroutine.
+	// Install puts a state in force; changed holds the keys that differ from the state before, sorted. Where it fails,
+	// the state is refused, and the error's text is shown to operators. It runs on the follower's goroutine.
 	Install func(state configfeed.State, changed []string) error
-	Have    configfeed.State // in force already; zero for none
+	// Have is the state that is in force at the start; zero for none.
+	Have configfeed.State
 }
 
-// Follower keeps the configuration of one node up to date from the control servers. It takes one goroutine, and another
-// and a connection for the poll that it holds open.
+// Follower keeps the configuration of one node up to date from the control servers. It uses one goroutine, and another
+// one with a connection for its open poll.
 type Follower struct {
 	options FollowerOptions
 	core    *configfeed.Follower
 	loop    *loop[configfeed.FollowerEffect]
 	poller  *poller
-	server  string // that is polled; owned by the loop's goroutine
+	server  string // name of the server that is polled; owned by the loop's goroutine
 	view    atomic.Pointer[configfeed.FollowerView]
 }
 
-// NewFollower returns a follower that does nothing until it runs.
+// NewFollower returns a follower that does nothing until Run.
 func NewFollower(o FollowerOptions) *Follower {
 	f := &Follower{options: o}
 	clock := newClock()
@@ -48,25 +50,27 @@
 	return f
 }
 
-// Run follows until the context ends, and returns its error then. It can be called once.
+// Run follows the servers until the context ends, and returns the context's error. It can be called once. All goroutines
+// of the follower have ended when it returns.
 func (f *Follower) Run(ctx context.Context) error {
 	f.loop.run(ctx)
 	f.poller.stop()
 	return ctx.Err()
 }
 
-// View describes what the follower knows. It can be called from any goroutine.
+// View returns what the follower knows. It can be called from any goroutine.
 func (f *Follower) View() configfeed.FollowerView { return *f.view.Load() }
 
-// Traffic describes what the follower has sent and received. It can be called from any goroutine.
+// Traffic returns what the follower has sent and received. It can be called from any goroutine.
 func (f *Follower) Traffic() Traffic { return f.poller.caller.traffic.read() }
 
+// publish stores the view that other goroutines read.
 func (f *Follower) publish(float64) {
 	view := f.core.View()
 	f.view.Store(&view)
 }
 
-// polled takes the end of a poll on the poll's goroutine.
+// polled reports the result of a poll to the core. It runs on the poll's goroutine.
 func (f *Follower) polled(request uint64, u configfeed.Update, err error) {
 	f.loop.post(func(now float64) []configfeed.FollowerEffect {
 		switch {
@@ -79,6 +83,7 @@
 	})
 }
 
+// carryOut carries out one effect, and returns those that follow from it.
 func (f *Follower) carryOut(e configfeed.FollowerEffect) []configfeed.FollowerEffect {
 	switch e := e.(type) {
 	case configfeed.SendPoll:
@@ -92,7 +97,7 @@
 	return nil
 }
 
-// switchServer notes whom the follower polls. The connection to the server before is not kept.
+// switchServer logs a change of the server that is polled, and closes the connection to the one before.
 func (f *Follower) switchServer(server configfeed.ServerAddress) {
 	if server.Name == f.server {
 		return
@@ -121,7 +126,7 @@
 	return f.core.Installed(now, version)
 }
 
-// oneLine returns a text as one short line.
+// oneLine returns a text as one line of at most configfeed.MaxReasonBytes.
 func oneLine(text string) string {
 	text = strings.Join(strings.Fields(text), " ")
 	return strings.ToValidUTF8(text[:min(len(text), configfeed.MaxReasonBytes)], "")
--- a/internal/configfeed/feedhttp/handler.go
+++ b/internal/configfeed/feedhttp/handler.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// Limits of requests.
+// Limits of requests, in bytes unless noted.
 const (
 	maxPollBytes  = 16 << 10
-	maxApplyBytes = 8 << 20 // a whole state with every character of it escaped, and room to spare
+	maxApplyBytes = 8 << 20 // a complete state with every character escaped, and a margin
 	maxEpochBytes = 4 << 10
-	maxApplies    = 4 // bodies of that size that are read and decoded at once
+	maxApplies    = 4 // calls with a body of maxApplyBytes at the same time
 )
 
-// call answers a request that is authentic. Its error is a *StatusError, or errCallerGone.
+// call answers a request that is authentic. Its error is a *StatusError, or errClientGone.
 type call func(r *http.Request, body []byte) (encodedAnswer, error)
 
-var errClientGone = errors.New("the caller has gone")
+// errClientGone is the error of a request whose client does not wait for the answer any more.
+var errClientGone = errors.New("the client has gone")
 
-// handler routes the calls of followers and commands, and those of operators' tools.
+// handler routes the calls of followers and commands, and those of operators' tools, which are not authenticated.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathPoll, s.authenticated(maxPollBytes, s.poll))
@@ -34,13 +35,14 @@
 	mux.HandleFunc("GET /-/ready", s.ready)
 	mux.HandleFunc("GET /-/metrics", s.metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// The deadline of the answer before on this connection is over while a poll is held.
+		// The write deadline of the previous answer on this connection passes while a poll is held.
 		http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		mux.ServeHTTP(w, r)
 	})
 }
 
-// limitConcurrency guards against many large bodies in memory at once.
+// limitConcurrency rejects calls while maxApplies of them are in progress. This prevents many large bodies from being in
+// memory at once.
 func (s *Server) limitConcurrency(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -53,16 +55,12 @@
 	}
 }
 
-// authenticated reads a request's body, of limit bytes at the most, checks its MAC and sends the signed answer of a call.
-func (s *Server) authenticated(limit int64, do call) http.HandlerFunc {
+// authenticated reads a request's body of at most limit bytes, verifies its MAC and sends the signed answer of a call.
+func (s *Server) authenticated(limit int64, answerCall call) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := readBody(w, r, limit)
-		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
-			http.Error(w, "the body is too large", http.StatusRequestEntityTooLarge)
-			return
-		}
 		if err != nil {
-			http.Error(w, "the body did not come whole", http.StatusBadRequest)
+			sendBodyError(w, err)
 			return
 		}
 		key, rejected := s.authenticator.checkRequest(r, body)
@@ -71,46 +69,66 @@
 			http.Error(w, "not authentic: "+string(rejected), http.StatusForbidden)
 			return
 		}
-		answer, err := do(r, body)
+		answer, err := answerCall(r, body)
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(sendTimeout))
-		if refused := (*StatusError)(nil); errors.As(err, &refused) {
-			http.Error(w, refused.Text, refused.Code)
-			return
-		}
 		if err != nil {
-			return // to nobody
-		}
-		w.Header()["Date"] = nil // few bytes for each poll: nobody reads it
-		w.Header().Set("Content-Type", "application/json")
-		s.authenticator.signAnswer(key, r, w.Header(), http.StatusOK, answer.text)
-		if answer.compressed != nil && strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-			w.Header().Set("Content-Encoding", "gzip")
-			w.Write(answer.compressed)
+			sendCallError(w, err)
 			return
 		}
-		w.Write(answer.text)
+		s.sendAnswer(w, r, key, answer)
+	}
+}
+
+// sendBodyError answers a request whose body could not be read.
+func sendBodyError(w http.ResponseWriter, err error) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		http.Error(w, "the body is too large", http.StatusRequestEntityTooLarge)
+		return
+	}
+	http.Error(w, "the body did not come whole", http.StatusBadRequest)
+}
+
+// sendCallError answers a request whose call failed. After errClientGone there is nobody to answer.
+func sendCallError(w http.ResponseWriter, err error) {
+	var status *StatusError
+	if errors.As(err, &status) {
+		http.Error(w, status.Text, status.Code)
+	}
+}
+
+// sendAnswer sends the answer to a request that was signed with key, compressed where the client accepts that.
+func (s *Server) sendAnswer(w http.ResponseWriter, r *http.Request, key []byte, answer encodedAnswer) {
+	w.Header()["Date"] = nil // no client reads it, and every poll would carry it
+	w.Header().Set("Content-Type", "application/json")
+	s.authenticator.signAnswer(key, r, w.Header(), http.StatusOK, answer.text)
+	if answer.compressed != nil && strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
+		w.Header().Set("Content-Encoding", "gzip")
+		w.Write(answer.compressed)
+		return
 	}
+	w.Write(answer.text)
 }
 
-// encodeAnswer returns a value as the answer of a call.
+// encodeAnswer returns a value in JSON as the answer of a call.
 func encodeAnswer(value any) (encodedAnswer, error) {
 	text, err := json.Marshal(value)
 	return encodedAnswer{text: text}, err
 }
 
-// readBody reads a body to its end, within a time that does not count for what comes after.
+// readBody reads a body to its end within receiveTimeout.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	control := http.NewResponseController(w)
 	control.SetReadDeadline(time.Now().Add(receiveTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
-	control.SetReadDeadline(time.Time{}) // its end would look like the caller's going
+	control.SetReadDeadline(time.Time{}) // if it passed later, the client would seem to have gone
 	return body, err
 }
 
-// reject counts a request that is not authentic, and writes the first one of each reason to the log.
-func (s *Server) reject(r *http.Request, why rejection) {
-	if s.counters.countRejection(why) == 1 {
-		s.options.Log.Warn().Str("why", string(why)).Str("from", r.RemoteAddr).Str("path", r.URL.Path).
+// reject counts a request that is not authentic, and logs the first one for each reason.
+func (s *Server) reject(r *http.Request, reason rejection) {
+	if s.counters.countRejection(reason) == 1 {
+		s.options.Log.Warn().Str("why", string(reason)).Str("from", r.RemoteAddr).Str("path", r.URL.Path).
 			Msg("request is not authentic")
 	}
 }
--- a/internal/configfeed/feedhttp/loop.go
+++ b/internal/configfeed/feedhttp/loop.go
@@ -5,44 +5,55 @@
 	"time"
 )
 
-// maxSleep bounds the time between two looks at when a core is due next.
+// maxSleep bounds the time after which a loop calls its core, whenever that is due.
 const maxSleep = time.Minute
 
-// clock returns Unix time in seconds that never steps back.
+// clock tells Unix time in seconds. It never steps back, since it reads the wall clock only once.
 type clock struct {
 	startedAt    time.Time
 	startSeconds float64
 }
 
+// newClock returns a clock that starts with the time of the wall clock.
 func newClock() clock {
-	began := time.Now()
-	return clock{startedAt: began, startSeconds: float64(began.UnixNano()) / 1e9}
+	startedAt := time.Now()
+	return clock{startedAt: startedAt, startSeconds: float64(startedAt.UnixNano()) / 1e9}
 }
 
+// now returns the time, in seconds.
 func (c clock) now() float64 { return c.startSeconds + time.Since(c.startedAt).Seconds() }
 
-// core is what a loop runs; E are its effects.
+// core is the state machine that a loop runs; E are its effects. Times are in seconds.
 type core[E any] interface {
+	// Next returns when Tick is due.
 	Next() float64
+	// Tick does what is due.
 	Tick(now float64) []E
 }
 
-// input is one call of a core.
+// input is one call of a core; it returns the effects.
 type input[E any] func(now float64) []E
 
-// loop owns a core: its goroutine alone calls the core and carries out the effects, in order.
+// loop owns a core: only its goroutine calls the core and carries out the effects, in order.
 type loop[E any] struct {
 	clock      clock
 	core       core[E]
-	carryOut   func(E) []E       // gives what the core asks for because of it
-	afterInput func(now float64) // is called after each input, once its effects are carried out
+	carryOut   func(E) []E       // returns the effects that follow from an effect
+	afterInput func(now float64) // is called after each input, when its effects are carried out
 	inputs     chan input[E]
-	stopped    chan struct{}
+	stopped    chan struct{} // closed when run has ended
 }
 
-func newLoop[E any](c clock, core core[E], carryOut func(E) []E, settled func(now float64)) *loop[E] {
-	return &loop[E]{clock: c, core: core, carryOut: carryOut, afterInput: settled,
-		inputs: make(chan input[E]), stopped: make(chan struct{})}
+// newLoop returns a loop that does nothing until run.
+func newLoop[E any](c clock, core core[E], carryOut func(E) []E, afterInput func(now float64)) *loop[E] {
+	return &loop[E]{
+		clock:      c,
+		core:       core,
+		carryOut:   carryOut,
+		afterInput: afterInput,
+		inputs:     make(chan input[E]),
+		stopped:    make(chan struct{}),
+	}
 }
 
 // run runs the core until the context ends. It can be called once.
@@ -63,7 +74,7 @@
 	}
 }
 
-// sleep is how long the core needs no call.
+// sleep returns how long the core needs no call.
 func (l *loop[E]) sleep() time.Duration {
 	seconds := l.core.Next() - l.clock.now()
 	if seconds >= maxSleep.Seconds() {
@@ -72,7 +83,7 @@
 	return time.Duration(max(seconds, 0) * float64(time.Second))
 }
 
-// apply calls the core and carries out its effects and theirs.
+// apply calls the core, and carries out its effects and those that follow from them.
 func (l *loop[E]) apply(call input[E]) {
 	effects := call(l.clock.now())
 	for len(effects) > 0 {
@@ -82,7 +93,7 @@
 	l.afterInput(l.clock.now())
 }
 
-// post hands the loop an input; false where the loop has stopped and the input is dropped.
+// post passes an input to the loop. It returns false where the loop has stopped and the input is dropped.
 func (l *loop[E]) post(call input[E]) bool {
 	select {
 	case l.inputs <- call:
--- a/internal/configfeed/feedhttp/metrics.go
+++ b/internal/configfeed/feedhttp/metrics.go
@@ -8,7 +8,8 @@
 	"sync/atomic"
 )
 
-// serverCounters are the counts of a server since its start.
+// serverCounters count the calls of a server since its start. They may be used by several goroutines; the zero value is
+// ready to use.
 type serverCounters struct {
 	polls, applies atomic.Uint64
 
@@ -16,29 +17,29 @@
 	rejections map[rejection]int
 }
 
-// countRejection counts a request that is not authentic, and returns how many there were of that reason.
-func (c *serverCounters) countRejection(why rejection) int {
+// countRejection counts a request that is not authentic, and returns how many there were for that reason.
+func (c *serverCounters) countRejection(reason rejection) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rejections == nil {
 		c.rejections = map[rejection]int{}
 	}
-	c.rejections[why]++
-	return c.rejections[why]
+	c.rejections[reason]++
+	return c.rejections[reason]
 }
 
-// write returns the counts, one a line.
+// write writes the counters, one a line.
 func (c *serverCounters) write(w io.Writer) {
 	fmt.Fprintf(w, "control.polls:%d|c\n", c.polls.Load())
 	fmt.Fprintf(w, "control.applies:%d|c\n", c.applies.Load())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, why := range []rejection{wrongFleet, wrongNonce, wrongMAC} {
-		fmt.Fprintf(w, "control.rejected.%s:%d|c\n", why, c.rejections[why])
+	for _, reason := range []rejection{wrongFleet, wrongNonce, wrongMAC} {
+		fmt.Fprintf(w, "control.rejected.%s:%d|c\n", reason, c.rejections[reason])
 	}
 }
 
-// ready describes operators' tools whether this server does what it is there for.
+// ready answers operators' tools whether this server does its part: the writer has to accept proposals.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	status, err := s.currentStatus()
 	switch {
@@ -51,7 +52,7 @@
 	}
 }
 
-// metrics returns counts since the start, and gauges, in the form of a node's.
+// metrics answers with counters since the start and gauges, in the format of a node's metrics.
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	var held int
 	if err := s.readCore(func(float64) { held = len(s.polls) }); err != nil {
--- a/internal/configfeed/feedhttp/observer.go
+++ b/internal/configfeed/feedhttp/observer.go
@@ -6,53 +6,50 @@
 	"gorseledge/internal/configfeed"
 )
 
-const observerInterval = 1.0 // seconds between two looks at a server's status
+// observerInterval is the time between two updates of an observer, in seconds.
+const observerInterval = 1.0
 
-// observer writes what a server does and how it stands to the log, a line for each change.
+// observer logs how a server's status changes, one line for each change.
 type observer struct {
 	log           zerolog.Logger
-	majority      int // of the servers
-	nextUpdate    float64
-	updated       bool
-	notReady      string // at the last look
-	majorityHeard bool   // a majority of the servers has been heard
-	isolated      bool   // at the last look
+	majority      int     // of the servers
+	nextUpdate    float64 // when the next update is due
+	updated       bool    // there was an update
+	notReady      string  // as of the last update
+	majorityHeard bool    // a majority of the servers has been heard since the start
+	isolated      bool    // as of the last update
 	diverged      map[string]bool
 }
 
-// due reports whether it is time for another look.
+// due reports whether it is time for another update.
 func (o *observer) due(now float64) bool { return now >= o.nextUpdate }
 
 // update compares a status with the last one.
 func (o *observer) update(now float64, status configfeed.ServerStatus) {
 	o.nextUpdate = now + observerInterval
+	o.updateMajority(status)
+	o.updateIsolation(status)
+	o.updateDivergence(status)
+	o.updateReadiness(status)
+}
+
+// updateMajority logs once that a majority of the servers has been heard.
+func (o *observer) updateMajority(status configfeed.ServerStatus) {
 	heard := 1 // this server itself
 	for _, peer := range status.Peers {
 		if peer.Name != status.Name && peer.LastHeard > 0 {
 			heard++
 		}
 	}
-	if !o.majorityHeard && heard >= o.majority {
-		o.majorityHeard = true
-		o.log.Info().Int("heard", heard).Int("majority", o.majority).Msg("a majority of the servers is heard")
-	}
-	o.updatePeers(status)
-	if o.updated && status.NotReady == o.notReady {
+	if o.majorityHeard || heard < o.majority {
 		return
 	}
-	o.updated, o.notReady = true, status.NotReady
-	switch {
-	case status.Name != status.Writer:
-		o.log.Info().Str("writer", status.Writer).Msg("follows the writer")
-	case status.NotReady != "":
-		o.log.Warn().Str("why", status.NotReady).Msg("takes no proposals")
-	default:
-		o.log.Info().Msg("takes proposals")
-	}
+	o.majorityHeard = true
+	o.log.Info().Int("heard", heard).Int("majority", o.majority).Msg("a majority of the servers is heard")
 }
 
-// updatePeers notes whether a majority is reached, and who has other entries under the same version.
-func (o *observer) updatePeers(status configfeed.ServerStatus) {
+// updateIsolation logs when the server ceases to reach a majority, and when it reaches one again.
+func (o *observer) updateIsolation(status configfeed.ServerStatus) {
 	switch {
 	case status.Isolated && !o.isolated:
 		o.log.Warn().Msg("does not reach a majority of the servers")
@@ -60,6 +57,10 @@
 		o.log.Info().Msg("reaches a majority of the servers again")
 	}
 	o.isolated = status.Isolated
+}
+
+// updateDivergence logs when another server is found to have other entries under the same version.
+func (o *observer) updateDivergence(status configfeed.ServerStatus) {
 	for _, peer := range status.Peers {
 		if peer.Diverged && !o.diverged[peer.Name] {
 			o.log.Error().Str("control_server", peer.Name).Uint64("epoch", status.Version.Epoch).
@@ -69,7 +70,24 @@
 	}
 }
 
-// logSave notes what has become of a save. It is called by the goroutine that saves.
+// updateReadiness logs whether the server accepts proposals, at the first update and whenever that changes.
+func (o *observer) updateReadiness(status configfeed.ServerStatus) {
+	if o.updated && status.NotReady == o.notReady {
+		return
+	}
+	o.updated = true
+	o.notReady = status.NotReady
+	switch {
+	case status.Name != status.Writer:
+		o.log.Info().Str("writer", status.Writer).Msg("follows the writer")
+	case status.NotReady != "":
+		o.log.Warn().Str("why", status.NotReady).Msg("takes no proposals")
+	default:
+		o.log.Info().Msg("takes proposals")
+	}
+}
+
+// logSave logs the result of a save. The goroutine that saves calls it.
 func (o *observer) logSave(save configfeed.Save, err error) {
 	version := save.State.Version
 	if err != nil {
--- a/internal/configfeed/feedhttp/poller.go
+++ b/internal/configfeed/feedhttp/poller.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"net/http"
 	"sync"
 	"time"
@@ -12,7 +13,7 @@
 	"gorseledge/internal/configfeed"
 )
 
-// Paths of the server's calls.
+// Paths of a server's calls.
 const (
 	pathPoll    = "/v1/poll"
 	pathApply   = "/v1/apply"
@@ -22,28 +23,29 @@
 	pathState   = "/v1/state"
 )
 
-// poller sends the polls that a core asks for, each on a goroutine of its own. But for the goroutines' own part it is
-// used by one loop only.
+// poller sends the polls that a core asks for, each on a goroutine of its own, which ends when the poll does. Its methods
+// are called by one loop's goroutine, except for poll and the function report, which the polls' goroutines call.
 type poller struct {
 	caller  *caller
 	log     zerolog.Logger
-	report  func(request uint64, u configfeed.Update, err error) // runs on the poll's goroutine
-	polls   map[uint64]sentPoll
-	failing map[string]bool // the servers whose last poll failed, by name
-	running sync.WaitGroup
+	report  func(request uint64, u configfeed.Update, err error)
+	polls   map[uint64]sentPoll // that are awaited, by request
+	failing map[string]bool     // servers whose last poll failed, by name
+	running sync.WaitGroup      // the polls' goroutines
 }
 
-// sentPoll is a poll that is waited for.
+// sentPoll is a poll that is awaited.
 type sentPoll struct {
 	server string
 	cancel context.CancelFunc
 }
 
+// newPoller returns a poller that passes the result of each poll to report.
 func newPoller(c *caller, log zerolog.Logger, report func(uint64, configfeed.Update, error)) *poller {
 	return &poller{caller: c, log: log, report: report, polls: map[uint64]sentPoll{}, failing: map[string]bool{}}
 }
 
-// send begins a poll.
+// send starts a poll.
 func (p *poller) send(s configfeed.SendPoll) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Timeout*float64(time.Second)))
 	p.polls[s.Request] = sentPoll{server: s.Server.Name, cancel: cancel}
@@ -53,19 +55,24 @@
 	})
 }
 
-func (p *poller) poll(ctx context.Context, s configfeed.SendPoll) (u configfeed.Update, err error) {
+// poll sends a poll and waits for its answer.
+func (p *poller) poll(ctx context.Context, s configfeed.SendPoll) (configfeed.Update, error) {
+	var u configfeed.Update
 	body, err := json.Marshal(s.Poll)
 	if err != nil {
-		return u, err
+		return u, fmt.Errorf("encoding a poll: %w", err)
 	}
 	text, err := p.caller.call(ctx, s.Server.Address, http.MethodPost, pathPoll, body)
 	if err != nil {
 		return u, err
 	}
-	return u, json.Unmarshal(text, &u)
+	if err := json.Unmarshal(text, &u); err != nil {
+		return u, fmt.Errorf("decoding the answer to a poll: %w", err)
+	}
+	return u, nil
 }
 
-// cancel ends a poll that is not waited for any more.
+// cancel ends a poll that is not awaited any more.
 func (p *poller) cancel(request uint64) {
 	if poll, found := p.polls[request]; found {
 		poll.cancel()
@@ -73,10 +80,10 @@
 	}
 }
 
-// finish takes the end of a poll. It tells whether the poll is still waited for.
+// finish records the result of a poll, and reports whether the poll was still awaited.
 func (p *poller) finish(request uint64, err error) bool {
-	poll, waitedFor := p.polls[request]
-	if !waitedFor {
+	poll, awaited := p.polls[request]
+	if !awaited {
 		return false
 	}
 	p.cancel(request)
@@ -84,7 +91,7 @@
 	return true
 }
 
-// logReachability writes to the log when a server begins or ceases to answer.
+// logReachability logs when a server ceases to answer, and when it answers again.
 func (p *poller) logReachability(server string, err error) {
 	switch {
 	case err != nil && !p.failing[server]:
@@ -96,7 +103,7 @@
 	}
 }
 
-// stop ends all polls and waits for their goroutines, once the loop has stopped.
+// stop ends all polls and waits for their goroutines. The loop has to have stopped.
 func (p *poller) stop() {
 	for request := range p.polls {
 		p.cancel(request)
--- a/internal/configfeed/feedhttp/server.go
+++ b/internal/configfeed/feedhttp/server.go
@@ -16,37 +16,38 @@
 
 // Times of a server.
 const (
-	receiveTimeout  = 5 * time.Second // for a request to come whole
-	sendTimeout     = 5 * time.Second // for an answer to be taken
+	receiveTimeout  = 5 * time.Second // for a request to arrive completely
+	sendTimeout     = 5 * time.Second // for an answer to be received
 	idleTimeout     = time.Minute     // of a connection without a request
-	shutdownTimeout = 2 * time.Second // for what is under way to be answered at the end
+	shutdownTimeout = 2 * time.Second // for the requests in flight to be answered at the end
 )
 
-const maxHeaderBytes = 4 << 10 // of a request, beside what net/http adds
+// maxHeaderBytes bounds the header of a request; net/http adds some slack.
+const maxHeaderBytes = 4 << 10
 
-// Store keeps what a server promises.
+// Store is the durable log of a server.
 type Store interface {
-	// Save returns once the disk has a state and the revisions that lead to it; without revisions the state takes the
-	// place of all before it.
+	// Save returns when the disk has a state and the revisions that lead to it; without revisions the state replaces
+	// all before it. It is called by one goroutine at a time.
 	Save(state configfeed.State, added []configfeed.Revision) error
-	// At returns the state as of a version, or configfeed.ErrOutOfReach.
+	// At returns the state as of a version, or configfeed.ErrRevisionNotFound. Several goroutines may call it.
 	At(v configfeed.Version) (configfeed.State, error)
 }
 
-// ServerOptions are what a control server is made of.
+// ServerOptions configure a control server.
 type ServerOptions struct {
-	Fleet  string                  // id of the fleet
+	Fleet  string                  // identifier of the fleet
 	Keys   [][]byte                // of the fleet; the first one signs
 	Config configfeed.ServerConfig // name, servers and writer
-	Via    map[string]string       // where another server's address is reached, if that is elsewhere
+	Via    map[string]string       // address to dial in place of another server's address; nil for none
 	Log    zerolog.Logger
 	Store  Store
 	Stored configfeed.Stored // what the store held at the start
-	// Check says why entries can not be configuration; nil takes all.
+	// Check returns why entries cannot be a configuration; nil accepts all.
 	Check func([]configfeed.Entry) error
 }
 
-// Server is a control server: the core, its requests, its disk and what it answers.
+// Server is a control server: it runs the core with its requests, its store and the polls of followers.
 type Server struct {
 	options       ServerOptions
 	authenticator *authenticator
@@ -54,23 +55,29 @@
 	loop          *loop[configfeed.ServerEffect]
 	poller        *poller
 	saves         chan configfeed.Save
-	stopping      chan struct{} // closed when held polls are to be ended
+	stopping      chan struct{} // closed when held polls are to end
 	counters      serverCounters
-	applies       chan struct{} // has room for the applies that are read at once
+	applies       chan struct{} // holds an element for each apply in progress
 
 	// Owned by the loop's goroutine.
 	lastRequest uint64
-	polls       map[uint64]chan<- encodedAnswer
-	proposals   map[uint64]chan<- configfeed.Outcome
+	polls       map[uint64]chan<- encodedAnswer      // that are held, by request
+	proposals   map[uint64]chan<- configfeed.Outcome // that wait for their outcome, by request
 	encoded     updateCache
 	observer    observer
 }
 
-// NewServer returns a server that does nothing until it serves.
+// NewServer returns a server that does nothing until Serve.
 func NewServer(o ServerOptions) *Server {
-	s := &Server{options: o, authenticator: &authenticator{fleet: o.Fleet, keys: o.Keys},
-		saves: make(chan configfeed.Save, 1), stopping: make(chan struct{}), applies: make(chan struct{}, maxApplies),
-		polls: map[uint64]chan<- encodedAnswer{}, proposals: map[uint64]chan<- configfeed.Outcome{}}
+	s := &Server{
+		options:       o,
+		authenticator: &authenticator{fleet: o.Fleet, keys: o.Keys},
+		saves:         make(chan configfeed.Save, 1),
+		stopping:      make(chan struct{}),
+		applies:       make(chan struct{}, maxApplies),
+		polls:         map[uint64]chan<- encodedAnswer{},
+		proposals:     map[uint64]chan<- configfeed.Outcome{},
+	}
 	clock := newClock()
 	s.core = configfeed.NewServer(clock.now(), o.Config, o.Stored)
 	s.loop = newLoop(clock, s.core, s.carryOut, s.logStatus)
@@ -79,10 +86,17 @@
 	return s
 }
 
-// Serve answers requests that come to the listener until the context ends, and closes it. It can be called once.
+// Serve answers the requests of a listener until the context ends, and closes it. The error is that of the listener, nil
+// after the end of the context. It can be called once. All goroutines of the server have ended when it returns.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
-	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: receiveTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(io.Discard, "", 0), DisableGeneralOptionsHandler: true}
+	server := &http.Server{
+		Handler:                      s.handler(),
+		ReadHeaderTimeout:            receiveTimeout,
+		IdleTimeout:                  idleTimeout,
+		MaxHeaderBytes:               maxHeaderBytes,
+		ErrorLog:                     log.New(io.Discard, "", 0),
+		DisableGeneralOptionsHandler: true,
+	}
 	loopContext, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
 	var running sync.WaitGroup
@@ -104,7 +118,7 @@
 	return err
 }
 
-// shutDown ends held polls, so that their followers turn to other servers, and lets other requests be answered.
+// shutDown ends held polls, so that their followers switch to other servers, and waits for the other requests.
 func (s *Server) shutDown(server *http.Server) {
 	close(s.stopping)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
@@ -113,7 +127,7 @@
 	server.Close()
 }
 
-// saveAll carries out saves, one after the other, beside the loop.
+// saveAll carries out saves one after the other, on a goroutine of its own, until the channel is closed.
 func (s *Server) saveAll() {
 	for save := range s.saves {
 		err := s.options.Store.Save(save.State, save.Revisions)
@@ -122,6 +136,7 @@
 	}
 }
 
+// carryOut carries out one effect. No effects follow from it.
 func (s *Server) carryOut(e configfeed.ServerEffect) []configfeed.ServerEffect {
 	switch e := e.(type) {
 	case configfeed.SendPoll:
@@ -129,7 +144,7 @@
 	case configfeed.CancelPoll:
 		s.poller.cancel(e.Request)
 	case configfeed.Save:
-		s.saves <- e // has room: there is one at a time
+		s.saves <- e // does not block: there is one at a time
 	case configfeed.AnswerPoll:
 		s.answerPoll(e)
 	case configfeed.AnswerProposal:
@@ -141,7 +156,7 @@
 	return nil
 }
 
-// answerPoll hands an answer to the request that holds the poll, if it is still there.
+// answerPoll passes an answer to the request that waits for it, if that has not ended.
 func (s *Server) answerPoll(e configfeed.AnswerPoll) {
 	answer, found := s.polls[e.Request]
 	if !found {
@@ -155,7 +170,7 @@
 	answer <- encoded
 }
 
-// polled takes the end of this server's own poll on the poll's goroutine.
+// polled reports the result of this server's own poll to the core. It runs on the poll's goroutine.
 func (s *Server) polled(request uint64, u configfeed.Update, err error) {
 	s.loop.post(func(now float64) []configfeed.ServerEffect {
 		switch {
@@ -168,7 +183,7 @@
 	})
 }
 
-// logStatus looks at what operators are told of by the log.
+// logStatus logs the changes of the server's status.
 func (s *Server) logStatus(now float64) {
 	if s.observer.due(now) {
 		s.observer.update(now, s.core.Status(now))
--- a/internal/configfeed/feedhttp/server_test.go
+++ b/internal/configfeed/feedhttp/server_test.go
@@ -147,7 +147,7 @@
 	if answer.StatusCode != http.StatusForbidden || metric(t, f.writer(), "rejected.mac") != "3" {
 		t.Errorf("another body: %d", answer.StatusCode)
 	}
-	if get(t, f.writer(), pathStatus); metric(t, f.writer(), "rejected.fleet") != "3" {
+	if getText(t, f.writer(), pathStatus); metric(t, f.writer(), "rejected.fleet") != "3" {
 		t.Error("a request without any proof was not counted")
 	}
 	if v := metric(t, f.writer(), "revision"); v != "0" {
--- a/internal/configfeed/feedhttp/traffic.go
+++ b/internal/configfeed/feedhttp/traffic.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Traffic counts what went over the connections of one follower since its start. Bytes are those of the streams, with
-// the heads of HTTP and without those of TCP.
+// Traffic counts what one follower has sent and received since its start. Bytes include the headers of HTTP, but not
+// those of TCP.
 type Traffic struct {
 	Requests      uint64 `json:"requests"`
 	Answers       uint64 `json:"answers"`
@@ -15,15 +15,16 @@
 	BytesReceived uint64 `json:"bytes_received"`
 }
 
-// trafficCounter is a Traffic that is still being added to.
+// trafficCounter counts traffic. It may be used by several goroutines; the zero value is ready to use.
 type trafficCounter struct{ requests, answers, sent, received atomic.Uint64 }
 
+// read returns the counts so far.
 func (c *trafficCounter) read() Traffic {
 	return Traffic{Requests: c.requests.Load(), Answers: c.answers.Load(),
 		BytesSent: c.sent.Load(), BytesReceived: c.received.Load()}
 }
 
-// dial opens a connection whose bytes are counted.
+// dial opens a connection and counts its bytes.
 func (c *trafficCounter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -39,12 +40,14 @@
 	counter *trafficCounter
 }
 
+// Read reads from the connection and counts the bytes.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.counter.received.Add(uint64(n))
 	return n, err
 }
 
+// Write writes to the connection and counts the bytes.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.counter.sent.Add(uint64(n))
