--- a/internal/configfeed/feedhttp/cache_test.go
+++ b/internal/configfeed/feedhttp/cache_test.go
@@ -9,7 +9,7 @@
 )
 
 // Whatever is in the cache before, an update is encoded as itself.
-func TestEachUpdateIsEncodedAsItself(t *testing.T) {
+func TestCacheEncodesEachUpdateAsItself(t *testing.T) {
 	deltas := func(from uint64) []configfeed.Delta {
 		return []configfeed.Delta{{From: version(1, from), To: version(1, 3)}}
 	}
--- a/internal/configfeed/feedhttp/follower_test.go
+++ b/internal/configfeed/feedhttp/follower_test.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func TestAFollowerGetsEachRevision(t *testing.T) {
+func TestFollowerReceivesEachRevision(t *testing.T) {
 	f := startServers(t, 3)
 	n := f.follow("n1", "r2", false)
 	client := f.client()
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestAFollowerTurnsToAnotherServerWhenItsOwnStops(t *testing.T) {
+func TestFollowerSwitchesServerWhenItsOwnStops(t *testing.T) {
 	f := startServers(t, 3)
 	n := f.follow("n1", "r2", false)
 	client := f.client()
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestARefusedRevisionIsShownAtTheServer(t *testing.T) {
+func TestServerStatusShowsRefusedRevision(t *testing.T) {
 	f := startServers(t, 1)
 	f.follow("n1", "r1", true)
 	client := f.client()
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestManyFollowersShareOneProcess(t *testing.T) {
+func TestManyFollowersRunInOneProcess(t *testing.T) {
 	f := startServers(t, 1)
 	var all []*testFollower
 	for i := range 50 {
@@ -119,7 +119,7 @@
 }
 
 // A large state is compressed on the way, and what is authenticated is the state itself.
-func TestALargeStateIsCompressedOnTheWay(t *testing.T) {
+func TestLargeStateIsCompressed(t *testing.T) {
 	f := startServers(t, 1)
 	client := f.client()
 	var entries []configfeed.Entry
--- a/internal/configfeed/feedhttp/fleet_test.go
+++ b/internal/configfeed/feedhttp/helpers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,7 +19,7 @@
 	"gorseledge/internal/configfeed/feedstore"
 )
 
-const eventualTimeout = 20 * time.Second // for what has to come in the end
+const eventualTimeout = 20 * time.Second // for a condition that has to hold eventually
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -33,7 +34,7 @@
 	stop          func()
 }
 
-// testServers is several control servers; the first one is the writer.
+// testServers are several control servers; the first one is the writer.
 type testServers struct {
 	t       *testing.T
 	all     []*testServer
@@ -62,6 +63,7 @@
 	return f
 }
 
+// start starts a server on a listener; it stops with the test at the latest.
 func (f *testServers) start(s *testServer, listener net.Listener) {
 	f.t.Helper()
 	store, stored, err := feedstore.Open(s.directory)
@@ -83,15 +85,23 @@
 	f.t.Cleanup(s.stop)
 }
 
+// client returns a client of the fleet, which is closed with the test.
 func (f *testServers) client() *Client {
 	c := NewClient(testFleet, testKeys, nil)
 	f.t.Cleanup(c.Close)
 	return c
 }
 
+// writer returns the address of the writer.
 func (f *testServers) writer() string { return f.all[0].address }
 
-// eventually waits until something holds.
+// isStatus reports whether an error is an answer with a status code.
+func isStatus(err error, code int) bool {
+	var status *StatusError
+	return errors.As(err, &status) && status.Code == code
+}
+
+// eventually waits until a condition holds; what describes it.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(eventualTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -101,15 +111,16 @@
 	}
 }
 
+// untilReady waits until the writer accepts proposals.
 func (f *testServers) untilReady() {
 	f.t.Helper()
 	eventually(f.t, "the writer is ready", func() bool { return strings.HasPrefix(getText(f.t, f.writer(), "/-/ready"), "yes") })
 }
 
-// plainTransport keeps no connection.
+// plainTransport does not reuse connections.
 var plainTransport = &http.Transport{DisableKeepAlives: true}
 
-// getText makes a call as operators' tools do.
+// getText returns the answer to a call that is not authenticated, as operators' tools make it.
 func getText(t *testing.T, address, path string) string {
 	t.Helper()
 	answer, err := (&http.Client{Transport: plainTransport, Timeout: eventualTimeout}).Get("http://" + address + path)
@@ -124,7 +135,7 @@
 	return string(text)
 }
 
-// metric reads a figure of a server.
+// metric returns a figure of a server.
 func metric(t *testing.T, address, name string) string {
 	t.Helper()
 	_, rest, found := strings.Cut(getText(t, address, "/-/metrics"), "control."+name+":")
