--- a/internal/fleetkey/fleetkey_test.go
+++ b/internal/fleetkey/fleetkey_test.go
@@ -6,26 +6,33 @@
 )
 
 const (
-	good  = "00112233445566778899aabbccddeeff"
-	other = "ffeeddccbbaa99887766554433221100"
+	validKey   = "00112233445566778899aabbccddeeff"
+	anotherKey = "ffeeddccbbaa99887766554433221100"
 )
 
-func TestDecodeGivesTheSigningKeyFirst(t *testing.T) {
-	keys, err := Decode(good, other)
+func TestDecodeReturnsSigningKeyFirst(t *testing.T) {
+	keys, err := Decode(validKey, anotherKey)
 	if err != nil || len(keys) != 2 || keys[0][0] != 0 || keys[1][0] != 0xff {
 		t.Fatalf("%x, %v", keys, err)
 	}
-	if keys, err := Decode(good, ""); err != nil || len(keys) != 1 {
+	if keys, err := Decode(validKey, ""); err != nil || len(keys) != 1 {
 		t.Fatalf("%x, %v", keys, err)
 	}
 }
 
-func TestDecodeNamesTheSettingThatIsWrong(t *testing.T) {
-	for _, c := range []struct{ key, old, setting string }{
-		{"", "", "key"}, {good[2:], "", "key"}, {"zz" + good, "", "key"}, {good, "00", "old_key"}, {good, "zz" + good, "old_key"},
+func TestDecodeNamesInvalidSetting(t *testing.T) {
+	for _, c := range []struct{ name, key, oldKey, setting string }{
+		{"no key", "", "", "key"},
+		{"short key", validKey[2:], "", "key"},
+		{"key that is not hexadecimal", "zz" + validKey, "", "key"},
+		{"short old key", validKey, "00", "old_key"},
+		{"old key that is not hexadecimal", validKey, "zz" + validKey, "old_key"},
 	} {
-		if _, err := Decode(c.key, c.old); err == nil || err.Setting != c.setting || !strings.Contains(err.Error(), c.setting+": ") {
-			t.Errorf("%q, %q: %v, wanted one of %s", c.key, c.old, err, c.setting)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Decode(c.key, c.oldKey)
+			if err == nil || err.Setting != c.setting || !strings.Contains(err.Error(), c.setting+": ") {
+				t.Errorf("%q, %q: %v, wanted one of %s", c.key, c.oldKey, err, c.setting)
+			}
+		})
 	}
 }
--- a/internal/livesettings/documented_test.go
+++ b/internal/livesettings/documented_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The page for operators has a row with the unit and the range of each key, and of no other.
-func TestKeysAreDocumented(t *testing.T) {
+// The operators' page has one row for each key, with its unit and range, and no other rows.
+func TestEveryKeyIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operating.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/livesettings/livesettings_test.go
+++ b/internal/livesettings/livesettings_test.go
@@ -43,8 +43,8 @@
 weight = 0.5
 `
 
-// Every key of the table is read, sorted, under its dotted name, and gets into the settings.
-func TestDocumentWithEveryKey(t *testing.T) {
+// Every key is read, sorted by its dotted name and stored in the settings.
+func TestCompleteDocumentSetsEveryKey(t *testing.T) {
 	entries, err := Parse("live.toml", []byte(completeDocument))
 	if err != nil {
 		t.Fatal(err)
@@ -103,16 +103,39 @@
 	}
 }
 
-// Each refused document gives one line with the file, the line and the key, and says why.
-func TestRefusedDocuments(t *testing.T) {
-	for _, c := range []struct{ text, says string }{
+// rejectedDocument is a document that is rejected, and a part of its error after the file's name.
+type rejectedDocument struct{ text, says string }
+
+// requireRejected checks that each document is rejected with one line that has the file, the line, the key and why.
+func requireRejected(t *testing.T, documents []rejectedDocument) {
+	t.Helper()
+	for _, document := range documents {
+		t.Run(document.says, func(t *testing.T) {
+			entries, err := Parse("live.toml", []byte(document.text))
+			if err == nil || entries != nil || !strings.HasPrefix(err.Error(), "live.toml:") ||
+				!strings.Contains(err.Error(), document.says) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%q: %v, wanted %q", document.text, err, document.says)
+			}
+		})
+	}
+}
+
+// Keys and tables that the document does not have, with their line.
+func TestDocumentWithUnknownKeyIsRejected(t *testing.T) {
+	requireRejected(t, []rejectedDocument{
 		{"nodes = 3\nunheard_of = 1\n", "2: unheard_of: unknown key"},
 		{"[limits]\nmax_connect = 1\n", "2: limits.max_connect: unknown key"},
 		{"[hosts.s-1]\ncolour = \"red\"\n", "2: hosts.s-1.colour: unknown key"},
 		{"[nowhere]\n", "1: nowhere: unknown key"},
-		{"[hosts.s-1]\n", "1: hosts.s-1: nothing stands in this table"},
-		{"[limits]\n\n", "1: limits: nothing stands in this table"},
+		{"[hosts.s-1]\n", "1: hosts.s-1: the table is empty"},
+		{"[limits]\n\n", "1: limits: the table is empty"},
 		{"hosts = 3\n", "1: hosts: unknown key"},
+	})
+}
+
+// Values of another type or outside the key's range.
+func TestDocumentWithInvalidValueIsRejected(t *testing.T) {
+	requireRejected(t, []rejectedDocument{
 		{"limits = { max_connects = 2,\n  sockets = 1 }\n", "2: limits.sockets: 1 is not between 32 and 4194304 descriptors"},
 		{"limits.max_connects = 0\n", "1: limits.max_connects: 0 is not between 1 and 64 connects"},
 		{"limits.max_connects = 2.5\n", "1: limits.max_connects: wanted a whole number"},
@@ -144,13 +167,25 @@
 		{"[hosts.s-1]\ndisabled_until_s = 4102444801\n", "2: hosts.s-1.disabled_until_s: 4102444801 is not between 0 and 4102444800 Unix s"},
 		{"[hosts.s-1]\ndisabled_until_s = 2026-12-02T05:00:00Z\n", "2: hosts.s-1.disabled_until_s: wanted a number"},
 		{"[hosts.s-1]\nweight = 0\n", "2: hosts.s-1.weight: 0 is not between 0.001 and 1000000 as listed"},
+	})
+}
+
+// Names that no tenant, service type or host has, and keys that occur twice.
+func TestDocumentWithInvalidNameOrRepeatedKeyIsRejected(t *testing.T) {
+	requireRejected(t, []rejectedDocument{
 		{"[hosts.\"\"]\nweight = 1\n", "2: hosts..weight: unknown key"},
-		{"[hosts." + strings.Repeat("h", MaxNameBytes+1) + "]\nweight = 1\n", "a name of 129 bytes, and 128 do"},
+		{"[hosts." + strings.Repeat("h", MaxNameBytes+1) + "]\nweight = 1\n", "a name of 129 bytes, and at most 128 are allowed"},
 		{"[hosts.\"a\\nb\"]\nweight = 1\n", `2: "hosts.a\nb.weight": a name with control characters`},
-		{"[hosts.a.b]\nweight = 1\n[hosts.\"a.b\"]\nweight = 2\n", "4: hosts.a.b.weight: stands in line 2 already"},
+		{"[hosts.a.b]\nweight = 1\n[hosts.\"a.b\"]\nweight = 2\n", "4: hosts.a.b.weight: is already set in line 2"},
 		{"nodes = 1\nnodes = 2\n", "2:"},
 		{"nodes =\n", "1:"},
 		{"[[hosts]]\nweight = 1\n", "1: hosts: unknown key"},
+	})
+}
+
+// Keys that only the configuration of a start has.
+func TestDocumentWithStartKeyIsRejected(t *testing.T) {
+	requireRejected(t, []rejectedDocument{
 		{"name = \"n1\"\n", "1: name: needs a restart"},
 		{"seed = \"9\"\n", "1: seed: needs a restart"},
 		{"nodes = 3\n[limits]\ncores = 2\n", "3: limits.cores: needs a restart"},
@@ -163,17 +198,11 @@
 		{"[service_types.chat]\nmemory_span_us = 1\n", "2: service_types.chat.memory_span_us: needs a restart"},
 		{"[[parties]]\nname = \"red\"\n", "1: parties: needs a restart"},
 		{"zones = [\"a\"]\n", "1: zones: needs a restart"},
-	} {
-		entries, err := Parse("live.toml", []byte(c.text))
-		if err == nil || entries != nil || !strings.HasPrefix(err.Error(), "live.toml:") ||
-			!strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, wanted %q", c.text, err, c.says)
-		}
-	}
+	})
 }
 
-// The check of entries refuses what no document gives, by its key.
-func TestRefusedEntries(t *testing.T) {
+// Check rejects entries that no document leads to, and names the key.
+func TestInvalidEntriesAreRejected(t *testing.T) {
 	entry := func(key, value string) configfeed.Entry { return configfeed.Entry{Key: key, Value: value} }
 	for _, c := range []struct {
 		entries []configfeed.Entry
@@ -201,9 +230,9 @@
 	}
 }
 
-func TestDocumentTooLong(t *testing.T) {
+func TestTooLargeDocumentIsRejected(t *testing.T) {
 	_, err := Parse("live.toml", []byte(strings.Repeat("# a comment\n", MaxDocumentBytes/12+1)))
-	if err == nil || err.Error() != "live.toml:1: 4194312 bytes, and 4194304 do" {
+	if err == nil || err.Error() != "live.toml:1: 4194312 bytes, and at most 4194304 are allowed" {
 		t.Error(err)
 	}
 	var text strings.Builder
@@ -211,13 +240,13 @@
 		text.WriteString("[hosts." + strings.Repeat("h", 120) + strconv.Itoa(i) + "]\ndisabled_until_s = 1764650000\n")
 	}
 	_, err = Parse("live.toml", []byte(text.String()))
-	if err == nil || !strings.Contains(err.Error(), "bytes of keys and values, and 1048576 do") {
+	if err == nil || !strings.Contains(err.Error(), "bytes of keys and values, and at most 1048576 are allowed") {
 		t.Error(err)
 	}
 }
 
-// A document of two thousand hosts fits: no list ends at a thousand.
-func TestManyHosts(t *testing.T) {
+// A document may have two thousand hosts.
+func TestDocumentWithManyHostsIsAccepted(t *testing.T) {
 	var text strings.Builder
 	for i := range 2_000 {
 		text.WriteString("[hosts.s-" + strings.Repeat("0", 4) + string(rune('a'+i%26)) + strings.Repeat("b", i/26%30) + "-" +
--- /dev/null
+++ b/internal/livesettings/rejection.go
@@ -0,0 +1,55 @@
+package livesettings
+
+import "strings"
+
+// Reasons for which a key is rejected that is not one of the document.
+const (
+	needsRestart = "needs a restart"
+	unknownKey   = "unknown key"
+)
+
+// restartKeys are patterns of the keys that only the configuration of a node's start has. Each stands for the keys below
+// it as well.
+var restartKeys = []string{
+	"name", "listen", "admin_addr", "peer_addr", "peers", "seed", "fleet", "known", "settings",
+	"limits.cores", "limits.memory_mb", "limits.dial_timeout_us", "limits.peers", "limits.probes", "limits.retry_after",
+	"family_info", "granularity_us", "membership_mode", "parties", "reporting", "me", "zones",
+	"service_types.*.name", "service_types.*.effect", "service_types.*.group", "service_types.*.give_up_us",
+	"service_types.*.memory_span_us",
+}
+
+// startNames are keys that the configuration of a node's start has under another name than the document.
+var startNames = []struct{ pattern, liveKey string }{
+	{"siblings", "nodes"},
+	{"limits.max_retry_after_us", "retry_advice_s"},
+	{"invariants.ask_within_us", "ask_within_s"},
+	{"invariants.cold_from", "slow_start.from"},
+	{"invariants.cold_us", "slow_start.for_s"},
+	{"invariants.fall_multiple", "slow_start.fall_multiple"},
+	{"invariants.fall_us", "slow_start.fall_for_s"},
+	{"service_types.*.setup_target_us", "service_types.*.setup_target_s"},
+}
+
+// isAtOrBelow reports whether a key has a pattern, or is below one that has it.
+func isAtOrBelow(pattern, text string) bool {
+	if text == pattern || strings.HasPrefix(text, pattern+".") {
+		return true
+	}
+	_, ok := key{pattern: pattern}.match(text)
+	return ok && strings.Contains(pattern, wildcard)
+}
+
+// rejectionReason returns why a key is rejected that is not one of the document.
+func rejectionReason(text string) string {
+	for _, other := range startNames {
+		if isAtOrBelow(other.pattern, text) {
+			return needsRestart + "; the live key is " + other.liveKey
+		}
+	}
+	for _, pattern := range restartKeys {
+		if isAtOrBelow(pattern, text) {
+			return needsRestart
+		}
+	}
+	return unknownKey
+}
--- a/internal/strict/leaves_test.go
+++ b/internal/strict/leaves_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// All values of a document are given in the order of their lines, however their keys are written.
-func TestLeaves(t *testing.T) {
+// All values of a document are returned in the order of their lines, however their keys are written.
+func TestLeavesReturnsValuesInOrderOfLines(t *testing.T) {
 	const text = `# a comment
 top = 1
 a.b = "x"
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files in which nothing may stand that is not known. What is wrong with one is an error of
-// one line, with the file and the row at which it stands.
+// Package strict reads TOML files in which unknown keys are errors. Every error is one line with the path of the file and
+// the line of the text that is wrong. The package does no I/O: callers pass the text.
 package strict
 
 import (
@@ -11,54 +11,69 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads text into what v points to; path is for messages.
-func Decode(path string, text []byte, v any) error {
-	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
-	var unknown *toml.StrictMissingError
-	var decode *toml.DecodeError
-	switch {
-	case err == nil:
+// Decode decodes a text into the value that target points to. It is an error where the text has a key that the value's
+// type does not have. The path is only used for the error.
+func Decode(path string, text []byte, target any) error {
+	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
+	if err == nil {
 		return nil
-	case errors.As(err, &unknown) && len(unknown.Errors) > 0:
-		row, _ := unknown.Errors[0].Position()
-		return fmt.Errorf("%s:%d: unknown key %s", path, row, strings.Join(unknown.Errors[0].Key(), "."))
-	case errors.As(err, &decode):
-		row, _ := decode.Position()
-		return fmt.Errorf("%s:%d: %s", path, row, strings.TrimPrefix(decode.Error(), "toml: "))
+	}
+	var unknown *toml.StrictMissingError
+	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
+		first := unknown.Errors[0]
+		line, _ := first.Position()
+		return fmt.Errorf("%s:%d: unknown key %s", path, line, strings.Join(first.Key(), "."))
+	}
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		line, _ := invalid.Position()
+		return fmt.Errorf("%s:%d: %s", path, line, strings.TrimPrefix(invalid.Error(), "toml: "))
 	}
 	return fmt.Errorf("%s:1: %w", path, err)
 }
 
-// Place names a key in a file: the n-th table of a name, from 0 on, and a key in it; no table for the top.
+// Place is a key in a file. The zero value is the file itself.
 type Place struct {
-	Table string
-	Index int
-	Key   string
+	Table string // name of an array of tables; empty for the top of the file
+	Index int    // of the table in the array, from 0 on
+	Key   string // in the table; empty for the table itself
 }
 
-// Wrap returns an error the file and the row of what it is about.
+// Wrap adds to an error the path and the line of the place that it is about.
 func (p Place) Wrap(path string, text []byte, err error) error {
 	return fmt.Errorf("%s:%d: %w", path, p.line(text), err)
 }
 
-// line finds a place in the text; the table's own row where the key is not written, 1 where neither is.
+// line returns the line of the place in a text: that of the table if the key is missing, and 1 if both are.
 func (p Place) line(text []byte) int {
-	best, nth, in := 1, -1, p.Table == ""
-	for i, row := range strings.Split(string(text), "\n") {
-		row = strings.TrimSpace(row)
-		if strings.HasPrefix(row, "[") {
-			name := strings.Trim(strings.TrimSpace(strings.SplitN(row, "#", 2)[0]), "[] ")
-			if in = name == p.Table; in {
-				if nth++; nth == p.Index {
-					best = i + 1
-				}
+	found := 1
+	index := -1
+	inTable := p.Table == ""
+	for i, line := range strings.Split(string(text), "\n") {
+		line = strings.TrimSpace(line)
+		if strings.HasPrefix(line, "[") {
+			inTable = tableName(line) == p.Table
+			if inTable {
+				index++
+			}
+			if inTable && index == p.Index {
+				found = i + 1
 			}
 			continue
 		}
-		key, _, found := strings.Cut(row, "=")
-		if found && in && strings.TrimSpace(key) == p.Key && (p.Table == "" || nth == p.Index) {
+		key, _, isPair := strings.Cut(line, "=")
+		if !isPair || !inTable || strings.TrimSpace(key) != p.Key {
+			continue
+		}
+		if p.Table == "" || index == p.Index {
 			return i + 1
 		}
 	}
-	return best
+	return found
+}
+
+// tableName returns the name in the header of a table.
+func tableName(line string) string {
+	header, _, _ := strings.Cut(line, "#")
+	return strings.Trim(strings.TrimSpace(header), "[] ")
 }
