--- a/internal/configfeed/controlfile/controlfile.go
+++ b/internal/configfeed/controlfile/controlfile.go
@@ -1,4 +1,5 @@
-// Package controlfile reads the file that a control server is started with and that the commands of an operator use.
+// Package controlfile reads the file that a control server is started with and that the commands of an operator use. It
+// owns the keys of the file and what they may hold; it does not read anything else that the file names.
 package controlfile
 
 import (
@@ -18,25 +19,26 @@
 
 // Server is one control server of the fleet.
 type Server struct {
-	Name    string `toml:"name"`
-	Address string `toml:"address"` // numeric, with a port (TCP)
-	Region  string `toml:"region"`
+	Name    string `toml:"name"`    // unique, 1 to configfeed.MaxNameBytes long
+	Address string `toml:"address"` // numeric, with a TCP port; unique
+	Region  string `toml:"region"`  // 1 to configfeed.MaxNameBytes long
 }
 
 // Config is the control file of one server.
 type Config struct {
-	Fleet     string            `toml:"fleet"`     // id: requests of another fleet are refused
+	Fleet     string            `toml:"fleet"`     // identifier; requests of another fleet are rejected
 	Name      string            `toml:"name"`      // of this server, among Servers
-	Key       string            `toml:"key"`       // hexadecimal, 16 bytes or more: authenticates requests and answers
-	OldKey    string            `toml:"old_key"`   // accepted as well, while the key is being changed
+	Key       string            `toml:"key"`       // hexadecimal, fleetkey.MinBytes or more; authenticates requests and answers
+	OldKey    string            `toml:"old_key"`   // accepted as well while the key is being changed; may be empty
 	Directory string            `toml:"directory"` // of this server's log
-	Writer    string            `toml:"writer"`    // the server that gives out revisions
-	Servers   []Server          `toml:"server"`    // all servers, this one among them; an odd number
-	Via       map[string]string `toml:"via"`       // where this server reaches an address, if that is elsewhere
-	Keys      [][]byte          `toml:"-"`         // decoded from Key and OldKey
+	Writer    string            `toml:"writer"`    // name of the server that accepts proposals
+	Servers   []Server          `toml:"server"`    // all servers, this one included; an odd number
+	Via       map[string]string `toml:"via"`       // address to dial in place of an address
+	Keys      [][]byte          `toml:"-"`         // decoded from Key and OldKey, the one to sign with first
 }
 
-// Read reads a control file, strictly; an error names the file, the line and the key.
+// Read reads and checks a control file. The error is one line with the path, and for a mistake in the file with the line
+// and the key. Unknown keys are errors.
 func Read(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +51,7 @@
 	return c, nil
 }
 
-// Server returns the server of a name; false where there is none.
+// Server returns the server with a name, and whether there is one.
 func (c Config) Server(name string) (Server, bool) {
 	for _, s := range c.Servers {
 		if s.Name == name {
@@ -59,6 +61,7 @@
 	return Server{}, false
 }
 
+// parse decodes and checks the text of a control file.
 func parse(path string, text []byte) (Config, error) {
 	var c Config
 	if err := strict.Decode(path, text, &c); err != nil {
@@ -69,30 +72,39 @@
 		return c, strict.Place{Key: wrongKey.Setting}.Wrap(path, text, wrongKey)
 	}
 	c.Keys = keys
-	for _, check := range []func(Config) (strict.Place, error){checkSelf, checkServers, checkRoles, checkVia} {
-		if place, err := check(c); err != nil {
+	checks := []func(Config) (strict.Place, error){checkSelf, checkServers, checkRoles, checkVia}
+	for _, check := range checks {
+		place, err := check(c)
+		if err != nil {
 			return c, place.Wrap(path, text, err)
 		}
 	}
 	return c, nil
 }
 
-// checkName says why a text is no name of a fleet, server or region.
+// checkName returns an error unless a text can be the name of a fleet, server or region.
 func checkName(key, name string) error {
 	switch {
 	case name == "":
 		return fmt.Errorf("%s: is missing", key)
 	case len(name) > configfeed.MaxNameBytes:
 		return fmt.Errorf("%s: %d bytes, and %d are allowed", key, len(name), configfeed.MaxNameBytes)
-	case strings.ContainsFunc(name, func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }):
+	case strings.ContainsFunc(name, isSpaceOrUnprintable):
 		return fmt.Errorf("%s: %q contains a space or an unprintable character", key, name)
 	}
 	return nil
 }
 
-// checkSelf checks what stands of this server alone.
+// isSpaceOrUnprintable reports whether a character may not be in a name.
+func isSpaceOrUnprintable(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
+
+// namedSetting is a setting whose value is a name.
+type namedSetting struct{ key, name string }
+
+// checkSelf checks the settings that concern this server alone. A check returns the place of the mistake with the error.
 func checkSelf(c Config) (strict.Place, error) {
-	for _, named := range []struct{ key, name string }{{"fleet", c.Fleet}, {"name", c.Name}, {"writer", c.Writer}} {
+	settings := []namedSetting{{"fleet", c.Fleet}, {"name", c.Name}, {"writer", c.Writer}}
+	for _, named := range settings {
 		if err := checkName(named.key, named.name); err != nil {
 			return strict.Place{Key: named.key}, err
 		}
@@ -103,9 +115,10 @@
 	return strict.Place{}, nil
 }
 
-// checkServers checks each server, and that no two are the same.
+// checkServers checks each server, and that no two have the same name or address.
 func checkServers(c Config) (strict.Place, error) {
-	names, addresses := map[string]bool{}, map[netip.AddrPort]bool{}
+	names := map[string]bool{}
+	addresses := map[netip.AddrPort]bool{}
 	for i, s := range c.Servers {
 		place := func(key string) strict.Place { return strict.Place{Table: "server", Index: i, Key: key} }
 		if err := checkName("name", s.Name); err != nil {
@@ -123,17 +136,19 @@
 		case addresses[address]:
 			return place("address"), fmt.Errorf("address: two servers have %s", s.Address)
 		}
-		names[s.Name], addresses[address] = true, true
+		names[s.Name] = true
+		addresses[address] = true
 	}
 	return strict.Place{}, nil
 }
 
-// checkRoles checks that the servers named are among those listed, and that a majority of them is always clear.
+// checkRoles checks that this server and the writer are listed, and that the number of servers is odd: an even number
+// survives no more failures than the odd one below it.
 func checkRoles(c Config) (strict.Place, error) {
 	if len(c.Servers)%2 == 0 {
 		return strict.Place{Table: "server"}, fmt.Errorf("server: there are %d, and an odd number is wanted", len(c.Servers))
 	}
-	for _, named := range []struct{ key, name string }{{"name", c.Name}, {"writer", c.Writer}} {
+	for _, named := range []namedSetting{{"name", c.Name}, {"writer", c.Writer}} {
 		if _, found := c.Server(named.name); !found {
 			return strict.Place{Key: named.key}, fmt.Errorf("%s: there is no server %s", named.key, named.name)
 		}
@@ -141,7 +156,7 @@
 	return strict.Place{}, nil
 }
 
-// checkVia checks the addresses that are reached elsewhere.
+// checkVia checks the addresses of the table via.
 func checkVia(c Config) (strict.Place, error) {
 	for from, to := range c.Via {
 		for _, text := range []string{from, to} {
--- a/internal/configfeed/controlfile/controlfile_test.go
+++ b/internal/configfeed/controlfile/controlfile_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const goodFile = `fleet = "lima"
+const validFile = `fleet = "lima"
 name = "c2"
 key = "00112233445566778899aabbccddeeff"
 directory = "/var/lib/gorseledge-config"
@@ -32,11 +32,11 @@
 "127.0.0.1:7100" = "127.0.0.9:1234"
 `
 
-// lastServer is the table of the third server.
-var lastServer = goodFile[strings.LastIndex(goodFile, "[[server]]"):strings.Index(goodFile, "[via]")]
+// lastServer is the table of the third server in validFile.
+var lastServer = validFile[strings.LastIndex(validFile, "[[server]]"):strings.Index(validFile, "[via]")]
 
-func TestReadTakesAGoodFile(t *testing.T) {
-	for _, text := range []string{goodFile, strings.Replace(goodFile, "directory", "old_key = \"00112233445566778899aabbccddeeff\"\ndirectory", 1)} {
+func TestReadAcceptsValidFile(t *testing.T) {
+	for _, text := range []string{validFile, strings.Replace(validFile, "directory", "old_key = \"00112233445566778899aabbccddeeff\"\ndirectory", 1)} {
 		path := filepath.Join(t.TempDir(), "control.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestReadNamesFileLineAndKeyOfAMistake(t *testing.T) {
+func TestReadNamesFileLineAndKeyOfMistake(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control.toml")
 	long := strings.Repeat("c", 65)
 	for _, c := range []struct{ from, to, line, says string }{
@@ -75,18 +75,20 @@
 		{`"127.0.0.9:1234"`, `"c9:1234"`, "23", "via: "},
 		{"[via]", "[via", "22", ""},
 	} {
-		if !strings.Contains(goodFile, c.from) {
-			t.Fatalf("%q is not in the good file", c.from)
-		}
-		text := strings.Replace(goodFile, c.from, c.to, 1)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := Read(path)
-		if err == nil || !strings.Contains(err.Error(), path+":"+c.line+":") || !strings.Contains(err.Error(), c.says) ||
-			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, wanted line %s and %q", c.to, err, c.line, c.says)
-		}
+		t.Run(c.line+" "+c.to, func(t *testing.T) {
+			if !strings.Contains(validFile, c.from) {
+				t.Fatalf("%q is not in the valid file", c.from)
+			}
+			text := strings.Replace(validFile, c.from, c.to, 1)
+			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := Read(path)
+			if err == nil || !strings.Contains(err.Error(), path+":"+c.line+":") || !strings.Contains(err.Error(), c.says) ||
+				strings.Contains(err.Error(), "\n") {
+				t.Errorf("%q: %v, wanted line %s and %q", c.to, err, c.line, c.says)
+			}
+		})
 	}
 	if _, err := Read(path + ".none"); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("a file that does not exist: %v", err)
--- a/internal/configfeed/feedstore/check.go
+++ b/internal/configfeed/feedstore/check.go
@@ -8,12 +8,16 @@
 	"path/filepath"
 
 	"go.etcd.io/bbolt"
-	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Check reads every page and record of the log in a directory, and tells what is wrong with the first that is. A
-// directory without a log is good. On a damaged file the library may end the process or not return at all: it is meant
-// for a process of its own, and for a file that nobody has open.
+const (
+	firstDataPage = 2      // after the two meta pages
+	freePage      = "free" // the type of a page that is not in use, as bbolt names it
+)
+
+// Check reads every page and record of the log in a directory, and returns an error for the first that is damaged. A
+// directory without a log is valid. On a damaged file the library may end the process or not return at all, so Check is
+// meant for a process of its own, and for a file that no process has open.
 func Check(directory string) error {
 	path := filepath.Join(directory, fileName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
@@ -25,12 +29,10 @@
 	return nil
 }
 
+// checkFile opens and checks a file.
 func checkFile(path string) error {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: true, PreLoadFreelist: true})
-	switch {
-	case errors.Is(err, bbolterrors.ErrTimeout):
-		return errOpenElsewhere
-	case err != nil:
+	db, err := openFile(path, &bbolt.Options{Timeout: lockWait, ReadOnly: true, PreLoadFreelist: true})
+	if err != nil {
 		return err
 	}
 	defer db.Close()
@@ -41,32 +43,40 @@
 		if err := checkPages(tx); err != nil {
 			return err
 		}
-		var first error
-		for err := range tx.Check() { // to its end: until then it reads the file
-			first = cmp.Or(first, err)
-		}
-		if first != nil {
-			return fmt.Errorf("the file is damaged: %w", first)
+		if err := checkStructure(tx); err != nil {
+			return err
 		}
 		return checkRecords(tx)
 	})
 }
 
-const firstDataPage = 2 // after the two heads
+// checkStructure runs the library's own check and returns its first error. It reads all errors, since the check reads the
+// file until then.
+func checkStructure(tx *bbolt.Tx) error {
+	var first error
+	for err := range tx.Check() {
+		first = cmp.Or(first, err)
+	}
+	if first != nil {
+		return fmt.Errorf("%w: %w", errDamaged, first)
+	}
+	return nil
+}
 
-// checkPages guards against a page that claims to reach beyond the file: the library would count billions of pages.
+// checkPages returns an error for a page that states that it reaches beyond the file. This prevents the library's check
+// from counting billions of pages.
 func checkPages(tx *bbolt.Tx) error {
 	for id := firstDataPage; ; id++ {
 		page, err := tx.Page(id)
 		if page == nil || err != nil {
 			return err
 		}
-		if page.Type == "free" { // what is left in it means nothing
+		if page.Type == freePage { // its header is left over
 			continue
 		}
 		last := id + page.OverflowCount
-		if beyond, _ := tx.Page(last); beyond == nil {
-			return fmt.Errorf("the file is damaged: page %d reaches to page %d", id, last)
+		if lastPage, _ := tx.Page(last); lastPage == nil {
+			return fmt.Errorf("%w: page %d reaches to page %d", errDamaged, id, last)
 		}
 		id = last
 	}
--- a/internal/configfeed/feedstore/feedstore_test.go
+++ b/internal/configfeed/feedstore/feedstore_test.go
@@ -12,7 +12,7 @@
 	"gorseledge/internal/configfeed"
 )
 
-// writer makes the revisions of a test, each of which sets one key.
+// writer makes successive revisions, each of which sets one key.
 type writer struct {
 	t     *testing.T
 	state configfeed.State
@@ -34,6 +34,7 @@
 	return state, r
 }
 
+// openStore opens a log, which is closed with the test.
 func openStore(t *testing.T, directory string) (*Store, configfeed.Stored) {
 	t.Helper()
 	store, stored, err := Open(directory)
@@ -44,7 +45,7 @@
 	return store, stored
 }
 
-// save saves that many revisions, one by one.
+// save saves that many revisions, each by itself.
 func (w *writer) save(store *Store, count int) {
 	w.t.Helper()
 	for range count {
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestWhatIsSavedIsThereAfterReopening(t *testing.T) {
+func TestSavedStateAndHistoryAreLoadedAfterReopening(t *testing.T) {
 	directory := t.TempDir()
 	store, stored := openStore(t, directory)
 	if stored.State.Version != (configfeed.Version{}) || len(stored.History) != 0 {
@@ -75,7 +76,7 @@
 	}
 }
 
-func TestRevisionsThatDoNotLeadOnAreRefused(t *testing.T) {
+func TestSaveRejectsRevisionsWithGap(t *testing.T) {
 	store, _ := openStore(t, t.TempDir())
 	w := &writer{t: t}
 	w.save(store, 2)
@@ -86,7 +87,7 @@
 	}
 }
 
-func TestEarlierStatesAreReachedBackToTheBase(t *testing.T) {
+func TestEarlierStatesAreReplayedBackToBase(t *testing.T) {
 	directory := t.TempDir()
 	store, _ := openStore(t, directory)
 	w := &writer{t: t}
@@ -102,7 +103,7 @@
 	if _, err := at(5); !errors.Is(err, configfeed.ErrRevisionNotFound) {
 		t.Errorf("a revision to come: %v", err)
 	}
-	// A snapshot takes the place of the log: what came before it can no longer be played.
+	// A snapshot replaces the base: states before it can no longer be replayed.
 	for range 6 {
 		w.next()
 	}
@@ -146,14 +147,14 @@
 		t.Errorf("the last revision is %+v", last.Delta.To)
 	}
 	if _, err := store.At(configfeed.Version{Epoch: 1, Revision: 1}); !errors.Is(err, configfeed.ErrRevisionNotFound) {
-		t.Errorf("a revision that was folded: %v", err)
+		t.Errorf("a revision that was compacted: %v", err)
 	}
 	if _, err := store.At(stored.History[0].Delta.To); err != nil {
 		t.Errorf("the oldest revision that is kept: %v", err)
 	}
 }
 
-func TestASecondProcessIsToldThatTheFileIsOpen(t *testing.T) {
+func TestSecondOpenOfLockedLogFails(t *testing.T) {
 	directory := t.TempDir()
 	openStore(t, directory)
 	if _, _, err := Open(directory); err == nil || !strings.Contains(err.Error(), "another process") {
@@ -161,7 +162,7 @@
 	}
 }
 
-// fileOfRevisions returns the bytes of a log.
+// fileOfRevisions returns the bytes of the file of a log with that many revisions.
 func fileOfRevisions(t *testing.T, count int) []byte {
 	t.Helper()
 	directory := t.TempDir()
@@ -175,7 +176,7 @@
 	return text
 }
 
-// openBytes opens a log of these bytes.
+// openBytes opens a log whose file has these bytes.
 func openBytes(t *testing.T, text []byte) (configfeed.Stored, error) {
 	t.Helper()
 	directory := t.TempDir()
@@ -192,7 +193,7 @@
 	return stored, err
 }
 
-func TestAFileThatIsCutShortIsAnError(t *testing.T) {
+func TestTruncatedFileIsRejected(t *testing.T) {
 	text := fileOfRevisions(t, 40)
 	whole, err := openBytes(t, text)
 	if err != nil || len(whole.History) != 40 {
--- a/internal/configfeed/feedstore/log.go
+++ b/internal/configfeed/feedstore/log.go
@@ -10,70 +10,93 @@
 	"gorseledge/internal/configfeed"
 )
 
+// historyKey returns the key of the revision at a position, which counts all revisions from 1 on.
 func historyKey(position uint64) []byte {
 	return binary.BigEndian.AppendUint64(bytes.Clone(historyPrefix), position)
 }
 
-// forEachRevision calls do with every revision of the log, oldest first, and its key.
-func forEachRevision(bucket *bbolt.Bucket, do func(key []byte, r configfeed.Revision) error) error {
+// forEachRevision calls visit with every revision of the log and its key, oldest first, until that fails.
+func forEachRevision(bucket *bbolt.Bucket, visit func(key []byte, r configfeed.Revision) error) error {
 	cursor := bucket.Cursor()
 	for key, value := cursor.Seek(historyPrefix); bytes.HasPrefix(key, historyPrefix); key, value = cursor.Next() {
 		var r configfeed.Revision
 		if err := decodeRecord(value, &r); err != nil {
 			return err
 		}
-		if err := do(key, r); err != nil {
+		if err := visit(key, r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// loadBase returns the state before the first revision that can be played from it.
-func loadBase(bucket *bbolt.Bucket) (state configfeed.State, err error) {
+// loadBase returns the state that the oldest revision after it is applied to.
+func loadBase(bucket *bbolt.Bucket) (configfeed.State, error) {
 	value := bucket.Get(baseKey)
 	if value == nil {
 		return configfeed.NewState(configfeed.Version{}, nil)
 	}
+	var state configfeed.State
 	if err := decodeRecord(value, &state); err != nil {
 		return state, err
 	}
 	if err := state.Verify(); err != nil {
-		return state, fmt.Errorf("the file is damaged: %w", err)
+		return state, fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	return state, nil
 }
 
-// replay returns the state of the log once up to has been reached, the newest one where it is zero. Revisions from before
-// the base are history only.
-func replay(bucket *bbolt.Bucket, up configfeed.Version) (configfeed.State, error) {
+// replayNewest returns the newest state of the log. Revisions from before the base are history only.
+func replayNewest(bucket *bbolt.Bucket) (configfeed.State, error) {
 	state, err := loadBase(bucket)
 	if err != nil {
 		return state, err
 	}
-	reached := func() bool { return up != configfeed.Version{} && state.Version == up }
 	err = forEachRevision(bucket, func(_ []byte, r configfeed.Revision) error {
-		if r.Delta.To.Compare(state.Version) <= 0 || reached() {
+		return applyNewer(&state, r)
+	})
+	return state, err
+}
+
+// replayTo returns the state of the log at a version, or configfeed.ErrRevisionNotFound.
+func replayTo(bucket *bbolt.Bucket, version configfeed.Version) (configfeed.State, error) {
+	state, err := loadBase(bucket)
+	if err != nil {
+		return state, err
+	}
+	err = forEachRevision(bucket, func(_ []byte, r configfeed.Revision) error {
+		if state.Version == version {
 			return nil
 		}
-		next, err := state.Apply(r.Delta)
-		if err != nil {
-			return fmt.Errorf("revision %d does not follow: %w", r.Delta.To.Revision, err)
-		}
-		state = next
-		return nil
+		return applyNewer(&state, r)
 	})
-	if err == nil && up != (configfeed.Version{}) && !reached() {
+	if err == nil && state.Version != version {
 		err = configfeed.ErrRevisionNotFound
 	}
 	return state, err
 }
 
-// load returns all that the log holds.
-func (s *Store) load() (stored configfeed.Stored, err error) {
-	err = s.db.View(func(tx *bbolt.Tx) error {
+// applyNewer applies a revision to a state, unless the state has it already.
+func applyNewer(state *configfeed.State, r configfeed.Revision) error {
+	if r.Delta.To.Compare(state.Version) <= 0 {
+		return nil
+	}
+	next, err := state.Apply(r.Delta)
+	if err != nil {
+		return fmt.Errorf("revision %d does not follow: %w", r.Delta.To.Revision, err)
+	}
+	*state = next
+	return nil
+}
+
+// load returns all that the log holds, with the newest revisions of the history.
+func (s *Store) load() (configfeed.Stored, error) {
+	var stored configfeed.Stored
+	err := s.db.View(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketName)
-		if stored.State, err = replay(bucket, configfeed.Version{}); err != nil {
+		var err error
+		stored.State, err = replayNewest(bucket)
+		if err != nil {
 			return err
 		}
 		return forEachRevision(bucket, func(_ []byte, r configfeed.Revision) error {
@@ -87,17 +110,25 @@
 	return stored, err
 }
 
-// At returns the state as it was at a version.
-func (s *Store) At(v configfeed.Version) (state configfeed.State, err error) {
-	err = s.db.View(func(tx *bbolt.Tx) error {
-		state, err = replay(tx.Bucket(bucketName), v)
+// At returns the state as it was at a version; the zero version stands for the newest one. The error is
+// configfeed.ErrRevisionNotFound for a version that the log does not reach.
+func (s *Store) At(v configfeed.Version) (configfeed.State, error) {
+	var state configfeed.State
+	err := s.db.View(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(bucketName)
+		var err error
+		if v == (configfeed.Version{}) {
+			state, err = replayNewest(bucket)
+		} else {
+			state, err = replayTo(bucket, v)
+		}
 		return err
 	})
 	return state, err
 }
 
-// Save makes a state durable: by the revisions that lead to it, or as a new base where there are none. The file is
-// synced when it returns without an error.
+// Save makes a state durable: by the revisions that lead to it from the newest state, or as a new base where there are
+// none. The file is synced when it returns without an error.
 func (s *Store) Save(state configfeed.State, added []configfeed.Revision) error {
 	if !leadsTo(s.newest, state.Version, added) {
 		return fmt.Errorf("the revisions do not lead from %v to %v", s.newest, state.Version)
@@ -115,7 +146,8 @@
 	return err
 }
 
-// leadsTo reports whether revisions join two versions; none at all always do, as the state replaces the one before.
+// leadsTo reports whether revisions lead from one version to another. Without any it does, since the state replaces the
+// one before.
 func leadsTo(from, to configfeed.Version, added []configfeed.Revision) bool {
 	if len(added) == 0 {
 		return true
@@ -129,6 +161,7 @@
 	return from == to
 }
 
+// appendRevisions writes revisions after those of the log.
 func appendRevisions(bucket *bbolt.Bucket, added []configfeed.Revision) error {
 	for _, r := range added {
 		position, err := bucket.NextSequence()
@@ -142,7 +175,7 @@
 	return compact(bucket)
 }
 
-// compact makes the oldest revisions part of the base once there are enough beyond those that are kept.
+// compact makes the oldest revisions part of the base, once there are enough beyond the history that is kept.
 func compact(bucket *bbolt.Bucket) error {
 	cursor := bucket.Cursor()
 	oldest, _ := cursor.Seek(historyPrefix)
@@ -150,7 +183,8 @@
 		return nil
 	}
 	first := binary.BigEndian.Uint64(oldest[len(historyPrefix):])
-	if kept := bucket.Sequence() - first + 1; kept < configfeed.HistoryRevisions+compactedRevisions {
+	kept := bucket.Sequence() - first + 1
+	if kept < configfeed.HistoryRevisions+compactedRevisions {
 		return nil
 	}
 	state, err := loadBase(bucket)
@@ -158,18 +192,22 @@
 		return err
 	}
 	for position := first; position < first+compactedRevisions; position++ {
-		var r configfeed.Revision
-		if err := decodeRecord(bucket.Get(historyKey(position)), &r); err != nil {
-			return err
-		}
-		if r.Delta.To.Compare(state.Version) > 0 {
-			if state, err = state.Apply(r.Delta); err != nil {
-				return err
-			}
-		}
-		if err := bucket.Delete(historyKey(position)); err != nil {
+		if err := moveToBase(bucket, position, &state); err != nil {
 			return err
 		}
 	}
 	return putRecord(bucket, baseKey, state)
 }
+
+// moveToBase removes the revision at a position and applies it to the base.
+func moveToBase(bucket *bbolt.Bucket, position uint64, base *configfeed.State) error {
+	key := historyKey(position)
+	var r configfeed.Revision
+	if err := decodeRecord(bucket.Get(key), &r); err != nil {
+		return err
+	}
+	if err := applyNewer(base, r); err != nil {
+		return err
+	}
+	return bucket.Delete(key)
+}
