--- a/cmd/gorseledge-config/history.go
+++ b/cmd/gorseledge-config/history.go
@@ -11,33 +11,49 @@
 	"gorseledge/internal/configfeed"
 )
 
-const defaultHistoryLength = 20 // revisions that are shown
+// defaultHistoryLength is how many revisions are shown without the flag limit.
+const defaultHistoryLength = 20
 
+// historyOptions are the flags of history.
+type historyOptions struct {
+	limit  uint64
+	asJSON bool
+	values bool
+}
+
+// historyCommand returns the command that shows the newest revisions.
 func historyCommand(s *session) *cobra.Command {
-	var limit uint64
-	var asJSON, values bool
-	c := &cobra.Command{Use: "history", Short: "Show the newest revisions: when, by whom, what and why", Args: cobra.NoArgs,
-		RunE: s.run(func(cmd *cobra.Command, args []string) error {
-			history, err := s.client.History(cmd.Context(), s.writer().Address, limit)
-			if err != nil {
-				return callError(s.writer().Name, err)
-			}
-			if asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(history)
-			}
-			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(table, "REVISION\tAT\tAUTHOR\tSET\tDELETED\tNOTE")
-			for _, r := range history.Revisions {
-				writeRevision(table, r, values)
-			}
-			return table.Flush()
-		})}
-	c.Flags().Uint64Var(&limit, "limit", defaultHistoryLength, "how many")
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	c.Flags().BoolVar(&values, "values", false, "show the keys and values too")
+	var options historyOptions
+	c := &cobra.Command{
+		Use:   "history",
+		Short: "Show the newest revisions: when, by whom, what and why",
+		Args:  cobra.NoArgs,
+		RunE:  s.run(func(cmd *cobra.Command, _ []string) error { return s.showHistory(cmd, options) }),
+	}
+	c.Flags().Uint64Var(&options.limit, "limit", defaultHistoryLength, "how many")
+	c.Flags().BoolVar(&options.asJSON, "json", false, "as JSON")
+	c.Flags().BoolVar(&options.values, "values", false, "show the keys and values too")
 	return c
 }
 
+// showHistory prints the newest revisions of the writer.
+func (s *session) showHistory(cmd *cobra.Command, options historyOptions) error {
+	history, err := s.client.History(cmd.Context(), s.writer().Address, options.limit)
+	if err != nil {
+		return callError(s.writer().Name, err)
+	}
+	if options.asJSON {
+		return json.NewEncoder(cmd.OutOrStdout()).Encode(history)
+	}
+	table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "REVISION\tAT\tAUTHOR\tSET\tDELETED\tNOTE")
+	for _, r := range history.Revisions {
+		writeRevision(table, r, options.values)
+	}
+	return table.Flush()
+}
+
+// writeRevision writes the row of a revision, and below it the keys that it changed if values is set.
 func writeRevision(table *tabwriter.Writer, r configfeed.Revision, values bool) {
 	fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%s\n", r.Delta.To, timeText(r.At), r.Author, len(r.Delta.Set),
 		len(r.Delta.Delete), r.Note)
@@ -52,6 +68,7 @@
 	}
 }
 
+// timeText returns a Unix time in seconds as RFC 3339 in UTC.
 func timeText(unix float64) string {
 	return time.UnixMilli(int64(unix * 1e3)).UTC().Format(time.RFC3339)
 }
--- /dev/null
+++ b/cmd/gorseledge-config/propose.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/user"
+
+	"github.com/spf13/cobra"
+
+	"gorseledge/internal/configfeed"
+	"gorseledge/internal/configfeed/feedhttp"
+)
+
+// author returns the user and host that give a command, for the history.
+func author() string {
+	name := "unknown"
+	if u, err := user.Current(); err == nil {
+		name = u.Username
+	}
+	if host, err := os.Hostname(); err == nil {
+		name += "@" + host
+	}
+	return name
+}
+
+// newest returns the writer's newest version.
+func (s *session) newest(cmd *cobra.Command) (configfeed.Version, error) {
+	status, err := s.client.Status(cmd.Context(), s.writer().Address)
+	if err != nil {
+		return configfeed.Version{}, callError(s.writer().Name, err)
+	}
+	return status.Version, nil
+}
+
+// propose sends a proposal to the writer and reports its outcome.
+func (s *session) propose(cmd *cobra.Command, p configfeed.Proposal) error {
+	p.ID = feedhttp.NewProposalID()
+	p.Author = author()
+	outcome, err := s.client.Apply(cmd.Context(), s.writer().Address, p)
+	if err != nil {
+		return callError(s.writer().Name, err)
+	}
+	return report(cmd, outcome)
+}
+
+// report prints an outcome, or returns it as an error where nothing was changed.
+func report(cmd *cobra.Command, outcome configfeed.Outcome) error {
+	version := outcome.Version
+	switch outcome.Kind {
+	case configfeed.Accepted:
+		fmt.Fprintf(cmd.OutOrStdout(), "revision %d of epoch %d\n", version.Revision, version.Epoch)
+		return nil
+	case configfeed.NoChange:
+		fmt.Fprintf(cmd.OutOrStdout(), "no change: revision %d of epoch %d is the same\n", version.Revision, version.Epoch)
+		return nil
+	case configfeed.Conflict:
+		return refused("conflict: the newest revision is %d of epoch %d", version.Revision, version.Epoch)
+	case configfeed.NotWriter:
+		return refused("not the writer: %s is, by that server's control file", outcome.Writer)
+	case configfeed.NotReady:
+		return refused("the writer is not ready: %s", outcome.Detail)
+	case configfeed.TooLarge, configfeed.Invalid:
+		return fmt.Errorf("%s: %s", outcome.Kind, outcome.Detail)
+	case configfeed.Failed:
+		return refused("the writer's disk failed, and whether the change is kept is not known: %s", outcome.Detail)
+	}
+	return refused("an unknown outcome: %s", outcome.Kind)
+}
--- a/cmd/gorseledge-config/serve.go
+++ b/cmd/gorseledge-config/serve.go
@@ -18,30 +18,41 @@
 	"gorseledge/internal/logwriter"
 )
 
-const maxProcessors = 2 // a control machine has little to do: more would only spread it
+// maxProcessors bounds the processors that a server uses. It has little work, which more processors would only spread.
+const maxProcessors = 2
 
+// serveCommand returns the command that runs a control server.
 func serveCommand() *cobra.Command {
-	return &cobra.Command{Use: "serve FILE", Short: "Run the control server of a control file", Args: cobra.ExactArgs(1),
-		Long: "Runs until SIGTERM. The log goes to standard error, one JSON object a line.",
+	return &cobra.Command{
+		Use:   "serve FILE",
+		Short: "Run the control server of a control file",
+		Args:  cobra.ExactArgs(1),
+		Long:  "Runs until SIGTERM. The log goes to standard error, one JSON object a line.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			config, err := controlfile.Read(args[0])
 			if err != nil {
 				return err
 			}
-			runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), maxProcessors))
-			// Guards against a slow reader of the log holding the server up: lines are dropped first.
-			out := logwriter.New(os.Stderr)
-			defer out.Close()
-			log := zerolog.New(out).With().Timestamp().Str("server", config.Name).Logger()
-			if err := serve(cmd.Context(), config, log); err != nil {
-				return &refusedError{cause: err}
-			}
-			log.Info().Msg("stopped")
-			return nil
-		}}
+			return runServer(cmd.Context(), config)
+		},
+	}
+}
+
+// runServer runs the server of a control file until the context ends, and logs that it has stopped.
+func runServer(ctx context.Context, config controlfile.Config) error {
+	runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), maxProcessors))
+	// The writer drops lines when the reader of the log is slow. This prevents that reader from blocking the server.
+	out := logwriter.New(os.Stderr)
+	defer out.Close()
+	log := zerolog.New(out).With().Timestamp().Str("server", config.Name).Logger()
+	if err := serve(ctx, config, log); err != nil {
+		return &refusedError{cause: err}
+	}
+	log.Info().Msg("stopped")
+	return nil
 }
 
-// serve checks and opens the log, then the address, and answers until the context ends.
+// serve checks and opens the log, listens, and answers requests until the context ends.
 func serve(ctx context.Context, config controlfile.Config, log zerolog.Logger) error {
 	if err := checkLog(ctx, config.Directory); err != nil {
 		return err
@@ -51,7 +62,7 @@
 		return err
 	}
 	defer store.Close()
-	own, _ := config.Server(config.Name) // checked when the file was read
+	own, _ := config.Server(config.Name) // controlfile.Read has checked that it is there
 	listener, err := net.Listen("tcp", own.Address)
 	if err != nil {
 		return err
@@ -59,16 +70,28 @@
 	version := stored.State.Version
 	log.Info().Str("address", own.Address).Str("region", own.Region).Str("writer", config.Writer).
 		Uint64("epoch", version.Epoch).Uint64("revision", version.Revision).Int("history", len(stored.History)).Msg("serves")
-	server := feedhttp.NewServer(feedhttp.ServerOptions{Fleet: config.Fleet, Keys: config.Keys, Via: config.Via, Log: log,
-		Config: serverConfig(config), Store: store, Stored: stored, Check: livesettings.Check})
+	server := feedhttp.NewServer(feedhttp.ServerOptions{
+		Fleet:  config.Fleet,
+		Keys:   config.Keys,
+		Config: serverConfig(config),
+		Via:    config.Via,
+		Log:    log,
+		Store:  store,
+		Stored: stored,
+		Check:  livesettings.Check,
+	})
 	return server.Serve(ctx, listener)
 }
 
-// serverConfig returns what the core is told of a control file.
+// serverConfig returns the configuration of a control file's server.
 func serverConfig(config controlfile.Config) configfeed.ServerConfig {
 	own, _ := config.Server(config.Name)
-	c := configfeed.ServerConfig{Name: own.Name, Region: own.Region, Writer: config.Writer,
-		Seed: uint64(time.Now().UnixNano())}
+	c := configfeed.ServerConfig{
+		Name:   own.Name,
+		Region: own.Region,
+		Writer: config.Writer,
+		Seed:   uint64(time.Now().UnixNano()),
+	}
 	for _, s := range config.Servers {
 		c.Servers = append(c.Servers, configfeed.ServerAddress{Name: s.Name, Address: s.Address, Region: s.Region})
 	}
--- a/cmd/gorseledge-config/statustable.go
+++ b/cmd/gorseledge-config/statustable.go
@@ -7,9 +7,10 @@
 	"text/tabwriter"
 )
 
-const maxTableRows = 40 // of nodes that lag; --json shows all
+// maxTableRows bounds the lagging nodes in the table; the flag json shows all.
+const maxTableRows = 40
 
-// writeStatus writes a status for people.
+// writeStatus writes a status as tables for people.
 func writeStatus(w io.Writer, status fleetStatus) error {
 	fmt.Fprintf(w, "newest revision: %s (epoch.revision), writer: %s\n", status.Newest, status.Writer)
 	fmt.Fprintf(w, "nodes: %d, with the newest revision: %d, oldest: %s\n\n", status.Nodes, status.Current,
@@ -32,6 +33,7 @@
 	return table.Flush()
 }
 
+// serverRow returns the row of a server.
 func serverRow(server serverReport, writer string) string {
 	if server.Error != "" {
 		return fmt.Sprintf("%s\t%s\t-\t-\tno answer: %s", server.Name, server.Region, server.Error)
@@ -52,6 +54,7 @@
 	return fmt.Sprintf("%s\t%s\t%s\t%d\t%s", server.Name, server.Region, server.Version, server.Nodes, state)
 }
 
+// nodeRow returns the row of a lagging node.
 func nodeRow(node laggingNode) string {
 	bound := ""
 	if node.AtLeast {
