--- a/internal/fleet/fleet_golden_test.go
+++ b/internal/fleet/fleet_golden_test.go
@@ -92,13 +92,13 @@
 			Bad: []uint32{0xdeadbeef}, By: "node-c"}}}
 }
 
-// goldenWords are loads of hosts: what is over the largest one is told as it, and fractions are rounded up.
-func goldenWords() []peers.HostLoad {
+// goldenLoads are loads of hosts: what is over the largest one is told as it, and fractions are rounded up.
+func goldenLoads() []peers.HostLoad {
 	return []peers.HostLoad{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.51}, {Host: 7, Load: 9}}
 }
 
 func loadMessage() *wire.Message {
-	return &wire.Message{Kind: wire.Message_WORDS, From: "node-a", Start: 1700000000000001, Words: peers.Append(nil, goldenWords())}
+	return &wire.Message{Kind: wire.Message_WORDS, From: "node-a", Start: 1700000000000001, Words: peers.Append(nil, goldenLoads())}
 }
 
 // A datagram is a version byte and a sealed message. The count is that of the sender's datagrams: a file holds a sender's
@@ -117,12 +117,12 @@
 				t.Fatal(err)
 			}
 			checkGolden(t, c.name, text)
-			got, why := receiver.verify(readGolden(t, c.name))
-			if why != accepted || !proto.Equal(got, c.message) {
-				t.Errorf("opened %v (%q), want %v", got, why, c.message)
+			got, reason := receiver.verify(readGolden(t, c.name))
+			if reason != accepted || !proto.Equal(got, c.message) {
+				t.Errorf("opened %v (%q), want %v", got, reason, c.message)
 			}
-			if _, why := receiver.verify(readGolden(t, c.name)); why != replayed {
-				t.Errorf("opened again: %q", why)
+			if _, reason := receiver.verify(readGolden(t, c.name)); reason != replayed {
+				t.Errorf("opened again: %q", reason)
 			}
 		})
 	}
@@ -138,18 +138,18 @@
 	}
 }
 
-// A node takes a load report of the version in service, and shows on its page what came.
-func TestGoldenLoadReportIsHeard(t *testing.T) {
+// A node accepts load gossip of the version in service, and shows on its page what came.
+func TestGoldenLoadGossipIsReceived(t *testing.T) {
 	file, err := Parse("fleet.toml", readGolden(t, "fleet.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var heard []peers.HostLoad
-	part := New(file, view.Options{Name: "node-b", Log: zerolog.Nop(), GossipReceived: func(words []peers.HostLoad) { heard = words }})
+	var received []peers.HostLoad
+	part := New(file, view.Options{Name: "node-b", Log: zerolog.Nop(), GossipReceived: func(loads []peers.HostLoad) { received = loads }})
 	part.receiveDatagram(readGolden(t, "datagram-2-load.bin"), netip.AddrPort{})
 	want := []peers.HostLoad{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.515625}, {Host: 7, Load: 3.984375}}
-	if !reflect.DeepEqual(heard, want) {
-		t.Errorf("heard %v, want %v", heard, want)
+	if !reflect.DeepEqual(received, want) {
+		t.Errorf("received %v, want %v", received, want)
 	}
 	traffic := []view.Traffic{{Kind: "words", ReceivedMessages: 1, ReceivedBytes: len(readGolden(t, "datagram-2-load.bin"))}}
 	if got := part.View().Traffic; !reflect.DeepEqual(got, traffic) {
--- a/internal/fleet/view/options.go
+++ b/internal/fleet/view/options.go
@@ -9,20 +9,25 @@
 	"gorseledge/internal/peers"
 )
 
-// Options are what a node's part in a fleet is made of, beside the fleet file.
+// Options are what a node's part in a fleet takes from the node, beside the fleet file. Functions may be nil; they are
+// called from goroutines of the part and must not call it.
 type Options struct {
-	Name            string // the node's
+	Name            string // of the node, unique in the fleet
 	Build           string // revision of the program
-	Seed            uint64
-	ConfiguredNodes int // number of nodes of which the node's settings speak
+	Seed            uint64 // of all random choices
+	ConfiguredNodes int    // number of nodes in the node's settings
 	Log             zerolog.Logger
 
-	NodesChanged   func(n int)                  // is told the number of nodes to reckon with, whenever it changes
-	GossipReceived func(words []peers.HostLoad) // is told what other members say of hosts
+	// NodesChanged is called with the number of nodes that share the hosts' budgets, whenever it changes.
+	NodesChanged func(n int)
+	// GossipReceived is called with load gossip of other members.
+	GossipReceived func(loads []peers.HostLoad)
 
-	// Install puts a revision of the live settings in force, and returns once it is or cannot be. It gives the keys
-	// that have no effect at this node. Nil for a node that takes none.
-	Install   func(ctx context.Context, r live.Revision) (ignored []string, err error)
-	InForce   live.Revision // at the start of the part; the zero Revision for none
-	Successor bool          // another process of the node follows the configuration until Follow is called
+	// Install puts a revision of the live settings in force, and returns once it is or cannot be. It returns the keys
+	// that have no effect at this node. It is nil for a node that takes no revisions.
+	Install func(ctx context.Context, r live.Revision) (ignored []string, err error)
+	// InForce is the revision in force at the start of the part; the zero Revision for none.
+	InForce live.Revision
+	// Successor says that another process of the node follows the control servers until Part.Follow is called.
+	Successor bool
 }
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -2,54 +2,61 @@
 
 import (
 	"context"
+	"fmt"
 	"maps"
 	"net/netip"
 	"slices"
 )
 
-// Link is a node's socket for words.
+// Link exchanges load gossip with a fixed set of nodes. Its methods may be called from several goroutines.
 type Link struct {
 	socket *Socket
-	nodes  map[netip.AddrPort]bool // the others
+	nodes  map[netip.AddrPort]bool // the other nodes
 }
 
-// Listen opens a node's own address for messages to the nodes named, itself left out, and from them.
+// Listen opens a node's own address for load gossip with the nodes named, which may contain the node itself. Serve closes
+// the socket. An error says which address it is about.
 func Listen(ctx context.Context, own string, nodes []string) (*Link, error) {
 	self, err := ParseAddress(own)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("own address: %w", err)
 	}
-	l := &Link{nodes: map[netip.AddrPort]bool{}}
+	others := map[netip.AddrPort]bool{}
 	for _, text := range nodes {
-		at, err := ParseAddress(text)
+		address, err := ParseAddress(text)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("address of another node: %w", err)
 		}
-		if at != self {
-			l.nodes[at] = true
+		if address != self {
+			others[address] = true
 		}
 	}
-	if l.socket, err = Open(ctx, own); err != nil {
+	socket, err := Open(ctx, own)
+	if err != nil {
 		return nil, err
 	}
-	return l, nil
+	return &Link{socket: socket, nodes: others}, nil
 }
 
-// Send sends the words to every other node, in as few messages as they take. One that cannot be sent is lost: the
-// others learn the same by their own probes, later.
-func (l *Link) Send(words []HostLoad) {
-	var texts [][]byte
-	for ; len(words) > 0; words = words[min(len(words), MaxLoads):] {
-		texts = append(texts, Append(nil, words))
+// Send sends the loads to every other node, in as few messages as they fit into. Lost messages are not repeated: the
+// others learn the same from their own health checks, later.
+func (l *Link) Send(loads []HostLoad) {
+	var messages [][]byte
+	for batch := range slices.Chunk(loads, MaxLoads) {
+		messages = append(messages, Append(nil, batch))
 	}
-	l.socket.Send(texts, slices.Collect(maps.Keys(l.nodes))...)
+	l.socket.Send(messages, slices.Collect(maps.Keys(l.nodes))...)
 }
 
-// Serve hands on what the other nodes say, until the context ends; what nobody else may say is dropped.
-func (l *Link) Serve(ctx context.Context, hear func([]HostLoad)) error {
-	return l.socket.Serve(ctx, MaxMessageBytes, func(text []byte, from netip.AddrPort) {
-		if words := Parse(text); l.nodes[from] && len(words) > 0 {
-			hear(words)
+// Serve passes what the other nodes send to receive, until the context ends, and closes the socket then. Datagrams of
+// other senders, and those that are not messages, are dropped. It returns nil.
+func (l *Link) Serve(ctx context.Context, receive func([]HostLoad)) error {
+	return l.socket.Serve(ctx, MaxMessageBytes, func(datagram []byte, from netip.AddrPort) {
+		if !l.nodes[from] {
+			return
+		}
+		if loads := Parse(datagram); len(loads) > 0 {
+			receive(loads)
 		}
 	})
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,9 @@
-// Package peers is the form of the messages that nodes send one another: what one of them was told of hosts' loads.
-// A message is a version and up to Most words of five bytes, so that nodes of two versions ignore each other.
+// Package peers carries datagrams among the nodes, and defines the form of load gossip: what a node learned about the
+// loads of hosts. It owns UDP sockets and nothing else; it does not decide what is sent, and does not authenticate
+// senders beyond their addresses.
+//
+// A message of load gossip is a version byte and up to MaxLoads loads of five bytes each. Nodes of two versions ignore
+// each other's messages.
 package peers
 
 import (
@@ -8,36 +12,47 @@
 )
 
 const (
-	messageVersion  = 1
-	loadBytes       = 5
-	loadStep        = 1.0 / 64 // of what a host can do; rounded up, lest one a little too busy is told as none
-	MaxLoads        = 51       // words in a message
+	messageVersion = 1        // first byte of a message
+	loadBytes      = 5        // a host's id, and its load in steps
+	loadStep       = 1.0 / 64 // of a host's capacity; loads are rounded up to it, so that a small one is not sent as none
+	maxLoadSteps   = 255
+
+	// MaxLoads is the number of loads in a message at most.
+	MaxLoads = 51
+	// MaxMessageBytes is the length of the longest message.
 	MaxMessageBytes = 1 + MaxLoads*loadBytes
 )
 
-// HostLoad is one host's load, by its id: what is asked of it over what it can do.
+// HostLoad is the load of one host.
 type HostLoad struct {
-	Host uint32
-	Load float64
+	Host uint32  // id of the host
+	Load float64 // work that is asked of the host over its capacity, 0 or more
 }
 
-// Append adds a message with the words, of which it takes Most; loads are told up to four.
-func Append(to []byte, words []HostLoad) []byte {
+// Append appends a message with the first MaxLoads of the loads. Loads are sent in steps of 1/64, rounded up, from 0 to
+// just under 4; one beyond that range is sent as the nearest value in it.
+func Append(to []byte, loads []HostLoad) []byte {
 	to = append(to, messageVersion)
-	for _, w := range words[:min(len(words), MaxLoads)] {
-		to = binary.BigEndian.AppendUint32(to, w.Host)
-		to = append(to, byte(math.Ceil(min(max(w.Load, 0)/loadStep, 255))))
+	for _, l := range loads[:min(len(loads), MaxLoads)] {
+		steps := min(max(l.Load, 0)/loadStep, maxLoadSteps)
+		to = binary.BigEndian.AppendUint32(to, l.Host)
+		to = append(to, byte(math.Ceil(steps)))
 	}
 	return to
 }
 
-// Parse takes a message apart; nothing comes of one of another version or length.
-func Parse(text []byte) (words []HostLoad) {
-	if len(text) < 1 || len(text) > MaxMessageBytes || text[0] != messageVersion || len(text)%loadBytes != 1 {
+// Parse returns the loads in a message; nil for a message of another version or length.
+func Parse(message []byte) []HostLoad {
+	if len(message) < 1 || len(message) > MaxMessageBytes {
+		return nil
+	}
+	if message[0] != messageVersion || len(message)%loadBytes != 1 {
 		return nil
 	}
-	for text = text[1:]; len(text) > 0; text = text[loadBytes:] {
-		words = append(words, HostLoad{binary.BigEndian.Uint32(text), float64(text[4]) * loadStep})
+	var loads []HostLoad
+	for rest := message[1:]; len(rest) > 0; rest = rest[loadBytes:] {
+		steps := rest[loadBytes-1]
+		loads = append(loads, HostLoad{Host: binary.BigEndian.Uint32(rest), Load: float64(steps) * loadStep})
 	}
-	return words
+	return loads
 }
--- a/internal/peers/peers_golden_test.go
+++ b/internal/peers/peers_golden_test.go
@@ -29,13 +29,13 @@
 	return datagrams
 }
 
-// manyWords gives words that all differ.
-func manyWords(count int) []HostLoad {
-	words := make([]HostLoad, count)
-	for i := range words {
-		words[i] = HostLoad{Host: 0xfe01a200 + uint32(i), Load: float64(i+1) / 64}
+// manyLoads gives loads that all differ.
+func manyLoads(count int) []HostLoad {
+	loads := make([]HostLoad, count)
+	for i := range loads {
+		loads[i] = HostLoad{Host: 0xfe01a200 + uint32(i), Load: float64(i+1) / 64}
 	}
-	return words
+	return loads
 }
 
 func TestDatagramsKeepTheirWireForm(t *testing.T) {
@@ -51,8 +51,8 @@
 		{name: "rounded-up", sent: []HostLoad{{7, 0.751}}, read: []HostLoad{{7, 0.765625}}},
 		{name: "over-the-range", sent: []HostLoad{{7, 40}}, read: []HostLoad{{7, 3.984375}}},
 		{name: "below-zero", sent: []HostLoad{{7, -1}}, read: []HostLoad{{7, 0}}},
-		{name: "most", sent: manyWords(51)},
-		{name: "most", sent: manyWords(53), read: manyWords(51)}, // the rest goes into the next datagram
+		{name: "most", sent: manyLoads(51)},
+		{name: "most", sent: manyLoads(53), read: manyLoads(51)}, // the rest goes into the next datagram
 	}
 	seen := map[string]bool{}
 	for _, c := range cases {
@@ -71,7 +71,7 @@
 			}
 			got := Parse(datagram)
 			if !slices.Equal(got, want) {
-				t.Errorf("Read gave %v, want %v", got, want)
+				t.Errorf("Parse gave %v, want %v", got, want)
 			}
 			if again := Append(nil, got); !bytes.Equal(again, datagram) {
 				t.Errorf("read and written again: %x, want %x", again, datagram)
@@ -85,17 +85,17 @@
 
 func TestDatagramLimits(t *testing.T) {
 	if MaxLoads != 51 || MaxMessageBytes != 256 {
-		t.Errorf("%d words and %d bytes in a datagram, want 51 and 256", MaxLoads, MaxMessageBytes)
+		t.Errorf("%d loads and %d bytes in a datagram, want 51 and 256", MaxLoads, MaxMessageBytes)
 	}
 	most := goldenDatagrams(t)["most"]
 	if len(most) != 256 {
 		t.Fatalf("the longest golden datagram has %d bytes, want 256", len(most))
 	}
-	if words := Parse(append(bytes.Clone(most), 0, 0, 0, 1, 2)); words != nil {
-		t.Errorf("a longer one was read as %v", words)
+	if loads := Parse(append(bytes.Clone(most), 0, 0, 0, 1, 2)); loads != nil {
+		t.Errorf("a longer one was read as %v", loads)
 	}
 	most[0]++
-	if words := Parse(most); words != nil {
-		t.Errorf("one of another version was read as %v", words)
+	if loads := Parse(most); loads != nil {
+		t.Errorf("one of another version was read as %v", loads)
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -7,36 +7,72 @@
 	"testing"
 )
 
-func TestMessage(t *testing.T) {
-	for _, c := range []struct{ load, want float64 }{{0, 0}, {0.5, 0.5}, {0.751, 49.0 / 64}, {40, 255.0 / 64}, {-1, 0}} {
-		words := Parse(Append(nil, []HostLoad{{7, 1}, {0xfe01a2b3, c.load}}))
-		if !slices.Equal(words, []HostLoad{{7, 1}, {0xfe01a2b3, c.want}}) {
-			t.Errorf("%v: %v", c.load, words)
-		}
+func TestLoadIsSentInStepsRoundedUp(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		load, want float64
+	}{
+		{"none", 0, 0},
+		{"a number of steps", 0.5, 0.5},
+		{"between two steps", 0.751, 49.0 / 64},
+		{"beyond the range", 40, 255.0 / 64},
+		{"negative", -1, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			loads := Parse(Append(nil, []HostLoad{{7, 1}, {0xfe01a2b3, c.load}}))
+			if !slices.Equal(loads, []HostLoad{{7, 1}, {0xfe01a2b3, c.want}}) {
+				t.Errorf("%v: %v", c.load, loads)
+			}
+		})
+	}
+}
+
+func TestMessageHoldsAtMostMaxLoads(t *testing.T) {
+	message := Append(nil, make([]HostLoad, 2*MaxLoads))
+	if len(message) != MaxMessageBytes || MaxMessageBytes > 256 || len(Parse(message)) != MaxLoads {
+		t.Errorf("%d bytes for more loads than a message holds", len(message))
 	}
-	if text := Append(nil, make([]HostLoad, 2*MaxLoads)); len(text) != MaxMessageBytes || MaxMessageBytes > 256 || len(Parse(text)) != MaxLoads {
-		t.Errorf("%d bytes for more words than a message takes", len(text))
+}
+
+func TestWhatIsNotAMessageHasNoLoads(t *testing.T) {
+	valid := Append(nil, []HostLoad{{7, 1}})
+	for _, c := range []struct {
+		name string
+		text []byte
+	}{
+		{"nothing", nil},
+		{"another version", append([]byte{messageVersion + 1}, valid[1:]...)},
+		{"a byte short", valid[:len(valid)-1]},
+		{"a byte long", append(bytes.Clone(valid), 0)},
+		{"too many loads", append([]byte{messageVersion}, make([]byte, (MaxLoads+1)*loadBytes)...)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if loads := Parse(c.text); loads != nil {
+				t.Errorf("%x is parsed as %v", c.text, loads)
+			}
+		})
 	}
 }
 
-// A node takes whatever comes from the network: only its own version, whole, is a message.
-func FuzzRead(f *testing.F) {
+// A node receives whatever the network brings: only a complete message of its own version is parsed.
+func FuzzParse(f *testing.F) {
 	f.Add(Append(nil, []HostLoad{{7, 0.9}}))
 	f.Add([]byte{})
 	f.Add([]byte{2, 0, 0, 0, 7, 52})
-	f.Add([]byte("longer than a word, and no message"))
+	f.Add([]byte("longer than a load, and no message"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		words := Parse(text)
-		if len(words) > MaxLoads {
-			t.Fatalf("%d words", len(words))
+		loads := Parse(text)
+		if len(loads) > MaxLoads {
+			t.Fatalf("%d loads", len(loads))
 		}
-		for i := range words {
-			if words[i].Load = max(words[i].Load-loadStep/2, 0); words[i].Load > 4 || math.IsNaN(words[i].Load) {
-				t.Fatalf("load %v", words[i].Load)
+		for i := range loads {
+			loads[i].Load = max(loads[i].Load-loadStep/2, 0) // rounded up again when it is sent
+			if loads[i].Load > 4 || math.IsNaN(loads[i].Load) {
+				t.Fatalf("load %v", loads[i].Load)
 			}
 		}
-		if len(words) > 0 && !bytes.Equal(Append(nil, words), text) {
-			t.Fatalf("%x read as %v", text, words)
+		if len(loads) > 0 && !bytes.Equal(Append(nil, loads), text) {
+			t.Fatalf("%x is parsed as %v", text, loads)
 		}
 	})
 }
