--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -65,7 +65,7 @@
 		c.Period = defaultPeriodSeconds
 	}
 	if place, err := c.check(); err != nil {
-		return c, place.Wrong(path, text, err)
+		return c, place.Wrap(path, text, err)
 	}
 	keys, err := c.decodeKeys()
 	if err != nil {
--- a/internal/fleet/control_config.go
+++ b/internal/fleet/control_config.go
@@ -43,7 +43,7 @@
 	for i, server := range c.Control {
 		err := server.check(names, addresses)
 		if err != nil {
-			return strict.Place{Table: "control", Nth: i, Key: err.key}, fmt.Errorf("control.%w", err)
+			return strict.Place{Table: "control", Index: i, Key: err.key}, fmt.Errorf("control.%w", err)
 		}
 	}
 	return strict.Place{}, nil
