--- a/internal/emulator/virtual/clock.go
+++ b/internal/emulator/virtual/clock.go
@@ -1,5 +1,6 @@
-// Package virtual is the clock of the emulated fleets: it stands still while an event runs, and the same events come
-// in the same order each time.
+// Package virtual is the clock of simulated fleets. It owns the order of events in virtual time: the time stands still
+// while an event runs, and the same events come in the same order each time. It does not read the real clock and starts no
+// goroutine.
 package virtual
 
 import (
@@ -7,50 +8,23 @@
 	"math/rand/v2"
 )
 
-// event is something that is due. Events of one instant run in the order in which they were asked for or,
-// where the order is permuted, in one drawn from the seed.
-type event struct {
-	at       float64
-	rank     uint64
-	sequence uint64
-	run      func()
-}
-
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	if e[i].at != e[j].at {
-		return e[i].at < e[j].at
-	}
-	if e[i].rank != e[j].rank {
-		return e[i].rank < e[j].rank
-	}
-	return e[i].sequence < e[j].sequence
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	last := len(*e) - 1
-	x := (*e)[last]
-	(*e)[last] = event{} // lets go of what it would have run
-	*e = (*e)[:last]
-	return x
-}
-
-// Clock is virtual time, in seconds. The zero value begins at 0.
+// Clock is virtual time, in seconds. The zero value begins at 0 and has no events. It is not safe for concurrent use.
 type Clock struct {
-	Now          float64
-	Steps        int        // events run so far
-	Permute      *rand.Rand // draws the order of events of one instant; nil for the order asked for
-	queue        events
+	Now   float64 // present time; set before the first event only
+	Steps int     // events run so far
+	// Permute draws the order of events that are due at the same time. Where it is nil, they run in the order in which
+	// they were scheduled.
+	Permute *rand.Rand
+
+	queue        eventQueue
 	lastSequence uint64
 }
 
-// After has run called once some time has passed; never before what is due at this instant already.
+// After schedules a function to run once some seconds have passed. It runs after what is due at the same time already; a
+// negative time counts as 0.
 func (c *Clock) After(seconds float64, run func()) { c.At(c.Now+max(seconds, 0), run) }
 
-// At has run called at a time, at once where that is over.
+// At schedules a function to run at a time, or now where that time is over.
 func (c *Clock) At(when float64, run func()) {
 	c.lastSequence++
 	e := event{at: max(when, c.Now), sequence: c.lastSequence, run: run}
@@ -60,7 +34,8 @@
 	heap.Push(&c.queue, e)
 }
 
-// Step runs the next event and tells whether there was one before the end.
+// Step runs the next event that is due up to the time end, and reports whether there was one. Where there was none, the
+// time is end afterwards.
 func (c *Clock) Step(end float64) bool {
 	if len(c.queue) == 0 || c.queue[0].at > end {
 		c.Now = max(c.Now, end)
