--- a/cmd/gorseledge-lab/gorselab_golden_test.go
+++ b/cmd/gorseledge-lab/gorselab_golden_test.go
@@ -80,8 +80,8 @@
 
 // A row of the command members.
 func TestGoldenMembersRow(t *testing.T) {
-	found := []members.Measurement{{Seed: 1, Suspected: 1.5, First: 2.5, Last: 3.5, Known: 0.5, FalseSuspicions: 8, FalseDeaths: 9, Bytes: 100},
-		{Seed: 2, Suspected: 2.5, First: 3.5, Last: 4.5, Known: 1, FalseSuspicions: 10, FalseDeaths: 11, Bytes: 200}}
+	found := []members.Measurement{{Seed: 1, FirstSuspicion: 1.5, FirstDeath: 2.5, LastDeath: 3.5, KnownFraction: 0.5, FalseSuspicions: 8, FalseDeaths: 9, IdleBytes: 100},
+		{Seed: 2, FirstSuspicion: 2.5, FirstDeath: 3.5, LastDeath: 4.5, KnownFraction: 1, FalseSuspicions: 10, FalseDeaths: 11, IdleBytes: 200}}
 	var out bytes.Buffer
 	for _, plain := range []bool{false, true} {
 		writeRow(&out, members.Options{Nodes: 50, WithoutLifeguard: plain}, found)
--- a/cmd/gorseledge-lab/members.go
+++ b/cmd/gorseledge-lab/members.go
@@ -50,9 +50,9 @@
 	o.table.flags(c)
 	c.Flags().IntVar(&o.seeds, "seeds", 20, "fleets of each size")
 	c.Flags().Float64Var(&o.fleet.Loss, "loss", 0, "part of the messages that is lost")
-	c.Flags().Float64Var(&o.stalls.Part, "stalls", 0.1, "part of the nodes that stalls")
-	c.Flags().Float64Var(&o.stalls.For, "for", 2, "for so many seconds; the period is one")
-	c.Flags().Float64Var(&o.stalls.Every, "every", 15, "so often, in seconds")
+	c.Flags().Float64Var(&o.stalls.Fraction, "stalls", 0.1, "part of the nodes that stalls")
+	c.Flags().Float64Var(&o.stalls.Duration, "for", 2, "for so many seconds; the period is one")
+	c.Flags().Float64Var(&o.stalls.Interval, "every", 15, "so often, in seconds")
 	c.Flags().Float64Var(&o.settle, "settle", 0, "periods from the start to the measures; by default some 30 for each power of ten of nodes")
 	c.Flags().Float64Var(&o.seconds, "seconds", 120, "so long")
 	return c
@@ -61,8 +61,8 @@
 // check returns an error where a flag is out of its range.
 func (o membersOptions) check() error {
 	s := o.stalls
-	if o.seeds < 1 || o.fleet.Loss < 0 || o.fleet.Loss >= 1 || s.Part < 0 || s.Part > 1 || o.seconds <= 0 || o.settle < 0 ||
-		s.For <= 0 || s.Every <= s.For {
+	if o.seeds < 1 || o.fleet.Loss < 0 || o.fleet.Loss >= 1 || s.Fraction < 0 || s.Fraction > 1 || o.seconds <= 0 || o.settle < 0 ||
+		s.Duration <= 0 || s.Interval <= s.Duration {
 		return errors.New("--seeds from 1 on, --loss and --stalls under 1, --settle from 0 on, --for shorter than --every")
 	}
 	for _, n := range o.nodes {
@@ -188,14 +188,14 @@
 		}
 		return sum
 	}
-	suspected := of(func(m members.Measurement) float64 { return m.Suspected })
-	first := of(func(m members.Measurement) float64 { return m.First })
-	last := of(func(m members.Measurement) float64 { return m.Last })
+	suspected := of(func(m members.Measurement) float64 { return m.FirstSuspicion })
+	first := of(func(m members.Measurement) float64 { return m.FirstDeath })
+	last := of(func(m members.Measurement) float64 { return m.LastDeath })
 	fmt.Fprintf(w, "%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.0f\t%.0f\t%.0f\n", coreName(o), o.Nodes, len(found),
 		members.Quantile(suspected, 0.5), members.Quantile(suspected, 0.99), members.Quantile(first, 0.5),
 		members.Quantile(last, 0.5), members.Quantile(last, 0.99),
-		mean(func(m members.Measurement) float64 { return m.Known }),
+		mean(func(m members.Measurement) float64 { return m.KnownFraction }),
 		mean(func(m members.Measurement) float64 { return m.FalseSuspicions }),
 		mean(func(m members.Measurement) float64 { return m.FalseDeaths }),
-		mean(func(m members.Measurement) float64 { return m.Bytes }))
+		mean(func(m members.Measurement) float64 { return m.IdleBytes }))
 }
--- a/internal/emulator/members/figures_test.go
+++ b/internal/emulator/members/figures_test.go
@@ -15,21 +15,23 @@
 		m     Measurement
 		costs []string
 	}{
-		{"known to all", Measurement{Suspected: 2, First: 10, Last: 20, Known: 1},
+		{"known to all", Measurement{FirstSuspicion: 2, FirstDeath: 10, LastDeath: 20, KnownFraction: 1},
 			[]string{"death.known_part", "death.suspected_by_first", "death.known_by_first", "death.known_by_last"}},
-		{"known to some", Measurement{Suspected: 2, First: 10, Last: 80, Known: 0.93},
+		{"known to some", Measurement{FirstSuspicion: 2, FirstDeath: 10, LastDeath: 80, KnownFraction: 0.93},
 			[]string{"death.known_part", "death.suspected_by_first", "death.known_by_first"}},
-		{"known to none", Measurement{Suspected: math.Inf(1), First: math.Inf(1)}, []string{"death.known_part"}},
+		{"known to none", Measurement{FirstSuspicion: math.Inf(1), FirstDeath: math.Inf(1)}, []string{"death.known_part"}},
 	} {
-		var costs []string
-		for _, row := range c.m.Figures(30) {
-			costs = append(costs, row.Cost)
-			if row.Size != 30 || row.Source != figures.Virtual || row.Dimension != "nodes" || math.IsInf(row.Value, 0) {
-				t.Errorf("%s: %+v", c.name, row)
+		t.Run(c.name, func(t *testing.T) {
+			var costs []string
+			for _, row := range c.m.Figures(30) {
+				costs = append(costs, row.Cost)
+				if row.Size != 30 || row.Source != figures.Virtual || row.Dimension != "nodes" || math.IsInf(row.Value, 0) {
+					t.Errorf("%+v", row)
+				}
 			}
-		}
-		if !slices.Equal(costs, c.costs) {
-			t.Errorf("%s: %v, want %v", c.name, costs, c.costs)
-		}
+			if !slices.Equal(costs, c.costs) {
+				t.Errorf("%v, want %v", costs, c.costs)
+			}
+		})
 	}
 }
--- a/internal/emulator/members/members_golden_test.go
+++ b/internal/emulator/members/members_golden_test.go
@@ -32,7 +32,7 @@
 	table := &figures.Table{Provenance: figures.Provenance{Command: "gorselab members", Revision: "5fa7498",
 		Date: "2026-12-02 05:07 UTC", Cores: 8, Machine: "alone", Repeats: 1}}
 	table.Rows = append(table.Rows, IdleCost{CPU: 0.5, Memory: 2048, Messages: 3.5, Bytes: 400.25}.Figures(1, 50)...)
-	table.Rows = append(table.Rows, Measurement{Seed: 7, Suspected: 1.5, First: 2.5, Last: 3.5, Known: 1, FalseSuspicions: 8, FalseDeaths: 9,
-		Bytes: 10}.Figures(50)...)
+	table.Rows = append(table.Rows, Measurement{Seed: 7, FirstSuspicion: 1.5, FirstDeath: 2.5, LastDeath: 3.5, KnownFraction: 1, FalseSuspicions: 8, FalseDeaths: 9,
+		IdleBytes: 10}.Figures(50)...)
 	checkGolden(t, "figures.csv", table.CSV())
 }
--- /dev/null
+++ b/internal/emulator/members/quantile.go
@@ -0,0 +1,16 @@
+package members
+
+import (
+	"math"
+	"slices"
+)
+
+// Quantile returns the value below which the given fraction of the values lies, from 0 to 1; for 1 the largest one, and NaN
+// where there are no values.
+func Quantile(values []float64, fraction float64) float64 {
+	if len(values) == 0 {
+		return math.NaN()
+	}
+	sorted := slices.Sorted(slices.Values(values))
+	return sorted[min(int(fraction*float64(len(sorted))), len(sorted)-1)]
+}
--- a/internal/fleet/introduce.go
+++ b/internal/fleet/introduce.go
@@ -85,16 +85,7 @@
 	var message *wire.Message
 	size := maxMessageBytes
 	for _, m := range all {
-		update := &wire.Update{
-			Name:        m.Name,
-			Start:       m.Start,
-			Incarnation: m.Incarnation,
-			State:       uint32(m.State),
-			Address:     m.Address,
-			Zone:        m.Zone,
-			Build:       m.Build,
-			Ready:       m.Ready,
-		}
+		update := m.Update()
 		updateSize := proto.Size(update) + updateOverheadBytes
 		if size+updateSize > maxMessageBytes {
 			message = &wire.Message{Kind: wire.Message_STATE, From: introducer, Start: start}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -62,17 +62,9 @@
 	return cmp.Or(cmp.Compare(start, known.Start), cmp.Compare(incarnation, known.Incarnation))
 }
 
-// member is a Member with what this node needs for failure detection.
-type member struct {
-	Member
-	suspicion        *suspicion // nil unless the state is Suspect
-	badLink          bool       // its last answer to a probe came only through others
-	nextCorrectionAt float64    // when correctSender may correct it again, in seconds
-}
-
-// update returns the update about the member for a message.
-func (m *member) update() *wire.Update {
-	u := &wire.Update{
+// Update returns the update about the member for a message.
+func (m Member) Update() *wire.Update {
+	return &wire.Update{
 		Name:        m.Name,
 		Start:       m.Start,
 		Incarnation: m.Incarnation,
@@ -83,6 +75,19 @@
 		Ready:       m.Ready,
 		Bad:         slices.Clone(m.BadLinks),
 	}
+}
+
+// member is a Member with what this node needs for failure detection.
+type member struct {
+	Member
+	suspicion        *suspicion // nil unless the state is Suspect
+	badLink          bool       // its last answer to a probe came only through others
+	nextCorrectionAt float64    // when correctSender may correct it again, in seconds
+}
+
+// update returns the update about the member for a message, with the member that reported its suspicion last.
+func (m *member) update() *wire.Update {
+	u := m.Update()
 	if m.State == Suspect && m.suspicion != nil {
 		u.By = m.suspicion.lastReporter
 	}
