--- a/internal/node/connection_io_test.go
+++ b/internal/node/connection_io_test.go
@@ -1,41 +1,49 @@
 package node
 
-import (
-	"testing"
-)
+import "testing"
 
-// A client or a host that does not read is held up by its own buffers: what the other sends waits there, no more than
-// a ring of it, and other flows go on. Guards against memory that grows with what nobody takes.
+// readAll answers the reads of a connection with lines until the node reads no more, and returns how many bytes it took.
+func readAll(harness *testHarness, conn Conn) int {
+	harness.Helper()
+	taken := 0
+	for harness.pendingReads[conn] != nil && taken <= 1<<20 {
+		into := harness.pendingReads[conn]
+		delete(harness.pendingReads, conn)
+		for i := range into {
+			into[i] = 'x'
+			if (taken+i)%100 == 99 {
+				into[i] = '\n'
+			}
+		}
+		taken += len(into)
+		harness.apply(ReadDone{conn, len(into), Open})
+	}
+	return taken
+}
+
+// Where a client or a host does not read, what the other side sends waits in that side's own buffers but for one
+// buffer of the node's, and other flows go on. This bounds the memory that a blocked connection takes.
 func TestBlockedSideHoldsUpItsSender(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		from, stuck func(client, host Conn) Conn
+		name          string
+		clientBlocked bool
 	}{
-		{"the client", func(_, h Conn) Conn { return h }, func(c, _ Conn) Conn { return c }},
-		{"the host", func(c, _ Conn) Conn { return c }, func(_, h Conn) Conn { return h }},
+		{"the client", true},
+		{"the host", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 100)
 			client, host := harness.establish(chatRequest)
-			from, stuck := c.from(client, host), c.stuck(client, host)
-			harness.blocked[stuck] = true
-			taken := 0
-			for harness.pendingReads[from] != nil && taken <= 1<<20 {
-				into := harness.pendingReads[from]
-				delete(harness.pendingReads, from)
-				for i := range into {
-					if into[i] = 'x'; (taken+i)%100 == 99 {
-						into[i] = '\n'
-					}
-				}
-				taken += len(into)
-				harness.apply(ReadDone{from, len(into), Open})
+			sender, blocked := client, host
+			if c.clientBlocked {
+				sender, blocked = host, client
 			}
-			if taken > bufferSize {
+			harness.blocked[blocked] = true
+			if taken := readAll(harness, sender); taken > bufferSize {
 				t.Errorf("%d bytes were taken from the other", taken)
 			}
 			if other, _ := harness.establish(chatRequest); harness.written[other] != "UP 77\r\n" {
-				t.Errorf("another was told %q", harness.written[other])
+				t.Errorf("another was sent %q", harness.written[other])
 			}
 		})
 	}
--- a/internal/node/deadlines_test.go
+++ b/internal/node/deadlines_test.go
@@ -7,46 +7,70 @@
 	"gorseledge/internal/settings"
 )
 
-// An idle node wakes for its module's beat alone, however many hosts are listed. Guards against timers that
-// wake for nothing: where many nodes share a machine, each pays for the others' wakes.
+// A connection has one deadline: setting it again replaces it, and clearing it leaves none.
+func TestDeadlineIsReplaced(t *testing.T) {
+	harness := newHarness(t, "proxy", 1, 100)
+	node := harness.node
+	client := node.connections.byID[harness.accept()]
+	before := node.nextDeadline()
+	node.setDeadline(client, 0.01)
+	if got := node.nextDeadline(); got != node.now+0.01 || got >= before {
+		t.Errorf("next deadline in %f s, wanted 0.01", got-node.now)
+	}
+	node.setDeadline(client, 0.02)
+	if got := node.nextDeadline(); got != node.now+0.02 {
+		t.Errorf("next deadline in %f s, wanted 0.02", got-node.now)
+	}
+	client.clearDeadline()
+	if got := node.nextDeadline(); got != node.timers.balancerWake && got != node.watch.deadline() {
+		t.Errorf("next deadline in %f s although there is none", got-node.now)
+	}
+}
+
+// An idle node wakes four times a second for its balancer alone, however many hosts are listed: where many nodes share
+// a machine, each would pay for the others' wakes.
 func TestIdleNodeWakesForItsBalancerAlone(t *testing.T) {
 	for _, hosts := range []int{10, 60, 1000} {
 		t.Run(fmt.Sprintf("%d hosts", hosts), func(t *testing.T) {
 			harness := newHarness(t, "proxy", hosts, 1000)
-			wakes, at := 0, harness.now
-			for end := harness.now + 10; ; wakes++ {
-				for _, e := range harness.node.Apply(at, TimerFired{}) {
-					if timer, ok := e.(SetTimer); ok {
-						harness.now = timer.At
+			end := harness.now + 10
+			wakes := 0
+			for now, next := harness.now, 0.0; ; now = next {
+				next = now
+				for _, effect := range harness.node.Apply(now, TimerFired{}) {
+					if timer, ok := effect.(SetTimer); ok {
+						next = timer.At
 					}
 				}
-				if at == harness.now || harness.now > end {
+				if next == now || next > end {
 					break
 				}
-				at = harness.now
+				wakes++
 			}
 			if wakes > 42 || wakes < 30 {
-				t.Errorf("%d hosts: %d wakes in 10 s, wanted four a second", hosts, wakes)
+				t.Errorf("%d wakes in 10 s, wanted four a second", wakes)
 			}
 		})
 	}
 }
 
-// What an idle second costs, a host: compare the figures of 10, 60 and 1,000.
+// BenchmarkIdleSecond measures what an idle second costs, a host: compare the figures of 10, 60 and 1,000.
 func BenchmarkIdleSecond(b *testing.B) {
 	for _, hosts := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			r, d, err := settings.Parse(fmt.Appendf(nil, settingsJSON, "proxy"), 7)
+			balancer, listener, err := settings.Parse(fmt.Appendf(nil, settingsJSON, "proxy"), 7)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := 1e9
-			n := New(now, Start{Settings: r, Listener: d, CachedList: hostList(hosts), MaxDescriptors: 1000})
+			node := New(now, Start{
+				Settings: balancer, Listener: listener, CachedList: hostList(hosts), MaxDescriptors: 1000,
+			})
 			b.ReportAllocs()
 			for b.Loop() {
 				for range 4 {
 					now += 0.25
-					n.Apply(now, TimerFired{})
+					node.Apply(now, TimerFired{})
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*hosts), "ns/s/host")
--- a/internal/node/flow_ids_test.go
+++ b/internal/node/flow_ids_test.go
@@ -7,39 +7,62 @@
 	"gorseledge/internal/line"
 )
 
-// The id of a flow goes to no host under another key, whether the flow is open or has ended.
+// The id of a flow goes to no host under another client key, whether the flow is open or has ended.
 func TestDuplicateFlowIDIsRejected(t *testing.T) {
 	harness := newHarness(t, "pass", 3, 100)
-	say := func(text string) Conn { c := harness.accept(); harness.receive(c, text+"\r\n", Open); return c }
-	first := say("OPEN 7 a1 c=chat,t=acme,d=2000")
-	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000"); harness.written[peerProcess] != "BUSY\r\n" || len(harness.flowDials) != 1 {
-		t.Fatalf("while it is set up: told %q, %d dials", harness.written[peerProcess], len(harness.flowDials))
+	send := func(text string) Conn {
+		client := harness.accept()
+		harness.receive(client, text+"\r\n", Open)
+		return client
 	}
-	harness.receive(harness.completeLastDial(), "UP 77\r\n", Open)
-	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000,mid=1"); harness.written[peerProcess] != "BUSY\r\n" || len(harness.flowDials) != 1 {
-		t.Fatalf("while it is open: told %q, %d dials", harness.written[peerProcess], len(harness.flowDials))
+	checkRejected := func(when, text string, dials int) {
+		t.Helper()
+		other := send(text)
+		if harness.written[other] != "BUSY\r\n" || len(harness.flowDials) != dials {
+			t.Fatalf("%s: sent %q, %d dials", when, harness.written[other], len(harness.flowDials))
+		}
 	}
-	if say("OPEN 7 a1 c=chat,t=acme,d=2000,mid=1"); len(harness.flowDials) != 2 {
-		t.Fatalf("its own packets by another way: %d dials", len(harness.flowDials))
+	checkPlaced := func(what, text string, dials int) {
+		t.Helper()
+		send(text)
+		if len(harness.flowDials) != dials {
+			t.Fatalf("%s: %d dials", what, len(harness.flowDials))
+		}
 	}
+	first := send("OPEN 7 a1 c=chat,t=acme,d=2000")
+	checkRejected("while it is set up", "OPEN 7 b2 c=chat,t=acme,d=2000", 1)
+	harness.receive(harness.completeLastDial(), "UP 77\r\n", Open)
+	checkRejected("while it is open", "OPEN 7 b2 c=chat,t=acme,d=2000,mid=1", 1)
+	checkPlaced("its own packets by another way", "OPEN 7 a1 c=chat,t=acme,d=2000,mid=1", 2)
 	harness.receive(harness.completeLastDial(), "BYE\r\n", Ended)
 	harness.receive(first, "", Broken)
-	if peerProcess := say("OPEN 7 b2 c=chat,t=acme,d=2000"); harness.written[peerProcess] != "BUSY\r\n" || len(harness.flowDials) != 2 {
-		t.Fatalf("after its end: told %q, %d dials", harness.written[peerProcess], len(harness.flowDials))
-	}
-	if say("OPEN 7 a1 c=chat,t=acme,d=2000"); len(harness.flowDials) != 3 {
-		t.Fatalf("the client itself again: %d dials", len(harness.flowDials))
-	}
+	checkRejected("after its end", "OPEN 7 b2 c=chat,t=acme,d=2000", 2)
+	checkPlaced("the client itself again", "OPEN 7 a1 c=chat,t=acme,d=2000", 3)
 	harness.receive(harness.completeLastDial(), "BYE\r\n", Ended)
 	harness.checkReleased()
 	if len(harness.node.flows.ids.open) != 0 || harness.node.idle.count != 0 {
 		t.Fatalf("left: ids %v, %d idle", harness.node.flows.ids.open, harness.node.idle.count)
 	}
-	for i := range 3 * maxEndedIDs { // and however many have come, little is kept of them
-		harness.node.flows.ids.remove(&flow{opening: line.Opening{ID: fmt.Sprint(i)}})
+}
+
+// However many flows have ended, few of their ids are kept, and the oldest are free again.
+func TestEndedIDsAreBounded(t *testing.T) {
+	ids := newFlowIDs()
+	ids.rememberEnded("7", 0xa1)
+	if !ids.conflicts(line.Opening{ID: "7", Key: 0xb2}) {
+		t.Fatal("the id of an ended flow is free for another client")
+	}
+	if ids.conflicts(line.Opening{ID: "7", Key: 0xa1}) {
+		t.Fatal("the client's own id conflicts")
 	}
-	kept := len(harness.node.flows.ids.recentlyEnded) + len(harness.node.flows.ids.previouslyEnded)
-	if kept > 2*maxEndedIDs || harness.node.flows.ids.conflicts(line.Opening{ID: "7"}) {
+	for i := range 3 * maxEndedIDs {
+		ids.remove(&flow{opening: line.Opening{ID: fmt.Sprint("later", i)}})
+	}
+	kept := len(ids.recentlyEnded) + len(ids.previouslyEnded)
+	if kept > 2*maxEndedIDs || kept != len(ids.endedKeys()) {
 		t.Fatalf("%d ids kept", kept)
 	}
+	if ids.conflicts(line.Opening{ID: "7"}) {
+		t.Fatal("the oldest id is still kept")
+	}
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -1,8 +1,24 @@
 package node
 
-import (
-	"testing"
-)
+import "testing"
+
+// isReadFrom reports whether a connection is open and its far side may send something.
+func (harness *testHarness) isReadFrom(conn Conn) bool {
+	return harness.pendingReads[conn] != nil && harness.node.connections.byID[conn] != nil
+}
+
+// receiveInHalves has a host send text in ever smaller parts, each half of the rest, and do what end says after each.
+func receiveInHalves(harness *testHarness, host Conn, text string, end End) {
+	harness.Helper()
+	for rest := text; harness.isReadFrom(host); {
+		half := len(rest)/2 + len(rest)%2
+		harness.receive(host, rest[:half], end)
+		if rest == "" || end != Open {
+			return
+		}
+		rest = rest[half:]
+	}
+}
 
 // Whatever comes in, nothing panics, and each client that is still there gets one final answer in time.
 func FuzzNode(f *testing.F) {
@@ -11,33 +27,23 @@
 	f.Add([]byte("\xff\x00\n"), []byte("MOVE"), uint8(0))
 	f.Fuzz(func(t *testing.T, fromClient, fromHost []byte, ends uint8) {
 		harness := newHarness(t, "proxy", 3, 100)
-		c := harness.accept()
-		harness.receive(c, string(fromClient), Open)
+		client := harness.accept()
+		harness.receive(client, string(fromClient), Open)
 		for i := 0; i < len(harness.flowDials); i++ {
-			h := harness.flowDials[i]
-			if harness.node.connections.byID[h] == nil || harness.connectionState[h] != "dialed" {
+			host := harness.flowDials[i]
+			if harness.node.connections.byID[host] == nil || harness.connectionState[host] != "dialed" {
 				continue
 			}
-			harness.completeDial(h)
-			if harness.pendingReads[h] != nil && harness.node.connections.byID[h] != nil {
-				for rest := string(fromHost); ; rest = rest[len(rest)/2+len(rest)%2:] {
-					if harness.pendingReads[h] == nil || harness.node.connections.byID[h] == nil {
-						break
-					}
-					harness.receive(h, rest[:len(rest)/2+len(rest)%2], End(ends)%3)
-					if rest == "" || ends%3 != 0 {
-						break
-					}
-				}
-			}
+			harness.completeDial(host)
+			receiveInHalves(harness, host, string(fromHost), End(ends%3))
 		}
 		harness.advance(2.5)
-		if harness.node.connections.byID[c] != nil && harness.pendingReads[c] != nil {
-			harness.receive(c, "", Ended)
+		if harness.isReadFrom(client) {
+			harness.receive(client, "", Ended)
 		}
 		harness.advance(firstLineTimeout + hostEndTimeout + connectionSilentAfter)
 		for _, left := range harness.node.connections.byID {
-			if left.role != healthCheckRole { // probes of a host that was set aside go on
+			if left.role != healthCheckRole { // health checks of an ejected host go on
 				t.Fatalf("a connection of role %d is left", left.role)
 			}
 		}
--- a/internal/node/host_overrides_test.go
+++ b/internal/node/host_overrides_test.go
@@ -12,7 +12,7 @@
 // A host that the settings disable gets nothing new from the answer on, also no line on a connection that was being
 // opened; its clients are moved; and it comes back by itself at the time that the settings say, cold.
 func TestHostIsDisabledUntilItsTime(t *testing.T) {
-	harness := newHarnessWith(t, settingsWithShares, "proxy", 2, 1000)
+	harness := newHarnessWith(t, settingsWithQuotas, "proxy", 2, 1000)
 	client, host := harness.establish(chatRequest)
 	if harness.dialedAddress[host] != "h0" && harness.dialedAddress[host] != "h1" {
 		t.Fatal(harness.dialedAddress[host])
@@ -100,7 +100,7 @@
 		{"by settings for longer", []func(*testHarness){set(1, entry), set(2, "hosts.s-00000064.disabled_until_s = 1000000020"), later}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			harness := newHarnessWith(t, settingsWithShares, "pass", 4, 100)
+			harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 			for _, step := range c.steps {
 				step(harness)
 			}
@@ -114,7 +114,7 @@
 // A host that the settings disable before discovery lists it is out from its first listing on, also for a node that has
 // just started.
 func TestDisabledHostMayBeListedLater(t *testing.T) {
-	harness := newHarnessWith(t, settingsWithShares, "pass", 0, 1000)
+	harness := newHarnessWith(t, settingsWithQuotas, "pass", 0, 1000)
 	if err := harness.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/idle_test.go
+++ b/internal/node/idle_test.go
@@ -7,9 +7,8 @@
 	"testing"
 )
 
-// Who asked for nothing and has to make room, or is still there when its node goes, is told so: what it asks for in
-// just that moment is refused and not lost.
-func TestIdleClientIsToldBeforeItsEnd(t *testing.T) {
+// An idle client that has to make room is rejected, so that what it asks for in just that moment is not lost.
+func TestIdleClientIsToldBeforeItMakesRoom(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 60)
 	var idle []Conn
 	for range 60 {
@@ -17,51 +16,55 @@
 		idle = append(idle, harness.accept())
 	}
 	ended := 0
-	for _, c := range idle {
-		if harness.connectionState[c] == "closed" {
-			ended++
-			if harness.written[c] != "BUSY\r\n" {
-				t.Errorf("made room for others, told %q", harness.written[c])
-			}
+	for _, client := range idle {
+		if harness.connectionState[client] != "closed" {
+			continue
+		}
+		ended++
+		if harness.written[client] != "BUSY\r\n" {
+			t.Errorf("made room for others, sent %q", harness.written[client])
 		}
 	}
 	if ended < 30 {
 		t.Errorf("%d of 60 made room", ended)
 	}
-	harness = newHarness(t, "pass", 3, 60)
-	harness.establish(chatRequest) // it is held, so the node stays
+}
+
+// An idle client that is still there at the end of a shutdown is rejected as well.
+func TestIdleClientIsToldBeforeTheExit(t *testing.T) {
+	harness := newHarness(t, "pass", 3, 60)
+	harness.establish(chatRequest) // it stays in flight, so the node does not exit
 	harness.apply(Shutdown{})
 	harness.advance(harness.node.drainTime() - finalAnswerTime - 0.5)
-	c := harness.accept()
+	client := harness.accept()
 	harness.advance(0.6)
-	if harness.written[c] != "BUSY\r\n" || harness.connectionState[c] != "write closed" {
-		t.Errorf("the node is about to go: told %q, and its side is %q", harness.written[c], harness.connectionState[c])
+	if harness.written[client] != "BUSY\r\n" || harness.connectionState[client] != "write closed" {
+		t.Errorf("sent %q, and its side is %q", harness.written[client], harness.connectionState[client])
 	}
 }
 
-// Who does not take what it is told, or broke off meanwhile, is ended all the same. Guards against a connection that is
-// kept for a word which can never go out.
+// A client that does not take its answer, or breaks off meanwhile, is closed in time all the same.
 func TestBlockedClientIsClosedInTime(t *testing.T) {
 	for _, failed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("write failed %v", failed), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 60)
-			c := harness.accept()
-			harness.blocked[c] = true
-			harness.receive(c, "PING\r\n", Open)
+			client := harness.accept()
+			harness.blocked[client] = true
+			harness.receive(client, "PING\r\n", Open)
 			if failed {
 				harness.advance(1.95)
-				harness.apply(WriteDone{c, 0, true})
+				harness.apply(WriteDone{client, 0, true})
 			}
 			harness.advance(firstLineTimeout + lingerTimeout + 0.1)
-			if harness.connectionState[c] != "closed" {
-				t.Errorf("its write failed %v: its side is %q", failed, harness.connectionState[c])
+			if harness.connectionState[client] != "closed" {
+				t.Errorf("its side is %q", harness.connectionState[client])
 			}
 			harness.checkReleased()
 		})
 	}
 }
 
-// Hundreds that connect and say nothing take no descriptor from those who say what they want.
+// Clients that connect by the hundred and send nothing take no descriptor from those that send their opening line.
 func TestIdleClientsLeaveDescriptorsToOthers(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 240)
 	for range 10 {
@@ -76,43 +79,45 @@
 	}
 }
 
-// Descriptors are counted before they run out: who comes too late is told so, and nobody else suffers.
+// Clients for which no descriptor is left are rejected, established flows go on, and the limit always holds.
 func TestDescriptorsNeverExceedTheLimit(t *testing.T) {
-	harness := newHarness(t, "proxy", 3, 60)
-	var told []Conn
-	up := 0
-	for i := range 60 {
-		before := len(harness.flowDials)
-		c := harness.openFlow(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
-		if len(harness.flowDials) > before {
+	const limit = 60
+	harness := newHarness(t, "proxy", 3, limit)
+	checkLimit := func() {
+		t.Helper()
+		if harness.node.connections.descriptors > limit {
+			t.Fatalf("%d descriptors", harness.node.connections.descriptors)
+		}
+	}
+	established, rejected := 0, 0
+	for key := range limit {
+		dials := len(harness.flowDials)
+		client := harness.openFlow(fmt.Sprintf("%x c=chat,t=acme,d=2000", key+1))
+		if len(harness.flowDials) > dials {
 			harness.receive(harness.completeLastDial(), "UP 77\r\n", Open)
-			up++
+			established++
 			continue
 		}
-		told = append(told, c)
-		if !strings.HasPrefix(harness.written[c], "BUSY") {
-			t.Fatalf("told %q", harness.written[c])
-		}
-		if harness.node.connections.byID[c] != nil {
-			harness.receive(c, "", Ended)
+		rejected++
+		if !strings.HasPrefix(harness.written[client], "BUSY") {
+			t.Fatalf("sent %q", harness.written[client])
 		}
-		if harness.node.connections.descriptors > 60 {
-			t.Fatalf("%d descriptors", harness.node.connections.descriptors)
+		if harness.node.connections.byID[client] != nil {
+			harness.receive(client, "", Ended)
 		}
+		checkLimit()
 	}
-	if up < 14 || len(told) == 0 || !slices.Contains(harness.endReasons(), NoDescriptors) {
-		t.Fatalf("%d established, %d turned away: %v", up, len(told), harness.endReasons())
+	if established < 14 || rejected == 0 || !slices.Contains(harness.endReasons(), NoDescriptors) {
+		t.Fatalf("%d established, %d rejected: %v", established, rejected, harness.endReasons())
 	}
-	for range 300 { // no room for all of them, whatever they want
+	for range 300 { // more than there are descriptors for
 		harness.now += 1e-4
 		harness.accept()
-		if harness.node.connections.descriptors > 60 {
-			t.Fatalf("%d descriptors", harness.node.connections.descriptors)
-		}
+		checkLimit()
 	}
-	for c := range harness.node.connections.byID {
-		if harness.pendingReads[c] != nil && harness.node.connections.byID[c] != nil {
-			harness.receive(c, "", Broken)
+	for conn := range harness.node.connections.byID {
+		if harness.pendingReads[conn] != nil && harness.node.connections.byID[conn] != nil {
+			harness.receive(conn, "", Broken)
 		}
 	}
 	harness.checkReleased()
--- a/internal/node/live_settings_harness_test.go
+++ b/internal/node/live_settings_harness_test.go
@@ -8,7 +8,7 @@
 	"gorseledge/internal/node/live"
 )
 
-const settingsWithShares = `{"family_info":{"mode":"%s","tells_delay":true,"message_aim_us":[50000,50000],"tenant_quota_connections":[20,20]},
+const settingsWithQuotas = `{"family_info":{"mode":"%s","tells_delay":true,"message_aim_us":[50000,50000],"tenant_quota_connections":[20,20]},
 	"granularity_us":4000,"invariants":{"cold_from":0.1,"cold_us":30000000,"fall_multiple":3,"fall_us":2000000},
 	"limits":{"dial_timeout_us":250000,"max_connects":3,"max_retry_after_us":2000000,"probes":true,"retry_after":true},
 	"parties":[{"name":"acme"},{"name":"beta"}],"zones":["a","b"],"siblings":2,"service_types":[
--- a/internal/node/live_settings_test.go
+++ b/internal/node/live_settings_test.go
@@ -71,7 +71,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answeredAfter := func(configure bool) (seconds float64, decided any) {
-				harness := newHarnessWith(t, settingsWithShares, "pass", 4, 60)
+				harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 60)
 				harness.apply(NodesChanged{0}) // no member is counted
 				harness.node.live.memberCount = 0
 				began := harness.now
@@ -111,7 +111,7 @@
 		{"none", "slow_start.from = 0.5", "slow_start: this node's start has none"},
 	} {
 		t.Run(c.text, func(t *testing.T) {
-			settings := settingsWithShares
+			settings := settingsWithQuotas
 			if c.mode == "none" {
 				settings = strings.ReplaceAll(strings.Replace(settings, `"retry_after":true`, `"retry_after":false`, 1),
 					`"invariants":{"cold_from":0.1,"cold_us":30000000,"fall_multiple":3,"fall_us":2000000},`, "")
@@ -134,7 +134,7 @@
 
 // An older revision does not replace a newer one, and the same one again changes nothing.
 func TestOlderRevisionIsRefused(t *testing.T) {
-	harness := newHarnessWith(t, settingsWithShares, "pass", 4, 100)
+	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 	if err := harness.applySettings(5, "limits.max_connects = 2"); err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 
 // A key that a revision leaves out goes back to the start's figure.
 func TestOmittedKeyReturnsToStart(t *testing.T) {
-	harness := newHarnessWith(t, settingsWithShares, "pass", 4, 100)
+	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 	start := harness.node.balancer.Settings.Live()
 	limit := harness.node.connections.limit
 	text := "retry_advice_s = 9\nask_within_s = 9\nnodes = 9\ndiscovery = \"127.0.0.1:9\"\n" +
@@ -177,7 +177,7 @@
 
 // What names nobody that this node knows has no effect, and is said.
 func TestUnknownNamesAreIgnored(t *testing.T) {
-	harness := newHarnessWith(t, settingsWithShares, "pass", 4, 100)
+	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 	if err := harness.applySettings(1, "tenants.nobody.connections = 1\nservice_types.none.setup_target_s = 1\nlimits.max_connects = 1"); err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 
 // Members that are counted are the number of nodes, whatever the settings say.
 func TestMemberCountOverridesSetting(t *testing.T) {
-	harness := newHarnessWith(t, settingsWithShares, "pass", 4, 100)
+	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 	harness.apply(NodesChanged{7})
 	if err := harness.applySettings(1, "nodes = 100"); err != nil || harness.node.balancer.Nodes != 7 {
 		t.Errorf("%v, %d nodes", err, harness.node.balancer.Nodes)
@@ -197,7 +197,7 @@
 
 // Fewer descriptors than are held end no connection that is established.
 func TestFewerDescriptorsEndNoConnection(t *testing.T) {
-	harness := newHarnessWith(t, settingsWithShares, "pass", 4, 200)
+	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 200)
 	var clients, hosts []Conn
 	for range 30 {
 		c, h := harness.establish(chatRequest)
--- a/internal/node/query_test.go
+++ b/internal/node/query_test.go
@@ -5,39 +5,51 @@
 	"testing"
 )
 
-// A host taken out by hand gets nothing more from the answer on; a name that was never listed leaves no trace.
+// A host that an operator disables gets no flow from the reply on.
 func TestAdministrativelyDisabledHostGetsNoFlow(t *testing.T) {
 	harness := newHarness(t, "pass", 2, 100)
-	if a := harness.query(DisableHost, "s-00000065"); !a.OK {
+	if !harness.query(DisableHost, "s-00000065").OK {
 		t.Fatal("a listed host is not known")
 	}
 	for range 30 {
-		c := harness.openFlow(fmt.Sprintf("%x c=chat,d=900", harness.lastAccepted))
-		if h := harness.flowDials[len(harness.flowDials)-1]; harness.dialedAddress[h] != "h0" {
-			t.Fatalf("sent to %s", harness.dialedAddress[h])
+		client := harness.openFlow(fmt.Sprintf("%x c=chat,d=900", harness.lastAccepted))
+		dial := harness.flowDials[len(harness.flowDials)-1]
+		if harness.dialedAddress[dial] != "h0" {
+			t.Fatalf("sent to %s", harness.dialedAddress[dial])
 		}
-		harness.receive(c, "", Ended)
+		harness.receive(client, "", Ended)
 	}
 	if f := harness.query(GetFigures, "").Figures; f.Listed != 2 || f.Unavailable != 1 {
-		t.Errorf("%d listed, %d avoided", f.Listed, f.Unavailable)
+		t.Errorf("%d listed, %d unavailable", f.Listed, f.Unavailable)
 	}
+	harness.apply(ListReceived{hostList(1)}) // a host that has left the list is known all the same
+	if !harness.query(EnableHost, "s-00000065").OK {
+		t.Error("a host that was listed is not known")
+	}
+}
+
+// Queries about names that were never listed leave no trace.
+func TestUnknownHostIsNotKept(t *testing.T) {
+	harness := newHarness(t, "pass", 2, 100)
 	for i := range 50 {
-		if harness.query(DisableHost, fmt.Sprint("s-none", i)).OK || harness.query(EnableHost, fmt.Sprint("s-none", i)).OK {
+		name := fmt.Sprint("s-none", i)
+		if harness.query(DisableHost, name).OK || harness.query(EnableHost, name).OK {
 			t.Fatal("a host never listed is known")
 		}
 	}
 	if len(harness.node.endpoints.hosts) != 2 || len(harness.node.endpoints.byName) != 2 {
 		t.Errorf("%d hosts kept", len(harness.node.endpoints.hosts))
 	}
-	harness.apply(ListReceived{hostList(1)}) // one that has left the list is known all the same
-	if !harness.query(EnableHost, "s-00000065").OK {
-		t.Error("a host that was listed is not known")
-	}
+}
+
+// The node is ready until a shutdown begins.
+func TestNotReadyDuringShutdown(t *testing.T) {
+	harness := newHarness(t, "pass", 2, 100)
 	if !harness.query(IsReady, "").OK {
 		t.Error("not ready")
 	}
 	harness.apply(Shutdown{})
 	if harness.query(IsReady, "").OK {
-		t.Error("ready though it leaves")
+		t.Error("ready although it shuts down")
 	}
 }
