--- a/internal/handover/handover_golden_test.go
+++ b/internal/handover/handover_golden_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func goldenStandings() []placement.ServerState {
+func goldenServers() []placement.ServerState {
 	return []placement.ServerState{
 		{
 			LoadThreshold: 12.5, LoweredAt: 1700000001.5, ReportedAt: 1700000002.25, DrainingAt: 1700000003.75, Load: 0.625,
@@ -92,11 +92,11 @@
 	}
 }
 
-func goldenSitting() node.InheritedConnection {
+func goldenInheritedConnection() node.InheritedConnection {
 	return node.InheritedConnection{ID: "a1b2c3", ClientKey: 18446744073709551615, Host: "s-5be2a07c", Load: 0.28125}
 }
 
-func goldenLegacy() *node.HandoverState {
+func goldenState() *node.HandoverState {
 	return &node.HandoverState{
 		Index:        9007199254740993,
 		ListReceived: true,
@@ -107,12 +107,12 @@
 				StartedAtMS: 1700000000456},
 		},
 		Module: placement.HandoverState{
-			Servers:          goldenStandings(),
+			Servers:          goldenServers(),
 			UsualLoads:       []float64{0.015625, 0.03125},
 			ClientLoads:      map[uint64]float64{7: 0.5, 18446744073709551614: 0.75},
 			ConcurrencyLimit: 8.5, LimitLoweredAt: 1700000021.5, ShortestCheck: 0.001953125, OverloadLevel: 0.3125,
 		},
-		Connections: []node.InheritedConnection{goldenSitting(),
+		Connections: []node.InheritedConnection{goldenInheritedConnection(),
 			{ID: "d4e5 <&>", ClientKey: 9, Host: "s-77d10e42", Load: 0.34375}},
 		EndedFlows:               map[uint64]uint64{11: 12, 18446744073709551613: 18446744073709551612},
 		Descriptors:              321,
@@ -121,7 +121,7 @@
 	}
 }
 
-func goldenParcel() *node.ConnectionTransfer {
+func goldenTransfer() *node.ConnectionTransfer {
 	return &node.ConnectionTransfer{
 		OpeningLine: "OPEN 1 a1 c=chat,d=900\r\n", Host: "s-5be2a07c", FromClient: []byte("M\x00 1"), FromHost: []byte("\xff\xfe R"),
 		SentAt: []float64{1700000031.5, 1700000032.5}, Load: 0.40625, Setup: 0.125, AcceptedAt: 1700000033.5, BytesToHost: 4097,
@@ -131,19 +131,19 @@
 
 // goldenMessages are the messages of testdata/messages.jsonl, in the order of its lines.
 func goldenMessages() []goldenMessage {
-	sitting := goldenSitting()
+	sitting := goldenInheritedConnection()
 	return []goldenMessage{
 		{"claim", Message{Version: 1, Ask: RequestState}},
 		{"take", Message{Version: 1, Ask: RequestClients}},
-		{"refusal", Message{Version: 1, Refusal: Busy}},
-		{"state", Message{Version: 1, State: goldenLegacy()}},
+		{"refusal", Message{Version: 1, Refusal: RefusalBusy}},
+		{"state", Message{Version: 1, State: goldenState()}},
 		{"news of a host taken out by hand", Message{Version: 1, Update: &node.HandoverUpdate{DisabledHost: "s-5be2a07c"}}},
 		{"news of a host put back by hand", Message{Version: 1, Update: &node.HandoverUpdate{EnabledHost: "s-77d10e42"}}},
 		{"news of a connection", Message{Version: 1, Update: &node.HandoverUpdate{Established: &sitting}}},
 		{"news of a connection's end", Message{Version: 1, Update: &node.HandoverUpdate{EndedFlow: "a1b2c3"}}},
 		{"news of descriptors", Message{Version: 1, Update: &node.HandoverUpdate{Descriptors: 77}}},
 		{"news of a revision", Message{Version: 1, Update: &node.HandoverUpdate{Revision: goldenRevision()}}},
-		{"connection", Message{Version: 1, Transfer: goldenParcel()}},
+		{"connection", Message{Version: 1, Transfer: goldenTransfer()}},
 	}
 }
 
@@ -317,7 +317,7 @@
 	lines := readLines(t, "messages.jsonl")
 	for i, c := range goldenMessages() {
 		t.Run(c.name, func(t *testing.T) {
-			receiver, sender := joined(t, Path(t.TempDir(), "127.0.0.1:5000"))
+			receiver, sender := newLinkPair(t, Path(t.TempDir(), "127.0.0.1:5000"))
 			message := c.message
 			message.Version = 0 // Send sets it
 			if err := sender.Send(message); err != nil {
@@ -346,9 +346,9 @@
 }
 
 // Descriptors travel with an empty line of their own, ahead of the message they belong to.
-func TestPassWritesAnEmptyLine(t *testing.T) {
-	receiver, sender := joined(t, Path(t.TempDir(), "127.0.0.1:5000"))
-	listener, near, far := tcp(t)
+func TestSocketsComeWithAnEmptyLine(t *testing.T) {
+	receiver, sender := newLinkPair(t, Path(t.TempDir(), "127.0.0.1:5000"))
+	listener, near, far := newTCPPair(t)
 	if err := sender.SendSockets(listener); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,137 +16,174 @@
 	"gorseledge/internal/node"
 )
 
-// joined gives the two ends of a link, made by way of a path.
-func joined(t *testing.T, path string) (predecessor, successor *Link) {
+const testTimeout = 20 * time.Second
+
+// newLinkPair returns the two ends of a link that is made by way of a path.
+func newLinkPair(t *testing.T, path string) (predecessor, successor *Link) {
 	t.Helper()
-	ln, err := Listen(path)
+	listener, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	return meet(t, ln, path)
+	defer listener.Close()
+	return acceptLink(t, listener, path)
 }
 
-func meet(t *testing.T, ln *net.UnixListener, path string) (predecessor, successor *Link) {
+// acceptLink dials a path and returns both ends of the link, of which listener has to accept one.
+func acceptLink(t *testing.T, listener *net.UnixListener, path string) (predecessor, successor *Link) {
 	t.Helper()
 	successor, err := Dial(t.Context(), path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := ln.AcceptUnix()
-	if err == nil {
-		predecessor, err = NewLink(conn)
+	conn, err := listener.AcceptUnix()
+	if err != nil {
+		t.Fatal(err)
 	}
+	predecessor, err = NewLink(conn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range []*Link{predecessor, successor} {
-		l.SetReadTimeout(20 * time.Second)
-		t.Cleanup(l.Close)
+	for _, link := range []*Link{predecessor, successor} {
+		link.SetReadTimeout(testTimeout)
+		t.Cleanup(link.Close)
 	}
 	return predecessor, successor
 }
 
-func tcp(t *testing.T) (ln *net.TCPListener, near, far *net.TCPConn) {
+// newTCPPair returns both ends of a connection and the listener that accepted one of them.
+func newTCPPair(t *testing.T) (listener *net.TCPListener, near, far *net.TCPConn) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	accepting, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", l.Addr().String())
+	t.Cleanup(func() { accepting.Close() })
+	dialed, err := net.Dial("tcp", accepting.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := l.Accept()
+	t.Cleanup(func() { dialed.Close() })
+	accepted, err := accepting.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close(); c.Close(); a.Close() })
-	return l.(*net.TCPListener), a.(*net.TCPConn), c.(*net.TCPConn)
+	t.Cleanup(func() { accepted.Close() })
+	return accepting.(*net.TCPListener), accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// Messages come in order, with the sockets that belong to them, which live on when the sender's copies are closed.
-func TestPass(t *testing.T) {
-	for _, path := range []string{Path(t.TempDir(), "127.0.0.1:5000"),
-		Path(filepath.Join(t.TempDir(), strings.Repeat("long/", 40)), "[::1]:5000")} {
-		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
-			t.Fatal(err)
-		}
-		predecessor, successor := joined(t, path)
-		ln, near, far := tcp(t)
-		_, host, box := tcp(t)
-		if err := successor.Send(Message{Ask: RequestState}); err != nil {
-			t.Fatal(err)
-		}
-		if m, err := predecessor.Receive(); err != nil || m.Ask != RequestState {
-			t.Fatalf("%+v, %v", m, err)
-		}
-		// All is sent before anything is received: what belongs together has to come together all the same.
-		big := &node.HandoverState{Index: 7, EndedFlows: map[uint64]uint64{}}
-		for i := range uint64(4000) {
-			big.EndedFlows[i] = ^i
-		}
-		for _, step := range []func() error{
-			func() error { return predecessor.SendSockets(ln) },
-			func() error { return predecessor.Send(Message{State: big}) },
-			func() error { return predecessor.Send(Message{Update: &node.HandoverUpdate{DisabledHost: "s-1"}}) },
-			func() error { return predecessor.SendSockets(near, host) },
-			func() error {
-				return predecessor.Send(Message{Transfer: &node.ConnectionTransfer{Host: "s-2", FromClient: []byte("M\x00 1")}})
-			},
-		} {
-			if err := step(); err != nil {
+// largeState returns a state whose message is longer than one read.
+func largeState() *node.HandoverState {
+	state := &node.HandoverState{Index: 7, EndedFlows: map[uint64]uint64{}}
+	for i := range uint64(4000) {
+		state.EndedFlows[i] = ^i
+	}
+	return state
+}
+
+// checkCarries checks that what is written to near is read from far.
+func checkCarries(t *testing.T, near, far net.Conn) {
+	t.Helper()
+	far.SetDeadline(time.Now().Add(testTimeout))
+	io.WriteString(near, "M 1\n")
+	if got, err := bufio.NewReader(far).ReadString('\n'); got != "M 1\n" {
+		t.Errorf("%q, %v", got, err)
+	}
+}
+
+// Messages come in order, with the sockets that belong to them, which stay open when the sender's copies are closed.
+func TestMessagesComeWithTheirSockets(t *testing.T) {
+	for _, c := range []struct{ name, dir, listen string }{
+		{"short path", "", "127.0.0.1:5000"},
+		{"path that is too long for a socket", strings.Repeat("long/", 40), "[::1]:5000"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			path := Path(filepath.Join(t.TempDir(), c.dir), c.listen)
+			if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 				t.Fatal(err)
 			}
-		}
-		m, err := successor.Receive()
-		if err != nil || m.State == nil || m.State.Index != 7 || len(m.State.EndedFlows) != 4000 {
-			t.Fatalf("%v, %v", m.State, err)
-		}
-		door, err := successor.Listener()
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer door.Close()
-		if m, err = successor.Receive(); err != nil || m.Update == nil || m.Update.DisabledHost != "s-1" {
-			t.Fatalf("%+v, %v", m, err)
-		}
-		if m, err = successor.Receive(); err != nil || string(m.Transfer.FromClient) != "M\x00 1" {
-			t.Fatalf("%+v, %v", m, err)
-		}
-		client, err := successor.Conn()
-		if err != nil {
-			t.Fatal(err)
-		}
-		stream, err := successor.Conn()
+			predecessor, successor := newLinkPair(t, path)
+			if err := successor.Send(Message{Ask: RequestState}); err != nil {
+				t.Fatal(err)
+			}
+			if m, err := predecessor.Receive(); err != nil || m.Ask != RequestState {
+				t.Fatalf("%+v, %v", m, err)
+			}
+			checkHandsOver(t, predecessor, successor)
+		})
+	}
+}
+
+// checkHandsOver sends a state with a listener, an update and a transfer with its connections, all before anything is
+// received, and checks that each message comes with its own sockets.
+func checkHandsOver(t *testing.T, predecessor, successor *Link) {
+	t.Helper()
+	listener, client, clientFar := newTCPPair(t)
+	_, host, hostFar := newTCPPair(t)
+	update := &node.HandoverUpdate{DisabledHost: "s-1"}
+	transfer := &node.ConnectionTransfer{Host: "s-2", FromClient: []byte("M\x00 1")}
+	for _, err := range []error{
+		predecessor.SendSockets(listener),
+		predecessor.Send(Message{State: largeState()}),
+		predecessor.Send(Message{Update: update}),
+		predecessor.SendSockets(client, host),
+		predecessor.Send(Message{Transfer: transfer}),
+	} {
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer client.Close()
-		defer stream.Close()
-		if _, err := successor.Conn(); err == nil {
-			t.Error("a socket that nobody sent")
-		}
-		ln.Close()
-		near.Close()
-		host.Close()
-		for far, near := range map[net.Conn]net.Conn{far: client, box: stream} { // neither is ended by that
-			far.SetDeadline(time.Now().Add(20 * time.Second))
-			io.WriteString(near, "M 1\n")
-			if got, err := bufio.NewReader(far).ReadString('\n'); got != "M 1\n" {
-				t.Errorf("%q, %v", got, err)
-			}
-		}
-		if c, err := net.Dial("tcp", door.Addr().String()); err != nil {
-			t.Errorf("the door is closed: %v", err)
-		} else {
-			c.Close()
-		}
 	}
+	m, err := successor.Receive()
+	if err != nil || m.State == nil || m.State.Index != 7 || len(m.State.EndedFlows) != 4000 {
+		t.Fatalf("%v, %v", m.State, err)
+	}
+	receivedListener, err := successor.Listener()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer receivedListener.Close()
+	m, err = successor.Receive()
+	if err != nil || m.Update == nil || m.Update.DisabledHost != "s-1" {
+		t.Fatalf("%+v, %v", m, err)
+	}
+	m, err = successor.Receive()
+	if err != nil || string(m.Transfer.FromClient) != "M\x00 1" {
+		t.Fatalf("%+v, %v", m, err)
+	}
+	receivedClient, receivedHost := receiveConns(t, successor)
+	listener.Close()
+	client.Close()
+	host.Close()
+	checkCarries(t, receivedClient, clientFar)
+	checkCarries(t, receivedHost, hostFar)
+	dialed, err := net.Dial("tcp", receivedListener.Addr().String())
+	if err != nil {
+		t.Fatalf("the listener is closed: %v", err)
+	}
+	dialed.Close()
 }
 
-// What a far side may say that is not the protocol.
-func TestOddMessages(t *testing.T) {
+// receiveConns returns the two connections that came, and checks that there is no third.
+func receiveConns(t *testing.T, link *Link) (client, host *net.TCPConn) {
+	t.Helper()
+	client, err := link.Conn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { client.Close() })
+	host, err = link.Conn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { host.Close() })
+	if _, err := link.Conn(); err == nil {
+		t.Error("a socket that was not sent")
+	}
+	return client, host
+}
+
+// Anything that is not the protocol is an error.
+func TestOddMessageIsAnError(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"half a message", `{"version":1,"legacy":{"Index":`, "parse"},
 		{"nothing", "", "EOF"},
@@ -155,31 +192,55 @@
 		{"no JSON", "OPEN 1 2 c=chat\r\n", "parse"},
 		{"no end", strings.Repeat("x", maxMessageBytes+1), "too long"},
 	} {
-		predecessor, successor := joined(t, Path(t.TempDir(), "a:1"))
-		go func() {
-			io.WriteString(successor.conn, c.text)
-			successor.conn.CloseWrite()
-		}()
-		if m, err := predecessor.Receive(); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %+v, %v", c.name, m, err)
-		}
-		predecessor.Close()
+		t.Run(c.name, func(t *testing.T) {
+			predecessor, successor := newLinkPair(t, Path(t.TempDir(), "a:1"))
+			go func() { // ends with the link, which the test closes
+				io.WriteString(successor.conn, c.text)
+				successor.conn.CloseWrite()
+			}()
+			if m, err := predecessor.Receive(); err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%+v, %v", m, err)
+			}
+		})
 	}
-	predecessor, successor := joined(t, Path(t.TempDir(), "a:1"))
-	predecessor.SetReadTimeout(time.Millisecond) // nothing comes: that is no hang
+}
+
+// Errors on which a caller acts are found by errors.Is.
+func TestErrorsAreIdentified(t *testing.T) {
+	predecessor, successor := newLinkPair(t, Path(t.TempDir(), "a:1"))
+	io.WriteString(successor.conn, `{"version":2}`+"\n")
+	if _, err := predecessor.Receive(); !errors.Is(err, ErrVersion) {
+		t.Errorf("another version: %v", err)
+	}
+	successor.Close()
+	if _, err := predecessor.Receive(); !errors.Is(err, io.EOF) {
+		t.Errorf("a closed link: %v", err)
+	}
+}
+
+// Receive does not wait for longer than the read timeout.
+func TestReceiveTimesOut(t *testing.T) {
+	predecessor, _ := newLinkPair(t, Path(t.TempDir(), "a:1"))
+	predecessor.SetReadTimeout(time.Millisecond)
 	if _, err := predecessor.Receive(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error(err)
 	}
-	if err := successor.Send(Message{Transfer: &node.ConnectionTransfer{OpeningLine: strings.Repeat("x", maxMessageBytes)}}); err == nil {
+}
+
+// A message that the far side could not receive is not sent.
+func TestMessageWithoutBoundIsNotSent(t *testing.T) {
+	_, successor := newLinkPair(t, Path(t.TempDir(), "a:1"))
+	transfer := &node.ConnectionTransfer{OpeningLine: strings.Repeat("x", maxMessageBytes)}
+	if err := successor.Send(Message{Transfer: transfer}); err == nil {
 		t.Error("a message without bound was sent")
 	}
 }
 
-// Who offers last is found; a socket that a killed process left is nobody; a path that cannot be is an error.
-func TestOffer(t *testing.T) {
+// The process that listened last is found, and a socket that a killed process left behind is none.
+func TestLastListenerIsFound(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:5000")
 	if _, err := Dial(t.Context(), path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("nobody: %v", err)
+		t.Errorf("no process: %v", err)
 	}
 	first, err := Listen(path)
 	if err != nil {
@@ -192,23 +253,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	meet(t, second, path)
+	acceptLink(t, second, path)
 	first.Close()
-	meet(t, second, path)
+	acceptLink(t, second, path)
 	second.Close()
 	if _, err := Dial(t.Context(), path); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a stale socket: %v", err)
 	}
-	third, err := Listen(path) // which is in nobody's way
+	third, err := Listen(path) // in place of the stale socket
 	if err != nil {
 		t.Fatal(err)
 	}
-	meet(t, third, path)
+	acceptLink(t, third, path)
 	third.Close()
-	for _, dir := range []string{filepath.Join(t.TempDir(), "none"), "/proc", fmt.Sprint(path, "/x")} {
-		if ln, err := Listen(Path(dir, "a:1")); err == nil {
-			ln.Close()
-			t.Errorf("%s: offered", dir)
-		}
+}
+
+// A path at which there cannot be a socket is an error.
+func TestListenAtImpossiblePathFails(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "none")
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct{ name, dir string }{
+		{"no such directory", missing},
+		{"directory that takes no socket", "/proc"},
+		{"directory that is a file", fmt.Sprint(file, "/x")},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			listener, err := Listen(Path(c.dir, "a:1"))
+			if err == nil {
+				listener.Close()
+				t.Error("it listens")
+			}
+		})
 	}
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -32,8 +32,8 @@
 // Refusal says why a predecessor refuses a request.
 type Refusal string
 
-// Busy refuses a request as the predecessor hands over to another process already, or has no clients to give yet.
-const Busy Refusal = "busy"
+// RefusalBusy refuses a request as the predecessor hands over to another process already, or has no clients to give yet.
+const RefusalBusy Refusal = "busy"
 
 // Message is one line. Besides Version, which Send sets, one field is set. The JSON names are those of the handover
 // between versions.
--- a/internal/node/figures_test.go
+++ b/internal/node/figures_test.go
@@ -15,17 +15,17 @@
 // countedFlows are flows, and junk that is no flow, with how each is counted.
 var countedFlows = []struct {
 	name       string
-	do         func(harness *testHarness)
-	tally      string // established, rejected, aborted, left
+	event      func(harness *testHarness)
+	answers    string // established, rejected, aborted, left by the client
 	dispatched int
 	open       int
 }{
 	{"nothing came", func(harness *testHarness) {}, noFlow, 0, 0},
 	{"established", func(harness *testHarness) { harness.establish(chatRequest) }, oneEstablished, 1, 1},
 	{"established and ended", func(harness *testHarness) {
-		c, h := harness.establish(chatRequest)
-		harness.receive(c, "", Ended)
-		harness.receive(h, "", Ended)
+		client, host := harness.establish(chatRequest)
+		harness.receive(client, "", Ended)
+		harness.receive(host, "", Ended)
 	}, oneEstablished, 1, 0},
 	{"rejected after an attempt that never ran", func(harness *testHarness) {
 		harness.openFlow(orderRequest)
@@ -45,18 +45,18 @@
 	}, "0 1 0 0", 0, 0},
 	{"a line that is not written to its end", func(harness *testHarness) {
 		harness.openFlow(orderRequest)
-		h := harness.flowDials[0]
-		harness.blocked[h] = true
-		harness.completeDial(h)
-		harness.apply(WriteDone{h, 5, true})
-		harness.receive(h, "", Broken)
+		host := harness.flowDials[0]
+		harness.blocked[host] = true
+		harness.completeDial(host)
+		harness.apply(WriteDone{host, 5, true})
+		harness.receive(host, "", Broken)
 	}, noFlow, 0, 1},
 	{"the answer comes before the result of the write", func(harness *testHarness) {
 		harness.openFlow(orderRequest)
-		h := harness.flowDials[0]
-		harness.blocked[h] = true
-		harness.completeDial(h)
-		harness.receive(h, "ERR\r\n", Open)
+		host := harness.flowDials[0]
+		harness.blocked[host] = true
+		harness.completeDial(host)
+		harness.receive(host, "ERR\r\n", Open)
 	}, "0 0 1 0", 1, 0},
 	{"the client does not wait", func(harness *testHarness) {
 		harness.receive(harness.openFlow(chatRequest), "", Ended)
@@ -77,15 +77,17 @@
 	}, noFlow, 0, 0},
 	{"the id of another client's flow", func(harness *testHarness) {
 		harness.establish(chatRequest)
-		c := harness.accept()
-		harness.receive(c, fmt.Sprintf("OPEN %x b2 c=chat,d=900\r\n", 0x1000+harness.lastAccepted-2), Open)
+		client := harness.accept()
+		harness.receive(client, fmt.Sprintf("OPEN %x b2 c=chat,d=900\r\n", 0x1000+harness.lastAccepted-2), Open)
 	}, oneEstablished, 1, 1},
 	{"no descriptor for its host", func(harness *testHarness) {
-		c := harness.accept()
+		client := harness.accept()
 		harness.node.connections.limit = descriptorReserve
-		harness.receive(c, "OPEN 1 "+chatRequest+"\r\n", Open)
+		harness.receive(client, "OPEN 1 "+chatRequest+"\r\n", Open)
+	}, "0 1 0 0", 0, 0},
+	{"restored at a host that is not listed", func(harness *testHarness) {
+		harness.openFlow(chatRequest + ",at=s-77")
 	}, "0 1 0 0", 0, 0},
-	{"restored at a host that is not listed", func(harness *testHarness) { harness.openFlow(chatRequest + ",at=s-77") }, "0 1 0 0", 0, 0},
 }
 
 // Each flow is counted once, by its answer, and junk is no flow.
@@ -93,24 +95,27 @@
 	for _, c := range countedFlows {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 100)
-			c.do(harness)
-			f := harness.checkedFigures()
+			c.event(harness)
+			figures := harness.checkedFigures()
 			var sum FlowCounts
-			for _, t := range f.Types {
-				sum.Established += t.Established
-				sum.Rejected += t.Rejected
-				sum.Aborted += t.Aborted
-				sum.ClientLeft += t.ClientLeft
+			for _, counts := range figures.Types {
+				sum.Established += counts.Established
+				sum.Rejected += counts.Rejected
+				sum.Aborted += counts.Aborted
+				sum.ClientLeft += counts.ClientLeft
+			}
+			got := fmt.Sprint(sum.Established, sum.Rejected, sum.Aborted, sum.ClientLeft)
+			if got != c.answers || len(figures.Types) != 3 {
+				t.Errorf("%s of %d types, wanted %s", got, len(figures.Types), c.answers)
 			}
-			if got := fmt.Sprint(sum.Established, sum.Rejected, sum.Aborted, sum.ClientLeft); got != c.tally ||
-				f.Dispatched != c.dispatched || f.Open != c.open || len(f.Types) != 3 {
-				t.Errorf("%s, %d dispatched, %d open; wanted %s, %d, %d", got, f.Dispatched, f.Open, c.tally, c.dispatched, c.open)
+			if figures.Dispatched != c.dispatched || figures.Open != c.open {
+				t.Errorf("%d dispatched, %d open; wanted %d, %d", figures.Dispatched, figures.Open, c.dispatched, c.open)
 			}
 		})
 	}
 }
 
-// The figures add up after every step of random sequences, a node asked to leave included.
+// The figures add up after every step of a random sequence of inputs, also during a shutdown.
 func TestFiguresAddUpAfterAnyInput(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -123,7 +128,7 @@
 			}
 			harness.advance(12)
 			if f := harness.checkedFigures(); f.Waiting != 0 {
-				t.Fatalf("seed %d: %d wait for ever", seed, f.Waiting)
+				t.Fatalf("%d wait for ever", f.Waiting)
 			}
 		})
 	}
--- a/internal/node/handover_golden_test.go
+++ b/internal/node/handover_golden_test.go
@@ -77,7 +77,7 @@
 }
 
 // Each kind of news, as it crosses from another process, does at a successor what it did at revision 5fa7498.
-func TestGoldenNewsIsTaken(t *testing.T) {
+func TestGoldenUpdateIsApplied(t *testing.T) {
 	for _, c := range []struct{ name, news, before, after string }{
 		{"host taken out", `{"Out":"s-77d10e42"}`, `"DisabledByHand":["s-5be2a07c"]`,
 			`"DisabledByHand":["s-5be2a07c","s-77d10e42"]`},
--- a/internal/node/host_overrides_test.go
+++ b/internal/node/host_overrides_test.go
@@ -9,66 +9,97 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
-// A host that the settings disable gets nothing new from the answer on, also no line on a connection that was being
-// opened; its clients are moved; and it comes back by itself at the time that the settings say, cold.
-func TestHostIsDisabledUntilItsTime(t *testing.T) {
+// disabledHost is a node whose settings disable one of two hosts while that has an established flow and a dial.
+type disabledHost struct {
+	*testHarness
+	address string
+	client  Conn    // of the established flow
+	dial    Conn    // that is still under way
+	until   float64 // Unix time
+}
+
+func disableHostWithFlows(t *testing.T) disabledHost {
+	t.Helper()
 	harness := newHarnessWith(t, settingsWithQuotas, "proxy", 2, 1000)
 	client, host := harness.establish(chatRequest)
-	if harness.dialedAddress[host] != "h0" && harness.dialedAddress[host] != "h1" {
-		t.Fatal(harness.dialedAddress[host])
+	address := harness.dialedAddress[host]
+	name, listed := map[string]string{"h0": "s-00000064", "h1": "s-00000065"}[address]
+	if !listed {
+		t.Fatal(address)
 	}
-	at := harness.dialedAddress[host]
-	name := map[string]string{"h0": "s-00000064", "h1": "s-00000065"}[at]
-	var opening Conn // a connect to the host that is not up yet
-	for opening == 0 {
+	disabled := disabledHost{testHarness: harness, address: address, client: client}
+	for disabled.dial == 0 {
 		harness.openFlow(chatRequest)
-		if d := harness.flowDials[len(harness.flowDials)-1]; harness.dialedAddress[d] == at {
-			opening = d
+		if dial := harness.flowDials[len(harness.flowDials)-1]; harness.dialedAddress[dial] == address {
+			disabled.dial = dial
 		}
 	}
-	end := math.Ceil(harness.now) + 10
-	if err := harness.applySettings(1, fmt.Sprintf("hosts.%s.disabled_until_s = %.0f", name, end)); err != nil {
+	disabled.until = math.Ceil(harness.now) + 10
+	text := fmt.Sprintf("hosts.%s.disabled_until_s = %.0f", name, disabled.until)
+	if err := harness.applySettings(1, text); err != nil {
 		t.Fatal(err)
 	}
-	if harness.connectionState[opening] != "closed" && harness.connectionState[opening] != "reset" {
-		t.Errorf("a connection that was being opened is %q", harness.connectionState[opening])
-	}
-	began := len(harness.flowDials)
-	for harness.now < end-0.3 {
-		harness.establish(chatRequest)
-		harness.advance(0.2)
-	}
-	harness.advance(end - 0.05 - harness.now)
-	harness.establish(chatRequest)
-	if n := harness.dialsTo(at, began); n != 0 {
-		t.Errorf("%d connects to a disabled host", n)
-	}
-	if !strings.HasPrefix(harness.written[client], "UP 77\r\nMOVE") && harness.connectionState[client] == "" {
-		t.Errorf("its client was told %q", harness.written[client])
-	}
-	if harness.node.timers.armedAt > end {
-		t.Errorf("asked to be woken at %f, the host comes back at %f", harness.node.timers.armedAt, end)
-	}
-	harness.now = end
-	harness.apply(TimerFired{})
-	if harness.unavailable() != 0 {
-		t.Error("still out at its time")
-	}
-	began = len(harness.flowDials)
+	return disabled
+}
+
+// A host that the settings disable gets no flow from then on, nor a line on a connection that was being dialed; its
+// clients are migrated.
+func TestDisabledHostGetsNoFlowUntilItsTime(t *testing.T) {
+	host := disableHostWithFlows(t)
+	if state := host.connectionState[host.dial]; state != "closed" && state != "reset" {
+		t.Errorf("a connection that was being dialed is %q", state)
+	}
+	began := len(host.flowDials)
+	for host.now < host.until-0.3 {
+		host.establish(chatRequest)
+		host.advance(0.2)
+	}
+	host.advance(host.until - 0.05 - host.now)
+	host.establish(chatRequest)
+	if dials := host.dialsTo(host.address, began); dials != 0 {
+		t.Errorf("%d attempts on a disabled host", dials)
+	}
+	migrated := strings.HasPrefix(host.written[host.client], "UP 77\r\nMOVE")
+	if !migrated && host.connectionState[host.client] == "" {
+		t.Errorf("its client was sent %q", host.written[host.client])
+	}
+	if host.node.timers.armedAt > host.until {
+		t.Errorf("to be woken at %f, the host is enabled at %f", host.node.timers.armedAt, host.until)
+	}
+	checkEnabledAtItsTime(t, host)
+}
+
+// checkEnabledAtItsTime checks that a disabled host is enabled by itself at the time that the settings give.
+func checkEnabledAtItsTime(t *testing.T, host disabledHost) {
+	t.Helper()
+	host.now = host.until
+	host.apply(TimerFired{})
+	if host.unavailable() != 0 {
+		t.Error("still disabled at its time")
+	}
+	began := len(host.flowDials)
 	for range 200 {
-		harness.openFlow(chatRequest)
-		harness.advance(0.1)
+		host.openFlow(chatRequest)
+		host.advance(0.1)
 	}
-	if harness.dialsTo(at, began) == 0 {
-		t.Error("it gets nothing after its time")
+	if host.dialsTo(host.address, began) == 0 {
+		t.Error("it gets no flow after its time")
 	}
 }
 
-// A host is out while an operator or the settings have it out, whichever came first or goes first.
+// A host is disabled while an operator or the settings disable it, whichever came first or goes first.
 func TestOperatorAndSettingsDisableIndependently(t *testing.T) {
 	const name = "s-00000064"
-	const entry = "hosts.s-00000064.disabled_until_s = 1000000010"
-	byHand := func(q Question) func(*testHarness) { return func(harness *testHarness) { harness.query(q, name) } }
+	const disabled = "hosts.s-00000064.disabled_until_s = 1000000010"
+	const disabledLonger = "hosts.s-00000064.disabled_until_s = 1000000020"
+	const expired = "hosts.s-00000064.disabled_until_s = 999999999"
+	disable := func(harness *testHarness) { harness.query(DisableHost, name) }
+	enable := func(harness *testHarness) { harness.query(EnableHost, name) }
+	enableInVain := func(harness *testHarness) {
+		if reply := harness.query(EnableHost, name); !reply.OK || !reply.StillDisabled {
+			harness.Errorf("reply %+v", reply)
+		}
+	}
 	set := func(number uint64, text string) func(*testHarness) {
 		return func(harness *testHarness) {
 			if err := harness.applySettings(number, text); err != nil {
@@ -77,42 +108,39 @@
 		}
 	}
 	later := func(harness *testHarness) { harness.advance(11) }
+	newList := func(harness *testHarness) { harness.apply(ListReceived{hostList(4)}) }
 	for _, c := range []struct {
-		name  string
-		steps []func(*testHarness)
-		out   int
+		name        string
+		steps       []func(*testHarness)
+		unavailable int
 	}{
-		{"by hand", []func(*testHarness){byHand(DisableHost)}, 1},
-		{"by settings", []func(*testHarness){set(1, entry)}, 1},
-		{"both", []func(*testHarness){byHand(DisableHost), set(1, entry)}, 1},
-		{"both, back by hand", []func(*testHarness){byHand(DisableHost), set(1, entry), byHand(EnableHost)}, 1},
-		{"both, back by settings", []func(*testHarness){byHand(DisableHost), set(1, entry), set(2, "")}, 1},
-		{"both, settings expire", []func(*testHarness){set(1, entry), byHand(DisableHost), later}, 1},
-		{"both, both back", []func(*testHarness){byHand(DisableHost), set(1, entry), byHand(EnableHost), set(2, "")}, 0},
-		{"both, back by hand, settings expire", []func(*testHarness){byHand(DisableHost), set(1, entry), byHand(EnableHost), later}, 0},
-		{"by settings, put back by hand though not out by hand", []func(*testHarness){set(1, entry), func(harness *testHarness) {
-			if a := harness.query(EnableHost, name); !a.OK || !a.StillDisabled {
-				harness.Errorf("told %+v", a)
-			}
-		}}, 1},
-		{"by settings, a new list", []func(*testHarness){set(1, entry), func(harness *testHarness) { harness.apply(ListReceived{hostList(4)}) }}, 1},
-		{"by settings that expired before", []func(*testHarness){set(1, "hosts.s-00000064.disabled_until_s = 999999999")}, 0},
-		{"by settings for longer", []func(*testHarness){set(1, entry), set(2, "hosts.s-00000064.disabled_until_s = 1000000020"), later}, 1},
+		{"operator", []func(*testHarness){disable}, 1},
+		{"settings", []func(*testHarness){set(1, disabled)}, 1},
+		{"both", []func(*testHarness){disable, set(1, disabled)}, 1},
+		{"both, operator enables", []func(*testHarness){disable, set(1, disabled), enable}, 1},
+		{"both, settings enable", []func(*testHarness){disable, set(1, disabled), set(2, "")}, 1},
+		{"both, settings expire", []func(*testHarness){set(1, disabled), disable, later}, 1},
+		{"both, both enable", []func(*testHarness){disable, set(1, disabled), enable, set(2, "")}, 0},
+		{"both, operator enables, settings expire", []func(*testHarness){disable, set(1, disabled), enable, later}, 0},
+		{"settings, operator enables", []func(*testHarness){set(1, disabled), enableInVain}, 1},
+		{"settings, a new list", []func(*testHarness){set(1, disabled), newList}, 1},
+		{"settings that expired before", []func(*testHarness){set(1, expired)}, 0},
+		{"settings for longer", []func(*testHarness){set(1, disabled), set(2, disabledLonger), later}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 			for _, step := range c.steps {
 				step(harness)
 			}
-			if got := harness.unavailable(); got != c.out {
-				t.Errorf("%d out", got)
+			if got := harness.unavailable(); got != c.unavailable {
+				t.Errorf("%d unavailable, wanted %d", got, c.unavailable)
 			}
 		})
 	}
 }
 
-// A host that the settings disable before discovery lists it is out from its first listing on, also for a node that has
-// just started.
+// A host that the settings disable before discovery lists it is disabled from its first listing on, also at a node that
+// has just started.
 func TestDisabledHostMayBeListedLater(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 0, 1000)
 	if err := harness.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil {
@@ -122,7 +150,8 @@
 	for range 60 {
 		harness.openFlow(chatRequest)
 	}
-	if harness.dialsTo("h1", 0) != 0 || harness.dialsTo("h0", 0) == 0 || harness.dialsTo("h2", 0) == 0 {
-		t.Errorf("%d, %d and %d connects", harness.dialsTo("h0", 0), harness.dialsTo("h1", 0), harness.dialsTo("h2", 0))
+	first, disabled, last := harness.dialsTo("h0", 0), harness.dialsTo("h1", 0), harness.dialsTo("h2", 0)
+	if first == 0 || disabled != 0 || last == 0 {
+		t.Errorf("%d, %d and %d attempts", first, disabled, last)
 	}
 }
--- a/internal/node/live_settings_harness_test.go
+++ b/internal/node/live_settings_harness_test.go
@@ -8,7 +8,9 @@
 	"gorseledge/internal/node/live"
 )
 
-const settingsWithQuotas = `{"family_info":{"mode":"%s","tells_delay":true,"message_aim_us":[50000,50000],"tenant_quota_connections":[20,20]},
+// settingsWithQuotas are settings with quotas of tenants, slow start and delays that hosts report.
+const settingsWithQuotas = `{"family_info":{"mode":"%s","tells_delay":true,"message_aim_us":[50000,50000],
+	"tenant_quota_connections":[20,20]},
 	"granularity_us":4000,"invariants":{"cold_from":0.1,"cold_us":30000000,"fall_multiple":3,"fall_us":2000000},
 	"limits":{"dial_timeout_us":250000,"max_connects":3,"max_retry_after_us":2000000,"probes":true,"retry_after":true},
 	"parties":[{"name":"acme"},{"name":"beta"}],"zones":["a","b"],"siblings":2,"service_types":[
@@ -16,42 +18,56 @@
 	{"name":"mail","effect":"by_key","group":"all","give_up_us":2000000,"memory_span_us":5000000},
 	{"name":"order","effect":"once","group":"all","give_up_us":2000000,"setup_target_us":300000}]}`
 
-// revision gives a document's settings under a number.
-func revision(t *testing.T, number uint64, text string) live.Revision {
+// newRevision returns the settings of a document under a number.
+func newRevision(t *testing.T, number uint64, text string) live.Revision {
 	t.Helper()
 	entries, err := livesettings.Parse("live.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := livesettings.Decode(entries)
+	decoded, err := livesettings.Decode(entries)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return live.Revision{Epoch: 1, Number: number, Settings: s}
+	return live.Revision{Epoch: 1, Number: number, Settings: decoded}
 }
 
-// applySettings puts a document in force, or gives why it is not.
+// applySettings puts a document in force, or returns why it is not.
 func (harness *testHarness) applySettings(number uint64, text string) error {
 	harness.Helper()
-	answers := len(harness.settingsResults)
-	harness.apply(SettingsReceived{revision(harness.T, number, text)})
-	if len(harness.settingsResults) != answers+1 {
-		harness.Fatalf("%d answers to a revision", len(harness.settingsResults)-answers)
+	results := len(harness.settingsResults)
+	harness.apply(SettingsReceived{newRevision(harness.T, number, text)})
+	if len(harness.settingsResults) != results+1 {
+		harness.Fatalf("%d results of a revision", len(harness.settingsResults)-results)
 	}
-	return harness.settingsResults[answers].Err
+	return harness.settingsResults[results].Err
 }
 
-// shortestRetryAfter gives the retry time of a flow that is turned away, in milliseconds.
-func shortestRetryAfter(harness *testHarness) (ms int) {
+// dialsTo returns how many of the dials for flows from one on went to an address.
+func (harness *testHarness) dialsTo(address string, from int) int {
+	count := 0
+	for _, dial := range harness.flowDials[from:] {
+		if harness.dialedAddress[dial] == address {
+			count++
+		}
+	}
+	return count
+}
+
+// retryAfterOfRejection returns the Retry-After, in milliseconds, of a flow for which no host is left.
+func retryAfterOfRejection(harness *testHarness) int {
+	harness.Helper()
 	for i := range 4 {
 		harness.query(DisableHost, fmt.Sprintf("s-%08x", 100+i))
 	}
-	fmt.Sscanf(harness.written[harness.openFlow(chatRequest)], "BUSY %d", &ms)
-	return ms
+	milliseconds := 0
+	fmt.Sscanf(harness.written[harness.openFlow(chatRequest)], "BUSY %d", &milliseconds)
+	return milliseconds
 }
 
-// countFailedDials gives how many connects a flow makes that all fail.
-func countFailedDials(harness *testHarness) int {
+// countFailedDials returns how many attempts are made for a flow whose dials all fail.
+func countFailedDials(harness *testHarness) any {
+	harness.Helper()
 	harness.openFlow(chatRequest)
 	for made := 0; made < len(harness.flowDials); made++ {
 		failDial(harness, harness.flowDials[made])
@@ -59,29 +75,58 @@
 	return len(harness.flowDials)
 }
 
-// outcomeOnWarmingHost gives how many of 240 flows go to the one of four hosts that has just started.
-func outcomeOnWarmingHost(harness *testHarness) any {
-	harness.node.connections.limit, harness.node.connections.configuredLimit = 1000, 1000
-	for i := range 40 {
-		harness.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
+// countRejected returns how many of eight flows are rejected.
+func countRejected(harness *testHarness) any {
+	harness.Helper()
+	for range 8 {
+		harness.openFlow(chatRequest)
 	}
-	l := hostList(4)
-	l.Hosts[1].StartedAtMS = harness.now * 1e3
-	harness.apply(ListReceived{l})
-	began := len(harness.flowDials)
-	for i := range 240 {
-		harness.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", i+1))
-		harness.advance(0.025)
+	rejected := 0
+	for _, written := range harness.written {
+		if written == "BUSY\r\n" {
+			rejected++
+		}
 	}
-	return harness.dialsTo("h1", began)
+	return rejected
 }
 
-// dialsTo tells how many of the connects that were made since go to an address, and whether one was written there.
-func (harness *testHarness) dialsTo(address string, since int) (n int) {
-	for _, d := range harness.flowDials[since:] {
-		if harness.dialedAddress[d] == address {
-			n++
-		}
+// countWatches returns how many watches are asked for while each call fails.
+func countWatches(harness *testHarness) any {
+	harness.Helper()
+	harness.watchSilent = true
+	watches := len(harness.watchIndices)
+	for range 20 {
+		harness.apply(WatchFailed{"gone"})
+		harness.advance(0.6)
 	}
-	return n
+	return len(harness.watchIndices) - watches
+}
+
+// countAttemptsOnSilentHost returns how many further attempts are made in 1.5 seconds while the first host is silent.
+func countAttemptsOnSilentHost(harness *testHarness) any {
+	harness.Helper()
+	harness.openFlow(chatRequest)
+	harness.completeLastDial()
+	dials := len(harness.flowDials)
+	harness.advance(1.5)
+	return len(harness.flowDials) - dials
+}
+
+// countFlowsOnWarmingHost returns how many of 240 flows go to the one of four hosts that has just started.
+func countFlowsOnWarmingHost(harness *testHarness) any {
+	harness.Helper()
+	harness.node.connections.limit = 1000
+	harness.node.connections.configuredLimit = 1000
+	for key := range 40 {
+		harness.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", key+1))
+	}
+	list := hostList(4)
+	list.Hosts[1].StartedAtMS = harness.now * 1e3
+	harness.apply(ListReceived{list})
+	began := len(harness.flowDials)
+	for key := range 240 {
+		harness.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", key+1))
+		harness.advance(0.025)
+	}
+	return harness.dialsTo("h1", began)
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -6,78 +6,98 @@
 	"testing"
 )
 
-// A node asked to leave answers what it took and still takes what comes.
-func TestShutdownAnswersAcceptedFlows(t *testing.T) {
-	for _, c := range []struct {
-		mode     string
-		open     string // what an established client is told
-		late     string // what one that comes now is told
-		stays    bool   // until it is time, as connections are held
-		reason   Reason
-		waitsFor string
-	}{
-		{"proxy", "UP 77\r\nMOVE\r\n", "BUSY\r\n", false, MigratedAtShutdown, "UP 8\r\nMOVE\r\n"},
-		{"pass", "UP 77\r\n", "", true, "", "UP 8\r\n"},
-	} {
-		t.Run(c.mode, func(t *testing.T) {
-			harness := newHarness(t, c.mode, 3, 100)
-			open, _ := harness.establish(chatRequest)
-			waiting := harness.openFlow(chatRequest)
-			host := harness.completeLastDial()
-			harness.apply(Shutdown{})
-			harness.advance(0.1)
-			late := harness.openFlow(chatRequest)
-			harness.receive(host, "UP 8\r\n", Open)
-			harness.advance(0.3)
-			if harness.written[open] != c.open || harness.written[late] != c.late || harness.written[waiting] != c.waitsFor || harness.exited {
-				t.Fatalf("told %q, %q and %q, exited %v", harness.written[open], harness.written[late], harness.written[waiting], harness.exited)
-			}
-			ping := harness.accept()
-			harness.receive(ping, "PING\r\n", Ended)
-			if harness.written[ping] != "ERR\r\n" {
-				t.Fatalf("ready while it leaves: %q", harness.written[ping])
-			}
-			harness.advance(1.3)
-			if harness.exited == c.stays {
-				t.Fatalf("exited %v", harness.exited)
-			}
-			harness.advance(0.7)
-			if harness.exited == c.stays { // 2 s, the longest connect timeout, and the margin
-				t.Fatalf("exited %v", harness.exited)
-			}
-			if c.stays {
-				if harness.written[late] == "" {
-					t.Fatal("a flow that was taken got no answer")
-				}
-				if late := harness.openFlow(chatRequest); harness.written[late] != "BUSY\r\n" {
-					t.Fatalf("one that comes too late is told %q", harness.written[late])
-				}
-				harness.advance(5) // an exit would end what goes on elsewhere when the node is killed
-				if harness.exited || harness.connectionState[open] != "" {
-					t.Fatalf("exited %v, a held connection is %q", harness.exited, harness.connectionState[open])
-				}
-				harness.receive(open, "", Broken)
-				harness.receive(waiting, "", Broken)
-				harness.advance(0.1)
-				if !harness.exited {
-					t.Fatal("nothing is held, but it is still there")
-				}
-			}
-		})
+// shuttingDown is a node that was asked to shut down while one flow was established and another waited for its answer.
+type shuttingDown struct {
+	*testHarness
+	established Conn
+	waiting     Conn // its answer came after the shutdown began
+	late        Conn // it came after the shutdown began
+}
+
+func beginShutdown(t *testing.T, mode string) shuttingDown {
+	t.Helper()
+	harness := newHarness(t, mode, 3, 100)
+	established, _ := harness.establish(chatRequest)
+	waiting := harness.openFlow(chatRequest)
+	host := harness.completeLastDial()
+	harness.apply(Shutdown{})
+	harness.advance(0.1)
+	late := harness.openFlow(chatRequest)
+	harness.receive(host, "UP 8\r\n", Open)
+	harness.advance(0.3)
+	return shuttingDown{harness, established, waiting, late}
+}
+
+// checkWritten checks what the three clients were sent, and that the node is neither ready nor gone.
+func (s shuttingDown) checkWritten(established, waiting, late string) {
+	s.Helper()
+	if s.written[s.established] != established || s.written[s.late] != late ||
+		s.written[s.waiting] != waiting || s.exited {
+		s.Fatalf("sent %q, %q and %q, exited %v", s.written[s.established], s.written[s.late], s.written[s.waiting],
+			s.exited)
+	}
+	ping := s.accept()
+	s.receive(ping, "PING\r\n", Ended)
+	if s.written[ping] != "ERR\r\n" {
+		s.Fatalf("ready although it shuts down: %q", s.written[ping])
+	}
+}
+
+// checkExited checks whether the node has exited before and after its drain time, which is two seconds, the longest
+// connect timeout, and the margin.
+func (s shuttingDown) checkExited(want bool) {
+	s.Helper()
+	s.advance(1.3)
+	if s.exited != want {
+		s.Fatalf("exited %v", s.exited)
 	}
+	s.advance(0.7)
+	if s.exited != want {
+		s.Fatalf("exited %v", s.exited)
+	}
+}
+
+// A node that shuts down answers what it accepted, migrates what is established and exits.
+func TestShutdownAnswersAcceptedFlows(t *testing.T) {
+	t.Run("proxy", func(t *testing.T) {
+		node := beginShutdown(t, "proxy")
+		node.checkWritten("UP 77\r\nMOVE\r\n", "UP 8\r\nMOVE\r\n", "BUSY\r\n")
+		node.checkExited(true)
+	})
+	t.Run("pass", func(t *testing.T) {
+		node := beginShutdown(t, "pass")
+		node.checkWritten("UP 77\r\n", "UP 8\r\n", "")
+		node.checkExited(false)
+		if node.written[node.late] == "" {
+			t.Fatal("a flow that was accepted got no answer")
+		}
+		if late := node.openFlow(chatRequest); node.written[late] != "BUSY\r\n" {
+			t.Fatalf("one that comes too late is sent %q", node.written[late])
+		}
+		node.advance(5) // an exit would end what goes on elsewhere when the node is killed
+		if state := node.connectionState[node.established]; node.exited || state != "" {
+			t.Fatalf("exited %v, a connection in flight is %q", node.exited, state)
+		}
+		node.receive(node.established, "", Broken)
+		node.receive(node.waiting, "", Broken)
+		node.advance(0.1)
+		if !node.exited {
+			t.Fatal("nothing is in flight, and it does not exit")
+		}
+	})
 }
 
-// A SIGHUP or SIGTERM while the list is lost: a flow that waits still gets its one answer.
+// A signal that asks for a shutdown or a new configuration while discovery is out leaves a waiting flow its answer.
 func TestSignalWhileDiscoveryIsOutLeavesFlowItsAnswer(t *testing.T) {
-	for _, in := range []Input{DiscoveryMoved{}, Shutdown{}} {
-		t.Run(fmt.Sprintf("%T", in), func(t *testing.T) {
+	for _, input := range []Input{DiscoveryMoved{}, Shutdown{}} {
+		t.Run(fmt.Sprintf("%T", input), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 1, 100)
-			c := harness.openFlow(chatRequest)
+			client := harness.openFlow(chatRequest)
 			harness.apply(WatchFailed{Reason: "the end"})
-			harness.apply(in)
+			harness.apply(input)
 			harness.receive(harness.completeLastDial(), "UP 5\r\n", Open)
-			if want := "UP 5\r\n"; !strings.HasPrefix(harness.written[c], want) {
-				t.Errorf("%T: told %q", in, harness.written[c])
+			if want := "UP 5\r\n"; !strings.HasPrefix(harness.written[client], want) {
+				t.Errorf("sent %q", harness.written[client])
 			}
 		})
 	}
--- a/internal/sockets/peer_process.go
+++ b/internal/sockets/peer_process.go
@@ -152,7 +152,7 @@
 	}
 	switch {
 	case err != nil:
-	case m.Refusal == handover.Busy:
+	case m.Refusal == handover.RefusalBusy:
 		err = errBusy
 	case m.State == nil:
 		err = fmt.Errorf("the predecessor said no: %s", m.Refusal)
@@ -337,7 +337,7 @@
 	case w.said.Transfer != nil:
 		return d.adopt(w)
 	case w.said.Ask == handover.RequestState && (d.successor != nil || !d.opened):
-		w.post(letter{Message: handover.Message{Refusal: handover.Busy}})
+		w.post(letter{Message: handover.Message{Refusal: handover.RefusalBusy}})
 	case w.said.Ask == handover.RequestState:
 		d.successor = w.peerProcess
 		limitMemory(d.config.Limits.MemoryMB, true)
