--- a/cmd/gorseledge/configuration_test.go
+++ b/cmd/gorseledge/configuration_test.go
@@ -263,7 +263,7 @@
 	}
 }
 
-const waitedInVain = "no word of the live settings in time"
+const waitedInVain = "no live settings in time"
 
 // judgeFirst has the first clients of a process come, with the first host out by the live settings. On a machine so busy
 // that the process had no word of them in time, which it then says, there is nothing to judge.
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -137,8 +137,8 @@
 }
 
 func (s *short) Apply(now float64, in node.Input) []node.Effect {
-	if w, ok := in.(node.WriteDone); ok && w.Conn == s.conn && w.N == s.n+len("BUSY\r\n") {
-		in = node.WriteDone{Conn: w.Conn, N: s.n}
+	if w, ok := in.(node.WriteDone); ok && w.Conn == s.conn && w.Count == s.n+len("BUSY\r\n") {
+		in = node.WriteDone{Conn: w.Conn, Count: s.n}
 	}
 	return s.Core.Apply(now, in)
 }
--- a/internal/emulator/station.go
+++ b/internal/emulator/station.go
@@ -100,7 +100,7 @@
 		if !failed {
 			p.s.send(e.Data)
 		}
-		n.give(node.WriteDone{Conn: e.Conn, N: size, Failed: failed})
+		n.give(node.WriteDone{Conn: e.Conn, Count: size, Failed: failed})
 	case node.Dial:
 		n.dial(e)
 	case node.CloseWrite:
@@ -140,7 +140,7 @@
 		n.parted()
 	case node.StopReading:
 		p := n.conns[e.Conn]
-		got := node.ReadDone{Conn: p.id, N: p.s.read(p.into)}
+		got := node.ReadDone{Conn: p.id, Count: p.s.read(p.into)}
 		p.into = nil
 		n.give(got)
 	case node.SendConnection:
@@ -159,7 +159,7 @@
 	if p.into == nil || p.s == nil || len(p.s.in) == 0 && p.s.end == going {
 		return
 	}
-	got := node.ReadDone{Conn: p.id, N: p.s.read(p.into)}
+	got := node.ReadDone{Conn: p.id, Count: p.s.read(p.into)}
 	if len(p.s.in) == 0 {
 		got.End = [...]node.End{node.Open, node.Ended, node.Broken}[p.s.end]
 	}
--- a/internal/handover/handover_golden_test.go
+++ b/internal/handover/handover_golden_test.go
@@ -106,7 +106,7 @@
 			{Name: "s-77d10e42", Address: "10.1.0.19:5000", Zone: "b", Group: 4, Status: "DRAINING", Weight: 2.5,
 				StartedAtMS: 1700000000456},
 		},
-		Module: placement.HandoverState{
+		Balancer: placement.HandoverState{
 			Servers:          goldenServers(),
 			UsualLoads:       []float64{0.015625, 0.03125},
 			ClientLoads:      map[uint64]float64{7: 0.5, 18446744073709551614: 0.75},
@@ -154,7 +154,7 @@
 		{"empty state", Message{Version: 1, State: &node.HandoverState{}}},
 		{"state with empty entries", Message{Version: 1, State: &node.HandoverState{
 			Hosts:       []endpoint.Host{{}},
-			Module:      placement.HandoverState{Servers: []placement.ServerState{{}}, ClientLoads: map[uint64]float64{}},
+			Balancer:    placement.HandoverState{Servers: []placement.ServerState{{}}, ClientLoads: map[uint64]float64{}},
 			Connections: []node.InheritedConnection{{}},
 			EndedFlows:  map[uint64]uint64{},
 			Revision:    &live.Revision{},
--- a/internal/node/connection_table.go
+++ b/internal/node/connection_table.go
@@ -1,5 +1,8 @@
 package node
 
+// dialedStep keeps the numbers of dialed connections even.
+const dialedStep = 2
+
 // connectionTable holds the open connections and counts descriptors.
 //
 // A descriptor is taken from the time when a connection is accepted or dialed until Closed confirms its close, so
@@ -12,7 +15,7 @@
 
 	limit           int // descriptors that may be used now
 	configuredLimit int // the limit while no successor has the clients
-	reserved        int // descriptors that the other process of an upgrade takes out of the same limit
+	reserved        int // descriptors that the predecessor takes out of the same limit
 }
 
 func newConnectionTable(limit int) connectionTable {
@@ -29,7 +32,7 @@
 
 // addDialed adds a connection under the next number for connections that the node opens itself.
 func (t *connectionTable) addDialed(as role, now float64) *connection {
-	t.lastDialed += 2
+	t.lastDialed += dialedStep
 	return t.add(t.lastDialed, as, now)
 }
 
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -44,9 +44,9 @@
 	case Dialed:
 		n.connections.with(input.Conn, func(c *connection) { n.dialDone(c, input.Err, input.LocalFailure) })
 	case ReadDone:
-		n.connections.with(input.Conn, func(c *connection) { n.readDone(c, input.N, input.End) })
+		n.connections.with(input.Conn, func(c *connection) { n.readDone(c, input.Count, input.End) })
 	case WriteDone:
-		n.connections.with(input.Conn, func(c *connection) { n.writeDone(c, input.N, input.Failed) })
+		n.connections.with(input.Conn, func(c *connection) { n.writeDone(c, input.Count, input.Failed) })
 	case ClientGone:
 		n.connections.with(input.Conn, n.clientGone)
 	}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -11,6 +11,8 @@
 )
 
 const (
+	millisecondsPerSecond = 1e3
+
 	statusRemoved = "DELETED" // discovery's status of a host that is not on the list
 
 	// failedCallsUntilCached is after how many failed calls a node without a list serves by its cached one.
@@ -161,7 +163,7 @@
 		Server:    host,
 		ID:        hostID(listing.Name),
 		State:     n.endpoints.stateOf(host),
-		StartedAt: max(listing.StartedAtMS, 0) / 1e3,
+		StartedAt: max(listing.StartedAtMS, 0) / millisecondsPerSecond,
 		Zone:      n.endpoints.zoneOf(listing.Zone),
 		Cell:      int(listing.Group),
 		Size:      n.weightOf(listing.Name, listing.Weight),
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -7,6 +7,9 @@
 	"gorseledge/placement"
 )
 
+// descriptorsPerFlow is how many descriptors an established flow takes: its client's and its host's.
+const descriptorsPerFlow = 2
+
 // flow is one client's request for a connection to a host, from its opening line on.
 type flow struct {
 	index       int // the balancer's
@@ -19,7 +22,7 @@
 
 	attempt       int  // number of the attempt under way, from 0; -1 before the first
 	hostIndex     int  // the host of that attempt
-	attemptActive bool // the balancer has not been told how the attempt ended
+	attemptActive bool // the balancer does not know yet how the attempt ended
 	lineSent      bool // the opening line is written to the host to its last byte
 
 	established     bool
@@ -75,7 +78,7 @@
 	t.freeIndices = append(t.freeIndices, f.index)
 }
 
-// count returns how many flows are held.
+// count returns how many flows there are.
 func (t *flowTable) count() int {
 	count := 0
 	for _, f := range t.byIndex {
@@ -101,8 +104,8 @@
 	return f.describe(n.endpoints.hosts[f.hostIndex].name)
 }
 
-// arrivalOf returns what the balancer is given of a new flow. A flow whose connection the predecessor held counts as
-// the predecessor's no more.
+// arrivalOf returns what the balancer is given of a new flow. A flow whose connection was the predecessor's
+// no longer counts as such.
 func (n *Node) arrivalOf(f *flow) placement.Arrival {
 	tenant, known := n.tenants[f.opening.Tenant]
 	if !known {
--- a/internal/node/flow_ids.go
+++ b/internal/node/flow_ids.go
@@ -13,7 +13,7 @@
 // flowIDs knows flows by the id in their opening line, which is new with every connection.
 type flowIDs struct {
 	open      map[string]*flow
-	inherited map[string]*InheritedConnection // held by the predecessor, by id
+	inherited map[string]*InheritedConnection // connections of the predecessor, by id
 
 	// Client keys by the hash of an ended flow's id, in two generations: once recentlyEnded is full it takes the place
 	// of previouslyEnded.
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -17,13 +17,13 @@
 	Index        int64                   `json:"Index"`  // discovery's index of the last list
 	ListReceived bool                    `json:"Heard"`  // discovery has sent a list since the start
 	Hosts        []endpoint.Host         `json:"Hosts"`  // all that were ever listed, as they were listed last
-	Module       placement.HandoverState `json:"Module"` // the balancer's state; its servers are in the order of Hosts
+	Balancer     placement.HandoverState `json:"Module"` // its servers are in the order of Hosts
 	Connections  []InheritedConnection   `json:"Sits"`   // open connections
 	EndedFlows   map[uint64]uint64       `json:"Spent"`  // client keys by the hash of an ended flow's id
 	Descriptors  int                     `json:"Held"`   // descriptors in use, those of the own predecessor included
 
 	// Revision is that of the live settings, nil for none. AdministrativelyDisabled lists the hosts that an operator
-	// disabled; it is empty without a revision, when Module says which hosts are disabled.
+	// disabled; it is empty without a revision, when Balancer says which hosts are disabled.
 	Revision                 *live.Revision `json:"Revision,omitempty"`
 	AdministrativelyDisabled []string       `json:"DisabledByHand,omitempty"`
 }
@@ -65,7 +65,7 @@
 	state := &HandoverState{
 		Index:        n.endpoints.listIndex,
 		ListReceived: n.endpoints.listReceived,
-		Module:       n.balancer.HandoverState(),
+		Balancer:     n.balancer.HandoverState(),
 		EndedFlows:   n.flows.ids.endedKeys(),
 		Descriptors:  n.connections.used() + n.connections.reserved,
 	}
@@ -121,7 +121,7 @@
 // restoreBalancer gives the balancer the predecessor's state, each server under this process's index for it.
 func (n *Node) restoreBalancer(state *HandoverState, indices []int) {
 	servers := n.balancer.HandoverState().Servers
-	for i, server := range state.Module.Servers {
+	for i, server := range state.Balancer.Servers {
 		if i >= len(indices) {
 			break
 		}
@@ -129,8 +129,8 @@
 		servers = append(servers, make([]placement.ServerState, missing)...)
 		servers[indices[i]] = server
 	}
-	state.Module.Servers = servers
-	n.balancer.Restore(state.Module)
+	state.Balancer.Servers = servers
+	n.balancer.Restore(state.Balancer)
 }
 
 // handOverClients leaves the flows that come from now on to a successor. The descriptors in use are kept, and a few
@@ -140,7 +140,7 @@
 	table := &n.connections
 	table.limit = min(table.limit, table.used()+table.reserved+descriptorReserve+1+inFlightReserve)
 	n.balancer.SetHandedOver(true)
-	n.emit(WriteLog{fmt.Sprintf("a successor takes the clients: %d descriptors held", table.used())})
+	n.emit(WriteLog{fmt.Sprintf("a successor takes the clients: %d descriptors in use", table.used())})
 	for _, f := range n.flows.byIndex {
 		if f != nil {
 			n.beginTransfer(f)
--- a/internal/node/host_lines.go
+++ b/internal/node/host_lines.go
@@ -10,6 +10,8 @@
 	// minReportedLoad is the load, as a share of a core, below which a figure of a host counts as a delay where hosts
 	// report both under one word: delays come in thousandths, loads in millionths.
 	minReportedLoad = 2e-3
+
+	delayUnit = 1e3 // a delay is reported in thousandths of a second, and read as a load in millionths
 )
 
 // handleHostLine handles a line of a flow's host and reports whether it is to be forwarded.
@@ -43,7 +45,7 @@
 // make an overloaded host look empty.
 func (n *Node) reportLoad(f *flow, figure float64) {
 	if n.isDelay(f, figure) {
-		n.balancer.ReportDelay(n.now, f.index, figure*1e3)
+		n.balancer.ReportDelay(n.now, f.index, figure*delayUnit)
 		return
 	}
 	f.reportedLoad = figure
--- a/internal/node/host_lines_test.go
+++ b/internal/node/host_lines_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// The balancer migrates some flows off a slow host, and their clients are told between two whole lines.
+// The balancer migrates some flows off a slow host, and their clients are notified between two whole lines.
 func TestSlowHostLosesSomeFlows(t *testing.T) {
 	harness := newHarness(t, "proxy", 1, 1000)
 	var clients, hosts []Conn
--- a/internal/node/host_overrides.go
+++ b/internal/node/host_overrides.go
@@ -95,7 +95,7 @@
 		if fits {
 			host.administrativelyDisabled = slices.Contains(state.AdministrativelyDisabled, host.name)
 		} else {
-			host.administrativelyDisabled = i < len(state.Module.Servers) && state.Module.Servers[i].Disabled
+			host.administrativelyDisabled = i < len(state.Balancer.Servers) && state.Balancer.Servers[i].Disabled
 		}
 	}
 	if fits && state.Revision.NewerThan(n.live.revision) {
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -3,9 +3,10 @@
 import "gorseledge/internal/line"
 
 const (
-	descriptorReserve     = 20  // descriptors kept for new connections, so that they can be told that they are rejected
-	idleDescriptorDivisor = 5   // idle connections may hold one in this many descriptors
-	firstLineGrace        = 0.1 // seconds by when an ordinary client's first line is there
+	descriptorReserve     = 20                 // descriptors kept for new connections, so that they can be rejected with an answer
+	idleDescriptorDivisor = 5                  // idle connections may hold one in this many descriptors
+	firstLineGrace        = 0.1                // seconds by when an ordinary client's first line is there
+	attemptGrace          = firstLineGrace / 4 // seconds that idle clients are spared when an attempt needs a descriptor
 )
 
 // idleQueue holds the clients' connections that ask for nothing: before their opening line, or after their end.
@@ -68,7 +69,7 @@
 }
 
 // canAffordDescriptor reports whether one more descriptor can be had, at the cost of idle connections.
-func (n *Node) canAffordDescriptor() bool { return n.makeRoom(firstLineGrace / 4) }
+func (n *Node) canAffordDescriptor() bool { return n.makeRoom(attemptGrace) }
 
 // closeOldestIdle closes the oldest idle connection if that is older than idleFor seconds and has no answer to wait
 // for, and reports whether it did.
@@ -88,7 +89,7 @@
 	return false
 }
 
-// closeIdle closes an idle connection to make room. Its client is told, as in dismiss, but nobody waits for its end.
+// closeIdle closes an idle connection to make room. Its client is rejected, as by dismiss, but the node does not wait for its end.
 func (n *Node) closeIdle(c *connection) {
 	if c.closeAs == Open && !c.writeClosed && c.writePending == 0 {
 		n.emit(Write{c.id, line.BusyLine(0)})
--- a/internal/node/idle_test.go
+++ b/internal/node/idle_test.go
@@ -8,7 +8,7 @@
 )
 
 // An idle client that has to make room is rejected, so that what it asks for in just that moment is not lost.
-func TestIdleClientIsToldBeforeItMakesRoom(t *testing.T) {
+func TestIdleClientIsRejectedBeforeItMakesRoom(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 60)
 	var idle []Conn
 	for range 60 {
@@ -31,7 +31,7 @@
 }
 
 // An idle client that is still there at the end of a shutdown is rejected as well.
-func TestIdleClientIsToldBeforeTheExit(t *testing.T) {
+func TestIdleClientIsRejectedBeforeTheExit(t *testing.T) {
 	harness := newHarness(t, "pass", 3, 60)
 	harness.establish(chatRequest) // it stays in flight, so the node does not exit
 	harness.apply(Shutdown{})
--- a/internal/node/inherited.go
+++ b/internal/node/inherited.go
@@ -16,7 +16,7 @@
 	hostIndex int // of Host in this process
 }
 
-// addInherited takes a connection that the predecessor holds, in place of one with the same id.
+// addInherited takes an open connection of the predecessor, in place of one with the same id.
 func (n *Node) addInherited(inherited *InheritedConnection) {
 	index, known := n.endpoints.byName[inherited.Host]
 	if !known || len(n.flows.ids.inherited) >= maxEndedIDs {
@@ -28,7 +28,7 @@
 	n.balancer.AddPeerLoad(index, 1, inherited.Load)
 }
 
-// removeInherited takes out a connection that the predecessor holds no more, as it is over or has come here.
+// removeInherited takes out a connection that is no longer the predecessor's, as it is over or has come here.
 func (n *Node) removeInherited(id string) {
 	inherited := n.flows.ids.inherited[id]
 	if inherited == nil {
@@ -55,7 +55,7 @@
 	n.removeInherited(inherited.ID)
 }
 
-// predecessorGone handles the end of the predecessor: what it held comes again soon, or never.
+// predecessorGone handles the end of the predecessor: its clients connect again soon, or never.
 func (n *Node) predecessorGone() {
 	n.connections.reserved = 0
 	n.upgrade.inheritedExpiry = n.now + inheritedTimeout
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -34,16 +34,16 @@
 		Err          error
 		LocalFailure bool
 	}
-	// ReadDone is the result of a Read: N bytes stand in its buffer, and End came after them.
+	// ReadDone is the result of a Read: Count bytes stand in its buffer, and End came after them.
 	ReadDone struct {
-		Conn Conn
-		N    int
-		End  End
+		Conn  Conn
+		Count int
+		End   End
 	}
-	// WriteDone is the result of a Write: N bytes were taken by the system.
+	// WriteDone is the result of a Write: Count bytes were taken by the system.
 	WriteDone struct {
 		Conn   Conn
-		N      int
+		Count  int
 		Failed bool
 	}
 	// ClientGone says that a client has ended its sending, or broke its connection, behind what is read of it so far.
--- a/internal/node/live_settings.go
+++ b/internal/node/live_settings.go
@@ -10,9 +10,6 @@
 	"gorseledge/placement"
 )
 
-// minDescriptors is the smallest limit of descriptors that live settings can lead to: a flow takes two.
-const minDescriptors = 2
-
 // liveSettings are those of the node's settings that can change while flows go on, with the start's figures, to which a
 // key returns that a revision leaves out.
 type liveSettings struct {
@@ -182,7 +179,7 @@
 func (n *Node) applyDescriptorLimit(setting *int) {
 	limit := n.live.descriptors
 	if setting != nil {
-		limit = max(*setting-n.live.descriptorOverhead, minDescriptors)
+		limit = max(*setting-n.live.descriptorOverhead, descriptorsPerFlow)
 	}
 	n.connections.setConfiguredLimit(limit, n.upgrade.clientsHandedOver)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -203,7 +203,18 @@
 	n.balancer.Woken(n.now)
 }
 
-// Usage returns how many flows, connections and descriptors the node still holds; none once all its clients are gone.
-func (n *Node) Usage() (flows, connections, descriptors int) {
-	return n.flows.count(), len(n.connections.byID), n.connections.used()
+// Usage is what a node still holds; nothing once all its clients are gone.
+type Usage struct {
+	Flows       int
+	Connections int // open ones
+	Descriptors int // without those that are being closed
+}
+
+// Usage returns what the node holds now.
+func (n *Node) Usage() Usage {
+	return Usage{
+		Flows:       n.flows.count(),
+		Connections: len(n.connections.byID),
+		Descriptors: n.connections.used(),
+	}
 }
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -50,6 +50,6 @@
 // logStartWithoutSettings logs that clients are admitted although no revision has come in time.
 func (n *Node) logStartWithoutSettings() {
 	if n.live.awaitDeadline > 0 && n.live.revision.IsZero() {
-		n.emit(WriteLog{"no word of the live settings in time: clients are let in by the start's"})
+		n.emit(WriteLog{"no live settings in time: clients are admitted by the start's settings"})
 	}
 }
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -144,7 +144,7 @@
 	host.hostIndex = n.endpoints.indexOf(transfer.Host)
 	host.bytesWritten = transfer.BytesToHost
 	n.emit(BindHostConnection{Conn: host.id, Client: id})
-	n.connections.reserved = max(n.connections.reserved-2, 0)
+	n.connections.reserved = max(n.connections.reserved-descriptorsPerFlow, 0)
 
 	opening, err := line.ParseOpening([]byte(transfer.OpeningLine))
 	serviceType, known := n.serviceTypes[opening.Type]
--- a/internal/sockets/connection.go
+++ b/internal/sockets/connection.go
@@ -58,14 +58,14 @@
 	s.group.Go(func() error {
 		for into := range c.reads {
 			n, err := socket.Read(into)
-			s.send(node.ReadDone{Conn: conn, N: n, End: endOf(err)})
+			s.send(node.ReadDone{Conn: conn, Count: n, End: endOf(err)})
 		}
 		return done()
 	})
 	s.group.Go(func() error {
 		for w := range c.writes {
 			n, err := socket.Write(w.data[w.written:])
-			s.send(node.WriteDone{Conn: conn, N: w.written + n, Failed: err != nil})
+			s.send(node.WriteDone{Conn: conn, Count: w.written + n, Failed: err != nil})
 		}
 		return done()
 	})
--- a/internal/sockets/connection_test.go
+++ b/internal/sockets/connection_test.go
@@ -56,15 +56,15 @@
 		t.Fatalf("its host was not dialed: %v", err)
 	}
 	got.Close()
-	if flows, _, _ := s.core.Usage(); flows != 1 {
+	if flows := s.core.Usage().Flows; flows != 1 {
 		t.Errorf("%d flows", flows)
 	}
 }
 
 func checkNotDialed(t *testing.T, s *steppedServer) {
 	t.Helper()
-	if flows, conns, _ := s.core.Usage(); flows != 0 || conns != 0 {
-		t.Errorf("%d flows and %d connections are held", flows, conns)
+	if usage := s.core.Usage(); usage.Flows != 0 || usage.Connections != 0 {
+		t.Errorf("%d flows and %d connections are held", usage.Flows, usage.Connections)
 	}
 	s.host.SetDeadline(time.Now()) // an attempt would have been there before: loopback takes it in the call
 	if got, err := s.host.Accept(); err == nil {
--- a/internal/sockets/effects.go
+++ b/internal/sockets/effects.go
@@ -58,7 +58,7 @@
 func (s *server) write(e node.Write) {
 	result := s.connections[e.Conn].write(e.Data)
 	if result.complete {
-		s.pending = append(s.pending, node.WriteDone{Conn: e.Conn, N: result.written, Failed: result.failed})
+		s.pending = append(s.pending, node.WriteDone{Conn: e.Conn, Count: result.written, Failed: result.failed})
 	}
 }
 
