--- a/internal/handover/descriptors.go
+++ b/internal/handover/descriptors.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"syscall"
@@ -16,8 +17,7 @@
 
 var (
 	errNoDescriptor = errors.New("a descriptor has not come")
-	errNoListener   = errors.New("the descriptor that came is no TCP listener")
-	errNoConnection = errors.New("the descriptor that came is no TCP connection")
+	errNotTCP       = errors.New("the descriptor that came is no TCP socket of the expected kind")
 )
 
 // Read reads the stream of lines and keeps the descriptors that come with it. It is for the link's own scanner.
@@ -81,42 +81,42 @@
 	return file, nil
 }
 
-// Listener returns the listening socket that was received next. The caller closes it.
-func (l *Link) Listener() (*net.TCPListener, error) {
-	file, err := l.takeFile()
+// takeSocket makes a socket of the oldest descriptor that was received, which has to be of type TCP.
+func takeSocket[Socket io.Closer, TCP any](link *Link, open func(*os.File) (Socket, error)) (TCP, error) {
+	var none TCP
+	file, err := link.takeFile()
 	if err != nil {
-		return nil, fmt.Errorf("receiving the listener: %w", err)
+		return none, err
 	}
 	defer file.Close()
-	listener, err := net.FileListener(file)
+	socket, err := open(file)
 	if err != nil {
-		return nil, fmt.Errorf("receiving the listener: %w", err)
+		return none, err
 	}
-	tcpListener, ok := listener.(*net.TCPListener)
+	tcp, ok := any(socket).(TCP)
 	if !ok {
-		listener.Close()
-		return nil, errNoListener
+		socket.Close()
+		return none, fmt.Errorf("%w: it is a %T", errNotTCP, socket)
 	}
-	return tcpListener, nil
+	return tcp, nil
 }
 
-// Conn returns the connection that was received next. The caller closes it.
-func (l *Link) Conn() (*net.TCPConn, error) {
-	file, err := l.takeFile()
+// Listener returns the listening socket that was received next. The caller closes it.
+func (l *Link) Listener() (*net.TCPListener, error) {
+	listener, err := takeSocket[net.Listener, *net.TCPListener](l, net.FileListener)
 	if err != nil {
-		return nil, fmt.Errorf("receiving a connection: %w", err)
+		return nil, fmt.Errorf("receiving the listener: %w", err)
 	}
-	defer file.Close()
-	conn, err := net.FileConn(file)
+	return listener, nil
+}
+
+// Conn returns the connection that was received next. The caller closes it.
+func (l *Link) Conn() (*net.TCPConn, error) {
+	conn, err := takeSocket[net.Conn, *net.TCPConn](l, net.FileConn)
 	if err != nil {
 		return nil, fmt.Errorf("receiving a connection: %w", err)
 	}
-	tcpConn, ok := conn.(*net.TCPConn)
-	if !ok {
-		conn.Close()
-		return nil, errNoConnection
-	}
-	return tcpConn, nil
+	return conn, nil
 }
 
 // CloseReceived closes the descriptors that were received and not taken.
--- a/internal/node/connection_io.go
+++ b/internal/node/connection_io.go
@@ -103,6 +103,7 @@
 	}
 }
 
+// write asks for a write of data, which is forwarded from the other side or c's own output.
 func (n *Node) write(c *connection, data []byte, forwarded bool) {
 	c.writePending = len(data)
 	c.writingForwarded = forwarded
--- a/internal/node/connection_table.go
+++ b/internal/node/connection_table.go
@@ -18,6 +18,7 @@
 	reserved        int // descriptors that the predecessor takes out of the same limit
 }
 
+// newConnectionTable returns an empty table with a limit of descriptors.
 func newConnectionTable(limit int) connectionTable {
 	return connectionTable{byID: map[Conn]*connection{}, limit: limit, configuredLimit: limit}
 }
--- a/internal/node/deadlines.go
+++ b/internal/node/deadlines.go
@@ -21,6 +21,7 @@
 // deadlineHeap orders deadlines by time, the earliest first, for container/heap.
 type deadlineHeap []deadline
 
+// Len, Less and Swap implement sort.Interface, as container/heap needs it.
 func (h deadlineHeap) Len() int           { return len(h) }
 func (h deadlineHeap) Less(i, j int) bool { return h[i].time < h[j].time }
 func (h deadlineHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
@@ -46,6 +47,7 @@
 	lag          float64      // seconds by which this node is behind, see measureLag
 }
 
+// newTimers returns timers of which none is set. granularity is in seconds.
 func newTimers(granularity float64) timers {
 	return timers{balancerWake: math.Inf(1), armedAt: math.Inf(1), granularity: granularity}
 }
@@ -93,6 +95,7 @@
 	}
 }
 
+// clientDeadlineExpired handles a client that sent no line in time, or does not end.
 func (n *Node) clientDeadlineExpired(c *connection) {
 	f := c.flow
 	switch {
@@ -106,6 +109,7 @@
 	}
 }
 
+// hostDeadlineExpired handles a host that has not answered, or not ended, in time.
 func (n *Node) hostDeadlineExpired(c *connection) {
 	f := c.flow
 	switch {
--- /dev/null
+++ b/internal/node/endpoint_directory_test.go
@@ -0,0 +1,58 @@
+package node
+
+import (
+	"testing"
+
+	"gorseledge/internal/discovery/endpoint"
+	"gorseledge/placement"
+)
+
+// A host keeps its index, and its address where a list gives none.
+func TestHostKeepsItsIndexAndAddress(t *testing.T) {
+	directory := newEndpointDirectory([]string{"a", "b"})
+	first := directory.update(endpoint.Host{Name: "s-64", Address: "h0", Status: "SERVING"})
+	second := directory.indexOf("s-65")
+	directory.removeAll()
+	again := directory.update(endpoint.Host{Name: "s-64", Status: "DRAINING"})
+	if first != 0 || second != 1 || again != first {
+		t.Errorf("indices %d, %d and %d", first, second, again)
+	}
+	if directory.byID[0x64] != first || directory.byID[0x65] != second {
+		t.Errorf("by id %v", directory.byID)
+	}
+	if got := directory.hosts[first].listing.Address; got != "h0" {
+		t.Errorf("address %q", got)
+	}
+}
+
+// The balancer sees a host by its listed status, and never as ready without an address.
+func TestStateOfHost(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		listing endpoint.Host
+		want    placement.EndpointState
+	}{
+		{"serving", endpoint.Host{Name: "s-64", Address: "h0", Status: "SERVING"}, placement.Ready},
+		{"serving without an address", endpoint.Host{Name: "s-64", Status: "SERVING"}, placement.Draining},
+		{"draining", endpoint.Host{Name: "s-64", Address: "h0", Status: "DRAINING"}, placement.Draining},
+		{"removed", endpoint.Host{Name: "s-64", Address: "h0", Status: "DELETED"}, placement.Removed},
+		{"unknown status", endpoint.Host{Name: "s-64", Address: "h0", Status: "RESTING"}, placement.Draining},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			directory := newEndpointDirectory(nil)
+			if got := directory.stateOf(directory.update(c.listing)); got != c.want {
+				t.Errorf("state %v, wanted %v", got, c.want)
+			}
+		})
+	}
+}
+
+// Zones that the settings do not have are unknown to the balancer.
+func TestZoneOfHost(t *testing.T) {
+	directory := newEndpointDirectory([]string{"a", "b"})
+	for name, want := range map[string]int{"a": 0, "b": 1, "c": -1, "": -1} {
+		if got := directory.zoneOf(name); got != want {
+			t.Errorf("zone %q is %d, wanted %d", name, got, want)
+		}
+	}
+}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -54,6 +54,7 @@
 	failedCalls  int   // calls of discovery that failed since the last list
 }
 
+// newEndpointDirectory returns a directory without hosts, with the zones of the settings.
 func newEndpointDirectory(zones []string) endpointDirectory {
 	return endpointDirectory{byName: map[string]int{}, byID: map[uint32]int{}, zones: indexByName(zones)}
 }
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -26,6 +26,7 @@
 	Unavailable int          // hosts on the list that take no new flows now
 }
 
+// newFigures returns figures of zero for the service types.
 func newFigures(serviceTypes []string) Figures {
 	var figures Figures
 	for _, name := range serviceTypes {
--- a/internal/node/flow_ids.go
+++ b/internal/node/flow_ids.go
@@ -21,6 +21,7 @@
 	previouslyEnded map[uint64]uint64
 }
 
+// newFlowIDs returns ids of no flow.
 func newFlowIDs() flowIDs {
 	return flowIDs{
 		open:          map[string]*flow{},
@@ -47,6 +48,7 @@
 	return ended && key != opening.Key
 }
 
+// add notes that a flow has begun, in place of one with the same id.
 func (ids *flowIDs) add(f *flow) { ids.open[f.opening.ID] = f }
 
 // remove takes out a flow that is over and remembers its id.
--- a/internal/node/host_overrides.go
+++ b/internal/node/host_overrides.go
@@ -74,6 +74,7 @@
 	n.balancer.SetDisabled(n.now, index, host.administrativelyDisabled || disabled)
 }
 
+// logDisabledBySettings logs that the live settings disable a host now, or no longer do.
 func (n *Node) logDisabledBySettings(host *listedHost) {
 	revision := n.live.revision
 	if host.disabledBySettings {
--- a/internal/node/idle_test.go
+++ b/internal/node/idle_test.go
@@ -122,3 +122,20 @@
 	}
 	harness.checkReleased()
 }
+
+// An idle connection counts once, and only clients' connections do.
+func TestIdleConnectionCountsOnce(t *testing.T) {
+	var queue idleQueue
+	client := &connection{id: 1, role: clientRole}
+	queue.add(client)
+	queue.add(client)
+	queue.add(&connection{id: 2, role: hostRole})
+	if queue.count != 1 || len(queue.queue) != 1 {
+		t.Errorf("%d idle, %d in the queue", queue.count, len(queue.queue))
+	}
+	queue.remove(client)
+	queue.remove(client)
+	if queue.count != 0 {
+		t.Errorf("%d idle after the only one is removed", queue.count)
+	}
+}
--- a/internal/node/live_settings.go
+++ b/internal/node/live_settings.go
@@ -23,6 +23,7 @@
 	awaitDeadline      float64 // the listener stays closed until then unless a revision comes; 0 for not at all
 }
 
+// newLiveSettings returns the start's figures, without a revision.
 func newLiveSettings(now float64, start Start) liveSettings {
 	settings := liveSettings{
 		figures:            start.Settings.Live(),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,6 +128,7 @@
 	balancer.TimeHealthChecks = !balancer.LoadReports && !start.Listener.ReportsDelay
 }
 
+// emit adds an effect to the result of the Apply under way.
 func (n *Node) emit(effect Effect) { n.effects = append(n.effects, effect) }
 
 // Apply handles one input at a time now and returns what to do about it, in this order. Time does not go back: an
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -102,3 +102,16 @@
 		})
 	}
 }
+
+// A shutdown begins once, whatever asks for it again.
+func TestShutdownBeginsOnce(t *testing.T) {
+	var s shutdown
+	s.begin(10)
+	s.begin(12)
+	if !s.started || s.startedAt != 10 {
+		t.Errorf("started %v at %g", s.started, s.startedAt)
+	}
+	if s.passed(10.5, 1) || !s.passed(11, 1) {
+		t.Error("the time since the begin is wrong")
+	}
+}
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -7,6 +7,7 @@
 	hasPredecessor bool // another process has the clients until this one can serve
 }
 
+// newStartup returns the state of a process before its first input.
 func newStartup(start Start) startup {
 	return startup{
 		listenerClosed: start.NotListening || start.AwaitSettings > 0,
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -19,6 +19,7 @@
 	agentPollInterval = 0.5
 )
 
+// watchState says how far the watch has come.
 type watchState uint8
 
 const (
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -206,3 +206,41 @@
 		t.Error("a late list was ignored")
 	}
 }
+
+// The deadline of a watch depends on what it has sent so far.
+func TestWatchDeadline(t *testing.T) {
+	const now = 100.0
+	for _, c := range []struct {
+		name  string
+		event func(watch *endpointWatch)
+		want  float64
+	}{
+		{"idle", func(*endpointWatch) {}, math.Inf(1)},
+		{"requested", func(watch *endpointWatch) { watch.request(now) }, now + watchAnswerTimeout},
+		{"active", func(watch *endpointWatch) {
+			watch.request(now - 1)
+			watch.noteActivity(now, false)
+		}, now + watchSilenceTimeout},
+		{"within a line", func(watch *endpointWatch) {
+			watch.request(now - 3)
+			watch.noteActivity(now-3, true)
+			watch.noteActivity(now, true)
+		}, now - 3 + watchAnswerTimeout},
+		{"after a line", func(watch *endpointWatch) {
+			watch.request(now - 3)
+			watch.noteActivity(now-3, true)
+			watch.noteActivity(now, false)
+		}, now + watchSilenceTimeout},
+		{"a late line of a watch that was given up", func(watch *endpointWatch) {
+			watch.noteActivity(now, false)
+		}, math.Inf(1)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var watch endpointWatch
+			c.event(&watch)
+			if got := watch.deadline(); got != c.want {
+				t.Errorf("deadline %g, wanted %g", got, c.want)
+			}
+		})
+	}
+}
