--- a/internal/node/host_overrides.go
+++ b/internal/node/host_overrides.go
@@ -74,6 +74,7 @@
 	n.balancer.SetDisabled(n.now, index, host.administrativelyDisabled || disabled)
 }
 
+// logDisabledBySettings logs that the live settings disable a host now, or no longer do.
 func (n *Node) logDisabledBySettings(host *listedHost) {
 	revision := n.live.revision
 	if host.disabledBySettings {
@@ -95,7 +96,7 @@
 		if fits {
 			host.administrativelyDisabled = slices.Contains(state.AdministrativelyDisabled, host.name)
 		} else {
-			host.administrativelyDisabled = i < len(state.Module.Servers) && state.Module.Servers[i].Disabled
+			host.administrativelyDisabled = i < len(state.Balancer.Servers) && state.Balancer.Servers[i].Disabled
 		}
 	}
 	if fits && state.Revision.NewerThan(n.live.revision) {
--- a/internal/sockets/upgrade_test.go
+++ b/internal/sockets/upgrade_test.go
@@ -25,7 +25,7 @@
 			if input := s.peerProcessSaid(caller, request); input != nil {
 				t.Errorf("the core was given %v", input)
 			}
-			if answer := <-caller.outgoing; answer.Refusal != handover.Busy {
+			if answer := <-caller.outgoing; answer.Refusal != handover.RefusalBusy {
 				t.Errorf("answered %+v", answer.Message)
 			}
 			if s.upgrade.successor != c.successor {
