--- /dev/null
+++ b/cmd/gorseledge/gossip_test.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// answerHealthChecks has a host answer health checks with a load report, and flows with UP and its index. The host whose
+// index is overloaded reports a high load.
+func (n *testNode) answerHealthChecks(at int, overloaded *atomic.Int64) {
+	n.respondAtHost(at, func(first string) string {
+		switch {
+		case !strings.HasPrefix(first, "STATS"):
+			return fmt.Sprint("UP ", at)
+		case overloaded.Load() == int64(at):
+			return "PONG waiting=4 cpu=0.97 rps=3 x0=0.95"
+		}
+		return "PONG waiting=0 cpu=0.2 rps=3 x0=0.2"
+	})
+}
+
+// startAnother starts one more node with the same hosts, one of so many, and gives its address for clients. gossip holds
+// the config's keys about the nodes that it exchanges load gossip with.
+func (n *testNode) startAnother(name string, nodes int, gossip map[string]any) (address string) {
+	n.Helper()
+	settings := maps.Clone(n.config["settings"].(map[string]any))
+	limits := maps.Clone(settings["limits"].(map[string]any))
+	limits["probes"] = true
+	limits["peers"] = true
+	settings["limits"] = limits
+	settings["siblings"] = nodes
+	settings["reporting"] = map[string]any{"source": "on_probe", "fields": []string{"waiting", "cpu", "rps", "x0"}}
+	config := maps.Clone(n.config)
+	address = freeAddress(n.T)
+	config["name"] = name
+	config["listen"] = address
+	config["settings"] = settings
+	maps.Copy(config, gossip)
+	another := *n
+	another.config = config
+	another.configPath = filepath.Join(n.TempDir(), "config.json")
+	another.address = address
+	another.writeConfig()
+	another.startProcess()
+	another.waitUntilServing()
+	return address
+}
+
+// gossipConfig gives the config's keys for a node that exchanges load gossip at its own address with the others of all.
+type gossipConfig func(t *testing.T, own string, all ...string) map[string]any
+
+// peersConfig names the nodes in the config.
+func peersConfig(_ *testing.T, own string, all ...string) map[string]any {
+	return map[string]any{"peer_addr": own, "peers": all}
+}
+
+// memberConfig names the nodes in a fleet file, which it writes.
+func memberConfig(t *testing.T, own string, all ...string) map[string]any {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "fleet.toml")
+	text := fmt.Sprintf("fleet = \"words\"\naddress = %q\njoin = [%q, %q]\nkey = \"00112233445566778899aabbccddeeff\"\nperiod_s = 0.2\n",
+		own, all[0], all[1])
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return map[string]any{"fleet": path}
+}
+
+// One node's health check finds a host overloaded, and another node, which asks for no report for hours, sends its flows
+// elsewhere. So it goes between peers that the config names, and between the members of a fleet where it names none.
+func TestLoadGossipAmongProcesses(t *testing.T) {
+	for name, config := range map[string]gossipConfig{"peers": peersConfig, "members": memberConfig} {
+		t.Run(name, func(t *testing.T) { testLoadGossip(t, config) })
+	}
+}
+
+func testLoadGossip(t *testing.T, config gossipConfig) {
+	n := startNode(t, "pass", 2, 200)
+	var overloaded atomic.Int64
+	overloaded.Store(-1)
+	for at := range n.hosts {
+		n.answerHealthChecks(at, &overloaded)
+	}
+	checker, listener := freeAddress(t), freeAddress(t)
+	n.address = n.startAnother("n2", 100000, config(t, listener, checker, listener))
+	first := n.placeFlow()
+	host, known := map[string]int64{"UP 0": 0, "UP 1": 1}[first]
+	if !known {
+		t.Fatalf("answered %q", first)
+	}
+	overloaded.Store(host)
+	if got := n.placeFlow(); got != first {
+		t.Fatalf("answered %s and %s by hosts that nobody knows to be overloaded", first, got)
+	}
+	n.startAnother("n3", 1, config(t, checker, checker, listener))
+	for end := time.Now().Add(waitTimeout); n.placeFlow() == first; {
+		if time.Now().After(end) {
+			t.Fatal("the overloaded host is still sent flows")
+		}
+	}
+}
--- /dev/null
+++ b/cmd/gorseledge/start_test.go
@@ -0,0 +1,131 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+
+	"gorseledge/internal/settings"
+)
+
+// runRefused runs the program until it refuses its config, and gives its exit code and output.
+func runRefused(t *testing.T, configPath string, args ...string) (code int, out []byte) {
+	t.Helper()
+	command := exec.Command(program, args...)
+	command.Env = []string{"LB_CONFIG=" + configPath, "TMPDIR=" + t.TempDir()}
+	out, err := command.CombinedOutput()
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) {
+		t.Fatalf("%v, %s", err, out)
+	}
+	return exit.ExitCode(), out
+}
+
+// writeConfigText writes a config file and gives its path.
+func writeConfigText(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// Settings that cannot be taken are one line that names their key, and exit code 2, at a start as by check FILE.
+func TestRefusedSettingsExitWithTwo(t *testing.T) {
+	const beforeSettings = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":`
+	for _, c := range []struct{ key, settings string }{
+		{"settings", `7}`},
+		{"settings.limits.max_connects", `{"limits":{"max_connects":-1}}}`},
+		{"settings.service_types[0].effect", `{"service_types":[{"name":"chat","effect":"odd"}]}}`},
+		{"settings.service_types", `{"service_types":{}}}`},
+	} {
+		path := writeConfigText(t, beforeSettings+c.settings)
+		for name, args := range map[string][]string{"start": nil, "check": {"check", path}} {
+			t.Run(c.key+" at "+name, func(t *testing.T) {
+				code, out := runRefused(t, path, args...)
+				if code != 2 || bytes.Count(out, []byte("\n")) != 1 ||
+					!bytes.Contains(out, []byte(c.key+": ")) || bytes.Contains(out, []byte("started")) {
+					t.Errorf("exit code %d, %s", code, out)
+				}
+			})
+		}
+	}
+}
+
+// A config that cannot be taken is an error line and exit code 1.
+func TestRefusedConfigExitsWithOne(t *testing.T) {
+	for _, c := range []struct{ name, text, key string }{
+		{"no JSON", "{{", ""},
+		{"no address", "{}", ""},
+		{"peers", `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{},"peers":["127.0.0.1:9"]}`, "peers"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			code, out := runRefused(t, writeConfigText(t, c.text))
+			if code != 1 || !bytes.Contains(out, []byte(`"level":"error"`)) || !bytes.Contains(out, []byte(c.key)) {
+				t.Errorf("exit code %d, %s", code, out)
+			}
+		})
+	}
+	t.Run("no file", func(t *testing.T) {
+		code, out := runRefused(t, filepath.Join(t.TempDir(), "config.json"))
+		if code != 1 || !bytes.Contains(out, []byte(`"level":"error"`)) {
+			t.Errorf("exit code %d, %s", code, out)
+		}
+	})
+}
+
+// What is wrong with admin_addr is said in one line that names the key, and the node does not start.
+func TestWrongAdminAddressIsNamed(t *testing.T) {
+	taken := listenLoopback(t)
+	for name, address := range map[string]string{"no port": "127.0.0.1", "an empty port": "127.0.0.1:",
+		"in use": taken.Addr().String(), "the clients'": "127.0.0.1:5999"} {
+		t.Run(name, func(t *testing.T) {
+			text := fmt.Sprintf(`{"listen":"127.0.0.1:5999","discovery":"127.0.0.1:1","settings":{},"admin_addr":%q}`, address)
+			code, out := runRefused(t, writeConfigText(t, text))
+			if code != 1 || bytes.Count(out, []byte("admin_addr")) != 1 {
+				t.Errorf("exit code %d, %s", code, out)
+			}
+		})
+	}
+}
+
+func TestCheckOfGoodConfig(t *testing.T) {
+	path := writeConfigText(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{}}`)
+	out, err := exec.Command(program, "check", path).CombinedOutput()
+	if err != nil {
+		t.Errorf("%v, %s", err, out)
+	}
+	if string(out) != "good\n" {
+		t.Errorf("it says %q", out)
+	}
+}
+
+func TestWrongCommandLineExitsWithTwo(t *testing.T) {
+	for name, args := range map[string][]string{"no such command": {"serve"}, "check without a file": {"check"},
+		"an empty config path": {"--config", ""}} {
+		t.Run(name, func(t *testing.T) {
+			code, out := runRefused(t, "", args...)
+			if code != 2 {
+				t.Errorf("exit code %d", code)
+			}
+			if !bytes.HasPrefix(out, []byte("gorseledge: ")) || bytes.Count(out, []byte("\n")) != 1 {
+				t.Errorf("it says %q", out)
+			}
+		})
+	}
+}
+
+func TestExitCodeOfAnError(t *testing.T) {
+	refused := fmt.Errorf("start: %w", &settings.KeyError{Key: "settings.siblings", Reason: "negative"})
+	if code := exitCode(refused); code != exitRefused {
+		t.Errorf("%d for settings that cannot be taken", code)
+	}
+	if code := exitCode(errors.New("listen: address in use")); code != exitFailed {
+		t.Errorf("%d for another error", code)
+	}
+}
