--- a/internal/admin/config_page_test.go
+++ b/internal/admin/config_page_test.go
@@ -11,6 +11,7 @@
 	"gorseledge/internal/node"
 )
 
+// get calls a node with this view of the fleet; nil for a node on its own.
 func get(t *testing.T, v *view.View, path string) (code int, body string) {
 	t.Helper()
 	var members func() view.View
@@ -18,13 +19,13 @@
 		members = func() view.View { return *v }
 	}
 	ask := func(context.Context, node.Query) (node.Reply, bool) { return node.Reply{OK: true}, true }
-	answer := httptest.NewRecorder()
-	Handler(ask, members).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
-	return answer.Code, answer.Body.String()
+	recorder := httptest.NewRecorder()
+	Handler(ask, members).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
+	return recorder.Code, recorder.Body.String()
 }
 
-// The second address shows the configuration in force, how old the last word of a server is, and what was refused.
-func TestConfigurationIsShown(t *testing.T) {
+// The second address shows the configuration in force, how old the last answer of a server is, and what was refused.
+func TestConfigPageAndFigures(t *testing.T) {
 	v := &view.View{Fleet: "lima", Config: &view.Config{Epoch: 2, Revision: 41, Since: 1000, Digest: "00000000000000ff",
 		Region: "west", Server: "c1", Servers: []string{"c1", "c2"}, Heard: 1200, Age: 3.9, Follows: true,
 		Newest:  view.Version{Epoch: 2, Revision: 42},
@@ -36,7 +37,7 @@
 		`"refused":{"epoch":2,"revision":42,"reason":"limits.sockets: 9 is over the start's 8"},` +
 		`"ignored":["tenants.nobody"],"requests":7,"bytes_sent":70,"bytes_received":700}` + "\n"
 	if code != http.StatusOK || body != want {
-		t.Errorf("%d %s\nwanted %s", code, body, want)
+		t.Errorf("%d %s\nwant %s", code, body, want)
 	}
 	_, metrics := get(t, v, "/-/metrics")
 	for _, line := range []string{"lb.config.epoch:2|g\n", "lb.config.revision:41|g\n", "lb.config.newest_revision:42|g\n",
@@ -50,14 +51,16 @@
 	}
 }
 
-// A node that follows no control server shows nothing of any.
-func TestNoConfigurationWithoutControl(t *testing.T) {
-	for name, v := range map[string]*view.View{"alone": nil, "a fleet without control servers": {Fleet: "lima"}} {
-		if code, _ := get(t, v, "/-/config"); code != http.StatusNotFound {
-			t.Errorf("%s: %d", name, code)
-		}
-		if _, metrics := get(t, v, "/-/metrics"); strings.Contains(metrics, "lb.config") {
-			t.Errorf("%s: %s", name, metrics)
-		}
+// A node that follows no control server has no page and no figures of the configuration.
+func TestNoConfigPageWithoutControlServers(t *testing.T) {
+	for name, v := range map[string]*view.View{"on its own": nil, "a fleet without control servers": {Fleet: "lima"}} {
+		t.Run(name, func(t *testing.T) {
+			if code, _ := get(t, v, "/-/config"); code != http.StatusNotFound {
+				t.Errorf("status %d", code)
+			}
+			if _, metrics := get(t, v, "/-/metrics"); strings.Contains(metrics, "lb.config") {
+				t.Errorf("it shows %s", metrics)
+			}
+		})
 	}
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -2,114 +2,127 @@
 
 import (
 	"context"
-	"io"
-	"log"
 	"net"
 	"net/http"
 	"sync"
 	"time"
 )
 
-const settled = 25 * time.Millisecond // by when a usual caller has sent something, unless the machine is busy
+// settleTime is the time by which a usual caller has sent something, unless the machine is busy.
+const settleTime = 25 * time.Millisecond
 
-var nothing = log.New(io.Discard, "", 0)
-
-// door is a listener that holds few connections: who has been silent longest makes room, but for who has sent a
-// whole call.
-type door struct {
+// limitedListener is a listener whose connections are limited in number. The one that has been silent longest makes
+// room for the next, unless its caller has sent a complete call.
+type limitedListener struct {
 	net.Listener
-	mu    sync.Mutex
-	room  *sync.Cond
-	most  int
-	calls map[*call]bool
+	maxConnections int
+
+	mu          sync.Mutex
+	changed     *sync.Cond // a connection has closed or settled
+	connections map[*connection]bool
 }
 
-// call is a connection of the second address.
-type call struct {
+// connection is one of a limitedListener's. The listener's mutex guards its fields.
+type connection struct {
 	net.Conn
-	door  *door
-	heard time.Time // when it last said anything
-	whole bool
+	listener  *limitedListener
+	lastHeard time.Time // when its caller last sent anything
+	complete  bool      // its caller has sent a complete call
 }
 
-func newDoor(ln net.Listener, most int) *door {
-	d := &door{Listener: ln, most: max(most, 1), calls: map[*call]bool{}}
-	d.room = sync.NewCond(&d.mu)
-	return d
+// limit makes a listener one of at most that many connections at once, 1 at least.
+func limit(listener net.Listener, maxConnections int) *limitedListener {
+	l := &limitedListener{Listener: listener, maxConnections: max(maxConnections, 1), connections: map[*connection]bool{}}
+	l.changed = sync.NewCond(&l.mu)
+	return l
 }
 
 // Accept takes the next connection, once there is room for it.
-func (d *door) Accept() (net.Conn, error) {
-	d.makeRoom()
-	c, err := d.Listener.Accept()
+func (l *limitedListener) Accept() (net.Conn, error) {
+	l.makeRoom()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	k := &call{Conn: c, door: d, heard: time.Now()}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.calls[k] = true
-	return k, nil
+	c := &connection{Conn: accepted, listener: l, lastHeard: time.Now()}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.connections[c] = true
+	return c, nil
 }
 
-// makeRoom ends the connection that has been silent longest, once it is settled; where all have sent whole
+// makeRoom closes the connection that has been silent longest, once it is settled. Where all callers have sent complete
 // calls it waits for one of them to be answered, which takes a second at the most.
-func (d *door) makeRoom() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for len(d.calls) >= d.most {
-		var oldest *call
-		for k := range d.calls {
-			if !k.whole && (oldest == nil || k.heard.Before(oldest.heard)) {
-				oldest = k
-			}
-		}
+func (l *limitedListener) makeRoom() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for len(l.connections) >= l.maxConnections {
+		oldest := l.longestSilent()
 		if oldest == nil {
-			d.room.Wait()
+			l.changed.Wait()
 			continue
 		}
-		if age := time.Since(oldest.heard); age < settled {
-			wake := time.AfterFunc(settled-age, d.room.Broadcast)
-			d.room.Wait()
+		if silent := time.Since(oldest.lastHeard); silent < settleTime {
+			wake := time.AfterFunc(settleTime-silent, l.changed.Broadcast)
+			l.changed.Wait()
 			wake.Stop()
 			continue
 		}
-		delete(d.calls, oldest)
+		delete(l.connections, oldest)
 		oldest.Conn.Close()
 	}
 }
 
+// longestSilent gives the connection that has been silent longest of those without a complete call; nil for none.
+func (l *limitedListener) longestSilent() *connection {
+	var oldest *connection
+	for c := range l.connections {
+		if c.complete {
+			continue
+		}
+		if oldest == nil || c.lastHeard.Before(oldest.lastHeard) {
+			oldest = c
+		}
+	}
+	return oldest
+}
+
 // Read notes that the caller is not silent.
-func (k *call) Read(p []byte) (int, error) {
-	n, err := k.Conn.Read(p)
+func (c *connection) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
 	if n > 0 {
-		k.door.mu.Lock()
-		k.heard = time.Now()
-		k.door.mu.Unlock()
+		c.listener.mu.Lock()
+		c.lastHeard = time.Now()
+		c.listener.mu.Unlock()
 	}
 	return n, err
 }
 
-type key struct{}
+// connectionKey is the key of a call's connection in its context.
+type connectionKey struct{}
 
-func (d *door) mark(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, key{}, c)
+// withConnection is the ConnContext of a server on a limitedListener.
+func withConnection(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connectionKey{}, c)
 }
 
-// complete says that a connection has sent a whole call: from here on it is not ended for another.
-func complete(ctx context.Context) {
-	if k, ok := ctx.Value(key{}).(*call); ok {
-		k.door.mu.Lock()
-		k.whole = true
-		k.door.mu.Unlock()
+// markComplete notes that a call's connection has sent the complete call: from here on it makes no room for another.
+func markComplete(ctx context.Context) {
+	if c, ok := ctx.Value(connectionKey{}).(*connection); ok {
+		c.listener.mu.Lock()
+		c.complete = true
+		c.listener.mu.Unlock()
 	}
 }
 
-func (d *door) state(c net.Conn, s http.ConnState) {
-	if k, ok := c.(*call); ok && (s == http.StateClosed || s == http.StateHijacked) {
-		d.mu.Lock()
-		delete(d.calls, k)
-		d.room.Broadcast()
-		d.mu.Unlock()
+// connectionState is the ConnState of a server on a limitedListener: it frees the places of connections that end.
+func (l *limitedListener) connectionState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*connection)
+	if !ok || state != http.StateClosed && state != http.StateHijacked {
+		return
 	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.connections, c)
+	l.changed.Broadcast()
 }
