--- a/internal/configfeed/sim_node_test.go
+++ b/internal/configfeed/sim_node_test.go
@@ -2,33 +2,35 @@
 
 import "encoding/json"
 
-// simNode is a node's process. Its state is on its disk and outlives it.
+// simNode is a node's simulated process. Its state is on disk and outlives it.
 type simNode struct {
 	process
-	sim     *simulation
-	config  FollowerConfig
-	core    *Follower
-	state   State
-	since   float64 // when state was put in force
-	refuses func(State) string
-	timer   float64
+	sim           *simulation
+	config        FollowerConfig
+	core          *Follower
+	state         State
+	inForceSince  float64 // when state was put in force
+	refusalReason func(State) string
+	timer         float64
 }
 
+// start starts the process with the state on its disk.
 func (n *simNode) start() {
-	n.begin()
+	n.markRunning()
 	n.timer = 0
 	n.core = NewFollower(n.sim.clock.Now, n.config, n.state)
 	n.core.rules = n.sim.rules
 	n.schedule()
 }
 
+// schedule arranges for Tick to be called when it is due.
 func (n *simNode) schedule() {
 	next := n.core.Next()
 	if n.timer > n.sim.clock.Now && n.timer <= next {
 		return
 	}
 	n.timer = next
-	n.sim.do(max(next-n.sim.clock.Now, 0), &n.process, func() {
+	n.sim.runAfter(max(next-n.sim.clock.Now, 0), &n.process, func() {
 		if n.timer == next {
 			n.timer = 0
 			n.carryOut(n.core.Tick(n.sim.clock.Now))
@@ -36,6 +38,7 @@
 	})
 }
 
+// carryOut carries out the effects of a call.
 func (n *simNode) carryOut(effects []FollowerEffect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -48,6 +51,7 @@
 	n.schedule()
 }
 
+// poll sends a poll to its server.
 func (n *simNode) poll(p SendPoll) {
 	text, err := json.Marshal(p.Poll)
 	if err != nil {
@@ -61,27 +65,28 @@
 	})
 }
 
-// install puts a state in force after a while, as a node does, and judges it.
+// install puts a state in force after a delay, as a node does, and checks that the node may have it.
 func (n *simNode) install(i Install) {
-	n.sim.do(0.005, &n.process, func() {
-		if n.refuses != nil {
-			if reason := n.refuses(i.State); reason != "" {
+	n.sim.runAfter(0.005, &n.process, func() {
+		if n.refusalReason != nil {
+			if reason := n.refusalReason(i.State); reason != "" {
 				n.carryOut(n.core.Refuse(n.sim.clock.Now, Refusal{Version: i.State.Version, Reason: reason}))
 				return
 			}
 		}
 		if i.State.Version.Compare(n.state.Version) <= 0 {
-			n.sim.broken("%s goes back from %s to %s", n.name, n.state.Version, i.State.Version)
+			n.sim.violated("%s goes back from %s to %s", n.name, n.state.Version, i.State.Version)
 		}
-		if !n.sim.holds(i.State) {
-			n.sim.broken("%s has entries under %s that never were accepted", n.name, i.State.Version)
+		if !n.sim.wasSaved(i.State) {
+			n.sim.violated("%s has entries under %s that never were accepted", n.name, i.State.Version)
 		}
-		n.state, n.since = i.State, n.sim.clock.Now
+		n.state, n.inForceSince = i.State, n.sim.clock.Now
 		n.carryOut(n.core.Installed(n.sim.clock.Now, i.State.Version))
 	})
 }
 
-// poll carries a poll to a server and its answer back. Once answered or failed, nothing more comes of it.
+// poll delivers a poll to a server and its answer to the sender. Either answered or failed is called once, or neither
+// where a message is lost.
 func (s *simulation) poll(from *process, p SendPoll, answered func(Update), failed func()) {
 	for _, server := range s.servers {
 		if server.name != p.Server.Name {
