--- a/cmd/gorseledge-config/commands_test.go
+++ b/cmd/gorseledge-config/commands_test.go
@@ -11,12 +11,12 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-func TestApplyRevertAndNewEpoch(t *testing.T) {
+func TestApplyRevertAndNewEpochChangeRevisions(t *testing.T) {
 	servers := newServers(t, 3)
 	for _, s := range servers {
 		s.start()
 	}
-	s := servers[1] // any server's control file does: commands go to the writer
+	s := servers[1] // commands go to the writer, whichever server's control file they use
 	s.untilReady()
 	s.apply("0", 1)
 	s.apply("1", 2)
@@ -35,10 +35,16 @@
 		{[]string{"new-epoch"}, 0, "revision 1 of epoch 2", ""},
 		{[]string{"revert", "2"}, exitRefused, "", "does not reach revision 2 of epoch 2"},
 	} {
-		r := s.command(c.arguments...)
-		if c.code == 0 && (r.code != 0 || !strings.Contains(r.out, c.out)) || c.code != 0 && !r.oneLine(c.code, c.says) {
-			t.Errorf("%v: %+v", c.arguments, r)
-		}
+		t.Run(strings.Join(c.arguments, " "), func(t *testing.T) {
+			r := s.command(c.arguments...)
+			succeeded := r.code == 0 && strings.Contains(r.out, c.out)
+			if c.code == 0 && !succeeded {
+				t.Errorf("%v: %+v", c.arguments, r)
+			}
+			if c.code != 0 && !r.oneLine(c.code, c.says) {
+				t.Errorf("%v: %+v", c.arguments, r)
+			}
+		})
 	}
 	r := s.command("history", "--json")
 	var history feedhttp.HistoryAnswer
@@ -54,7 +60,7 @@
 	}
 }
 
-func TestStatusNamesAServerThatDoesNotAnswer(t *testing.T) {
+func TestStatusNamesUnresponsiveServer(t *testing.T) {
 	servers := newServers(t, 3)
 	for _, s := range servers {
 		s.start()
@@ -70,7 +76,7 @@
 }
 
 func TestBadInputIsOneLineAndExitCode2(t *testing.T) {
-	s := newServers(t, 1)[0] // does not run: nothing of this gets as far as a call
+	s := newServers(t, 1)[0] // does not run: no command gets as far as a call
 	broken := filepath.Join(t.TempDir(), "control.toml")
 	if err := os.WriteFile(broken, []byte("fleet = \"lima\"\nname = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -92,9 +98,11 @@
 		{[]string{"apply", document(t, "listen = \"127.0.0.1:1\"\n"), "--if-revision", "1", "--control", s.file}, "needs a restart"},
 		{[]string{"frobnicate"}, "frobnicate"},
 	} {
-		if r := run(t, c.arguments...); !r.oneLine(exitBadInput, c.says) {
-			t.Errorf("%v: %+v", c.arguments, r)
-		}
+		t.Run(strings.Join(c.arguments, " "), func(t *testing.T) {
+			if r := run(t, c.arguments...); !r.oneLine(exitBadInput, c.says) {
+				t.Errorf("%v: %+v", c.arguments, r)
+			}
+		})
 	}
 	if r := run(t, "check", s.file); r.code != 0 || r.out != "good\n" {
 		t.Errorf("%+v", r)
--- a/cmd/gorseledge-config/cost_test.go
+++ b/cmd/gorseledge-config/cost_test.go
@@ -26,15 +26,17 @@
 	ticksPerSecond  = 100 // of the processor times in /proc
 )
 
-// usage is what a process has used of the machine.
+// usage is what a process has used since its start.
 type usage struct {
 	processor float64 // seconds
 	resident  int     // kB
 	peak      int     // kB
 }
 
-func usageOf(b *testing.B, pid int) (u usage) {
+// usageOf reads the usage of a process.
+func usageOf(b *testing.B, pid int) usage {
 	b.Helper()
+	var u usage
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Fatal(err)
@@ -59,10 +61,7 @@
 // BenchmarkServerWithItsShareOfNodes measures one server, built as operators build it, with 172 nodes that poll it every
 // 2 s, idle and with one change a second.
 func BenchmarkServerWithItsShareOfNodes(b *testing.B) {
-	plain := filepath.Join(b.TempDir(), "gorseledge-config")
-	if out, err := exec.Command("go", "build", "-o", plain, ".").CombinedOutput(); err != nil {
-		b.Fatalf("%v\n%s", err, out)
-	}
+	plain := buildPlain(b)
 	for _, changes := range []int{0, measuredSeconds} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
 			for range b.N {
@@ -72,19 +71,29 @@
 	}
 }
 
-// startOne starts a server of the program as operators build it.
+// buildPlain builds the program as operators build it, without the race detector, and returns its path.
+func buildPlain(b *testing.B) string {
+	b.Helper()
+	path := filepath.Join(b.TempDir(), "gorseledge-config")
+	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
+		b.Fatalf("%v\n%s", err, out)
+	}
+	return path
+}
+
+// startOne starts a server of another build of the program.
 func startOne(b *testing.B, plain string) *server {
 	b.Helper()
-	was := program
+	tested := program
 	program = plain
-	defer func() { program = was }()
+	defer func() { program = tested }()
 	s := newServers(b, 1)[0]
 	s.start()
 	s.untilReady()
 	return s
 }
 
-// followAll starts the share of nodes; stop ends them.
+// followAll starts nodesPerServer nodes; stop ends them and waits for their goroutines.
 func followAll(b *testing.B, s *server) (nodes []*feedhttp.Follower, stop func()) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var running sync.WaitGroup
@@ -102,6 +111,7 @@
 	}
 }
 
+// measureServer reports the cost of one server and its nodes for measuredSeconds, with a number of changes.
 func measureServer(b *testing.B, plain string, changes int) {
 	s := startOne(b, plain)
 	nodes, stop := followAll(b, s)
@@ -133,10 +143,7 @@
 // BenchmarkStartOfAllNodesWithALargeState measures one server while 172 nodes without any state start at once and take
 // one of close to a megabyte each.
 func BenchmarkStartOfAllNodesWithALargeState(b *testing.B) {
-	plain := filepath.Join(b.TempDir(), "gorseledge-config")
-	if out, err := exec.Command("go", "build", "-o", plain, ".").CombinedOutput(); err != nil {
-		b.Fatalf("%v\n%s", err, out)
-	}
+	plain := buildPlain(b)
 	for range b.N {
 		s := startOne(b, plain)
 		last := fillState(b, s)
@@ -155,7 +162,7 @@
 	}
 }
 
-// fillState applies changes until the state is close to the largest one, and returns its version.
+// fillState applies changes until the state is close to configfeed.MaxStateBytes, and returns its version.
 func fillState(b *testing.B, s *server) (last configfeed.Version) {
 	b.Helper()
 	const entriesEach, changes = 1200, 16
@@ -174,7 +181,9 @@
 	return last
 }
 
-func trafficOf(nodes []*feedhttp.Follower) (sum feedhttp.Traffic) {
+// trafficOf returns the traffic of all nodes together.
+func trafficOf(nodes []*feedhttp.Follower) feedhttp.Traffic {
+	var sum feedhttp.Traffic
 	for _, node := range nodes {
 		t := node.Traffic()
 		sum.Requests += t.Requests
--- a/cmd/gorseledge-config/epoch_test.go
+++ b/cmd/gorseledge-config/epoch_test.go
@@ -30,8 +30,8 @@
 	return node
 }
 
-// Revisions that only nodes still have can not be given out a second time: the writer waits for an operator's word.
-func TestANewEpochAfterTheWriterAndAllCopiesWereLost(t *testing.T) {
+// The numbers of revisions that only nodes still have cannot be used again: the writer waits for an operator's command.
+func TestNewEpochAfterLossOfAllCopies(t *testing.T) {
 	s := newServers(t, 1)[0]
 	s.start()
 	s.untilReady()
--- a/cmd/gorseledge-config/main_test.go
+++ b/cmd/gorseledge-config/main_test.go
@@ -19,8 +19,9 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-const eventualTimeout = 30 * time.Second // for what has to come in the end
+const eventualTimeout = 30 * time.Second // for a condition that has to hold eventually
 
+// program is the path of the program that the tests run.
 var program string
 
 func TestMain(m *testing.M) {
@@ -31,7 +32,7 @@
 	program = filepath.Join(directory, "gorseledge-config")
 	build := exec.Command("go", "build", "-race", "-o", program, ".")
 	build.Stderr = os.Stderr
-	os.Setenv("GORACE", "atexit_sleep_ms=0") // for the processes: by default each waits a second at its end
+	os.Setenv("GORACE", "atexit_sleep_ms=0") // for the processes that tests start: by default each waits a second at its end
 	code := 1
 	if build.Run() == nil {
 		code = m.Run()
@@ -68,7 +69,7 @@
 	log     *output
 }
 
-// newServers lays out control files of that many servers; the first one is the writer.
+// newServers writes the control files of that many servers, which do not run yet; the first one is the writer.
 func newServers(t testing.TB, count int) []*server {
 	t.Helper()
 	directory := t.TempDir()
@@ -94,7 +95,7 @@
 	return servers
 }
 
-// freeAddress returns an address that nobody listens at.
+// freeAddress returns a loopback address at which no process listens; the number makes it differ from the others.
 func freeAddress(t testing.TB, number int) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.8.%d.%d:0", os.Getpid()%250, number))
@@ -128,7 +129,7 @@
 	eventually(s.t, s.name+" logs "+text, func() bool { return strings.Contains(s.log.String(), text) })
 }
 
-// end sends a signal and waits for the process to end; it gives the exit code, -1 for one that was killed.
+// end sends a signal, waits for the process to end and returns its exit code; -1 for one that was killed.
 func (s *server) end(signal syscall.Signal) int {
 	s.t.Helper()
 	s.process.Process.Signal(signal)
@@ -136,6 +137,7 @@
 	return s.process.ProcessState.ExitCode()
 }
 
+// eventually waits until a condition holds; what describes it.
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(eventualTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
@@ -157,6 +159,7 @@
 	return run(s.t, append(arguments, "--control", s.file)...)
 }
 
+// run runs the program to its end.
 func run(t testing.TB, arguments ...string) result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), eventualTimeout)
@@ -171,9 +174,10 @@
 	return result{code: c.ProcessState.ExitCode(), out: out.String(), errors: errs.String()}
 }
 
-// oneLine reports whether a command ended with one line of error that says something.
+// oneLine reports whether a command ended with an exit code and one line of error that contains a text.
 func (r result) oneLine(code int, says string) bool {
-	return r.code == code && strings.HasPrefix(r.errors, errorPrefix) && strings.Count(r.errors, "\n") == 1 && strings.Contains(r.errors, says)
+	isOneLine := strings.HasPrefix(r.errors, errorPrefix) && strings.Count(r.errors, "\n") == 1
+	return r.code == code && isOneLine && strings.Contains(r.errors, says)
 }
 
 // document writes a live configuration and returns its path.
@@ -186,7 +190,7 @@
 	return path
 }
 
-// apply applies a number of nodes and wants a success.
+// apply applies a document with a number of nodes, and ends the test unless that succeeds.
 func (s *server) apply(expected string, nodes int) {
 	s.t.Helper()
 	r := s.command("apply", document(s.t, fmt.Sprintf("nodes = %d\n", nodes)), "--if-revision", expected)
@@ -195,7 +199,7 @@
 	}
 }
 
-// untilReady waits until the writer takes proposals.
+// untilReady waits until the writer accepts proposals.
 func (s *server) untilReady() {
 	s.t.Helper()
 	eventually(s.t, "the writer takes proposals", func() bool {
@@ -204,7 +208,7 @@
 	})
 }
 
-// status asks for the status of all servers.
+// status returns the status of all servers and nodes.
 func (s *server) status() fleetStatus {
 	s.t.Helper()
 	var status fleetStatus
@@ -215,14 +219,14 @@
 	return status
 }
 
-// client returns a client of the fleet.
+// client returns a client of the fleet, which is closed with the test.
 func (s *server) client() *feedhttp.Client {
 	c := feedhttp.NewClient(s.config.Fleet, s.config.Keys, nil)
 	s.t.Cleanup(c.Close)
 	return c
 }
 
-// address is where the server is reached.
+// address returns the server's address.
 func (s *server) address() string {
 	own, _ := s.config.Server(s.name)
 	return own.Address
--- a/cmd/gorseledge-config/serve_test.go
+++ b/cmd/gorseledge-config/serve_test.go
@@ -12,7 +12,7 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-func TestATermSignalEndsAServerCleanly(t *testing.T) {
+func TestServerStopsCleanlyOnSIGTERM(t *testing.T) {
 	s := newServers(t, 1)[0]
 	s.start()
 	if code := s.end(syscall.SIGTERM); code != 0 || !strings.Contains(s.log.String(), `"message":"stopped"`) {
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestWhatWasAcceptedOutlivesAKillRightAfterIt(t *testing.T) {
+func TestAcceptedRevisionSurvivesKill(t *testing.T) {
 	s := newServers(t, 1)[0]
 	client := s.client()
 	for i := range 4 {
@@ -41,7 +41,7 @@
 	}
 }
 
-// copyDirectory copies a log.
+// copyDirectory replaces a directory with a copy of another one.
 func copyDirectory(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.RemoveAll(to); err != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestAWriterWhoseOlderDirectoryIsPutBackCatchesUpBeforeItTakesProposals(t *testing.T) {
+func TestWriterWithRestoredBackupCatchesUpBeforeItAcceptsProposals(t *testing.T) {
 	servers := newServers(t, 3)
 	writer := servers[0]
 	for _, s := range servers {
@@ -73,7 +73,7 @@
 	}
 	copyDirectory(t, backup, writer.config.Directory)
 
-	// Alone it cannot tell whether others know of more.
+	// Alone it cannot tell whether the others have newer revisions.
 	writer.start()
 	r := writer.command("apply", document(t, "nodes = 9\n"), "--if-revision", "1")
 	if !r.oneLine(exitRefused, "not ready") {
@@ -92,7 +92,7 @@
 	eventually(t, "all servers have the fourth revision", func() bool { return allAt(writer.status(), 4) })
 }
 
-func TestAServerWhoseDirectoryIsLostCatchesUpFromTheOthers(t *testing.T) {
+func TestServerWithLostDirectoryCatchesUpFromOthers(t *testing.T) {
 	servers := newServers(t, 3)
 	for _, s := range servers {
 		s.start()
@@ -100,7 +100,7 @@
 	servers[0].untilReady()
 	servers[0].apply("0", 1)
 	eventually(t, "all servers have the revision", func() bool { return allAt(servers[0].status(), 1) })
-	for _, lost := range servers[:2] { // the writer, and then another one
+	for _, lost := range servers[:2] { // the writer, then another server
 		lost.end(syscall.SIGKILL)
 		if err := os.RemoveAll(lost.config.Directory); err != nil {
 			t.Fatal(err)
@@ -122,7 +122,7 @@
 	return true
 }
 
-func TestASecondServerOfADirectoryDoesNotStart(t *testing.T) {
+func TestSecondServerOfOneDirectoryDoesNotStart(t *testing.T) {
 	s := newServers(t, 1)[0]
 	s.start()
 	if r := run(t, "serve", s.file); !r.oneLine(exitRefused, "another process has it open") {
--- a/cmd/gorseledge-config/status_test.go
+++ b/cmd/gorseledge-config/status_test.go
@@ -13,7 +13,7 @@
 	return configfeed.Version{Epoch: 1, Revision: revision}
 }
 
-func TestStatusOfAllServersIsPutTogether(t *testing.T) {
+func TestStatusMergesAnswersOfAllServers(t *testing.T) {
 	const now = 1000.0
 	config := controlfile.Config{Writer: "c1", Servers: []controlfile.Server{{Name: "c1"}, {Name: "c2"}, {Name: "c3"}}}
 	refusal := &configfeed.Refusal{Version: revision(3), Reason: "too many sockets"}
