--- a/cmd/gorseledge-config/commands_test.go
+++ b/cmd/gorseledge-config/commands_test.go
@@ -55,7 +55,8 @@
 	if reverted.Note != "the second was wrong" || len(reverted.Delta.Set) != 1 || reverted.Delta.Set[0].Value != "1" {
 		t.Errorf("%+v", reverted)
 	}
-	if r := s.command("history", "--values"); r.code != 0 || !strings.Contains(r.out, "nodes = 2") || !strings.Contains(r.out, "the second was wrong") {
+	r = s.command("history", "--values")
+	if r.code != 0 || !strings.Contains(r.out, "nodes = 2") || !strings.Contains(r.out, "the second was wrong") {
 		t.Errorf("%+v", r)
 	}
 }
@@ -66,19 +67,21 @@
 		s.start()
 	}
 	servers[0].untilReady()
-	if r := servers[0].command("status"); r.code != 0 || strings.Count(r.out, "follows") != 2 {
+	r := servers[0].command("status")
+	if r.code != 0 || strings.Count(r.out, "follows") != 2 {
 		t.Errorf("%+v", r)
 	}
 	servers[2].end(syscall.SIGTERM)
-	if r := servers[0].command("status"); !r.oneLine(exitRefused, "1 of 3 servers") || !strings.Contains(r.out, "no answer") {
+	r = servers[0].command("status")
+	if !r.oneLine(exitRefused, "1 of 3 servers") || !strings.Contains(r.out, "no answer") {
 		t.Errorf("%+v", r)
 	}
 }
 
 func TestBadInputIsOneLineAndExitCode2(t *testing.T) {
 	s := newServers(t, 1)[0] // does not run: no command gets as far as a call
-	broken := filepath.Join(t.TempDir(), "control.toml")
-	if err := os.WriteFile(broken, []byte("fleet = \"lima\"\nname = 3\n"), 0o600); err != nil {
+	invalid := filepath.Join(t.TempDir(), "control.toml")
+	if err := os.WriteFile(invalid, []byte("fleet = \"lima\"\nname = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	live := document(t, "nodes = 1\n")
@@ -86,11 +89,11 @@
 		arguments []string
 		says      string
 	}{
-		{[]string{"check", broken}, broken + ":2:"},
-		{[]string{"serve", broken}, broken + ":2:"},
-		{[]string{"status", "--control", broken}, broken + ":2:"},
+		{[]string{"check", invalid}, invalid + ":2:"},
+		{[]string{"serve", invalid}, invalid + ":2:"},
+		{[]string{"status", "--control", invalid}, invalid + ":2:"},
 		{[]string{"status", "--control", ""}, "no control file"},
-		{[]string{"check", broken + ".none"}, broken + ".none"},
+		{[]string{"check", invalid + ".none"}, invalid + ".none"},
 		{[]string{"apply", live, "--control", s.file}, "if-revision"},
 		{[]string{"apply", live, "--if-revision", "x", "--control", s.file}, `"x" is no revision`},
 		{[]string{"apply", live + ".none", "--if-revision", "1", "--control", s.file}, live + ".none"},
--- a/cmd/gorseledge-config/main_test.go
+++ b/cmd/gorseledge-config/main_test.go
@@ -168,7 +168,8 @@
 	var out, errs output
 	c.Stdout, c.Stderr = &out, &errs
 	err := c.Run()
-	if exit := (*exec.ExitError)(nil); err != nil && !errors.As(err, &exit) {
+	var exit *exec.ExitError
+	if err != nil && !errors.As(err, &exit) {
 		t.Fatal(err)
 	}
 	return result{code: c.ProcessState.ExitCode(), out: out.String(), errors: errs.String()}
--- a/cmd/gorseledge-config/serve_test.go
+++ b/cmd/gorseledge-config/serve_test.go
@@ -15,7 +15,8 @@
 func TestServerStopsCleanlyOnSIGTERM(t *testing.T) {
 	s := newServers(t, 1)[0]
 	s.start()
-	if code := s.end(syscall.SIGTERM); code != 0 || !strings.Contains(s.log.String(), `"message":"stopped"`) {
+	code := s.end(syscall.SIGTERM)
+	if code != 0 || !strings.Contains(s.log.String(), `"message":"stopped"`) {
 		t.Errorf("exit %d: %s", code, s.log)
 	}
 }
--- a/internal/configfeed/feedhttp/authentication_test.go
+++ b/internal/configfeed/feedhttp/authentication_test.go
@@ -25,7 +25,8 @@
 	if _, err := client.Status(t.Context(), f.writer()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := client.Status(t.Context(), f.writer()); err == nil || !strings.Contains(err.Error(), "not authentic") {
+	_, err := client.Status(t.Context(), f.writer())
+	if err == nil || !strings.Contains(err.Error(), "not authentic") {
 		t.Errorf("%v", err)
 	}
 }
@@ -37,7 +38,8 @@
 	})
 	client := NewClient(testFleet, testKeys, map[string]string{f.writer(): through})
 	defer client.Close()
-	if _, err := client.Status(t.Context(), f.writer()); err == nil || !strings.Contains(err.Error(), "not authentic") {
+	_, err := client.Status(t.Context(), f.writer())
+	if err == nil || !strings.Contains(err.Error(), "not authentic") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/configfeed/feedhttp/caller.go
+++ b/internal/configfeed/feedhttp/caller.go
@@ -63,20 +63,20 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+target, bytes.NewReader(body))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("making a request to %s: %w", address, err)
 	}
 	nonce := c.authenticator.signRequest(request, body)
 	c.traffic.requests.Add(1)
 	answer, err := c.transport.RoundTrip(request)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("requesting %s: %w", request.URL.Path, err)
 	}
 	defer answer.Body.Close()
 	c.traffic.answers.Add(1)
 	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	switch {
 	case err != nil:
-		return nil, err
+		return nil, fmt.Errorf("reading the answer to %s: %w", request.URL.Path, err)
 	case len(text) > maxAnswerBytes:
 		return nil, errAnswerTooLarge
 	case answer.StatusCode != http.StatusOK:
--- a/internal/configfeed/feedhttp/follower_test.go
+++ b/internal/configfeed/feedhttp/follower_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// A large state is compressed on the way, and what is authenticated is the state itself.
+// A large state is compressed, and its MAC is that of the uncompressed text.
 func TestLargeStateIsCompressed(t *testing.T) {
 	f := startServers(t, 1)
 	client := f.client()
@@ -126,10 +126,12 @@
 	size := 0
 	for i := range 1000 {
 		e := configfeed.Entry{Key: fmt.Sprintf("hosts.s-%08x.disabled_until_s", i), Value: "1764650000"}
-		entries, size = append(entries, e), size+len(e.Key)+len(e.Value)
+		entries = append(entries, e)
+		size += len(e.Key) + len(e.Value)
 	}
 	p := configfeed.Proposal{ID: NewProposalID(), Entries: entries, Author: "test"}
-	if outcome, err := client.Apply(t.Context(), f.writer(), p); err != nil || outcome.Kind != configfeed.Accepted {
+	outcome, err := client.Apply(t.Context(), f.writer(), p)
+	if err != nil || outcome.Kind != configfeed.Accepted {
 		t.Fatalf("%+v, %v", outcome, err)
 	}
 	n := f.follow("n1", "r1", false)
--- a/internal/configfeed/feedhttp/proposals_test.go
+++ b/internal/configfeed/feedhttp/proposals_test.go
@@ -41,7 +41,8 @@
 	})
 	client := NewClient(testFleet, testKeys, map[string]string{f.writer(): through})
 	defer client.Close()
-	if outcome := f.apply(client, "once", version(0, 0), 1); outcome.Kind != configfeed.Accepted || outcome.Version != version(1, 1) {
+	outcome := f.apply(client, "once", version(0, 0), 1)
+	if outcome.Kind != configfeed.Accepted || outcome.Version != version(1, 1) {
 		t.Errorf("%+v", outcome)
 	}
 	history, err := client.History(t.Context(), f.writer(), 10)
@@ -68,15 +69,16 @@
 	for i := range 3 {
 		f.apply(client, NewProposalID(), version(min(uint64(i), 1), uint64(i)), 10+i)
 	}
-	if state, err := client.State(t.Context(), f.writer(), 2); err != nil || state.Entries[0].Value != "11" {
+	state, err := client.State(t.Context(), f.writer(), 2)
+	if err != nil || state.Entries[0].Value != "11" {
 		t.Errorf("%+v, %v", state, err)
 	}
-	_, err := client.State(t.Context(), f.writer(), 9)
+	_, err = client.State(t.Context(), f.writer(), 9)
 	if !isStatus(err, http.StatusNotFound) {
 		t.Errorf("%v", err)
 	}
-	if history, err := client.History(t.Context(), f.writer(), 2); err != nil || len(history.Revisions) != 2 ||
-		history.Revisions[1].Delta.To != version(1, 3) {
+	history, err := client.History(t.Context(), f.writer(), 2)
+	if err != nil || len(history.Revisions) != 2 || history.Revisions[1].Delta.To != version(1, 3) {
 		t.Errorf("%+v, %v", history, err)
 	}
 }
--- a/internal/configfeed/feedhttp/requests_test.go
+++ b/internal/configfeed/feedhttp/requests_test.go
@@ -95,7 +95,8 @@
 	server := NewServer(ServerOptions{Config: configfeed.ServerConfig{Name: "c1", Writer: "c1"},
 		Check: func([]configfeed.Entry) error { return errors.New("nodes: out\nof range") }})
 	_, err := server.apply(httptest.NewRequest(http.MethodPost, pathApply, nil), []byte(`{"id":"p"}`))
-	if refused := (*StatusError)(nil); !errors.As(err, &refused) || refused.Code != http.StatusBadRequest || refused.Text != "nodes: out of range" {
+	var refused *StatusError
+	if !errors.As(err, &refused) || refused.Code != http.StatusBadRequest || refused.Text != "nodes: out of range" {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/configfeed/feedstore/feedstore_test.go
+++ b/internal/configfeed/feedstore/feedstore_test.go
@@ -96,7 +96,8 @@
 		return store.At(configfeed.Version{Epoch: 1, Revision: revision})
 	}
 	for revision := uint64(1); revision <= 4; revision++ {
-		if state, err := at(revision); err != nil || state.Entries[0].Value != fmt.Sprint(revision) {
+		state, err := at(revision)
+		if err != nil || state.Entries[0].Value != fmt.Sprint(revision) {
 			t.Errorf("revision %d: %+v, %v", revision, state, err)
 		}
 	}
@@ -117,7 +118,8 @@
 		}
 	}
 	store.Close()
-	if _, stored := openStore(t, directory); !reflect.DeepEqual(stored.State, w.state) || len(stored.History) != 5 {
+	_, stored := openStore(t, directory)
+	if !reflect.DeepEqual(stored.State, w.state) || len(stored.History) != 5 {
 		t.Errorf("%+v, wanted %+v and 5 revisions", stored, w.state)
 	}
 }
@@ -157,7 +159,8 @@
 func TestSecondOpenOfLockedLogFails(t *testing.T) {
 	directory := t.TempDir()
 	openStore(t, directory)
-	if _, _, err := Open(directory); err == nil || !strings.Contains(err.Error(), "another process") {
+	_, _, err := Open(directory)
+	if err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("%v", err)
 	}
 }
@@ -195,13 +198,14 @@
 
 func TestTruncatedFileIsRejected(t *testing.T) {
 	text := fileOfRevisions(t, 40)
-	whole, err := openBytes(t, text)
-	if err != nil || len(whole.History) != 40 {
-		t.Fatalf("%d revisions, %v", len(whole.History), err)
+	complete, err := openBytes(t, text)
+	if err != nil || len(complete.History) != 40 {
+		t.Fatalf("%d revisions, %v", len(complete.History), err)
 	}
 	page := os.Getpagesize()
 	for size := 1; size < len(text); size += page / 2 {
-		if stored, err := openBytes(t, text[:size]); err == nil && !reflect.DeepEqual(stored, whole) {
+		stored, err := openBytes(t, text[:size])
+		if err == nil && !reflect.DeepEqual(stored, complete) {
 			t.Errorf("%d of %d bytes were taken for %d revisions", size, len(text), len(stored.History))
 		}
 	}
--- a/internal/configfeed/fleet_test.go
+++ b/internal/configfeed/fleet_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 )
 
@@ -24,7 +23,8 @@
 		p.Entries = append(p.Entries, Entry{Key: fmt.Sprintf("setting.%03d", i), Value: `"a value of usual length"`})
 	}
 	s.propose(p, nil)
-	if took := s.lastInForce(inForceWithin); took > inForceWithin || len(s.accepted) == 0 {
+	took := s.lastInForce(inForceWithin)
+	if took > inForceWithin || len(s.accepted) == 0 {
 		t.Fatalf("no state in force at the start: %v", s.writer().core.notReady())
 	}
 	return s
@@ -147,9 +147,11 @@
 			n.bytes = 0
 		}
 		s.runFor(seconds)
-		most, sum := 0, 0
+		most := 0
+		sum := 0
 		for _, n := range s.nodes {
-			most, sum = max(most, n.bytes), sum+n.bytes
+			most = max(most, n.bytes)
+			sum += n.bytes
 		}
 		t.Logf("%s: %.0f bytes a second and node, most %.0f", name, float64(sum)/seconds/fleetNodes,
 			float64(most)/seconds)
@@ -179,9 +181,8 @@
 	served := map[string]int{}
 	for _, n := range s.nodes {
 		served[n.core.View().Server]++
-		if server := s.servers[slices.IndexFunc(s.servers, func(c *simServer) bool {
-			return c.name == n.core.View().Server
-		})]; server.region != n.region {
+		server := s.serverNamed(n.core.View().Server)
+		if server.region != n.region {
 			t.Errorf("%s of %s still follows %s of %s", n.name, n.region, server.name, server.region)
 		}
 	}
--- a/internal/configfeed/properties_test.go
+++ b/internal/configfeed/properties_test.go
@@ -102,7 +102,8 @@
 			s.violated("after all faults a proposal is answered %s: %s", o.Kind, o.Detail)
 		}
 	})
-	if took := s.lastInForce(inForceWithin); took > inForceWithin || len(s.accepted) == before {
+	took = s.lastInForce(inForceWithin)
+	if took > inForceWithin || len(s.accepted) == before {
 		s.violated("the last change is not in force: %v", s.behind(s.writer().disk.State.Version))
 	}
 }
@@ -116,7 +117,8 @@
 	}
 	applied := map[string]int{}
 	for _, r := range s.writer().disk.History {
-		if applied[r.Proposal]++; r.Proposal != "" && applied[r.Proposal] > 1 {
+		applied[r.Proposal]++
+		if r.Proposal != "" && applied[r.Proposal] > 1 {
 			s.violated("%s was applied more than once", r.Proposal)
 		}
 	}
--- a/internal/configfeed/proposals_test.go
+++ b/internal/configfeed/proposals_test.go
@@ -135,7 +135,8 @@
 		}
 	}
 	for _, effect := range s.Answered(3, poll.Request, Update{Kind: Snapshot, Version: other.Version, State: &other}) {
-		if send, ok := effect.(SendPoll); !ok || send.Poll.Refused == nil || send.Poll.Refused.Version != other.Version {
+		send, _ := effect.(SendPoll)
+		if refusal := send.Poll.Refused; refusal == nil || refusal.Version != other.Version {
 			t.Errorf("want a poll that refuses the other history, got %+v", effect)
 		}
 	}
--- a/internal/configfeed/sim_test.go
+++ b/internal/configfeed/sim_test.go
@@ -198,6 +198,12 @@
 // writer is the server that takes proposals.
 func (s *simulation) writer() *simServer { return s.servers[0] }
 
+// serverNamed returns the server with a name.
+func (s *simulation) serverNamed(name string) *simServer {
+	index := slices.IndexFunc(s.servers, func(server *simServer) bool { return server.name == name })
+	return s.servers[index]
+}
+
 // behind describes the running nodes that do not have a version.
 func (s *simulation) behind(v Version) (names []string) {
 	for _, n := range s.nodes {
