--- a/internal/fleet/config_follower.go
+++ b/internal/fleet/config_follower.go
@@ -21,7 +21,7 @@
 	options   view.Options
 	now       func() float64 // Unix time in seconds
 	startedAt float64
-	wake      chan struct{} // has run and watchServers look at the state below again
+	wake      wakeSignal // has run and watchServers check the state below again
 
 	mu              sync.Mutex
 	state           configfeed.State   // in force; zero for none
@@ -42,7 +42,7 @@
 		options:         o,
 		now:             now,
 		startedAt:       now(),
-		wake:            make(chan struct{}, 1),
+		wake:            newWakeSignal(),
 		predecessorDone: !o.Successor,
 	}
 	f.setInForce(o.InForce)
@@ -56,10 +56,7 @@
 			f.follow(ctx)
 			continue
 		}
-		select {
-		case <-f.wake:
-		case <-ctx.Done():
-		}
+		f.wake.wait(ctx)
 	}
 }
 
@@ -75,7 +72,7 @@
 	f.mu.Lock()
 	f.predecessorDone = true
 	f.mu.Unlock()
-	f.wakeUp()
+	f.wake.set()
 }
 
 // setHandedOver records whether a successor follows.
@@ -83,15 +80,7 @@
 	f.mu.Lock()
 	f.handedOver = handedOver
 	f.mu.Unlock()
-	f.wakeUp()
-}
-
-// wakeUp has run and watchServers look at the state again. It does not block.
-func (f *configFollower) wakeUp() {
-	select {
-	case f.wake <- struct{}{}:
-	default:
-	}
+	f.wake.set()
 }
 
 // follow runs a follower until a successor follows or the context ends. The follower's goroutine has ended when follow
--- /dev/null
+++ b/internal/fleet/config_follower_test.go
@@ -0,0 +1,111 @@
+package fleet
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"gorseledge/internal/configfeed"
+	"gorseledge/internal/fleet/view"
+	"gorseledge/internal/node/live"
+)
+
+// testState returns a valid state with this revision number.
+func testState(number uint64) configfeed.State {
+	return configfeed.State{
+		Version: configfeed.Version{Epoch: 1, Revision: number},
+		Entries: []configfeed.Entry{{Key: "limits.sockets", Value: "900"}, {Key: "nodes", Value: "30"}},
+		Digest:  0xf6014f494c73b015,
+	}
+}
+
+// testRevision returns a valid revision with this number.
+func testRevision(t *testing.T, number uint64) live.Revision {
+	t.Helper()
+	revision, err := decodeRevision(testState(number))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return revision
+}
+
+// newTestFollower returns a follower at the time 1000 that does not run.
+func newTestFollower(t *testing.T, o view.Options) *configFollower {
+	t.Helper()
+	o.Log = zerolog.Nop()
+	return newConfigFollower(Config{Fleet: "lima"}, o, func() float64 { return 1000 })
+}
+
+func TestOneProcessOfANodeFollows(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		successor bool
+		change    func(f *configFollower)
+		want      bool
+	}{
+		{"first process", false, func(*configFollower) {}, true},
+		{"successor while its predecessor follows", true, func(*configFollower) {}, false},
+		{"successor after its predecessor", true, func(f *configFollower) { f.releaseByPredecessor() }, true},
+		{"predecessor of a successor", false, func(f *configFollower) { f.setHandedOver(true) }, false},
+		{"predecessor of a successor that ended", false, func(f *configFollower) {
+			f.setHandedOver(true)
+			f.setHandedOver(false)
+		}, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newTestFollower(t, view.Options{Successor: c.successor})
+			c.change(f)
+			if got := f.shouldFollow(); got != c.want {
+				t.Errorf("follows %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestRevisionInForceIsRecorded(t *testing.T) {
+	f := newTestFollower(t, view.Options{InForce: testRevision(t, 3)})
+	if v := f.view(); v.Epoch != 1 || v.Revision != 3 || v.Since != 1000 || v.Follows {
+		t.Errorf("at the start %+v", v)
+	}
+	f.inForce(testRevision(t, 4))
+	if v := f.view(); v.Revision != 4 {
+		t.Errorf("after a newer revision %+v", v)
+	}
+}
+
+func TestRevisionWithoutValidStateIsNotRecorded(t *testing.T) {
+	state := testState(4)
+	state.Digest++
+	wrongDigest, err := json.Marshal(state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name     string
+		revision live.Revision
+	}{
+		{"zero", live.Revision{}},
+		{"no state", live.Revision{Epoch: 1, Number: 4}},
+		{"state that is not JSON", live.Revision{Epoch: 1, Number: 4, State: json.RawMessage("{")}},
+		{"digest of another state", live.Revision{Epoch: 1, Number: 4, State: wrongDigest}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newTestFollower(t, view.Options{InForce: testRevision(t, 3)})
+			f.inForce(c.revision)
+			if v := f.view(); v.Revision != 3 {
+				t.Errorf("revision %d, want 3", v.Revision)
+			}
+		})
+	}
+}
+
+func TestAgeOfTheLastAnswerCountsFromTheStartWhereNoneCame(t *testing.T) {
+	f := newTestFollower(t, view.Options{})
+	f.startedAt = 990
+	for _, c := range []struct{ lastAnswer, want float64 }{{0, 10}, {997, 3}, {1001, 0}} {
+		if got := f.answerAge(c.lastAnswer); got != c.want {
+			t.Errorf("last answer %g: %g s, want %g s", c.lastAnswer, got, c.want)
+		}
+	}
+}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -31,7 +31,7 @@
 	follower  *configFollower              // nil where the node follows no control servers
 	observe   func(membership.Changed)     // nil for none
 	filter    func(at netip.AddrPort) bool // nil in service
-	wake      chan struct{}                // has the loop of the socket look at the state below again
+	wake      wakeSignal                   // has the loop of the socket check the state below again
 
 	mu              sync.Mutex
 	core            *membership.Members
@@ -58,7 +58,7 @@
 		configuredNodes: o.ConfiguredNodes,
 		authenticator:   newAuthenticator(c),
 		rejected:        map[rejection]int{},
-		wake:            make(chan struct{}, 1),
+		wake:            newWakeSignal(),
 	}
 	f.core = membership.New(f.now(), membership.Config{
 		Self: membership.Member{
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -11,7 +11,7 @@
 		f.closeSocket()
 	}
 	f.mu.Unlock()
-	f.wakeUp()
+	f.wake.set()
 	if f.follower != nil {
 		f.follower.setHandedOver(handedOver)
 	}
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -25,7 +25,7 @@
 		return
 	}
 	f.apply(func(now float64) []membership.Effect { return f.core.Receive(now, message) })
-	f.wakeUp()
+	f.wake.set()
 }
 
 // accept verifies a datagram, counts it and returns its message; false where it is rejected. The log has the first
@@ -116,7 +116,7 @@
 		text := peers.Append(nil, loads[:count])
 		loads = loads[count:]
 		for _, m := range all {
-			if m.Name == self.Name || m.State > membership.Suspect {
+			if m.Name == self.Name || m.State.Gone() {
 				continue
 			}
 			f.send(m.Address, &wire.Message{Kind: wire.Message_WORDS, From: self.Name, Start: self.Start, Words: text})
--- a/internal/fleet/socket.go
+++ b/internal/fleet/socket.go
@@ -26,7 +26,7 @@
 			return nil
 		}
 		if handedOver {
-			f.waitForWake(ctx)
+			f.wake.wait(ctx)
 			continue
 		}
 		socket, err := f.openSocket(ctx)
@@ -40,30 +40,6 @@
 	return nil
 }
 
-// waitForWake waits until wakeUp is called or the context ends.
-func (f *Fleet) waitForWake(ctx context.Context) {
-	select {
-	case <-f.wake:
-	case <-ctx.Done():
-	}
-}
-
-// wakeUp has the loop of the socket look at the state again. It does not block.
-func (f *Fleet) wakeUp() {
-	select {
-	case f.wake <- struct{}{}:
-	default:
-	}
-}
-
-// sleep waits for a duration, or until the context ends.
-func sleep(ctx context.Context, duration time.Duration) {
-	select {
-	case <-time.After(duration):
-	case <-ctx.Done():
-	}
-}
-
 // openSocket opens the node's address. It fails with net.ErrClosed where the membership was handed over meanwhile.
 func (f *Fleet) openSocket(ctx context.Context) (*peers.Socket, error) {
 	socket, err := peers.Open(ctx, f.config.Address)
--- a/internal/membership/bad_links.go
+++ b/internal/membership/bad_links.go
@@ -21,7 +21,7 @@
 func (m *Members) badLinks() []uint32 {
 	var hashes []uint32
 	for _, peer := range m.others {
-		if peer.badLink && !peer.State.gone() {
+		if peer.badLink && !peer.State.Gone() {
 			hashes = append(hashes, NameHash(peer.Name))
 		}
 	}
--- a/internal/membership/effect.go
+++ b/internal/membership/effect.go
@@ -14,10 +14,12 @@
 
 // Changed reports that a member is new or has changed its state.
 type Changed struct {
-	Member             // as it is now
-	New         bool   // the member was not known before
-	Previous    State  // its state before; Alive for a new member
-	SuspectedBy string // for a suspicion, the name of the member that reported it
+	Member         // as it is now
+	New      bool  // the member was not known before
+	Previous State // its state before; Alive for a new member
+	// SuspectedBy is meant for the name of the member that reported a suspicion. It is always empty so far: the change
+	// is reported before the reporter is recorded.
+	SuspectedBy string
 }
 
 // Replaced reports that a later process has this node's name at another address. This node sends nothing more, and its
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -45,7 +45,7 @@
 	addresses := slices.Clone(m.config.Join)
 	addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == m.self.Address })
 	for _, peer := range m.others {
-		if peer.State.gone() {
+		if peer.State.Gone() {
 			continue
 		}
 		if i := slices.Index(addresses, peer.Address); i >= 0 {
@@ -61,7 +61,7 @@
 func (m *Members) joinGone() {
 	var gone []*member
 	for _, peer := range m.others {
-		if peer.State.gone() {
+		if peer.State.Gone() {
 			gone = append(gone, peer)
 		}
 	}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -29,8 +29,8 @@
 	return "unknown"
 }
 
-// gone reports whether a member cannot come back from the state under the same incarnation.
-func (s State) gone() bool { return s >= Dead }
+// Gone reports whether a member cannot come back from the state under the same incarnation.
+func (s State) Gone() bool { return s >= Dead }
 
 // reportedState returns the state in an update. A state that this version does not know counts as Left.
 func reportedState(u *wire.Update) State { return State(min(u.State, uint32(Left))) }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -65,7 +65,7 @@
 		m.suspect(peer, cmp.Or(u.By, from), state == Left)
 		return
 	}
-	if !peer.State.gone() {
+	if !peer.State.Gone() {
 		m.setState(peer, Left)
 		m.enqueueUpdate(peer)
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -51,7 +51,7 @@
 		}
 		peer := m.others[m.nextTarget]
 		m.nextTarget++
-		if !peer.State.gone() {
+		if !peer.State.Gone() {
 			return peer
 		}
 	}
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -63,7 +63,7 @@
 // incarnation.
 func appendIdentity(to []byte, peer *member) []byte {
 	gone := byte(0)
-	if peer.State.gone() {
+	if peer.State.Gone() {
 		gone = 1
 	}
 	to = append(to, peer.Name...)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -16,26 +16,22 @@
 	if previous == to {
 		return
 	}
-	if previous.gone() && !to.gone() {
+	if previous.Gone() && !to.Gone() {
 		m.liveCount++
 	}
-	if !previous.gone() && to.gone() {
+	if !previous.Gone() && to.Gone() {
 		m.liveCount--
 	}
 	peer.State = to
 	peer.Since = m.now
-	suspectedBy := ""
-	if to == Suspect && peer.suspicion != nil {
-		suspectedBy = peer.suspicion.lastReporter
-	}
-	m.effects = append(m.effects, Changed{Member: peer.Member, Previous: previous, SuspectedBy: suspectedBy})
+	m.effects = append(m.effects, Changed{Member: peer.Member, Previous: previous})
 }
 
 // addMember adds a member that was not known, as alive or gone. A suspicion is up to the caller.
 func (m *Members) addMember(u *wire.Update) *member {
 	peer := &member{Member: Member{Name: u.Name, State: Alive, Since: m.now}}
 	peer.setFacts(u)
-	if state := reportedState(u); state.gone() {
+	if state := reportedState(u); state.Gone() {
 		peer.State = state
 	} else {
 		m.liveCount++
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -71,7 +71,7 @@
 // suspect begins a suspicion of a member, or confirms the one that exists. The reporter is the name of the member that
 // suspects it; hasLeft says that the member is reported to have left. A member that is gone is not suspected.
 func (m *Members) suspect(peer *member, reporter string, hasLeft bool) {
-	if peer.State.gone() {
+	if peer.State.Gone() {
 		return
 	}
 	if peer.suspicion == nil {
