--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -7,6 +7,7 @@
 	hasPredecessor bool // another process has the clients until this one can serve
 }
 
+// newStartup returns the state of a process before its first input.
 func newStartup(start Start) startup {
 	return startup{
 		listenerClosed: start.NotListening || start.AwaitSettings > 0,
@@ -50,6 +51,6 @@
 // logStartWithoutSettings logs that clients are admitted although no revision has come in time.
 func (n *Node) logStartWithoutSettings() {
 	if n.live.awaitDeadline > 0 && n.live.revision.IsZero() {
-		n.emit(WriteLog{"no word of the live settings in time: clients are let in by the start's"})
+		n.emit(WriteLog{"no live settings in time: clients are admitted by the start's settings"})
 	}
 }
