--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -33,7 +33,7 @@
 func NewLink(conn *net.UnixConn) (*Link, error) {
 	if err := checkPeerUser(conn); err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("accepting the other process: %w", err)
+		return nil, fmt.Errorf("checking the user of the other process: %w", err)
 	}
 	link := &Link{conn: conn}
 	link.lines = bufio.NewScanner(link)
--- a/internal/node/connection_io_test.go
+++ b/internal/node/connection_io_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// readAll answers the reads of a connection with lines until the node reads no more, and returns how many bytes it took.
+// readAll answers the reads of a connection with lines until the node reads no more, and returns how many bytes it got.
 func readAll(harness *testHarness, conn Conn) int {
 	harness.Helper()
 	taken := 0
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// dispatchConnection hands on what happened to a connection. Results for a connection that is closed by now are dropped.
+// dispatchConnection hands on what happened to a connection. Results for one that is closed by now are dropped.
 func (n *Node) dispatchConnection(input Input) {
 	switch input := input.(type) {
 	case Accepted:
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -120,7 +120,7 @@
 	return state
 }
 
-// mayServe reports whether there is a list to serve by: discovery has sent one, or it is out and the cached one must do.
+// mayServe reports whether there is a list to serve by: discovery has sent one, or is out and the cached one must do.
 func (d *endpointDirectory) mayServe() bool {
 	return d.listReceived || d.failedCalls >= failedCallsUntilCached && len(d.hosts) > 0
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -8,7 +8,7 @@
 	"gorseledge/placement"
 )
 
-// inFlightReserve is how many descriptors a predecessor may need beside those it holds, for attempts of flows in flight.
+// inFlightReserve is how many descriptors a predecessor may need beside those in use, for attempts of flows in flight.
 const inFlightReserve = 8
 
 // HandoverState is what a process hands over to its successor, with what its own predecessor left. The JSON names are
--- a/internal/node/live_settings_test.go
+++ b/internal/node/live_settings_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// An older revision does not replace a newer one, the same one again changes nothing, and a later epoch does replace it.
+// An older revision does not replace a newer one, the same one again changes nothing, and a later epoch replaces it.
 func TestOlderRevisionIsRefused(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 	maxAttempts := func() int { return harness.node.balancer.MaxAttempts }
@@ -160,7 +160,8 @@
 	start := balancer.Settings.Live()
 	limit := harness.node.connections.limit
 	text := "retry_advice_s = 9\nask_within_s = 9\nnodes = 9\ndiscovery = \"127.0.0.1:9\"\n" +
-		"limits = {max_connects = 2, sockets = 50}\nslow_start = {from = 0.9, for_s = 9, fall_multiple = 9, fall_for_s = 9}\n" +
+		"limits = {max_connects = 2, sockets = 50}\n" +
+		"slow_start = {from = 0.9, for_s = 9, fall_multiple = 9, fall_for_s = 9}\n" +
 		"tenants.beta.connections = 9\nservice_types.mail = {setup_target_s = 9, message_target_s = 9}\n" +
 		"hosts.s-00000064 = {disabled_until_s = 4000000000, weight = 9}\n"
 	if err := harness.applySettings(1, text); err != nil {
