--- a/cmd/gorseledge-lab/main.go
+++ b/cmd/gorseledge-lab/main.go
@@ -69,8 +69,8 @@
 			if trace {
 				o.Trace = cmd.OutOrStdout()
 			}
-			r := emulator.Play(s, seed, o)
-			fmt.Fprintf(cmd.OutOrStdout(), "%s\ntrace %016x\n", lab.CSV([]*emulator.Result{r}), r.Trace)
+			r := emulator.Run(s, seed, o)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s\ntrace %016x\n", lab.CSV([]*emulator.Result{r}), r.TraceHash)
 			return reportBroken(cmd, r)
 		}}
 	c.Flags().Uint64Var(&seed, "seed", 1, "all chance comes from it")
@@ -84,10 +84,10 @@
 func reportBroken(cmd *cobra.Command, results ...*emulator.Result) error {
 	n := 0
 	for _, r := range results {
-		for i, b := range r.Breaks {
+		for i, b := range r.Violations {
 			if n++; i == 0 {
 				fmt.Fprintf(cmd.ErrOrStderr(), "seed %d: %v\n", r.Seed, b)
-				for _, line := range b.Last {
+				for _, line := range b.RecentTrace {
 					fmt.Fprintln(cmd.ErrOrStderr(), "   ", line)
 				}
 			}
--- a/internal/emulator/emulator_golden_test.go
+++ b/internal/emulator/emulator_golden_test.go
@@ -61,21 +61,21 @@
 
 // goldenScenario has every key, and values other than the defaults.
 func goldenScenario() Scenario {
-	traffic := Traffic{Name: "upload", Effect: "referenced", Span: 1.5, Rate: 2.5, Lives: 3.5, Load: 0.125, Target: 0.25, Timeout: 4.5,
-		Message: 0.75, Value: 5, Group: 6, Retries: 7, Backoff: 0.5, Heeds: 0.375}
-	s := Scenario{Name: "golden", Lasts: 100, Settle: 10, Drawn: 3, Any: true,
-		Fleet: Fleet{Nodes: 4, Hosts: 5, Zones: 6, Capacity: 7.5, Uneven: 0.5, ColdFrom: 0.25, ColdFor: 9, Roster: 1.5, Calls: 15, Store: 150,
-			CPU: 0.125, Sockets: 64},
-		Network: Network{Near: 0.125, Far: 0.25, Jitter: 0.5, Bandwidth: 1000, Pieces: 0.75},
-		Rules: Rules{Grace: 1.5, Answer: 0.25, FallMultiple: 5, FallFor: 2, MaxConnects: 3, RetryAfter: 4, AskWithin: 20, DialTimeout: 0.5,
+	traffic := Traffic{Name: "upload", Effect: "referenced", MemorySpan: 1.5, Rate: 2.5, MeanLifetime: 3.5, Load: 0.125, SetupObjective: 0.25, ConnectTimeout: 4.5,
+		MessageObjective: 0.75, PriorityWeight: 5, GroupSize: 6, Retries: 7, Backoff: 0.5, RetryAfterShare: 0.375}
+	s := Scenario{Name: "golden", Duration: 100, Settle: 10, DrawnFaults: 3, DrawnFleet: true,
+		Fleet: Fleet{Nodes: 4, Hosts: 5, Zones: 6, Capacity: 7.5, CapacitySpread: 0.5, SlowStartFrom: 0.25, SlowStartTime: 9, ListDelay: 1.5, ListCallRate: 15, StoreCallLimit: 150,
+			InputTime: 0.125, MaxDescriptors: 64},
+		Network: Network{DelayWithinZone: 0.125, DelayBetweenZones: 0.25, Jitter: 0.5, Bandwidth: 1000, SplitChance: 0.75},
+		Rules: Rules{DrainGrace: 1.5, AnswerSlack: 0.25, FallMultiple: 5, FallTime: 2, MaxAttempts: 3, RetryAfter: 4, PollWithin: 20, DialTimeout: 0.5,
 			Pushed: true},
 		Traffic: []Traffic{traffic}}
 	for _, effect := range []string{"repeatable", "once-only"} {
 		traffic.Name, traffic.Effect = effect, effect
 		s.Traffic = append(s.Traffic, traffic)
 	}
-	for i, kind := range Kinds() {
-		s.Faults = append(s.Faults, Fault{At: float64(1 + i), Kind: kind, Host: 1, Node: 2, Zone: 3, Count: 4, For: 5.5, By: 0.75})
+	for i, kind := range FaultKinds() {
+		s.Faults = append(s.Faults, Fault{At: float64(1 + i), Kind: kind, Host: 1, Node: 2, Zone: 3, Count: 4, Duration: 5.5, Amount: 0.75})
 	}
 	return s
 }
@@ -118,7 +118,7 @@
 	want := []string{"crash", "dial_late", "drain", "drop", "errs", "grow", "hand", "leave", "node_kill", "node_restart", "release",
 		"roster_down", "roster_late", "roster_move", "roster_reset", "roster_silent", "roster_slow", "shrink", "slow", "stall", "store_slow",
 		"upgrade", "vanish", "zone_loss"}
-	if got := Kinds(); !slices.Equal(got, want) {
+	if got := FaultKinds(); !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 }
@@ -142,6 +142,6 @@
 
 // The settings that the emulator gives to its nodes, in the form of a node's document.
 func TestGoldenNodeSettings(t *testing.T) {
-	w := &World{script: goldenScenario()}
-	checkGolden(t, "settings.json", w.tellSettings())
+	w := &simulation{script: goldenScenario()}
+	checkGolden(t, "settings.json", w.nodeSettings())
 }
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -10,247 +10,247 @@
 	"gorseledge/internal/line"
 )
 
-// state of a host as it is, which the roster tells later.
-type state uint8
+// hostState of a host as it is, which the roster tells later.
+type hostState uint8
 
 const (
-	serving state = iota
+	serving hostState = iota
 	draining
-	gone
+	removed
 )
 
 // host is a stand-in stream box: it sets connections up, answers lines, slows down when it is asked for too
 // much and drops connections when that goes on.
 type host struct {
 	*machine
-	w        *World
-	chance   *rand.Rand
-	index    int
-	capacity float64
-	since    float64 // when it started; 0 for long ago
-	state    state
-	leftAt   float64 // when discovery could first tell that it drains or is gone; 0 for not
-	running  bool
-	stalled  bool
-	slow     float64 // by what its work takes longer; 1 for sound
-	errs     float64 // share of set-ups that err
-	load     float64
-	pending  float64 // load of the set-ups that are under way
-	held     map[*session]bool
-	order    []*session // of held, in the order in which they came; some have ended
-	overAt   float64    // since when it is asked for more than a cold host bears; 0 for not
-	jamAt    float64
-	told     float64 // the delay that its connections were told last
-	aware    int     // connects since its start from nodes that had been told of it
-	unaware  int     // and from others
-	probes   int
-	connects int
+	world              *simulation
+	random             *rand.Rand
+	index              int
+	capacity           float64
+	startedAt          float64 // when it started; 0 for long ago
+	state              hostState
+	withdrawnAt        float64 // when discovery could first tell that it drains or is gone; 0 for not
+	running            bool
+	stalled            bool
+	slowdown           float64 // by what its work takes longer; 1 for sound
+	errorShare         float64 // share of set-ups that err
+	load               float64
+	pending            float64 // load of the set-ups that are under way
+	sessions           map[*session]bool
+	sessionOrder       []*session // of held, in the order in which they came; some have ended
+	coldOverloadSince  float64    // since when it is asked for more than a cold host bears; 0 for not
+	overloadedSince    float64
+	announcedDelay     float64 // the delay that its connections were told last
+	informedAttempts   int     // connects since its start from nodes that had been told of it
+	uninformedAttempts int     // and from others
+	healthChecks       int
+	connects           int
 }
 
 // session is one connection that a host serves, or is asked to.
 type session struct {
 	*host
-	s     *socket
-	text  []byte
-	id    string
-	load  float64
-	up    bool
-	asked bool // its load counts among the pending
-	over  bool
+	socket      *socket
+	received    []byte
+	id          string
+	load        float64
+	established bool
+	settingUp   bool // its load counts among the pending
+	closed      bool
 }
 
-// warmth is the share of its capacity that it has by now.
-func (h *host) warmth() float64 {
-	f := h.w.script.Fleet
-	if h.since <= 0 || f.ColdFor <= 0 {
+// slowStartWeight is the share of its capacity that it has by now.
+func (h *host) slowStartWeight() float64 {
+	f := h.world.script.Fleet
+	if h.startedAt <= 0 || f.SlowStartTime <= 0 {
 		return 1
 	}
-	return min(1, f.ColdFrom+(1-f.ColdFrom)*(h.w.Now-h.since)/f.ColdFor)
+	return min(1, f.SlowStartFrom+(1-f.SlowStartFrom)*(h.world.Now-h.startedAt)/f.SlowStartTime)
 }
 
-// use is the load asked over what it can do now.
-func (h *host) use() float64 { return h.load * h.slow / (h.capacity * h.warmth()) }
+// utilization is the load asked over what it can do now.
+func (h *host) utilization() float64 { return h.load * h.slowdown / (h.capacity * h.slowStartWeight()) }
 
 // delay is how long a line takes here now.
 func (h *host) delay() float64 {
-	u := h.use()
+	u := h.utilization()
 	if u < 0.9 {
-		return 1e-3 * h.slow / (1 - u)
+		return 1e-3 * h.slowdown / (1 - u)
 	}
-	return 1e-2*h.slow + 2*(u-0.9) // what piles up within a second or so
+	return 1e-2*h.slowdown + 2*(u-0.9) // what piles up within a second or so
 }
 
 func (h *host) accept(s *socket) {
-	c := &session{host: h, s: s}
-	s.wake = func() { c.hear() }
+	c := &session{host: h, socket: s}
+	s.onArrival = func() { c.receive() }
 }
 
-// hear takes what arrived.
-func (c *session) hear() {
-	if c.over || !c.running {
+// receive takes what arrived.
+func (c *session) receive() {
+	if c.closed || !c.running {
 		return
 	}
-	c.text, c.s.in = append(c.text, c.s.in...), c.s.in[:0]
-	for !c.over && !c.stalled {
-		row, rest, whole := bytes.Cut(c.text, []byte("\n"))
+	c.received, c.socket.received = append(c.received, c.socket.received...), c.socket.received[:0]
+	for !c.closed && !c.stalled {
+		row, rest, whole := bytes.Cut(c.received, []byte("\n"))
 		if !whole {
 			break
 		}
 		row = append([]byte(nil), row...)
-		c.text = rest
+		c.received = rest
 		c.said(row)
 	}
-	if c.s.end != going && !c.over {
-		c.end()
+	if c.socket.farEnd != streamOpen && !c.closed {
+		c.close()
 	}
 }
 
 func (c *session) said(row []byte) {
 	word, _ := line.Split(row)
 	switch {
-	case word == line.Ping && !c.up:
-		c.probes++
-		c.later(c.delay(), func() { c.s.send([]byte(line.PongLine)) })
+	case word == line.Ping && !c.established:
+		c.healthChecks++
+		c.after(c.delay(), func() { c.socket.send([]byte(line.PongLine)) })
 	case word == line.Open && c.id == "":
 		c.open(row)
-	case c.up:
-		c.later(c.delay(), func() { c.s.send(append(row, '\n')) })
+	case c.established:
+		c.after(c.delay(), func() { c.socket.send(append(row, '\n')) })
 	default:
-		c.say("SYNTAX\r\n")
-		c.end()
+		c.send("SYNTAX\r\n")
+		c.close()
 	}
 }
 
-// later runs something for this session, unless it is over by then.
-func (c *session) later(seconds float64, run func()) {
-	since := c.since
-	c.w.After(seconds, func() {
-		if !c.over && c.running && !c.stalled && c.since == since {
+// after runs something for this session, unless it is over by then.
+func (c *session) after(seconds float64, run func()) {
+	since := c.startedAt
+	c.world.After(seconds, func() {
+		if !c.closed && c.running && !c.stalled && c.startedAt == since {
 			run()
 		}
 	})
 }
 
-func (c *session) say(text string) { c.s.send([]byte(text)) }
+func (c *session) send(text string) { c.socket.send([]byte(text)) }
 
 // open sets a connection up: a call to the session store, and its share of this host.
 func (c *session) open(row []byte) {
 	o, err := line.ParseOpening(append(row, '\n'))
 	c.id = o.ID
 	c.connects++
-	f := c.w.flowOf(o.ID)
+	f := c.world.flowByID(o.ID)
 	if err != nil || f == nil {
-		c.say("SYNTAX\r\n")
-		c.end()
+		c.send("SYNTAX\r\n")
+		c.close()
 		return
 	}
-	c.w.rules.arrived(f, c.host)
+	c.world.checker.checkArrival(f, c.host)
 	if c.state == draining {
-		c.say("BUSY\r\n")
-		c.end()
+		c.send("BUSY\r\n")
+		c.close()
 		return
 	}
-	c.load, c.asked = f.load, true
+	c.load, c.settingUp = f.load, true
 	c.host.pending += c.load
-	took, stored := c.w.store.call()
-	c.later(c.delay()+took, func() {
-		if !stored || c.chance.Float64() < c.errs {
-			c.w.rules.ran(f, c.host)
-			c.say("ERR\r\n")
-			c.end()
+	took, stored := c.world.store.call()
+	c.after(c.delay()+took, func() {
+		if !stored || c.random.Float64() < c.errorShare {
+			c.world.checker.checkSetup(f, c.host)
+			c.send("ERR\r\n")
+			c.close()
 			return
 		}
-		c.w.rules.ran(f, c.host)
-		c.settle()
-		c.up = true
+		c.world.checker.checkSetup(f, c.host)
+		c.finishSetup()
+		c.established = true
 		c.host.load += c.load
-		c.held[c] = true
-		c.order = append(c.order, c)
-		c.say("UP " + c.id + "\r\n")
-		c.say("LOAD " + strconv.FormatFloat(1e6*c.load, 'f', 3, 64) + "\r\n")
-		c.later(f.lives, func() { c.say("BYE\r\n"); c.end() })
+		c.sessions[c] = true
+		c.sessionOrder = append(c.sessionOrder, c)
+		c.send("UP " + c.id + "\r\n")
+		c.send("LOAD " + strconv.FormatFloat(1e6*c.load, 'f', 3, 64) + "\r\n")
+		c.after(f.lifetime, func() { c.send("BYE\r\n"); c.close() })
 	})
 }
 
-// settle ends the time in which a set-up is under way.
-func (c *session) settle() {
-	if c.asked {
-		c.asked = false
+// finishSetup ends the time in which a set-up is under way.
+func (c *session) finishSetup() {
+	if c.settingUp {
+		c.settingUp = false
 		c.host.pending = max(c.host.pending-c.load, 0)
 	}
 }
 
-// end lets a session go from this side, in good order.
-func (c *session) end() { c.quit(false) }
+// close lets a session go from this side, in good order.
+func (c *session) close() { c.disconnect(false) }
 
-func (c *session) quit(broken bool) {
-	if c.over {
+func (c *session) disconnect(broken bool) {
+	if c.closed {
 		return
 	}
-	c.over = true
-	c.settle()
-	if c.up {
+	c.closed = true
+	c.finishSetup()
+	if c.established {
 		c.host.load = max(c.host.load-c.load, 0)
-		delete(c.held, c)
+		delete(c.sessions, c)
 	}
-	c.s.close(broken)
+	c.socket.close(broken)
 }
 
-// beat is a host's housekeeping: what it is asked for too long it drops, what waits it tells.
-func (h *host) beat() {
+// maintain is a host's housekeeping: what it is asked for too long it drops, what waits it tells.
+func (h *host) maintain() {
 	if !h.running {
 		return
 	}
-	rules := h.w.script.Rules
-	now := h.w.Now
-	live := h.order[:0]
-	for _, c := range h.order {
-		if h.held[c] {
+	rules := h.world.script.Rules
+	now := h.world.Now
+	live := h.sessionOrder[:0]
+	for _, c := range h.sessionOrder {
+		if h.sessions[c] {
 			live = append(live, c)
 		}
 	}
-	h.order = live
-	if warm := h.warmth(); warm < 1 && h.load+h.pending > rules.FallMultiple*h.capacity*warm {
-		if h.overAt == 0 {
-			h.overAt = now
-		} else if now-h.overAt >= rules.FallFor {
-			h.w.rules.fell(h)
+	h.sessionOrder = live
+	if warm := h.slowStartWeight(); warm < 1 && h.load+h.pending > rules.FallMultiple*h.capacity*warm {
+		if h.coldOverloadSince == 0 {
+			h.coldOverloadSince = now
+		} else if now-h.coldOverloadSince >= rules.FallTime {
+			h.world.checker.checkOverturned(h)
 			h.crash()
 			return
 		}
 	} else {
-		h.overAt = 0
+		h.coldOverloadSince = 0
 	}
-	if h.use() > 1.2 {
-		if h.jamAt == 0 {
-			h.jamAt = now
+	if h.utilization() > 1.2 {
+		if h.overloadedSince == 0 {
+			h.overloadedSince = now
 		}
 	} else {
-		h.jamAt = 0
+		h.overloadedSince = 0
 	}
-	if h.jamAt > 0 && now-h.jamAt > 2 { // it sheds a tenth, at random
-		h.jamAt = now
-		for range 1 + len(h.order)/10 {
-			if c := h.order[h.chance.IntN(len(h.order))]; !c.over {
-				c.quit(true)
+	if h.overloadedSince > 0 && now-h.overloadedSince > 2 { // it sheds a tenth, at random
+		h.overloadedSince = now
+		for range 1 + len(h.sessionOrder)/10 {
+			if c := h.sessionOrder[h.random.IntN(len(h.sessionOrder))]; !c.closed {
+				c.disconnect(true)
 			}
 		}
 	}
-	if d := h.delay(); !h.stalled && (d > 0.01 || h.told > 0.01) && math.Abs(d-h.told) > 0.2*h.told {
-		h.told = d
-		for _, c := range h.order {
-			if !c.over {
-				c.say(fmt.Sprintf("LOAD %.3f\r\n", min(1e3*d, 900)))
+	if d := h.delay(); !h.stalled && (d > 0.01 || h.announcedDelay > 0.01) && math.Abs(d-h.announcedDelay) > 0.2*h.announcedDelay {
+		h.announcedDelay = d
+		for _, c := range h.sessionOrder {
+			if !c.closed {
+				c.send(fmt.Sprintf("LOAD %.3f\r\n", min(1e3*d, 900)))
 			}
 		}
 	}
-	if h.state == draining && len(h.order) > 0 { // bit by bit
-		for range 1 + len(h.order)/40 {
-			if c := h.order[0]; !c.over {
-				c.say(line.MoveLine)
-				c.end()
+	if h.state == draining && len(h.sessionOrder) > 0 { // bit by bit
+		for range 1 + len(h.sessionOrder)/40 {
+			if c := h.sessionOrder[0]; !c.closed {
+				c.send(line.MoveLine)
+				c.close()
 			}
-			if h.order = h.order[1:]; len(h.order) == 0 {
+			if h.sessionOrder = h.sessionOrder[1:]; len(h.sessionOrder) == 0 {
 				break
 			}
 		}
@@ -260,37 +260,37 @@
 // crash ends the process: its connections are reset.
 func (h *host) crash() {
 	h.running = false
-	h.machine.die(bySerial)
-	h.aware, h.unaware = 0, 0
-	h.held, h.order, h.load, h.pending = map[*session]bool{}, nil, 0, 0
+	h.machine.resetAll(bySerial)
+	h.informedAttempts, h.uninformedAttempts = 0, 0
+	h.sessions, h.sessionOrder, h.load, h.pending = map[*session]bool{}, nil, 0, 0
 }
 
 // start runs it anew, cold.
 func (h *host) start() {
 	h.running, h.vanished, h.stalled, h.state = true, false, false, serving
-	h.since, h.slow, h.errs, h.overAt, h.jamAt, h.told = h.w.Now, 1, 0, 0, 0, 0
-	h.aware, h.unaware = 0, 0
-	h.held, h.order, h.load, h.pending = map[*session]bool{}, nil, 0, 0
+	h.startedAt, h.slowdown, h.errorShare, h.coldOverloadSince, h.overloadedSince, h.announcedDelay = h.world.Now, 1, 0, 0, 0, 0
+	h.informedAttempts, h.uninformedAttempts = 0, 0
+	h.sessions, h.sessionOrder, h.load, h.pending = map[*session]bool{}, nil, 0, 0
 }
 
-// store is the session store: each set-up is a call, and too many in a second fail.
-type store struct {
-	w       *World
-	bears   float64 // calls a second; 0 for any number
-	second  float64
-	calls   float64 // in it
-	peak    float64
-	refused int
+// sessionStore is the session store: each set-up is a call, and too many in a second fail.
+type sessionStore struct {
+	world     *simulation
+	callLimit float64 // calls a second; 0 for any number
+	second    float64
+	calls     float64 // in it
+	peak      float64
+	rejected  int
 }
 
-func (s *store) call() (took float64, ok bool) {
-	if sec := math.Floor(s.w.Now); sec != s.second {
+func (s *sessionStore) call() (took float64, ok bool) {
+	if sec := math.Floor(s.world.Now); sec != s.second {
 		s.second, s.calls = sec, 0
 	}
 	s.calls++
 	s.peak = max(s.peak, s.calls)
-	if s.bears > 0 && s.calls > s.bears {
-		s.refused++
+	if s.callLimit > 0 && s.calls > s.callLimit {
+		s.rejected++
 		return 0.05, false
 	}
 	return 2e-3, true
--- a/internal/emulator/told_test.go
+++ b/internal/emulator/notification_test.go
@@ -7,45 +7,45 @@
 	"gorseledge/internal/node"
 )
 
-// patient hears a watch that says nothing.
-type patient struct{ Core }
+// ignoringSilence hears a watch that says nothing.
+type ignoringSilence struct{ Core }
 
-func (p *patient) Apply(now float64, in node.Input) []node.Effect {
+func (p *ignoringSilence) Apply(now float64, in node.Input) []node.Effect {
 	out := append([]node.Effect(nil), p.Core.Apply(now, node.WatchAlive{})...)
 	return append(out, p.Core.Apply(now, in)...)
 }
 
-// sulking never asks again once a watch has ended.
-type sulking struct{ Core }
+// neverPolling never asks again once a watch has ended.
+type neverPolling struct{ Core }
 
-func (s *sulking) Apply(now float64, in node.Input) []node.Effect {
+func (s *neverPolling) Apply(now float64, in node.Input) []node.Effect {
 	switch in.(type) {
 	case node.WatchFailed:
 		in = node.WatchAlive{}
 	case node.TimerFired:
-		return (&patient{s.Core}).Apply(now, in)
+		return (&ignoringSilence{s.Core}).Apply(now, in)
 	}
 	return s.Core.Apply(now, in)
 }
 
-// settled stays with the discovery that it knows.
-type settled struct{ Core }
+// ignoringRelocation stays with the discovery that it knows.
+type ignoringRelocation struct{ Core }
 
-func (s *settled) Apply(now float64, in node.Input) []node.Effect {
+func (s *ignoringRelocation) Apply(now float64, in node.Input) []node.Effect {
 	if _, moved := in.(node.DiscoveryMoved); moved {
 		in = node.WatchAlive{}
 	}
-	return (&sulking{s.Core}).Apply(now, in)
+	return (&neverPolling{s.Core}).Apply(now, in)
 }
 
-// behind takes each list only after all that came to it within a second.
-type behind struct {
+// delayingLists takes each list only after all that came to it within a second.
+type delayingLists struct {
 	Core
 	lists []node.ListReceived
 	since []float64
 }
 
-func (b *behind) Apply(now float64, in node.Input) (out []node.Effect) {
+func (b *delayingLists) Apply(now float64, in node.Input) (out []node.Effect) {
 	for len(b.lists) > 0 && now > b.since[0]+1 {
 		out = append(out, b.Core.Apply(now, b.lists[0])...)
 		b.lists, b.since = b.lists[1:], b.since[1:]
@@ -57,14 +57,14 @@
 	return append(out, b.Core.Apply(now, in)...)
 }
 
-// headlong takes no list while it dials.
-type headlong struct {
+// dialingBeforeLists takes no list while it dials.
+type dialingBeforeLists struct {
 	Core
 	dials map[node.Conn]bool
 	lists []node.ListReceived
 }
 
-func (h *headlong) Apply(now float64, in node.Input) (out []node.Effect) {
+func (h *dialingBeforeLists) Apply(now float64, in node.Input) (out []node.Effect) {
 	switch in := in.(type) {
 	case node.Dialed:
 		delete(h.dials, in.Conn)
@@ -86,10 +86,10 @@
 	return out
 }
 
-// forgetful takes over with every host serving.
-type forgetful struct{ Core }
+// restoringAllServing takes over with every host serving.
+type restoringAllServing struct{ Core }
 
-func (f *forgetful) Apply(now float64, in node.Input) []node.Effect {
+func (f *restoringAllServing) Apply(now float64, in node.Input) []node.Effect {
 	if i, ok := in.(node.HandoverReceived); ok {
 		for k := range i.State.Hosts {
 			i.State.Hosts[k].Status = "SERVING"
@@ -99,13 +99,13 @@
 	return f.Core.Apply(now, in)
 }
 
-// tardy asks again twelve seconds after its watch has ended.
-type tardy struct {
+// pollingLate asks again twelve seconds after its watch has ended.
+type pollingLate struct {
 	Core
 	until float64
 }
 
-func (l *tardy) Apply(now float64, in node.Input) []node.Effect {
+func (l *pollingLate) Apply(now float64, in node.Input) []node.Effect {
 	if _, ended := in.(node.WatchFailed); ended {
 		l.until = now + 12
 	}
@@ -123,7 +123,7 @@
 	})
 }
 
-const drained = `
+const twoDrains = `
 [[fault]]
 at = 10
 kind = "drain"
@@ -147,31 +147,31 @@
 		name, rules, faults string
 		wrap                func(Core) Core
 	}{
-		{"silence is not noticed, asked", rules, silent, func(c Core) Core { return &patient{c} }},
-		{"silence is not noticed, pushed", pushed, silent, func(c Core) Core { return &patient{c} }},
-		{"reset and not asked again, asked", rules, reset, func(c Core) Core { return &sulking{c} }},
-		{"reset and not asked again, pushed", pushed, reset, func(c Core) Core { return &sulking{c} }},
-		{"down, and not asked again, pushed", pushed, down, func(c Core) Core { return &sulking{c} }},
-		{"reset, and the next call late", "[rules]\nask_within = 30\n", reset, func(c Core) Core { return &tardy{Core: c} }},
-		{"down, and the next call late", "[rules]\nask_within = 30\n", down, func(c Core) Core { return &tardy{Core: c} }},
-		{"moved, and the old one asked", rules, move, func(c Core) Core { return &settled{c} }},
-		{"moved, and the old one asked, pushed", pushed, move, func(c Core) Core { return &settled{c} }},
-		{"lists wait behind other inputs", rules, "", func(c Core) Core { return &behind{Core: c} }},
+		{"silence is not noticed, asked", rules, silent, func(c Core) Core { return &ignoringSilence{c} }},
+		{"silence is not noticed, pushed", pushed, silent, func(c Core) Core { return &ignoringSilence{c} }},
+		{"reset and not asked again, asked", rules, reset, func(c Core) Core { return &neverPolling{c} }},
+		{"reset and not asked again, pushed", pushed, reset, func(c Core) Core { return &neverPolling{c} }},
+		{"down, and not asked again, pushed", pushed, down, func(c Core) Core { return &neverPolling{c} }},
+		{"reset, and the next call late", "[rules]\nask_within = 30\n", reset, func(c Core) Core { return &pollingLate{Core: c} }},
+		{"down, and the next call late", "[rules]\nask_within = 30\n", down, func(c Core) Core { return &pollingLate{Core: c} }},
+		{"moved, and the old one asked", rules, move, func(c Core) Core { return &ignoringRelocation{c} }},
+		{"moved, and the old one asked, pushed", pushed, move, func(c Core) Core { return &ignoringRelocation{c} }},
+		{"lists wait behind other inputs", rules, "", func(c Core) Core { return &delayingLists{Core: c} }},
 		{"a dial from before", "[rules]\ndial_timeout = 2\n", late, func(c Core) Core {
-			return &headlong{Core: c, dials: map[node.Conn]bool{}}
+			return &dialingBeforeLists{Core: c, dials: map[node.Conn]bool{}}
 		}},
 		{"a successor that knows of no drain", rules, "[[fault]]\nat = 13\nkind = \"upgrade\"\nnode = 0\n" +
-			"[[fault]]\nat = 13\nkind = \"upgrade\"\nnode = 1\n", func(c Core) Core { return &forgetful{c} }},
+			"[[fault]]\nat = 13\nkind = \"upgrade\"\nnode = 1\n", func(c Core) Core { return &restoringAllServing{c} }},
 	} {
-		s := script(t, calm+c.rules+drained+c.faults)
+		s := parseScenario(t, calmScenario+c.rules+twoDrains+c.faults)
 		fired := 0
 		for seed := range uint64(4) {
-			for _, b := range Play(s, seed, Options{Wrong: c.wrap}).Breaks {
-				if b.Rule == Drains {
+			for _, b := range Run(s, seed, Options{WrapCore: c.wrap}).Violations {
+				if b.Rule == RuleNothingToDraining {
 					fired++
 				}
 			}
-			for _, b := range Play(s, seed, Options{}).Breaks {
+			for _, b := range Run(s, seed, Options{}).Violations {
 				t.Errorf("%s, seed %d: the sound node broke %v", c.name, seed, b)
 			}
 		}
@@ -183,10 +183,10 @@
 
 // A handful of seeds with drawn fleets and drawn faults: no rule is broken.
 func TestDrawnFleets(t *testing.T) {
-	s := script(t, "drawn_fleet = true\ndrawn_faults = 8\n"+calm)
-	s.Lasts = 20
+	s := parseScenario(t, "drawn_fleet = true\ndrawn_faults = 8\n"+calmScenario)
+	s.Duration = 20
 	for seed := range uint64(8) {
-		for _, b := range Play(s, seed, Options{Permute: seed%2 == 1}).Breaks {
+		for _, b := range Run(s, seed, Options{Permute: seed%2 == 1}).Violations {
 			t.Errorf("seed %d: %v", seed, b)
 		}
 	}
--- a/internal/emulator/floors_test.go
+++ b/internal/emulator/service_test.go
@@ -9,30 +9,30 @@
 	"gorseledge/placement"
 )
 
-// booted notes when a process began and when it was first told a list.
-type booted struct {
+// startupRecorder notes when a process began and when it was first told a list.
+type startupRecorder struct {
 	Core
-	began, told float64
+	startedAt, listedAt float64
 }
 
-func (b *booted) Apply(now float64, in node.Input) []node.Effect {
-	if b.began == 0 {
-		b.began = now
+func (b *startupRecorder) Apply(now float64, in node.Input) []node.Effect {
+	if b.startedAt == 0 {
+		b.startedAt = now
 	}
-	if _, listed := in.(node.ListReceived); listed && b.told == 0 {
-		b.told = now
+	if _, listed := in.(node.ListReceived); listed && b.listedAt == 0 {
+		b.listedAt = now
 	}
 	return b.Core.Apply(now, in)
 }
 
-// shy asks for the list ten seconds after it began.
-type shy struct {
+// pollingAfterStart asks for the list ten seconds after it began.
+type pollingAfterStart struct {
 	Core
 	until float64
 	asked bool
 }
 
-func (s *shy) Apply(now float64, in node.Input) []node.Effect {
+func (s *pollingAfterStart) Apply(now float64, in node.Input) []node.Effect {
 	if s.until == 0 {
 		s.until = now + 10
 	}
@@ -54,23 +54,23 @@
 // or waited for longer than that.
 func TestReadySoon(t *testing.T) {
 	const nodes = 300
-	text := strings.Replace(calm, "nodes = 3\nhosts = 6\n", "nodes = 300\nhosts = 60\nroster_calls = 70\n", 1)
+	text := strings.Replace(calmScenario, "nodes = 3\nhosts = 6\n", "nodes = 300\nhosts = 60\nroster_calls = 70\n", 1)
 	for i := range nodes * 7 / 10 {
 		text += fmt.Sprintf("[[fault]]\nat = 8\nkind = \"node_kill\"\nnode = %d\nfor = %.2f\n", i, 1+float64(i%100)/100)
 	}
 	for _, late := range []bool{false, true} {
-		var all []*booted
-		Play(script(t, text), 5, Options{Wrong: func(c Core) Core {
+		var all []*startupRecorder
+		Run(parseScenario(t, text), 5, Options{WrapCore: func(c Core) Core {
 			if late {
-				c = &shy{Core: c}
+				c = &pollingAfterStart{Core: c}
 			}
-			b := &booted{Core: c}
+			b := &startupRecorder{Core: c}
 			all = append(all, b)
 			return b
 		}})
 		soon, again := 0, all[nodes:]
 		for _, b := range again {
-			if b.told > 0 && b.told <= b.began+10 {
+			if b.listedAt > 0 && b.listedAt <= b.startedAt+10 {
 				soon++
 			}
 		}
@@ -113,19 +113,19 @@
 		{"as it is", nil, true},
 		{"nothing is placed", func(r *placement.Settings) { r.MaxAttempts = 0 }, false},
 	} {
-		s := script(t, calm+faults)
-		w := newWorld(s, 3, Options{Tune: c.tune})
+		s := parseScenario(t, calmScenario+faults)
+		w := newWorld(s, 3, Options{AdjustSettings: c.tune})
 		low := 1.0
 		asked, served := make([]float64, len(s.Traffic)), make([]float64, len(s.Traffic))
 		for third := 1; third <= 3; third++ {
-			for w.Step(s.Lasts * float64(third) / 3) {
+			for w.Step(s.Duration * float64(third) / 3) {
 			}
 			was, had := append([]float64(nil), asked...), append([]float64(nil), served...)
 			clear(asked)
 			clear(served)
 			for _, cl := range w.clients {
-				asked[cl.kind] += cl.asked
-				served[cl.kind] += cl.served
+				asked[cl.trafficIndex] += cl.requestedSeconds
+				served[cl.trafficIndex] += cl.servedSeconds
 			}
 			for kind := range asked {
 				low = min(low, (served[kind]-had[kind])/(asked[kind]-was[kind]))
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -22,22 +22,22 @@
 	name string
 	of   func(r *emulator.Result) float64
 }{
-	{"service", func(r *emulator.Result) float64 { return r.Service }},
-	{"asked", func(r *emulator.Result) float64 { return float64(r.Asked) }},
+	{"service", func(r *emulator.Result) float64 { return r.ServedShare }},
+	{"asked", func(r *emulator.Result) float64 { return float64(r.Requested) }},
 	{"established", func(r *emulator.Result) float64 { return float64(r.Established) }},
 	{"in target", func(r *emulator.Result) float64 { return float64(r.InTarget) }},
 	{"rejected", func(r *emulator.Result) float64 { return float64(r.Rejected) }},
 	{"aborted", func(r *emulator.Result) float64 { return float64(r.Aborted) }},
 	{"unanswered", func(r *emulator.Result) float64 { return float64(r.Unanswered) }},
-	{"moved", func(r *emulator.Result) float64 { return float64(r.Moved) }},
-	{"broken off", func(r *emulator.Result) float64 { return float64(r.Broken) }},
-	{"setup p50 s", func(r *emulator.Result) float64 { return r.SetupAt(0.5) }},
-	{"setup p99 s", func(r *emulator.Result) float64 { return r.SetupAt(0.99) }},
+	{"moved", func(r *emulator.Result) float64 { return float64(r.Migrated) }},
+	{"broken off", func(r *emulator.Result) float64 { return float64(r.Disconnected) }},
+	{"setup p50 s", func(r *emulator.Result) float64 { return r.SetupQuantile(0.5) }},
+	{"setup p99 s", func(r *emulator.Result) float64 { return r.SetupQuantile(0.99) }},
 	{"list calls", func(r *emulator.Result) float64 { return float64(r.ListCalls) }},
-	{"probes", func(r *emulator.Result) float64 { return float64(r.Probes) }},
+	{"probes", func(r *emulator.Result) float64 { return float64(r.HealthChecks) }},
 	{"store peak", func(r *emulator.Result) float64 { return r.StorePeak }},
 	{"steps", func(r *emulator.Result) float64 { return float64(r.Steps) }},
-	{"rules broken", func(r *emulator.Result) float64 { return float64(len(r.Breaks)) }},
+	{"rules broken", func(r *emulator.Result) float64 { return float64(len(r.Violations)) }},
 }
 
 // Sweep plays a script under each seed, so many at once, and gives the results in the order of the seeds. An
@@ -52,7 +52,7 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			out[i] = emulator.Play(s, seed, o)
+			out[i] = emulator.Run(s, seed, o)
 			return nil
 		})
 	}
@@ -71,7 +71,7 @@
 	}
 	w.Write(head)
 	for _, r := range results {
-		row := []string{r.Scenario, strconv.FormatUint(r.Seed, 10), strconv.FormatUint(r.Trace, 16)}
+		row := []string{r.Scenario, strconv.FormatUint(r.Seed, 10), strconv.FormatUint(r.TraceHash, 16)}
 		for _, c := range columns {
 			row = append(row, figure(c.of(r)))
 		}
--- a/internal/lab/lab_golden_test.go
+++ b/internal/lab/lab_golden_test.go
@@ -31,18 +31,18 @@
 // goldenResults has a figure in each column. The set-up times are those of a play, as nothing else records them.
 func goldenResults(t *testing.T) []*emulator.Result {
 	t.Helper()
-	played := emulator.Play(small(t, "5"), 1, emulator.Options{})
-	if played.SetupAt(0.5) <= 0 {
+	played := emulator.Run(small(t, "5"), 1, emulator.Options{})
+	if played.SetupQuantile(0.5) <= 0 {
 		t.Fatal("the play has no set-up time")
 	}
 	var results []*emulator.Result
 	for i := range 3 {
 		r := *played
-		r.Scenario, r.Seed, r.Trace = "golden", uint64(1+i), 0x0123456789abcdef
-		r.Asked, r.Established, r.InTarget, r.Rejected, r.Aborted = 11+i, 12+2*i, 13, 14, 15
-		r.Unanswered, r.Moved, r.Broken, r.ListCalls, r.Probes = 16, 17, 18, 19, 20
-		r.Service, r.StorePeak, r.Steps = 0.875, 21.5, 22
-		r.Breaks = make([]emulator.Break, 3)
+		r.Scenario, r.Seed, r.TraceHash = "golden", uint64(1+i), 0x0123456789abcdef
+		r.Requested, r.Established, r.InTarget, r.Rejected, r.Aborted = 11+i, 12+2*i, 13, 14, 15
+		r.Unanswered, r.Migrated, r.Disconnected, r.ListCalls, r.HealthChecks = 16, 17, 18, 19, 20
+		r.ServedShare, r.StorePeak, r.Steps = 0.875, 21.5, 22
+		r.Violations = make([]emulator.Violation, 3)
 		results = append(results, &r)
 	}
 	return results
