--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -2,42 +2,57 @@
 
 import "fmt"
 
-// Violation is a broken rule: which, when, after how many steps, and the last that was traced.
+// Rule is the name of a rule that a run checks. Traces and reports have it in this form.
+type Rule string
+
+// The rules.
+const (
+	// RuleOneAnswer says that a client gets exactly one first answer, in time, from a node that runs.
+	RuleOneAnswer Rule = "one answer"
+	// RuleOneAttempt says that a flow never has two attempts in flight.
+	RuleOneAttempt Rule = "one connect out"
+	// RuleNoSecondEffect says that a request that is not idempotent is carried out at most once, and one with an
+	// idempotency key is not sent again after its memory span.
+	RuleNoSecondEffect Rule = "no effect twice"
+	// RuleNothingToDraining says that a notified node sends no new flow to a host that drains, is removed or is disabled.
+	RuleNothingToDraining Rule = "nothing new to who drains"
+	// RuleNoColdHostOverloaded says that nodes that know of a host's start do not overload it in its slow start.
+	RuleNoColdHostOverloaded Rule = "no cold host pushed over"
+	// RuleNothingHeld says that a node holds no flow, connection or descriptor once all clients have gone.
+	RuleNothingHeld Rule = "nothing left"
+	// RuleNoAttemptAfterLeaving says that no attempt begins for a client that has left.
+	RuleNoAttemptAfterLeaving Rule = "no attempt for who left"
+)
+
+// departureSlack is the time in seconds that a node has to notice that a client has left.
+const departureSlack = 0.1
+
+// Violation is one breach of a rule.
 type Violation struct {
-	Rule        string
+	Rule        Rule
 	Detail      string
-	At          float64
-	Step        int
-	RecentTrace []string
+	At          float64  // seconds from the start of the run
+	Step        int      // events run so far
+	RecentTrace []string // the last lines of the trace, oldest first
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%s at %.6f s, step %d: %s", b.Rule, b.At, b.Step, b.Detail)
+// String returns the violation on one line, without the trace.
+func (v Violation) String() string {
+	return fmt.Sprintf("%s at %.6f s, step %d: %s", v.Rule, v.At, v.Step, v.Detail)
 }
 
-const departureSlack = 0.1 // s after a client has left, from which on no attempt may begin for it
-
-// The rules, by name.
-const (
-	RuleOneAnswer             = "one answer"
-	RuleOneAttempt            = "one connect out"
-	RuleNoSecondEffect        = "no effect twice"
-	RuleNothingToDraining     = "nothing new to who drains"
-	RuleNoColdHostOverloaded  = "no cold host pushed over"
-	RuleNothingHeld           = "nothing left"
-	RuleNoAttemptAfterLeaving = "no attempt for who left"
-)
-
-// checker look at each step; they know the true state, which no node does.
+// checker checks the rules after each step. It knows the true state of the simulation, which no node does.
 type checker struct {
 	world      *simulation
 	violations []Violation
 }
 
-func (r *checker) report(rule, format string, args ...any) {
-	r.violations = append(r.violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, args...), At: r.world.Now, Step: r.world.Steps,
+// report records a violation and writes it to the trace.
+func (r *checker) report(rule Rule, format string, args ...any) {
+	detail := fmt.Sprintf(format, args...)
+	r.violations = append(r.violations, Violation{Rule: rule, Detail: detail, At: r.world.Now, Step: r.world.Steps,
 		RecentTrace: r.world.recentLines()})
-	r.world.trace("BROKEN %s: %s", rule, fmt.Sprintf(format, args...))
+	r.world.trace("BROKEN %s: %s", rule, detail)
 }
 
 // checkAnswers checks that a client's first answer is its only one.
@@ -47,89 +62,120 @@
 	}
 }
 
-// checkUnanswered is a connection that ended with no answer: it may, where its node was killed.
+// checkUnanswered checks a connection that ended without an answer. It may, where its node was killed.
 func (r *checker) checkUnanswered(f *flow) {
 	if f.acceptedBy != nil && f.acceptedBy.running && !f.acceptedBy.vanished {
 		r.report(RuleOneAnswer, "flow %s: %s ended its connection without an answer", f.id, f.acceptedBy.name)
 	}
 }
 
-// checkOverdue is a client that gave up: a running node owes it an answer before.
+// checkOverdue checks a flow whose client gave up. A running node has to answer before.
 func (r *checker) checkOverdue(f *flow) {
 	if f.acceptedBy != nil && f.acceptedBy.running && !f.acceptedBy.vanished {
 		r.report(RuleOneAnswer, "flow %s: no answer of %s before the connect timeout", f.id, f.acceptedBy.name)
 	}
 }
 
-// checkAttempt is a first line that a node has written to a host.
+// checkAttempt checks an attempt when its node writes the first line to a host.
 func (r *checker) checkAttempt(f *flow, n *nodeProcess, h *host) {
 	r.world.trace("%s sends %s to %s", n.name, f.id, h.name)
-	if f.clientLeftAt > 0 && r.world.Now > f.clientLeftAt+departureSlack {
-		r.report(RuleNoAttemptAfterLeaving, "flow %s was sent to %s, %.3f s after its client had left", f.id, h.name, r.world.Now-f.clientLeftAt)
+	r.checkAttemptOfFlow(f, h)
+	r.checkHostDisabled(f, n, h)
+	if n.knownStarts[h.name] == millisecondsPerSecond*startTimeOfDay(r.world.startTime, h.startedAt) {
+		h.informedAttempts++
+	} else {
+		h.uninformedAttempts++
+	}
+	r.checkHostWithdrawn(f, n, h)
+}
+
+// checkAttemptOfFlow checks the rules of an attempt that concern its flow alone.
+func (r *checker) checkAttemptOfFlow(f *flow, h *host) {
+	now := r.world.Now
+	if f.clientLeftAt > 0 && now > f.clientLeftAt+departureSlack {
+		r.report(RuleNoAttemptAfterLeaving, "flow %s was sent to %s, %.3f s after its client had left", f.id, h.name, now-f.clientLeftAt)
 	}
 	if f.openAttempts > 1 {
-		r.report(RuleOneAttempt, "flow %s has %d connects out", f.id, f.openAttempts)
+		r.report(RuleOneAttempt, "flow %s has %d attempts in flight", f.id, f.openAttempts)
 	}
 	if f.answers > 0 {
-		r.report(RuleOneAnswer, "flow %s was sent on after its answer", f.id)
+		r.report(RuleOneAnswer, "flow %s was forwarded after its answer", f.id)
 	}
-	if f.ranAt > 0 && f.effect == "referenced" && r.world.Now > f.ranAt+r.world.script.Traffic[f.traffic].MemorySpan {
+	memorySpan := r.world.script.Traffic[f.trafficIndex].MemorySpan
+	if f.ranAt > 0 && f.effect == effectIdempotentKey && now > f.ranAt+memorySpan {
 		r.report(RuleNoSecondEffect, "flow %s was sent to %s after the memory span", f.id, h.name)
 	}
-	if told, ok := n.disabledAt[h.name]; ok && r.world.Now > told+r.world.script.Rules.DrainGrace {
-		r.report(RuleNothingToDraining, "%s sent flow %s to %s, %.3f s after it said that it is out", n.name, f.id, h.name, r.world.Now-told)
-	}
-	if n.knownStarts[h.name] == 1e3*startTimeOfDay(r.world.startTime, h.startedAt) {
-		h.informedAttempts++
-	} else {
-		h.uninformedAttempts++
+}
+
+// checkHostDisabled checks that a node sends nothing to a host that it has confirmed as disabled.
+func (r *checker) checkHostDisabled(f *flow, n *nodeProcess, h *host) {
+	confirmedAt, disabled := n.disabledAt[h.name]
+	if disabled && r.world.Now > confirmedAt+r.world.script.Rules.DrainGrace {
+		r.report(RuleNothingToDraining, "%s sent flow %s to %s, %.3f s after it confirmed that the host is disabled", n.name, f.id,
+			h.name, r.world.Now-confirmedAt)
 	}
-	if told := r.notificationDue(n, h); r.world.Now > told+r.world.script.Rules.DrainGrace+socketSlack {
-		r.report(RuleNothingToDraining, "%s sent flow %s to %s, %.3f s after it counts as told", n.name, f.id, h.name, r.world.Now-told)
+}
+
+// checkHostWithdrawn checks that a node sends nothing to a host that it should know to be draining or removed.
+func (r *checker) checkHostWithdrawn(f *flow, n *nodeProcess, h *host) {
+	due := r.notificationDue(n, h)
+	if r.world.Now > due+r.world.script.Rules.DrainGrace+socketSlack {
+		r.report(RuleNothingToDraining, "%s sent flow %s to %s, %.3f s after it counts as notified", n.name, f.id, h.name,
+			r.world.Now-due)
 	}
 }
 
-// checkArrival is a first line at a host: from here on it may have run.
+// checkArrival checks a first line at a host. From here on the request may have been carried out.
 func (r *checker) checkArrival(f *flow, h *host) {
-	if f.ranAt > 0 && f.effect == "once-only" {
+	if f.effect != effectNonIdempotent {
+		return
+	}
+	if f.ranAt > 0 {
 		r.report(RuleNoSecondEffect, "flow %s reached %s after %s, where it may have run", f.id, h.name, f.ranOn.name)
 	}
-	if f.rejected && f.effect == "once-only" {
+	if f.rejected {
 		r.report(RuleNoSecondEffect, "flow %s was rejected and reached %s", f.id, h.name)
 	}
 }
 
-// checkSetup is a set-up that was carried out.
+// checkSetup records a set-up that a host carried out, and checks that it was allowed to.
 func (r *checker) checkSetup(f *flow, h *host) {
 	r.world.trace("%s ran at %s", f.id, h.name)
-	if f.runs++; f.runs > 1 && f.effect == "once-only" {
+	f.runs++
+	if f.runs > 1 && f.effect == effectNonIdempotent {
 		r.report(RuleNoSecondEffect, "flow %s ran at %s and at %s", f.id, f.ranOn.name, h.name)
 	}
 	if f.ranAt == 0 {
-		f.ranAt, f.ranOn = r.world.Now, h
+		f.ranAt = r.world.Now
+		f.ranOn = h
 	}
 }
 
-// checkOverturned is a cold host that was pushed over. The rule asks who did: over two thirds of what it was sent must have come
-// from nodes that had been told of its start.
+// checkOverturned checks a host that failed under load in its slow start. The nodes are to blame only if over two thirds
+// of its attempts came from nodes that knew of its start.
 func (r *checker) checkOverturned(h *host) {
-	if 3*h.informedAttempts <= 2*(h.informedAttempts+h.uninformedAttempts) {
-		r.world.trace("%s fell over, of %d connects %d from nodes that knew of its start", h.name, h.informedAttempts+h.uninformedAttempts, h.informedAttempts)
+	attempts := h.informedAttempts + h.uninformedAttempts
+	if 3*h.informedAttempts <= 2*attempts {
+		r.world.trace("%s fell over, of %d connects %d from nodes that knew of its start", h.name, attempts, h.informedAttempts)
 		return
 	}
-	r.report(RuleNoColdHostOverloaded, "%s fell over %.1f s after its start, asked for %.1f of %.1f cores", h.name, r.world.Now-h.startedAt, h.load+h.pending,
-		h.capacity*h.slowStartWeight())
+	r.report(RuleNoColdHostOverloaded, "%s fell over %.1f s after its start, asked for %.1f of %.1f cores", h.name,
+		r.world.Now-h.startedAt, h.load+h.pending, h.capacity*h.slowStartWeight())
+}
+
+// holder is a core that can say what it still holds.
+type holder interface {
+	Held() (flows, conns, descriptors int)
 }
 
-// checkReleased checks what a core still holds once all is over.
+// checkReleased checks that a core holds nothing once all clients have gone.
 func (r *checker) checkReleased(n *nodeProcess) {
-	c, ok := n.core.(interface {
-		Held() (flows, conns, descriptors int)
-	})
+	core, ok := n.core.(holder)
 	if !ok || !n.running {
 		return
 	}
-	if flows, conns, descriptors := c.Held(); flows+conns+descriptors > 0 {
-		r.report(RuleNothingHeld, "%s holds %d flows, %d connections and %d descriptors at the end", n.name, flows, conns, descriptors)
+	flows, connections, descriptors := core.Held()
+	if flows+connections+descriptors > 0 {
+		r.report(RuleNothingHeld, "%s holds %d flows, %d connections and %d descriptors at the end", n.name, flows, connections, descriptors)
 	}
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -8,232 +8,264 @@
 	"gorseledge/internal/node"
 )
 
-// discovery tells the list late and works through calls in turn; one that waits too long fails.
+const (
+	maxCallWait       = 3.0  // seconds; a call that has to wait longer fails
+	heartbeatInterval = 2.0  // seconds between heartbeats of a watch
+	callDelay         = 1e-3 // seconds of a call that does not wait
+	deliveryDelay     = 1e-3 // seconds from discovery to a node
+)
+
+// The statuses of hosts in endpoint lists.
+const (
+	statusServing  = "SERVING"
+	statusDraining = "DRAINING"
+	statusDeleted  = "DELETED"
+)
+
+// The reasons of failed calls and watches, as a node gets them.
+const (
+	failureUnavailable = "status 503"
+	failureReset       = "reset"
+)
+
+// discovery delivers the endpoint list late, and answers calls for it one after another.
 type discovery struct {
 	world          *simulation
-	index          int64
+	index          int64 // of the last change
 	changes        []listChange
-	idleAt         float64
-	extraDelay     float64 // on top of the script's delay
-	callRate       float64 // a second, that it works through
+	idleAt         float64 // time at which it has answered all calls so far
+	extraDelay     float64 // seconds beside the script's delay
+	callRate       float64 // calls a second that it answers
 	down           bool
-	availableSince float64     // when it was last back, from the start on
-	relocations    int         // how often nodes were sent to another
-	watches        []listWatch // watches that stand
-	waiting        []func()    // for its return
+	availableSince float64     // when it last became available
+	relocations    int         // how often nodes were sent to another discovery
+	watches        []listWatch // established watches, possibly some that have ended
+	waiting        []func()    // answers for when it is available again
 	random         *rand.Rand
 }
 
+// listChange is a change of the endpoint list.
 type listChange struct {
 	index int64
 	host  endpoint.Host
 }
 
+// listWatch is a call of a process for the endpoint list, or the watch that it became.
 type listWatch struct {
 	process *nodeProcess
 	core    Core
-	call    int
+	call    int // number of the call within the process
 }
 
-const (
-	maxCallWait       = 3.0  // a call in the queue for longer fails
-	heartbeatInterval = 2.0  // between empty lines while nothing changes
-	callDelay         = 1e-3 // for a call whose turn it is, as it always is at the agent to which lists are pushed
-)
+// listCalls are the calls of a process for the endpoint list that are in flight, by number. One of them may be a watch.
+type listCalls struct {
+	open         []int // oldest first
+	count        int   // calls made so far
+	silencedUpTo int   // calls up to this number deliver nothing any more
+}
 
-func (w *simulation) entry(h *host, status string) endpoint.Host {
-	return endpoint.Host{Name: h.name, Address: h.name, Zone: zoneName(h.zone), Status: status, Weight: h.capacity,
-		StartedAtMS: 1e3 * startTimeOfDay(w.startTime, h.startedAt)}
+// newest returns the number of the last call.
+func (c *listCalls) newest() int { return c.count }
+
+// begin makes a call that replaces all others, or all but the oldest.
+func (c *listCalls) begin(keepOldest bool) {
+	kept := 0
+	if keepOldest {
+		kept = min(1, len(c.open))
+	}
+	c.count++
+	c.open = append(c.open[:kept], c.count)
 }
 
-func startTimeOfDay(base, at float64) float64 {
-	if at <= 0 {
+// end ends all calls.
+func (c *listCalls) end() { c.open = nil }
+
+// fail ends one call and reports whether none is left.
+func (c *listCalls) fail(call int) bool {
+	c.open = slices.DeleteFunc(c.open, func(other int) bool { return other == call })
+	return len(c.open) == 0
+}
+
+// current reports whether the process still has this call or watch, and it is not silenced.
+func (w listWatch) current() bool {
+	calls := &w.process.listCalls
+	sameProcess := w.process.running && w.process.core == w.core
+	return sameProcess && slices.Contains(calls.open, w.call) && w.call > calls.silencedUpTo
+}
+
+// entry returns the entry of a host in the endpoint list.
+func (s *simulation) entry(h *host, status string) endpoint.Host {
+	return endpoint.Host{
+		Name:        h.name,
+		Address:     h.name,
+		Zone:        zoneName(h.zone),
+		Status:      status,
+		Weight:      h.capacity,
+		StartedAtMS: millisecondsPerSecond * startTimeOfDay(s.startTime, h.startedAt),
+	}
+}
+
+// startTimeOfDay returns the Unix time, in seconds, of a start at a time of the clock; 0 stands for a start long ago.
+func startTimeOfDay(base, startedAt float64) float64 {
+	if startedAt <= 0 {
 		return 0
 	}
-	return base + at
+	return base + startedAt
+}
+
+// addListed adds a host to the list at once.
+func (d *discovery) addListed(h *host) {
+	d.index++
+	d.changes = append(d.changes, listChange{d.index, d.world.entry(h, statusServing)})
 }
 
-// announce has the list change after the delay.
+// announce changes the status of a host in the list after the delay.
 func (d *discovery) announce(h *host, status string) {
 	entry := d.world.entry(h, status)
 	d.world.After(d.world.script.Fleet.ListDelay+d.extraDelay, func() {
 		d.index++
 		d.changes = append(d.changes, listChange{d.index, entry})
-		if status == "SERVING" {
+		if status == statusServing {
 			h.withdrawnAt = 0
 		} else if h.withdrawnAt == 0 {
 			h.withdrawnAt = d.world.Now
 		}
 		d.world.trace("listed %s %s", entry.Name, entry.Status)
-		for _, s := range d.watches {
-			d.send(s, endpoint.List{Index: d.index, Hosts: []endpoint.Host{entry}})
+		for _, w := range d.watches {
+			d.deliver(w, endpoint.List{Index: d.index, Hosts: []endpoint.Host{entry}})
 		}
 	})
 }
 
-// listCalls are a process's calls for the list that are under way, by number; one of them may be a watch.
-type listCalls struct {
-	open         []int // oldest first
-	count        int
-	silencedUpTo int // up to this number nothing is said any more
-}
-
-func (c *listCalls) newest() int { return c.count }
-
-// begin makes a call in place of all others, or beside the oldest.
-func (c *listCalls) begin(beside bool) {
-	keep := 0
-	if beside {
-		keep = min(1, len(c.open))
-	}
-	c.count++
-	c.open = append(c.open[:keep], c.count)
-}
-
-func (c *listCalls) end() { c.open = nil }
-
-// fail ends one and tells whether none is left.
-func (c *listCalls) fail(turn int) bool {
-	c.open = slices.DeleteFunc(c.open, func(t int) bool { return t == turn })
-	return len(c.open) == 0
-}
-
-// current tells whether a watch or a call is still its node's, and is no silent one.
-func (s listWatch) current() bool {
-	c := &s.process.listCalls
-	return s.process.running && s.process.core == s.core && slices.Contains(c.open, s.call) && s.call > c.silencedUpTo
-}
-
-// send hands a list to a watch that still stands.
-func (d *discovery) send(s listWatch, l endpoint.List) {
-	d.world.After(1e-3, func() {
-		if !d.down && s.current() {
-			s.process.watchState.received()
-			s.process.watchState.relocations = d.relocations
-			s.process.deliver(listReceived(l))
+// deliver sends a list to a watch.
+func (d *discovery) deliver(w listWatch, list endpoint.List) {
+	d.world.After(deliveryDelay, func() {
+		if d.down || !w.current() {
+			return
 		}
+		w.process.watchState.received()
+		w.process.watchState.relocations = d.relocations
+		w.process.deliver(node.ListReceived{List: list})
 	})
 }
 
-// sendHeartbeats has a watch that stands say something now and then.
-func (d *discovery) sendHeartbeats(s listWatch) {
+// sendHeartbeats sends heartbeats to a watch while it is current.
+func (d *discovery) sendHeartbeats(w listWatch) {
 	d.world.After(heartbeatInterval, func() {
-		if !d.down && s.current() {
-			s.process.deliver(node.WatchAlive{})
-			d.sendHeartbeats(s)
+		if d.down || !w.current() {
+			return
 		}
+		w.process.deliver(node.WatchAlive{})
+		d.sendHeartbeats(w)
 	})
 }
 
-// completeList is the list as discovery has it.
+// completeList returns the list as discovery has it, without deleted hosts.
 func (d *discovery) completeList() endpoint.List {
-	l := endpoint.List{Index: d.index, Complete: true}
-	at := map[string]int{}
-	for _, c := range d.changes {
-		i, seen := at[c.host.Name]
+	list := endpoint.List{Index: d.index, Complete: true}
+	positions := map[string]int{}
+	for _, change := range d.changes {
+		position, seen := positions[change.host.Name]
 		if !seen {
-			i, at[c.host.Name] = len(l.Hosts), len(l.Hosts)
-			l.Hosts = append(l.Hosts, c.host)
+			position = len(list.Hosts)
+			positions[change.host.Name] = position
+			list.Hosts = append(list.Hosts, change.host)
 		}
-		l.Hosts[i] = c.host
+		list.Hosts[position] = change.host
+	}
+	list.Hosts = slices.DeleteFunc(list.Hosts, func(h endpoint.Host) bool { return h.Status == statusDeleted })
+	return list
+}
+
+// listSince returns the changes after an index, or the complete list if there is no such index.
+func (d *discovery) listSince(index int64) endpoint.List {
+	if index <= 0 || index > d.index {
+		return d.completeList()
 	}
-	kept := l.Hosts[:0]
-	for _, h := range l.Hosts {
-		if h.Status != "DELETED" {
-			kept = append(kept, h)
+	list := endpoint.List{Index: d.index}
+	for _, change := range d.changes {
+		if change.index > index {
+			list.Hosts = append(list.Hosts, change.host)
 		}
 	}
-	l.Hosts = kept
-	return l
+	return list
 }
 
-// handleCall is a node's call for a watch.
-func (d *discovery) handleCall(n *nodeProcess, turn int, index int64) {
+// handleCall takes a process's call for a watch that begins after an index. Where lists are pushed, the agent beside the
+// node takes the call and answers once discovery is available.
+func (d *discovery) handleCall(n *nodeProcess, call int, index int64) {
 	d.world.result.ListCalls++
-	s := listWatch{n, n.core, turn}
+	w := listWatch{n, n.core, call}
 	n.watchState.calling(d.world.Now)
 	if d.world.script.Rules.Pushed {
-		if d.down { // its own agent takes the call and has nothing to say
-			d.waiting = append(d.waiting, func() { d.startWatch(s, index) })
-		} else {
-			d.startWatchAfter(callDelay, s, index)
+		if d.down {
+			d.waiting = append(d.waiting, func() { d.startWatch(w, index) })
+			return
 		}
+		d.startWatchAfter(callDelay, w, index)
 		return
 	}
 	d.idleAt = max(d.idleAt, d.world.Now)
 	wait := d.idleAt - d.world.Now + callDelay
 	if d.down || wait > maxCallWait {
-		d.fail(s, min(wait, maxCallWait), "status 503")
+		d.fail(w, min(wait, maxCallWait), failureUnavailable)
 		return
 	}
 	d.idleAt += 1 / d.callRate
-	d.startWatchAfter(wait, s, index)
+	d.startWatchAfter(wait, w, index)
 }
 
-// startWatchAfter answers a call in its turn, unless discovery is down by then.
-func (d *discovery) startWatchAfter(wait float64, s listWatch, index int64) {
+// startWatchAfter answers a call after some seconds. The call fails if discovery is down by then.
+func (d *discovery) startWatchAfter(wait float64, w listWatch, index int64) {
 	d.world.After(wait, func() {
 		if d.down {
-			d.fail(s, 0, "reset")
+			d.fail(w, 0, failureReset)
 			return
 		}
-		d.startWatch(s, index)
+		d.startWatch(w, index)
 	})
 }
 
-// startWatch begins a watch with what it missed.
-func (d *discovery) startWatch(s listWatch, index int64) {
-	if !s.current() {
+// startWatch makes a call the watch of its process, in place of any other, and delivers what changed after the index.
+func (d *discovery) startWatch(w listWatch, index int64) {
+	if !w.current() {
 		return
 	}
-	s.process.listCalls.open = []int{s.call}
-	live := d.watches[:0]
-	for _, o := range d.watches { // a watch taken up again takes the place of the old one
-		if o.process != s.process && o.process.core == o.core {
-			live = append(live, o)
+	w.process.listCalls.open = []int{w.call}
+	kept := d.watches[:0]
+	for _, other := range d.watches {
+		if other.process != w.process && other.process.core == other.core {
+			kept = append(kept, other)
 		}
 	}
-	d.watches = append(live, s)
-	if s.process.watchState.relocations != d.relocations { // an index that it never gave
-		index = 0
+	d.watches = append(kept, w)
+	if w.process.watchState.relocations != d.relocations {
+		index = 0 // another discovery gave this index
 	}
-	d.send(s, d.listSince(index))
-	d.sendHeartbeats(s)
+	d.deliver(w, d.listSince(index))
+	d.sendHeartbeats(w)
 }
 
-// listSince is what changed after an index, or the whole list.
-func (d *discovery) listSince(index int64) endpoint.List {
-	if index <= 0 || index > d.index {
-		return d.completeList()
-	}
-	l := endpoint.List{Index: d.index}
-	for _, c := range d.changes {
-		if c.index > index {
-			l.Hosts = append(l.Hosts, c.host)
-		}
-	}
-	return l
-}
-
-// fail ends a call, or the watch that it became.
-func (d *discovery) fail(s listWatch, after float64, why string) {
+// fail ends a call or a watch after some seconds. The process learns of it unless another call is still open.
+func (d *discovery) fail(w listWatch, after float64, reason string) {
 	d.world.After(after, func() {
-		if s.current() && s.process.listCalls.fail(s.call) { // else one beside it waits still
-			s.process.watchState.ended(true)
-			s.process.deliver(watchFailed(why))
+		if w.current() && w.process.listCalls.fail(w.call) {
+			w.process.watchState.ended(true)
+			w.process.deliver(node.WatchFailed{Reason: reason})
 		}
 	})
 }
 
-// interrupt ends all watches for some time.
-func (d *discovery) interrupt(lasts float64) {
+// interrupt takes discovery down for some seconds and ends all watches.
+func (d *discovery) interrupt(duration float64) {
 	d.down = true
-	for _, s := range d.watches {
-		d.fail(s, 0, "reset")
+	for _, w := range d.watches {
+		d.fail(w, 0, failureReset)
 	}
 	d.watches = nil
-	d.world.After(lasts, func() {
-		d.down, d.availableSince = false, d.world.Now
+	d.world.After(duration, func() {
+		d.down = false
+		d.availableSince = d.world.Now
 		for _, answer := range d.waiting {
 			answer()
 		}
@@ -241,50 +273,63 @@
 	})
 }
 
-// drawAffected draws the processes whose watches and calls a fault befalls.
-func (d *discovery) drawAffected(share float64) (out []*nodeProcess) {
+// drawAffected draws a share of the processes, and returns those of them that have a watch or a call.
+func (d *discovery) drawAffected(share float64) []*nodeProcess {
+	var affected []*nodeProcess
 	for _, n := range d.world.processes() {
 		if d.random.Float64() < share && n.watchState.active() {
-			out = append(out, n)
+			affected = append(affected, n)
 		}
 	}
-	return out
+	return affected
 }
 
-// silenceWatches has watches, and calls that wait, say nothing any more; nobody hears of it.
+// silenceWatches has the watches and calls of a share of the processes deliver nothing any more. The processes get no
+// event for it.
 func (d *discovery) silenceWatches(share float64) {
 	for _, n := range d.drawAffected(share) {
 		n.silenceWatch()
 	}
 }
 
-// resetWatches ends watches, and calls that wait, at once.
+// resetWatches ends the watches and calls of a share of the processes at once.
 func (d *discovery) resetWatches(share float64) {
 	for _, n := range d.drawAffected(share) {
-		for _, turn := range n.listCalls.open {
-			d.fail(listWatch{n, n.core, turn}, 0, "reset")
+		for _, call := range n.listCalls.open {
+			d.fail(listWatch{n, n.core, call}, 0, failureReset)
 		}
 	}
 }
 
-// relocate sends the nodes, one by one within some time, to a discovery that knows the same hosts and begins its index
-// anew; the watches of the old one fall silent. A node that asks before it is sent finds the new one as well.
+// relocate sends the nodes, one by one within some seconds, to a discovery that has the same hosts and numbers its
+// changes anew. The watches of the old one fall silent. A node that polls before it is sent reaches the new one as well.
 func (d *discovery) relocate(within float64) {
 	hosts := d.completeList().Hosts
-	d.changes, d.index, d.relocations = nil, 1, d.relocations+1
+	d.index = 1
+	d.relocations++
+	d.changes = nil
 	for _, h := range hosts {
-		d.changes = append(d.changes, listChange{1, h})
+		d.changes = append(d.changes, listChange{d.index, h})
 	}
 	d.watches = nil
 	for _, n := range d.world.processes() {
 		core := n.core
-		n.silenceWatch() // nothing more comes from the old one
+		n.silenceWatch()
 		d.world.After(within*d.random.Float64(), func() {
 			if n.running && n.core == core {
-				h := &n.watchState
-				*h = watchState{relocatedAt: d.world.Now, calledAt: d.world.Now, startedAt: h.startedAt, relocations: h.relocations}
-				n.deliver(node.DiscoveryMoved{})
+				n.restartWatch()
 			}
 		})
 	}
 }
+
+// restartWatch tells a process that discovery has moved.
+func (n *nodeProcess) restartWatch() {
+	n.watchState = watchState{
+		relocatedAt: n.world.Now,
+		calledAt:    n.world.Now,
+		startedAt:   n.watchState.startedAt,
+		relocations: n.watchState.relocations,
+	}
+	n.deliver(node.DiscoveryMoved{})
+}
--- a/internal/emulator/emulator_golden_test.go
+++ b/internal/emulator/emulator_golden_test.go
@@ -71,7 +71,7 @@
 			Pushed: true},
 		Traffic: []Traffic{traffic}}
 	for _, effect := range []string{"repeatable", "once-only"} {
-		traffic.Name, traffic.Effect = effect, effect
+		traffic.Name, traffic.Effect = effect, Effect(effect)
 		s.Traffic = append(s.Traffic, traffic)
 	}
 	for i, kind := range FaultKinds() {
@@ -115,7 +115,7 @@
 }
 
 func TestGoldenFaultKinds(t *testing.T) {
-	want := []string{"crash", "dial_late", "drain", "drop", "errs", "grow", "hand", "leave", "node_kill", "node_restart", "release",
+	want := []FaultKind{"crash", "dial_late", "drain", "drop", "errs", "grow", "hand", "leave", "node_kill", "node_restart", "release",
 		"roster_down", "roster_late", "roster_move", "roster_reset", "roster_silent", "roster_slow", "shrink", "slow", "stall", "store_slow",
 		"upgrade", "vanish", "zone_loss"}
 	if got := FaultKinds(); !slices.Equal(got, want) {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -189,10 +189,11 @@
 // Each checker fires on a node that is wrong in just that way, and on no sound one.
 func TestCheckersFire(t *testing.T) {
 	for _, c := range []struct {
-		name, rule string
-		faults     string
-		wrap       func(Core) Core
-		tune       func(r *placement.Settings)
+		name   string
+		rule   Rule
+		faults string
+		wrap   func(Core) Core
+		tune   func(r *placement.Settings)
 	}{
 		{"nobody is heard", RuleOneAnswer, "", func(c Core) Core { return &ignoringAccepts{c} }, nil},
 		{"two answers", RuleOneAnswer, "", func(c Core) Core { return &answeringTwice{c} }, nil},
--- /dev/null
+++ b/internal/emulator/fault.go
@@ -0,0 +1,145 @@
+package emulator
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"gorseledge/internal/strict"
+)
+
+// FaultKind is the kind of a fault, in the form that scripts have.
+type FaultKind string
+
+// The kinds of faults. What Duration and Amount of a Fault mean is said for each kind that needs them.
+const (
+	faultGrow         FaultKind = "grow"          // Count new hosts start
+	faultShrink       FaultKind = "shrink"        // Count hosts are drained and removed, spread over Duration
+	faultRelease      FaultKind = "release"       // Count hosts are replaced, spread over Duration
+	faultZoneLoss     FaultKind = "zone_loss"     // all hosts of Zone vanish for Duration
+	faultListLate     FaultKind = "roster_late"   // changes of the endpoint list come Amount seconds later
+	faultListDown     FaultKind = "roster_down"   // discovery is down for Duration
+	faultListSlow     FaultKind = "roster_slow"   // discovery answers Amount calls a second
+	faultListSilent   FaultKind = "roster_silent" // the share Amount of watches and calls fall silent
+	faultListReset    FaultKind = "roster_reset"  // the share Amount of watches and calls are reset
+	faultListMove     FaultKind = "roster_move"   // nodes are sent to another discovery within Duration
+	faultDialLate     FaultKind = "dial_late"     // connections to hosts are established Amount seconds later
+	faultClientsLeave FaultKind = "leave"         // the share Amount of new clients does not wait for an answer
+	faultDropClients  FaultKind = "drop"          // the share Amount of clients disconnects, and returns within Duration
+	faultHostSlow     FaultKind = "slow"          // a host takes Amount times as long
+	faultHostErrors   FaultKind = "errs"          // a host fails the share Amount of its set-ups
+	faultHostCrash    FaultKind = "crash"         // a host's process ends, and restarts after Duration
+	faultHostVanish   FaultKind = "vanish"        // a host's machine is lost for Duration
+	faultHostDrain    FaultKind = "drain"         // a host drains for Duration and is removed
+	faultHostStall    FaultKind = "stall"         // a host accepts connections and does not respond for Duration
+	faultStoreSlow    FaultKind = "store_slow"    // the session store takes Amount calls a second
+	faultHostDisabled FaultKind = "hand"          // a host is administratively disabled, restarted and enabled again
+	faultNodeUpgrade  FaultKind = "upgrade"       // a node's program is upgraded
+	faultNodeKill     FaultKind = "node_kill"     // a node's process is killed, and restarts after Duration
+	faultNodeRestart  FaultKind = "node_restart"  // a node shuts down gracefully, and restarts after Duration
+)
+
+const (
+	minListCallRate   = 0.1  // calls a second
+	minStoreCallLimit = 0.1  // calls a second
+	maxFaultCount     = 5000 // hosts
+	maxFaultDuration  = 1e4  // seconds
+	maxFaultAmount    = 1e4
+)
+
+// Fault is one thing that goes wrong, or that operators do, in a run. Host, Node and Zone count from 0.
+type Fault struct {
+	At       float64   `toml:"at"` // seconds from the start of the run
+	Kind     FaultKind `toml:"kind"`
+	Host     int       `toml:"host"`
+	Node     int       `toml:"node"`
+	Zone     int       `toml:"zone"`
+	Count    int       `toml:"count"` // hosts
+	Duration float64   `toml:"for"`   // seconds
+	Amount   float64   `toml:"by"`    // seconds, factor, share or rate, as the kind says
+}
+
+// faultRequirements are the references of a fault that have to be valid for its kind.
+type faultRequirements struct{ host, node, zone, count bool }
+
+// faultNeeds has an entry for each kind of fault.
+var faultNeeds = map[FaultKind]faultRequirements{
+	faultGrow:         {count: true},
+	faultShrink:       {count: true},
+	faultRelease:      {count: true},
+	faultZoneLoss:     {zone: true},
+	faultListLate:     {},
+	faultListDown:     {},
+	faultListSlow:     {},
+	faultListSilent:   {},
+	faultListReset:    {},
+	faultListMove:     {},
+	faultDialLate:     {},
+	faultClientsLeave: {},
+	faultDropClients:  {},
+	faultHostSlow:     {host: true},
+	faultHostErrors:   {host: true},
+	faultHostCrash:    {host: true},
+	faultHostVanish:   {host: true},
+	faultHostDrain:    {host: true},
+	faultHostStall:    {host: true},
+	faultStoreSlow:    {},
+	faultHostDisabled: {host: true},
+	faultNodeUpgrade:  {node: true},
+	faultNodeKill:     {node: true},
+	faultNodeRestart:  {node: true},
+}
+
+// FaultKinds returns the kinds of all faults, sorted.
+func FaultKinds() []FaultKind {
+	kinds := make([]FaultKind, 0, len(faultNeeds))
+	for kind := range faultNeeds {
+		kinds = append(kinds, kind)
+	}
+	slices.Sort(kinds)
+	return kinds
+}
+
+// joinFaultKinds returns the kinds of all faults as a list for a message.
+func joinFaultKinds() string {
+	var names []string
+	for _, kind := range FaultKinds() {
+		names = append(names, string(kind))
+	}
+	return strings.Join(names, ", ")
+}
+
+// check returns an error, and its place in the script, if the fault cannot be injected into the fleet.
+func (x Fault) check(index int, fleet Fleet) (strict.Place, error) {
+	place := func(key string) strict.Place { return strict.Place{Table: "fault", Index: index, Key: key} }
+	needs, known := faultNeeds[x.Kind]
+	if !known {
+		return place("kind"), fmt.Errorf("no fault is called %q; there are %s", x.Kind, joinFaultKinds())
+	}
+	isShareOfNodes := x.Kind == faultListSilent || x.Kind == faultListReset
+	switch {
+	case needs.host && (x.Host < 0 || x.Host >= fleet.Hosts):
+		return place("host"), fmt.Errorf("there is no host %d: the fleet begins with %d, from 0 on", x.Host, fleet.Hosts)
+	case needs.node && (x.Node < 0 || x.Node >= fleet.Nodes):
+		return place("node"), fmt.Errorf("there is no node %d: the fleet has %d, from 0 on", x.Node, fleet.Nodes)
+	case needs.zone && (x.Zone < 0 || x.Zone >= fleet.Zones):
+		return place("zone"), fmt.Errorf("there is no zone %d: the fleet has %d, from 0 on", x.Zone, fleet.Zones)
+	case needs.count && (x.Count < 1 || x.Count > maxFaultCount):
+		return place("count"), fmt.Errorf("%s needs a count from 1 to %d, not %d", x.Kind, maxFaultCount, x.Count)
+	case isShareOfNodes && !(x.Amount > 0 && x.Amount <= 1):
+		return place("by"), fmt.Errorf("%s needs a share of the nodes over 0 and up to 1, not %v", x.Kind, x.Amount)
+	case x.Kind == faultListSlow && x.Amount < minListCallRate:
+		return place("by"), fmt.Errorf("%s needs %v calls a second or more, not %v", x.Kind, minListCallRate, x.Amount)
+	}
+	return strict.Place{}, nil
+}
+
+// bounds returns the ranges of the fault's figures.
+func (x Fault) bounds(index int, duration float64) []bound {
+	place := func(key string) strict.Place { return strict.Place{Table: "fault", Index: index, Key: key} }
+	return []bound{
+		{place("at"), x.At, 0, duration},
+		{place("for"), x.Duration, 0, maxFaultDuration},
+		{place("by"), x.Amount, 0, maxFaultAmount},
+	}
+}
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -1,16 +1,14 @@
 package emulator
 
 import (
-	"bytes"
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"strconv"
 
 	"gorseledge/internal/line"
 )
 
-// hostState of a host as it is, which the roster tells later.
+// hostState is the true state of a host. The endpoint list has it later.
 type hostState uint8
 
 const (
@@ -19,279 +17,239 @@
 	removed
 )
 
-// host is a stand-in stream box: it sets connections up, answers lines, slows down when it is asked for too
-// much and drops connections when that goes on.
+const (
+	overloadUtilization  = 1.2  // utilization above which a host is overloaded
+	overloadTolerance    = 2.0  // seconds of overload after which a host drops connections
+	droppedFraction      = 10   // it drops one connection in so many
+	migratedFraction     = 40   // a draining host migrates one connection in so many at each tick
+	queueingUtilization  = 0.9  // utilization from which on work piles up
+	responseTime         = 1e-3 // seconds of one message at an idle host
+	queueingTime         = 1e-2 // seconds of one message where work piles up
+	queueingSlope        = 2.0  // further seconds for each unit of utilization above that
+	announcedDelayFloor  = 0.01 // seconds; delays below are not announced
+	announcedDelayChange = 0.2  // share by which a delay has to change to be announced
+	maxAnnouncedDelay    = 900  // milliseconds
+	setupTime            = 2e-3 // seconds of one call to the session store
+	refusedSetupTime     = 0.05 // seconds of one call that the session store refuses
+	loadUnit             = 1e6  // load of one core in a load report
+	connectionLoadDigits = 3
+	reportedLoadFormat   = "LOAD %.3f\r\n"
+	reportedBusy         = "BUSY\r\n"
+	reportedSyntaxError  = "SYNTAX\r\n"
+	reportedSetupError   = "ERR\r\n"
+	reportedEndOfSession = "BYE\r\n"
+)
+
+// host is a simulated server of long-lived connections. It sets connections up and answers messages, becomes slow when
+// it is overloaded, and drops connections when that lasts. Times are in seconds, loads in cores.
 type host struct {
 	*machine
-	world              *simulation
-	random             *rand.Rand
-	index              int
-	capacity           float64
-	startedAt          float64 // when it started; 0 for long ago
-	state              hostState
-	withdrawnAt        float64 // when discovery could first tell that it drains or is gone; 0 for not
-	running            bool
-	stalled            bool
-	slowdown           float64 // by what its work takes longer; 1 for sound
-	errorShare         float64 // share of set-ups that err
-	load               float64
-	pending            float64 // load of the set-ups that are under way
-	sessions           map[*session]bool
-	sessionOrder       []*session // of held, in the order in which they came; some have ended
-	coldOverloadSince  float64    // since when it is asked for more than a cold host bears; 0 for not
-	overloadedSince    float64
-	announcedDelay     float64 // the delay that its connections were told last
-	informedAttempts   int     // connects since its start from nodes that had been told of it
-	uninformedAttempts int     // and from others
+	world        *simulation
+	random       *rand.Rand
+	capacity     float64
+	startedAt    float64 // 0 for long ago
+	state        hostState
+	withdrawnAt  float64 // when discovery could first deliver that it drains or is removed; 0 for not
+	running      bool
+	stalled      bool    // it accepts connections and does not respond
+	slowdown     float64 // factor on the time of its work; 1 for none
+	errorShare   float64 // share of its set-ups that fail
+	load         float64 // of established connections
+	pending      float64 // of set-ups under way
+	sessions     map[*session]bool
+	sessionOrder []*session // in the order in which they were established; some have ended
+
+	coldOverloadSince  float64 // since when it has more load than it can take in slow start; 0 for not
+	overloadedSince    float64 // since when it is overloaded; 0 for not
+	announcedDelay     float64 // that its connections were sent last
+	informedAttempts   int     // attempts since its start from nodes that knew of the start
+	uninformedAttempts int     // attempts since its start from other nodes
 	healthChecks       int
-	connects           int
 }
 
-// session is one connection that a host serves, or is asked to.
-type session struct {
-	*host
-	socket      *socket
-	received    []byte
-	id          string
-	load        float64
-	established bool
-	settingUp   bool // its load counts among the pending
-	closed      bool
-}
-
-// slowStartWeight is the share of its capacity that it has by now.
+// slowStartWeight returns the share of its capacity that the host has now.
 func (h *host) slowStartWeight() float64 {
-	f := h.world.script.Fleet
-	if h.startedAt <= 0 || f.SlowStartTime <= 0 {
+	fleet := h.world.script.Fleet
+	if h.startedAt <= 0 || fleet.SlowStartTime <= 0 {
 		return 1
 	}
-	return min(1, f.SlowStartFrom+(1-f.SlowStartFrom)*(h.world.Now-h.startedAt)/f.SlowStartTime)
+	return min(1, fleet.SlowStartFrom+(1-fleet.SlowStartFrom)*(h.world.Now-h.startedAt)/fleet.SlowStartTime)
 }
 
-// utilization is the load asked over what it can do now.
+// utilization returns the load of established connections over the capacity that the host has now.
 func (h *host) utilization() float64 { return h.load * h.slowdown / (h.capacity * h.slowStartWeight()) }
 
-// delay is how long a line takes here now.
+// delay returns the seconds that a message takes at the host now.
 func (h *host) delay() float64 {
-	u := h.utilization()
-	if u < 0.9 {
-		return 1e-3 * h.slowdown / (1 - u)
+	utilization := h.utilization()
+	if utilization < queueingUtilization {
+		return responseTime * h.slowdown / (1 - utilization)
 	}
-	return 1e-2*h.slowdown + 2*(u-0.9) // what piles up within a second or so
+	return queueingTime*h.slowdown + queueingSlope*(utilization-queueingUtilization)
 }
 
+// accept takes a connection of a node.
 func (h *host) accept(s *socket) {
 	c := &session{host: h, socket: s}
 	s.onArrival = func() { c.receive() }
 }
 
-// receive takes what arrived.
-func (c *session) receive() {
-	if c.closed || !c.running {
+// maintain does the housekeeping of the host: it fails or drops connections under overload, announces its delay, and
+// migrates connections while it drains.
+func (h *host) maintain() {
+	if !h.running {
 		return
 	}
-	c.received, c.socket.received = append(c.received, c.socket.received...), c.socket.received[:0]
-	for !c.closed && !c.stalled {
-		row, rest, whole := bytes.Cut(c.received, []byte("\n"))
-		if !whole {
-			break
-		}
-		row = append([]byte(nil), row...)
-		c.received = rest
-		c.said(row)
+	h.forgetEndedSessions()
+	if h.failsInSlowStart() {
+		h.world.checker.checkOverturned(h)
+		h.crash()
+		return
 	}
-	if c.socket.farEnd != streamOpen && !c.closed {
-		c.close()
+	h.dropUnderOverload()
+	h.announceDelay()
+	if h.state == draining {
+		h.migrateSessions()
 	}
 }
 
-func (c *session) said(row []byte) {
-	word, _ := line.Split(row)
-	switch {
-	case word == line.Ping && !c.established:
-		c.healthChecks++
-		c.after(c.delay(), func() { c.socket.send([]byte(line.PongLine)) })
-	case word == line.Open && c.id == "":
-		c.open(row)
-	case c.established:
-		c.after(c.delay(), func() { c.socket.send(append(row, '\n')) })
-	default:
-		c.send("SYNTAX\r\n")
-		c.close()
+// forgetEndedSessions removes ended sessions from the order.
+func (h *host) forgetEndedSessions() {
+	open := h.sessionOrder[:0]
+	for _, c := range h.sessionOrder {
+		if h.sessions[c] {
+			open = append(open, c)
+		}
 	}
+	h.sessionOrder = open
 }
 
-// after runs something for this session, unless it is over by then.
-func (c *session) after(seconds float64, run func()) {
-	since := c.startedAt
-	c.world.After(seconds, func() {
-		if !c.closed && c.running && !c.stalled && c.startedAt == since {
-			run()
-		}
-	})
+// failsInSlowStart reports whether the host has had too much load for its slow start for too long.
+func (h *host) failsInSlowStart() bool {
+	rules := h.world.script.Rules
+	weight := h.slowStartWeight()
+	overloaded := weight < 1 && h.load+h.pending > rules.FallMultiple*h.capacity*weight
+	if !overloaded {
+		h.coldOverloadSince = 0
+		return false
+	}
+	if h.coldOverloadSince == 0 {
+		h.coldOverloadSince = h.world.Now
+		return false
+	}
+	return h.world.Now-h.coldOverloadSince >= rules.FallTime
 }
 
-func (c *session) send(text string) { c.socket.send([]byte(text)) }
-
-// open sets a connection up: a call to the session store, and its share of this host.
-func (c *session) open(row []byte) {
-	o, err := line.ParseOpening(append(row, '\n'))
-	c.id = o.ID
-	c.connects++
-	f := c.world.flowByID(o.ID)
-	if err != nil || f == nil {
-		c.send("SYNTAX\r\n")
-		c.close()
+// dropUnderOverload resets some connections, drawn at random, each time an overload has lasted too long.
+func (h *host) dropUnderOverload() {
+	now := h.world.Now
+	if h.utilization() <= overloadUtilization {
+		h.overloadedSince = 0
 		return
 	}
-	c.world.checker.checkArrival(f, c.host)
-	if c.state == draining {
-		c.send("BUSY\r\n")
-		c.close()
+	if h.overloadedSince == 0 {
+		h.overloadedSince = now
+	}
+	if h.overloadedSince == 0 || now-h.overloadedSince <= overloadTolerance {
 		return
 	}
-	c.load, c.settingUp = f.load, true
-	c.host.pending += c.load
-	took, stored := c.world.store.call()
-	c.after(c.delay()+took, func() {
-		if !stored || c.random.Float64() < c.errorShare {
-			c.world.checker.checkSetup(f, c.host)
-			c.send("ERR\r\n")
-			c.close()
-			return
+	h.overloadedSince = now
+	for range 1 + len(h.sessionOrder)/droppedFraction {
+		c := h.sessionOrder[h.random.IntN(len(h.sessionOrder))]
+		if !c.closed {
+			c.disconnect(true)
 		}
-		c.world.checker.checkSetup(f, c.host)
-		c.finishSetup()
-		c.established = true
-		c.host.load += c.load
-		c.sessions[c] = true
-		c.sessionOrder = append(c.sessionOrder, c)
-		c.send("UP " + c.id + "\r\n")
-		c.send("LOAD " + strconv.FormatFloat(1e6*c.load, 'f', 3, 64) + "\r\n")
-		c.after(f.lifetime, func() { c.send("BYE\r\n"); c.close() })
-	})
-}
-
-// finishSetup ends the time in which a set-up is under way.
-func (c *session) finishSetup() {
-	if c.settingUp {
-		c.settingUp = false
-		c.host.pending = max(c.host.pending-c.load, 0)
 	}
 }
 
-// close lets a session go from this side, in good order.
-func (c *session) close() { c.disconnect(false) }
-
-func (c *session) disconnect(broken bool) {
-	if c.closed {
+// announceDelay sends the present delay to all connections if it has changed enough.
+func (h *host) announceDelay() {
+	delay := h.delay()
+	noticeable := delay > announcedDelayFloor || h.announcedDelay > announcedDelayFloor
+	changed := math.Abs(delay-h.announcedDelay) > announcedDelayChange*h.announcedDelay
+	if h.stalled || !noticeable || !changed {
 		return
 	}
-	c.closed = true
-	c.finishSetup()
-	if c.established {
-		c.host.load = max(c.host.load-c.load, 0)
-		delete(c.sessions, c)
+	h.announcedDelay = delay
+	for _, c := range h.sessionOrder {
+		if !c.closed {
+			c.send(fmt.Sprintf(reportedLoadFormat, min(millisecondsPerSecond*delay, maxAnnouncedDelay)))
+		}
 	}
-	c.socket.close(broken)
 }
 
-// maintain is a host's housekeeping: what it is asked for too long it drops, what waits it tells.
-func (h *host) maintain() {
-	if !h.running {
+// migrateSessions asks the clients of some of the oldest connections to migrate.
+func (h *host) migrateSessions() {
+	if len(h.sessionOrder) == 0 {
 		return
 	}
-	rules := h.world.script.Rules
-	now := h.world.Now
-	live := h.sessionOrder[:0]
-	for _, c := range h.sessionOrder {
-		if h.sessions[c] {
-			live = append(live, c)
+	for range 1 + len(h.sessionOrder)/migratedFraction {
+		c := h.sessionOrder[0]
+		if !c.closed {
+			c.send(line.MoveLine)
+			c.close()
 		}
-	}
-	h.sessionOrder = live
-	if warm := h.slowStartWeight(); warm < 1 && h.load+h.pending > rules.FallMultiple*h.capacity*warm {
-		if h.coldOverloadSince == 0 {
-			h.coldOverloadSince = now
-		} else if now-h.coldOverloadSince >= rules.FallTime {
-			h.world.checker.checkOverturned(h)
-			h.crash()
+		h.sessionOrder = h.sessionOrder[1:]
+		if len(h.sessionOrder) == 0 {
 			return
 		}
-	} else {
-		h.coldOverloadSince = 0
-	}
-	if h.utilization() > 1.2 {
-		if h.overloadedSince == 0 {
-			h.overloadedSince = now
-		}
-	} else {
-		h.overloadedSince = 0
-	}
-	if h.overloadedSince > 0 && now-h.overloadedSince > 2 { // it sheds a tenth, at random
-		h.overloadedSince = now
-		for range 1 + len(h.sessionOrder)/10 {
-			if c := h.sessionOrder[h.random.IntN(len(h.sessionOrder))]; !c.closed {
-				c.disconnect(true)
-			}
-		}
-	}
-	if d := h.delay(); !h.stalled && (d > 0.01 || h.announcedDelay > 0.01) && math.Abs(d-h.announcedDelay) > 0.2*h.announcedDelay {
-		h.announcedDelay = d
-		for _, c := range h.sessionOrder {
-			if !c.closed {
-				c.send(fmt.Sprintf("LOAD %.3f\r\n", min(1e3*d, 900)))
-			}
-		}
-	}
-	if h.state == draining && len(h.sessionOrder) > 0 { // bit by bit
-		for range 1 + len(h.sessionOrder)/40 {
-			if c := h.sessionOrder[0]; !c.closed {
-				c.send(line.MoveLine)
-				c.close()
-			}
-			if h.sessionOrder = h.sessionOrder[1:]; len(h.sessionOrder) == 0 {
-				break
-			}
-		}
 	}
 }
 
-// crash ends the process: its connections are reset.
+// crash ends the host's process and resets its connections.
 func (h *host) crash() {
 	h.running = false
-	h.machine.resetAll(bySerial)
-	h.informedAttempts, h.uninformedAttempts = 0, 0
-	h.sessions, h.sessionOrder, h.load, h.pending = map[*session]bool{}, nil, 0, 0
+	h.machine.resetAll()
+	h.clear()
 }
 
-// start runs it anew, cold.
+// start starts the host's process anew, in slow start.
 func (h *host) start() {
-	h.running, h.vanished, h.stalled, h.state = true, false, false, serving
-	h.startedAt, h.slowdown, h.errorShare, h.coldOverloadSince, h.overloadedSince, h.announcedDelay = h.world.Now, 1, 0, 0, 0, 0
-	h.informedAttempts, h.uninformedAttempts = 0, 0
-	h.sessions, h.sessionOrder, h.load, h.pending = map[*session]bool{}, nil, 0, 0
-}
-
-// sessionStore is the session store: each set-up is a call, and too many in a second fail.
+	h.running = true
+	h.vanished = false
+	h.stalled = false
+	h.state = serving
+	h.startedAt = h.world.Now
+	h.slowdown = 1
+	h.errorShare = 0
+	h.coldOverloadSince = 0
+	h.overloadedSince = 0
+	h.announcedDelay = 0
+	h.clear()
+}
+
+// clear forgets the connections of the process and the attempts that it got.
+func (h *host) clear() {
+	h.informedAttempts = 0
+	h.uninformedAttempts = 0
+	h.sessions = map[*session]bool{}
+	h.sessionOrder = nil
+	h.load = 0
+	h.pending = 0
+}
+
+// sessionStore is the store that each set-up calls. It refuses calls beyond its limit within a second of the clock.
 type sessionStore struct {
 	world     *simulation
-	callLimit float64 // calls a second; 0 for any number
-	second    float64
-	calls     float64 // in it
-	peak      float64
+	callLimit float64 // calls a second; 0 for no limit
+	second    float64 // the present second of the clock
+	calls     float64 // within it
+	peak      float64 // most calls within a second
 	rejected  int
 }
 
-func (s *sessionStore) call() (took float64, ok bool) {
-	if sec := math.Floor(s.world.Now); sec != s.second {
-		s.second, s.calls = sec, 0
+// call makes one call. It returns the seconds that the call takes, and whether the store accepts it.
+func (s *sessionStore) call() (seconds float64, accepted bool) {
+	second := math.Floor(s.world.Now)
+	if second != s.second {
+		s.second = second
+		s.calls = 0
 	}
 	s.calls++
 	s.peak = max(s.peak, s.calls)
 	if s.callLimit > 0 && s.calls > s.callLimit {
 		s.rejected++
-		return 0.05, false
+		return refusedSetupTime, false
 	}
-	return 2e-3, true
+	return setupTime, true
 }
--- /dev/null
+++ b/internal/emulator/maintenance.go
@@ -0,0 +1,39 @@
+package emulator
+
+import "gorseledge/internal/node"
+
+// setHostDisabled administratively disables a host, or enables it again, at every node that runs. Once a node has
+// confirmed it, the checker holds the node to it whatever discovery delivers.
+func (s *simulation) setHostDisabled(h *host, disabled bool) {
+	question := node.EnableHost
+	if disabled {
+		question = node.DisableHost
+	}
+	for _, n := range s.processes() {
+		if reply := n.query(node.Query{Question: question, Host: h.name}); !reply.OK {
+			continue
+		}
+		if !disabled {
+			delete(n.disabledAt, h.name)
+			continue
+		}
+		if _, known := n.disabledAt[h.name]; !known {
+			n.disabledAt[h.name] = s.Now
+		}
+	}
+}
+
+// disableForMaintenance disables a host for some seconds, restarts it in the middle of them, and enables it again.
+func (s *simulation) disableForMaintenance(h *host, duration float64) {
+	if h.state != serving || !h.running {
+		return
+	}
+	s.setHostDisabled(h, true)
+	s.After(duration/2, func() {
+		if h.state == serving && h.running {
+			h.crash()
+			s.revive(h)
+		}
+	})
+	s.After(duration, func() { s.setHostDisabled(h, false) })
+}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -2,20 +2,21 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 
 	"gorseledge/internal/emulator/virtual"
 )
 
-// streamState is how a side of a connection stopped sending.
+// streamState says whether one direction of a connection still carries data.
 type streamState uint8
 
 const (
-	streamOpen streamState = iota
-	streamEnded
-	streamReset
+	streamOpen  streamState = iota
+	streamEnded             // the sender has ended it in good order
+	streamReset             // it was broken off
 )
 
-// machine is where sockets live. One that has vanished says nothing; one whose process died resets.
+// machine owns the sockets of one simulated process. A vanished machine neither sends nor receives.
 type machine struct {
 	name     string
 	zone     int
@@ -27,53 +28,60 @@
 	return &machine{name: name, zone: zone, sockets: map[*socket]bool{}}
 }
 
-// socket is one end of a modelled connection: bytes arrive in order, in pieces, after a delay.
+// socket is one end of a simulated connection. Bytes arrive in order, after a delay, and possibly in parts.
 type socket struct {
-	net         *network
-	serial      int
+	network     *network
+	serial      int // order in which sockets were made
 	machine     *machine
 	peer        *socket
-	received    []byte      // arrived, not read yet
-	farEnd      streamState // of the far side, after what is in in
+	received    []byte      // arrived and not read yet
+	farEnd      streamState // of what the peer sends, after received
 	closed      bool        // by this side
 	finished    bool        // this side has ended its sending
-	lastArrival float64
-	queue       []func(to *socket) // on its way, in order: also where events of one instant are permuted
-	onArrival   func()             // something arrived
+	lastArrival float64     // time at which the last sent event arrives at the peer
+	// queue has what is under way to the peer, in order. It keeps the order where the clock permutes events of the same time.
+	queue     []func(to *socket)
+	onArrival func() // called after something has arrived; nil for nothing
 }
 
-// network joins machines. Its figures are seconds and bytes a second.
+// network connects machines. Times are in seconds.
 type network struct {
 	virtual.Clock
-	random                             *rand.Rand
-	delayWithinZone, delayBetweenZones float64 // one way within a zone, and between zones
-	jitter                             float64 // share of the delay
-	bandwidth                          float64 // of one connection; 0 for no limit
-	lastSerial                         int
-	connectDelay                       float64 // by which connections come up late now
-	splitChance                        float64 // chance that what is written arrives in two pieces
+	random            *rand.Rand
+	delayWithinZone   float64 // one way
+	delayBetweenZones float64 // one way
+	jitter            float64 // share by which a delay grows at most
+	bandwidth         float64 // bytes a second of one connection; 0 for no limit
+	lastSerial        int     // of the last socket
+	connectDelay      float64 // by which connections to hosts are established later, while a fault lasts
+	splitChance       float64 // probability that a write arrives in two parts
 }
 
+// delay draws the time that something takes from one machine to another.
 func (n *network) delay(a, b *machine) float64 {
-	d := n.delayWithinZone
+	delay := n.delayWithinZone
 	if a.zone != b.zone {
-		d = n.delayBetweenZones
+		delay = n.delayBetweenZones
 	}
-	return d * (1 + n.jitter*n.random.Float64())
+	return delay * (1 + n.jitter*n.random.Float64())
 }
 
-// join gives the two ends of a new connection.
+// join returns the two ends of a new connection.
 func (n *network) join(a, b *machine) (*socket, *socket) {
 	n.lastSerial += 2
-	x, y := &socket{net: n, machine: a, serial: n.lastSerial}, &socket{net: n, machine: b, serial: n.lastSerial + 1}
-	x.peer, y.peer = y, x
-	a.sockets[x], b.sockets[y] = true, true
-	return x, y
+	near := &socket{network: n, machine: a, serial: n.lastSerial}
+	far := &socket{network: n, machine: b, serial: n.lastSerial + 1}
+	near.peer = far
+	far.peer = near
+	a.sockets[near] = true
+	b.sockets[far] = true
+	return near, far
 }
 
-// arrive has something happen at the far end in its turn: never before what was sent earlier.
+// arrive schedules an event at the peer. It never comes before what was sent earlier. What a vanished machine sends, or
+// is sent, is lost.
 func (s *socket) arrive(size int, run func(to *socket)) {
-	n := s.net
+	n := s.network
 	when := n.Now + n.delay(s.machine, s.peer.machine)
 	if n.bandwidth > 0 {
 		when = max(when, s.lastArrival) + float64(size)/n.bandwidth
@@ -82,32 +90,33 @@
 	to := s.peer
 	s.queue = append(s.queue, run)
 	n.At(s.lastArrival, func() {
-		run := s.queue[0]
+		next := s.queue[0]
 		s.queue = s.queue[1:]
 		if to.closed || s.machine.vanished || to.machine.vanished {
-			return // what a vanished machine sent, or was sent, is lost without a word
+			return
 		}
-		run(to)
+		next(to)
 		if to.onArrival != nil {
 			to.onArrival()
 		}
 	})
 }
 
-// send writes bytes; they are copied.
+// send sends a copy of the data. It has no effect once this side is closed or finished.
 func (s *socket) send(data []byte) {
 	if s.closed || s.finished || len(data) == 0 {
 		return
 	}
 	cut := len(data)
-	if len(data) > 1 && s.net.random.Float64() < s.net.splitChance {
-		cut = 1 + s.net.random.IntN(len(data)-1)
+	if len(data) > 1 && s.network.random.Float64() < s.network.splitChance {
+		cut = 1 + s.network.random.IntN(len(data)-1)
 	}
 	for _, part := range [2][]byte{data[:cut], data[cut:]} {
-		if len(part) > 0 {
-			part = append([]byte(nil), part...)
-			s.arrive(len(part), func(to *socket) { to.received = append(to.received, part...) })
+		if len(part) == 0 {
+			continue
 		}
+		sent := slices.Clone(part)
+		s.arrive(len(sent), func(to *socket) { to.received = append(to.received, sent...) })
 	}
 }
 
@@ -124,13 +133,16 @@
 	})
 }
 
-// close ends both directions; broken off, what was under way is lost.
-func (s *socket) close(broken bool) {
+// close ends both directions. A reset, which unread data causes as well, discards what the peer has not read.
+func (s *socket) close(reset bool) {
 	if s.closed {
 		return
 	}
-	if broken || len(s.received) > 0 {
-		s.arrive(0, func(to *socket) { to.farEnd, to.received = streamReset, nil })
+	if reset || len(s.received) > 0 {
+		s.arrive(0, func(to *socket) {
+			to.farEnd = streamReset
+			to.received = nil
+		})
 	} else {
 		s.finish()
 	}
@@ -138,20 +150,20 @@
 	delete(s.machine.sockets, s)
 }
 
-// read takes up to len(into) bytes that have arrived.
+// read moves what has arrived into the buffer and returns the number of bytes.
 func (s *socket) read(into []byte) int {
-	n := copy(into, s.received)
-	s.received = s.received[n:]
-	return n
+	count := copy(into, s.received)
+	s.received = s.received[count:]
+	return count
 }
 
-// resetAll breaks all of a machine's connections, as the end of a process does.
-func (m *machine) resetAll(order func([]*socket)) {
+// resetAll resets all connections of a machine, oldest first, as the end of a process does.
+func (m *machine) resetAll() {
 	all := make([]*socket, 0, len(m.sockets))
 	for s := range m.sockets {
 		all = append(all, s)
 	}
-	order(all) // a map has no order, a trace must have one
+	slices.SortFunc(all, func(a, b *socket) int { return a.serial - b.serial })
 	for _, s := range all {
 		s.close(true)
 	}
--- a/internal/emulator/node_process.go
+++ b/internal/emulator/node_process.go
@@ -1,122 +1,175 @@
 package emulator
 
 import (
-	"bytes"
-	"errors"
+	"maps"
 
 	"gorseledge/internal/discovery/endpoint"
-	"gorseledge/internal/line"
 	"gorseledge/internal/node"
+	"gorseledge/internal/settings"
 )
 
-// Core is what a station runs: the real node's, or a deliberately wrong one that shows that a checker fires.
+// Core is what a simulated node runs: the core of a real node, or one that is deliberately wrong to show that the
+// checker finds it. Times are Unix times in seconds.
 type Core interface {
 	Apply(now float64, in node.Input) []node.Effect
 }
 
-// nodeProcess is the machine of one node: it carries out what the core asks for, each effect in its time.
+// nodeProcess is a simulated process of a node. It carries out the effects that its core asks for. While a node is
+// upgraded it has two processes. Times are in seconds of the clock.
 type nodeProcess struct {
 	*machine
 	world           *simulation
-	index           int
+	index           int // of its node
 	core            Core
 	running         bool
 	connections     map[node.Conn]*connection
-	lastConn        node.Conn
-	idleAt          float64   // when its processor is done with what came before
-	listCalls       listCalls // for the list
-	timerGeneration int
-	notifiedAt      map[string]float64 // when it learned that a host drains or is gone
-	knownStarts     map[string]float64 // when a host last started, as it was told
+	lastConn        node.Conn // the last number given to a client's connection
+	idleAt          float64   // when its processor is done with all inputs so far
+	listCalls       listCalls
+	timerGeneration int                // of the timer that is set; older ones have no effect
+	notifiedAt      map[string]float64 // when it learned that a host drains or is removed, by the host's name
+	knownStarts     map[string]float64 // last start of a host that it knows, Unix time in milliseconds
 	watchState      watchState
-	disabledAt      map[string]float64 // when it said yes to a host taken out by hand
-	predecessor     *nodeProcess       // the process before this one, and the one after it, while there are two
-	successor       *nodeProcess
-	shuttingDown    bool                      // it was asked to leave
-	tookOver        bool                      // the predecessor has given its clients
-	unboundHosts    map[node.Conn]*connection // host's sides of connections that the core is about to adopt, by their client's
-	cpuSeconds      float64
+	disabledAt      map[string]float64 // when it confirmed that a host is administratively disabled
+	predecessor     *nodeProcess       // nil outside an upgrade
+	successor       *nodeProcess       // nil outside an upgrade
+	shuttingDown    bool               // it was asked to shut down
+	tookOver        bool               // it has taken the listener from its predecessor
+	// unboundHosts are the host connections, by client connection, of transfers that the core is about to restore.
+	unboundHosts map[node.Conn]*connection
+	cpuSeconds   float64
 }
 
-// connection is a core's connection.
-type connection struct {
-	*nodeProcess
-	id         node.Conn
-	socket     *socket
-	readBuffer []byte
-	host       *host
-	flow       *flow
-	counted    bool
-	sent       bool // it is the successor's
+// boot starts a node's process anew, with the complete list of discovery.
+func (s *simulation) boot(n *nodeProcess) {
+	start := s.nodeStart(n.name, n.index)
+	if s.options.AdjustSettings != nil {
+		s.options.AdjustSettings(&start.Settings)
+	}
+	n.running = true
+	n.vanished = false
+	n.connections = map[node.Conn]*connection{}
+	n.notifiedAt = map[string]float64{}
+	n.knownStarts = map[string]float64{}
+	n.shuttingDown = false
+	n.tookOver = false
+	n.predecessor = nil
+	n.successor = nil
+	n.watchState = watchState{startedAt: s.Now, calledAt: s.Now, relocations: s.discovery.relocations}
+	n.disabledAt = map[string]float64{} // a process without a predecessor knows of no disabled host
+	n.lastConn |= 1
+	n.timerGeneration++
+	n.idleAt = s.Now
+	n.listCalls.end()
+	start.CachedList = s.discovery.completeList()
+	s.startCore(n, start)
+	n.recordList(start.CachedList)
+	n.deliver(node.TimerFired{})
+}
+
+// nodeStart returns what a process of a node gets at its start. The actor names the random source of the process.
+func (s *simulation) nodeStart(actor string, index int) node.Start {
+	random := newRandom(s.seed, actor, int(s.Now*millisecondsPerSecond))
+	nodeSettings, listener, err := settings.Parse(s.settings, random.Uint64())
+	if err != nil {
+		panic(err) // the settings are made by this package
+	}
+	nodeSettings.NodeNumber = index
+	return node.Start{Settings: nodeSettings, Listener: listener, MaxDescriptors: s.script.Fleet.MaxDescriptors}
+}
+
+// startCore gives a process a new core.
+func (s *simulation) startCore(n *nodeProcess, start node.Start) {
+	n.core = node.New(s.startTime+s.Now, start)
+	if s.options.WrapCore != nil {
+		n.core = s.options.WrapCore(n.core)
+	}
 }
 
-var errUnreached = errors.New("unreached")
+// processes returns the processes that run and have not vanished, predecessors in upgrades included.
+func (s *simulation) processes() []*nodeProcess {
+	var all []*nodeProcess
+	for _, n := range s.nodes {
+		for p := n; p != nil; p = p.predecessor {
+			if p.running && !p.vanished {
+				all = append(all, p)
+			}
+		}
+	}
+	return all
+}
 
-// deliver hands an input to the core once its processor is free, and carries out what it asks for.
+// deliver gives an input to the core once its processor is idle.
 func (n *nodeProcess) deliver(in node.Input) { n.deliverLater(func() node.Input { return in }) }
 
-// deliverLater makes the input when the core takes it: what a core closed meanwhile is answered otherwise.
-func (n *nodeProcess) deliverLater(make func() node.Input) {
+// deliverLater makes an input when the processor is idle, gives it to the core and carries out the effects.
+func (n *nodeProcess) deliverLater(makeInput func() node.Input) {
 	core := n.core
-	n.idleAt = max(n.idleAt, n.world.Now) + n.world.script.Fleet.InputTime
-	n.cpuSeconds += n.world.script.Fleet.InputTime
+	inputTime := n.world.script.Fleet.InputTime
+	n.idleAt = max(n.idleAt, n.world.Now) + inputTime
+	n.cpuSeconds += inputTime
 	n.world.At(n.idleAt, func() {
 		if !n.running || n.core != core {
 			return
 		}
-		in := make()
-		if l, ok := in.(node.ListReceived); ok {
-			n.recordList(l.List)
-		}
-		for _, e := range n.core.Apply(n.world.startTime+n.world.Now, in) {
-			n.perform(e)
+		in := makeInput()
+		if list, ok := in.(node.ListReceived); ok {
+			n.recordList(list.List)
 		}
+		n.perform(n.core.Apply(n.world.startTime+n.world.Now, in))
 	})
 }
 
-// recordList notes since when the node knows that a host takes nothing new.
-func (n *nodeProcess) recordList(l endpoint.List) {
-	for _, h := range l.Hosts {
+// query asks the core a question, as the admin address does. It returns the reply and carries out the other effects.
+func (n *nodeProcess) query(q node.Query) node.Reply {
+	var reply node.Reply
+	for _, e := range n.core.Apply(n.world.startTime+n.world.Now, q) {
+		if r, ok := e.(node.Reply); ok {
+			reply = r
+			continue
+		}
+		n.performOne(e)
+	}
+	return reply
+}
+
+// recordList records since when the process knows that a host drains or is removed, and when each host started.
+func (n *nodeProcess) recordList(list endpoint.List) {
+	for _, h := range list.Hosts {
 		n.knownStarts[h.Name] = h.StartedAtMS
-		if h.Status == "SERVING" {
+		if h.Status == statusServing {
 			delete(n.notifiedAt, h.Name)
-		} else if _, known := n.notifiedAt[h.Name]; !known {
+			continue
+		}
+		if _, known := n.notifiedAt[h.Name]; !known {
 			n.notifiedAt[h.Name] = n.world.Now
 		}
 	}
 }
 
-func (n *nodeProcess) perform(e node.Effect) {
+// perform carries out effects in their order.
+func (n *nodeProcess) perform(effects []node.Effect) {
+	for _, e := range effects {
+		n.performOne(e)
+	}
+}
+
+// performOne carries out one effect.
+func (n *nodeProcess) performOne(e node.Effect) {
 	switch e := e.(type) {
 	case node.Read:
-		p := n.connections[e.Conn]
-		p.readBuffer = e.Into
-		p.completeRead()
+		n.connections[e.Conn].readBuffer = e.Into
+		n.connections[e.Conn].completeRead()
+	case node.StopReading:
+		n.connections[e.Conn].cancelRead()
 	case node.Write:
-		p := n.connections[e.Conn]
-		p.observeWrite(e.Data)
-		size := len(e.Data)
-		failed := p.socket.farEnd == streamReset
-		if !failed {
-			p.socket.send(e.Data)
-		}
-		n.deliver(node.WriteDone{Conn: e.Conn, Count: size, Failed: failed})
+		n.connections[e.Conn].write(e.Data)
 	case node.Dial:
 		n.dial(e)
 	case node.CloseWrite:
 		n.connections[e.Conn].socket.finish()
 	case node.Close:
-		p := n.connections[e.Conn]
-		p.endAttempt()
-		if p.socket != nil {
-			p.socket.close(e.Reset)
-		}
-		delete(n.connections, e.Conn)
-		if p.socket != nil || p.sent {
-			n.deliver(node.Closed{Conn: e.Conn})
-		} else {
-			p.readBuffer = nil
-		}
+		n.closeConnection(e)
 	case node.Watch:
 		n.listCalls.begin(e.Beside)
 		n.world.discovery.handleCall(n, n.listCalls.newest(), e.Index)
@@ -124,13 +177,7 @@
 		n.listCalls.end()
 		n.watchState.ended(false)
 	case node.SetTimer:
-		n.timerGeneration++
-		turn, core := n.timerGeneration, n.core
-		n.world.At(e.At-n.world.startTime, func() {
-			if turn == n.timerGeneration && core == n.core {
-				n.deliver(node.TimerFired{})
-			}
-		})
+		n.setTimer(e.At - n.world.startTime)
 	case node.WriteLog:
 		n.world.trace("%s %s", n.name, e.Line)
 	case node.LogConnection:
@@ -138,11 +185,6 @@
 	case node.Exit:
 		n.stop()
 		n.notifyPeersOfExit()
-	case node.StopReading:
-		p := n.connections[e.Conn]
-		got := node.ReadDone{Conn: p.id, Count: p.socket.read(p.readBuffer)}
-		p.readBuffer = nil
-		n.deliver(got)
 	case node.SendConnection:
 		n.sendConnection(e)
 	case node.BindHostConnection:
@@ -154,115 +196,62 @@
 	}
 }
 
-// completeRead answers a read that is under way with what has arrived.
-func (p *connection) completeRead() {
-	if p.readBuffer == nil || p.socket == nil || len(p.socket.received) == 0 && p.socket.farEnd == streamOpen {
-		return
-	}
-	got := node.ReadDone{Conn: p.id, Count: p.socket.read(p.readBuffer)}
-	if len(p.socket.received) == 0 {
-		got.End = [...]node.End{node.Open, node.Ended, node.Broken}[p.socket.farEnd]
+// closeConnection closes a connection. One that is still being dialed is reported as closed when its dial ends.
+func (n *nodeProcess) closeConnection(e node.Close) {
+	c := n.connections[e.Conn]
+	c.endAttempt()
+	if c.socket != nil {
+		c.socket.close(e.Reset)
 	}
-	p.readBuffer = nil
-	p.nodeProcess.deliver(got)
-}
-
-// accept takes a client's connection.
-func (n *nodeProcess) accept(s *socket, f *flow) {
-	if !n.running || n.vanished {
-		if !n.vanished {
-			s.close(true)
-		}
+	delete(n.connections, e.Conn)
+	if c.socket != nil || c.sent {
+		n.deliver(node.Closed{Conn: e.Conn})
 		return
 	}
-	n.lastConn += 2
-	p := &connection{nodeProcess: n, id: n.lastConn, socket: s}
-	n.connections[p.id] = p
-	f.acceptedBy = n
-	s.onArrival = p.completeRead
-	n.deliver(node.Accepted{Conn: p.id})
+	c.readBuffer = nil
 }
 
-// dial opens a connection to a host: a round trip, or nothing until the time is up.
-func (n *nodeProcess) dial(e node.Dial) {
-	p := &connection{nodeProcess: n, id: e.Conn, host: n.world.hostByAddress(e.Address)}
-	n.connections[e.Conn] = p
-	core := n.core
-	h := p.host
-	fail := func(after float64) {
-		n.world.After(after, func() {
-			if !n.running || core != n.core {
-				return
-			}
-			n.deliverLater(func() node.Input {
-				if n.connections[e.Conn] == p {
-					return node.Dialed{Conn: e.Conn, Err: errUnreached}
-				}
-				return node.Closed{Conn: e.Conn} // given up meanwhile
-			})
-		})
-	}
-	switch {
-	case h == nil || h.vanished:
-		fail(e.Timeout)
-		return
-	case !h.running:
-		fail(2 * n.world.net.delay(n.machine, h.machine))
-		return
-	}
-	took := 2*n.world.net.delay(n.machine, h.machine) + n.world.net.connectDelay
-	if took > e.Timeout {
-		fail(e.Timeout)
-		return
-	}
-	n.world.After(took, func() {
-		switch {
-		case !n.running || core != n.core:
-		case !h.running || h.vanished:
-			fail(0)
-		default:
-			n.deliverLater(func() node.Input {
-				if n.connections[e.Conn] != p {
-					return node.Closed{Conn: e.Conn}
-				}
-				mine, theirs := n.world.net.join(n.machine, h.machine)
-				p.socket = mine
-				mine.onArrival = p.completeRead
-				h.accept(theirs)
-				return node.Dialed{Conn: e.Conn}
-			})
+// setTimer sets the core's only timer to a time of the clock.
+func (n *nodeProcess) setTimer(at float64) {
+	n.timerGeneration++
+	generation, core := n.timerGeneration, n.core
+	n.world.At(at, func() {
+		if generation == n.timerGeneration && core == n.core {
+			n.deliver(node.TimerFired{})
 		}
 	})
 }
 
-// observeWrite looks at what a core writes to a host: a first line is a connect that may run from here on.
-func (p *connection) observeWrite(data []byte) {
-	if p.host == nil || p.counted || !bytes.HasPrefix(data, []byte("OPEN ")) {
+// accept takes a client's connection. It is reset if the process does not run, and lost if the machine has vanished.
+func (n *nodeProcess) accept(s *socket, f *flow) {
+	if n.vanished {
 		return
 	}
-	p.counted = true
-	if o, err := line.ParseOpening(data); err == nil {
-		if f := p.world.flowByID(o.ID); f != nil {
-			p.flow = f
-			f.openAttempts++
-			p.world.checker.checkAttempt(f, p.nodeProcess, p.host)
-		}
-	}
-}
-
-func (p *connection) endAttempt() {
-	if p.flow != nil {
-		p.flow.openAttempts--
-		p.flow = nil
+	if !n.running {
+		s.close(true)
+		return
 	}
+	n.lastConn += 2
+	c := &connection{nodeProcess: n, id: n.lastConn, socket: s}
+	n.connections[c.id] = c
+	f.acceptedBy = n
+	s.onArrival = c.completeRead
+	n.deliver(node.Accepted{Conn: c.id})
 }
 
-// stop ends the process.
+// stop ends the process and resets its connections.
 func (n *nodeProcess) stop() {
 	n.running = false
-	for _, p := range n.connections {
-		p.endAttempt()
+	for _, c := range n.connections {
+		c.endAttempt()
 	}
 	n.connections = map[node.Conn]*connection{}
-	n.machine.resetAll(bySerial)
+	n.machine.resetAll()
+}
+
+// cloneKnowledge copies what a predecessor knows of hosts to its successor.
+func (n *nodeProcess) cloneKnowledge(from *nodeProcess) {
+	n.notifiedAt = maps.Clone(from.notifiedAt)
+	n.disabledAt = maps.Clone(from.disabledAt)
+	n.knownStarts = maps.Clone(from.knownStarts)
 }
--- a/internal/emulator/notification.go
+++ b/internal/emulator/notification.go
@@ -2,84 +2,99 @@
 
 import "math"
 
-// What counts as told, by the protocol.
+// A node counts as notified of a change by the protocol, whether it has heard of it or not, after these times.
 const (
-	reachableLimit   = 6.0  // s after discovery had it and could be reached, whatever became of a call
-	silenceLimit     = 6.0  // s after a watch fell silent
-	relocationLimit  = 4.0  // s after a node was told of discovery's new address
-	failedCallFactor = 4    // times as long after a call that failed
-	socketSlack      = 0.05 // s that each time limit is longer on sockets
+	reachableLimit   = 6.0  // seconds in which discovery had the change and could be reached
+	silenceLimit     = 6.0  // seconds after a watch fell silent
+	relocationLimit  = 4.0  // seconds after a node was sent to another discovery
+	failedCallFactor = 4    // times the polling time after a call that failed
+	socketSlack      = 0.05 // seconds by which each time limit is longer on sockets
 )
 
-// watchState is what a process has of the list, as it truly is; the process may take it otherwise.
+// watchState is the true state of a process's watch of the endpoint list. The process may take it otherwise. Times are
+// in seconds.
 type watchState struct {
-	established bool    // a watch stands that has told something
+	established bool    // a watch stands that has delivered a list
 	pending     bool    // a call waits for its answer
-	silent      bool    // what stands or waits says nothing any more
-	silentAt    float64 // since when that is so, or was at the watch before, until the next word; 0 for not
-	relocatedAt float64 // when it was sent to another discovery, which it has not heard yet; 0 for not
-	calledAt    float64 // its last call
-	callFailed  bool    // that one failed
-	startedAt   float64
-	relocations int // which discovery's index it has
+	silent      bool    // the watch or the call delivers nothing any more
+	silentAt    float64 // when this watch, or the one before, fell silent, until the next delivery; 0 for never
+	relocatedAt float64 // when it was sent to another discovery that has not delivered yet; 0 for never
+	calledAt    float64 // time of the last call
+	callFailed  bool    // the last call failed
+	startedAt   float64 // start of the process
+	relocations int     // relocations of discovery before the one that numbered its list
 }
 
-// active tells whether a watch stands or a call waits.
-func (h *watchState) active() bool { return h.established || h.pending }
+// active reports whether a watch stands or a call waits.
+func (w *watchState) active() bool { return w.established || w.pending }
 
-// received takes a word of the watch that stands.
-func (h *watchState) received() {
-	h.established, h.pending, h.silentAt, h.relocatedAt, h.callFailed = true, false, 0, 0, false
+// received records a delivery of the watch.
+func (w *watchState) received() {
+	w.established = true
+	w.pending = false
+	w.silentAt = 0
+	w.relocatedAt = 0
+	w.callFailed = false
 }
 
-// ended takes the end of a watch, or of a call for one, which failed or was given up.
-func (h *watchState) ended(failed bool) {
-	h.callFailed = failed && h.pending
-	h.established, h.pending, h.silent = false, false, false
+// ended records the end of a watch or of a call, which failed or was given up.
+func (w *watchState) ended(failed bool) {
+	w.callFailed = failed && w.pending
+	w.established = false
+	w.pending = false
+	w.silent = false
 }
 
-// calling takes a call for a watch.
-func (h *watchState) calling(now float64) {
-	h.established, h.pending, h.silent, h.calledAt = false, true, false, now
+// calling records a call for a watch.
+func (w *watchState) calling(now float64) {
+	w.established = false
+	w.pending = true
+	w.silent = false
+	w.calledAt = now
 }
 
-// silenceWatch takes the silence of what stands or waits, which has a clock of its own.
+// silenceWatch has the watch and the calls of a process deliver nothing any more.
 func (n *nodeProcess) silenceWatch() {
 	n.listCalls.silencedUpTo = n.listCalls.newest()
-	if h := &n.watchState; h.active() {
-		h.silent, h.silentAt = true, n.world.Now
+	if n.watchState.active() {
+		n.watchState.silent = true
+		n.watchState.silentAt = n.world.Now
 	}
 }
 
-// notificationDue gives the time from which on a process counts as told that a host takes nothing new, infinite for not
-// yet: when it was told, or would have been had it followed the list as the settings ask.
+// notificationDue returns the time in seconds from which on a process counts as notified that a host takes no new
+// flows: when it heard of it, or would have heard had it followed the list as the settings ask. It is infinite while
+// there is no such time.
 func (r *checker) notificationDue(n *nodeProcess, h *host) float64 {
-	told := math.Inf(1)
-	if at, ok := n.notifiedAt[h.name]; ok {
-		told = at
+	due := math.Inf(1)
+	if notifiedAt, notified := n.notifiedAt[h.name]; notified {
+		due = notifiedAt
 	}
-	d, e := r.world.discovery, n.watchState
-	if h.withdrawnAt == 0 {
-		return told
-	}
-	if !d.down { // this goes before all that follows
-		told = min(told, max(h.withdrawnAt, d.availableSince, e.startedAt, e.relocatedAt)+reachableLimit)
+	if h.withdrawnAt == 0 || r.world.discovery.down {
+		return due
 	}
+	watch := n.watchState
+	available := max(h.withdrawnAt, r.world.discovery.availableSince)
+	due = min(due, max(available, watch.startedAt, watch.relocatedAt)+reachableLimit)
+	return min(due, watch.notificationDue(r.world.script.Rules, available))
+}
+
+// notificationDue returns the time in seconds by which a process in this state has to have heard of a change, infinite
+// for no limit. From the given time on discovery could deliver the change.
+func (w *watchState) notificationDue(rules Rules, available float64) float64 {
+	answered := !w.callFailed || rules.Pushed
 	switch {
-	case d.down: // it learns nothing
-	case e.relocatedAt > e.silentAt && (!e.callFailed || r.world.script.Rules.Pushed): // a silence that came later has its own clock
-		return min(told, max(h.withdrawnAt, d.availableSince, e.relocatedAt+relocationLimit))
-	case e.silentAt > 0 && (e.silent || !e.callFailed || r.world.script.Rules.Pushed):
-		return min(told, max(h.withdrawnAt, d.availableSince, e.silentAt+silenceLimit))
-	case r.world.script.Rules.Pushed:
-		return min(told, max(h.withdrawnAt, d.availableSince, e.startedAt))
-	case e.active():
+	case w.relocatedAt > w.silentAt && answered:
+		return max(available, w.relocatedAt+relocationLimit)
+	case w.silentAt > 0 && (w.silent || answered):
+		return max(available, w.silentAt+silenceLimit)
+	case rules.Pushed:
+		return max(available, w.startedAt)
+	case w.active():
+		return math.Inf(1)
+	case w.callFailed:
+		return max(available, w.calledAt) + rules.PollWithin*failedCallFactor
 	default:
-		span := r.world.script.Rules.PollWithin
-		if e.callFailed {
-			span *= failedCallFactor
-		}
-		return min(told, max(h.withdrawnAt, e.calledAt, d.availableSince)+span)
+		return max(available, w.calledAt) + rules.PollWithin
 	}
-	return told
 }
--- a/internal/emulator/service_test.go
+++ b/internal/emulator/service_test.go
@@ -114,7 +114,7 @@
 		{"nothing is placed", func(r *placement.Settings) { r.MaxAttempts = 0 }, false},
 	} {
 		s := parseScenario(t, calmScenario+faults)
-		w := newWorld(s, 3, Options{AdjustSettings: c.tune})
+		w := newSimulation(s, 3, Options{AdjustSettings: c.tune})
 		low := 1.0
 		asked, served := make([]float64, len(s.Traffic)), make([]float64, len(s.Traffic))
 		for third := 1; third <= 3; third++ {
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -1,325 +1,280 @@
-// Package emulator plays whole fleets on a virtual clock: real node cores with stand-in clients, hosts,
-// discovery, front and session store, all from one seed. It imitates no platform; its figures are simulated.
 package emulator
 
 import (
-	"encoding/json"
 	"fmt"
 	"hash"
 	"hash/fnv"
 	"io"
-	"math"
 	"math/rand/v2"
 	"slices"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"gorseledge/internal/discovery/endpoint"
-	"gorseledge/internal/node"
-	"gorseledge/internal/settings"
 	"gorseledge/placement"
 )
 
-var nodeEffects = map[string]string{"repeatable": "repeatable", "referenced": "by_key", "once-only": "once"}
-
-const finalWait = 8.0 // for connects and linger to end once all clients are gone
-
-const recentLineLimit = 40 // of the trace, for the report of a broken rule
+const (
+	finalWait          = 8.0 // seconds in which attempts and closing connections end once all clients have gone
+	recentLineLimit    = 40  // lines of the trace in the report of a violation
+	simulatedTimeOfDay = 1e9 // Unix time in seconds at which a run begins
+	housekeepingPeriod = 0.1 // seconds between the housekeeping ticks of hosts
+)
 
-// Options are what a play may differ in beside its script and seed.
+// Options change a run beside its script and seed. The zero value changes nothing.
 type Options struct {
-	Trace          io.Writer                   // every line of the trace; nil for none
-	Permute        bool                        // events of one instant in an order drawn from the seed
-	WrapCore       func(c Core) Core           // wraps each core, to show that a checker fires
-	AdjustSettings func(r *placement.Settings) // what an experiment changes in the module's rundown
-}
-
-// Result is what came of a play. Times are seconds.
-type Result struct {
-	Scenario                                                            string
-	Seed                                                                uint64
-	Requested, Established, InTarget, Rejected, Aborted                 int
-	Unanswered, Served, Migrated, Disconnected, ListCalls, HealthChecks int
-	ServedShare                                                         float64 // value of well-served seconds over that of all asked for
-	StorePeak                                                           float64
-	StoreRefused                                                        int
-	CPU                                                                 float64
-	Steps                                                               int
-	TraceHash                                                           uint64 // hash of the whole trace
-	Violations                                                          []Violation
-	setups                                                              *hdrhistogram.Histogram
-}
-
-func (r *Result) recordSetup(seconds float64) { r.setups.RecordValue(max(int64(seconds*1e6), 1)) }
-
-// SetupQuantile gives the set-up time that this share of the flows did not pass.
-func (r *Result) SetupQuantile(share float64) float64 {
-	return float64(r.setups.ValueAtQuantile(100*share)) / 1e6
+	Trace          io.Writer                   // gets every line of the trace; nil for none
+	Permute        bool                        // events of the same time run in an order drawn from the seed
+	WrapCore       func(c Core) Core           // wraps each core, to show that the checker finds a fault; nil for none
+	AdjustSettings func(r *placement.Settings) // changes the settings of each node; nil for none
 }
 
-// simulation is one play of a script.
+// simulation is one run of a script.
 type simulation struct {
 	*network
-	net            *network
 	script         Scenario
 	options        Options
 	seed           uint64
-	startTime      float64 // the time of day at which it begins
-	hosts          []*host
+	startTime      float64 // Unix time in seconds at time 0 of the clock
+	hosts          []*host // all that ever were, removed ones included
 	hostsByName    map[string]*host
-	nodes          []*nodeProcess
+	nodes          []*nodeProcess // for each node the process that listens
 	clients        []*client
 	flowsByID      map[string]*flow
 	flowCount      int
 	discovery      *discovery
-	impatientShare float64 // share of the clients that come now and do not wait
+	impatientShare float64 // share of the new clients that do not wait for an answer
 	store          *sessionStore
 	checker        *checker
 	result         *Result
 	random         *rand.Rand
-	settings       []byte
+	settings       []byte // of each node
 	recentTrace    []string
 	hash           hash.Hash64
 }
 
-func zoneName(z int) string { return fmt.Sprintf("z%d", z) }
+func zoneName(zone int) string { return fmt.Sprintf("z%d", zone) }
 
-// Run plays a script once.
-func Run(s Scenario, seed uint64, o Options) *Result {
-	if s.DrawnFleet {
-		s = s.drawFleet(seed)
+// Run runs a script once.
+func Run(script Scenario, seed uint64, o Options) *Result {
+	if script.DrawnFleet {
+		script = script.drawFleet(seed)
 	}
-	w := newWorld(s, seed, o)
-	end := s.Duration + s.Settle
-	for w.Step(end) {
-	}
-	for _, c := range w.clients { // all go, and nothing may be left of them
-		c.finished = true
-		if c.socket != nil {
-			c.disconnect(false)
-		}
+	s := newSimulation(script, seed, o)
+	end := script.Duration + script.Settle
+	s.runUntil(end)
+	s.disconnectClients()
+	s.runUntil(end + finalWait)
+	for _, n := range s.nodes {
+		s.checker.checkReleased(n)
 	}
-	for w.Step(end + finalWait) {
-	}
-	for _, n := range w.nodes {
-		w.checker.checkReleased(n)
-	}
-	return w.finish()
+	return s.finish()
 }
 
-func newWorld(s Scenario, seed uint64, o Options) *simulation {
-	w := &simulation{script: s, options: o, seed: seed, startTime: 1e9, hostsByName: map[string]*host{}, flowsByID: map[string]*flow{},
-		random: newRandom(seed, "world", 0), hash: fnv.New64a()}
-	w.net = &network{random: newRandom(seed, "network", 0), delayWithinZone: s.Network.DelayWithinZone, delayBetweenZones: s.Network.DelayBetweenZones,
-		jitter: s.Network.Jitter, bandwidth: s.Network.Bandwidth, splitChance: s.Network.SplitChance}
-	w.network = w.net
-	if o.Permute {
-		w.Permute = newRandom(seed, "order", 0)
+// newSimulation returns a simulation at time 0, with a fleet that is up and all events of the script scheduled.
+func newSimulation(script Scenario, seed uint64, o Options) *simulation {
+	s := &simulation{
+		script:      script,
+		options:     o,
+		seed:        seed,
+		startTime:   simulatedTimeOfDay,
+		hostsByName: map[string]*host{},
+		flowsByID:   map[string]*flow{},
+		random:      newRandom(seed, "world", 0),
+		hash:        fnv.New64a(),
+		result:      newResult(script.Name, seed),
 	}
-	w.result = &Result{Scenario: s.Name, Seed: seed, setups: hdrhistogram.New(1, 1e9, 3)}
-	w.checker, w.store = &checker{world: w}, &sessionStore{world: w, callLimit: s.Fleet.StoreCallLimit}
-	w.discovery = &discovery{world: w, callRate: s.Fleet.ListCallRate, random: newRandom(seed, "discovery", 0)}
-	for range s.Fleet.Hosts {
-		w.addHost(0)
+	s.network = &network{
+		random:            newRandom(seed, "network", 0),
+		delayWithinZone:   script.Network.DelayWithinZone,
+		delayBetweenZones: script.Network.DelayBetweenZones,
+		jitter:            script.Network.Jitter,
+		bandwidth:         script.Network.Bandwidth,
+		splitChance:       script.Network.SplitChance,
 	}
-	w.settings = w.nodeSettings()
-	for i := range s.Fleet.Nodes {
-		n := &nodeProcess{machine: newMachine(fmt.Sprintf("n%d", i), i%s.Fleet.Zones), world: w, index: i}
-		w.nodes = append(w.nodes, n)
-		w.boot(n)
+	if o.Permute {
+		s.Permute = newRandom(seed, "order", 0)
 	}
-	for k, t := range s.Traffic {
-		w.arrivals(k, t, newRandom(seed, t.Name, k))
+	s.checker = &checker{world: s}
+	s.store = &sessionStore{world: s, callLimit: script.Fleet.StoreCallLimit}
+	s.discovery = &discovery{world: s, callRate: script.Fleet.ListCallRate, random: newRandom(seed, "discovery", 0)}
+	s.startFleet()
+	for i, t := range script.Traffic {
+		s.scheduleArrivals(i, t, newRandom(seed, t.Name, i))
 	}
-	for _, f := range append(slices.Clone(s.Faults), w.drawFaults()...) {
-		w.At(f.At, func() { w.inject(f) })
+	for _, f := range slices.Concat(script.Faults, s.drawFaults()) {
+		s.At(f.At, func() { s.inject(f) })
 	}
-	w.maintainHosts()
-	return w
+	s.maintainHosts()
+	return s
 }
 
-func (w *simulation) addHost(started float64) *host {
-	f := w.script.Fleet
-	i := len(w.hosts)
-	h := &host{machine: newMachine(fmt.Sprintf("s-%08x", newRandom(w.seed, "host", i).Uint32()), i%f.Zones), world: w, index: i,
-		random: newRandom(w.seed, "box", i)}
-	h.capacity = f.Capacity * (1 + f.CapacitySpread*(2*h.random.Float64()-1))
-	h.start()
-	h.startedAt = started
-	w.hosts, w.hostsByName[h.name] = append(w.hosts, h), h
-	if started == 0 { // there from the first: listed at once
-		w.discovery.index++
-		w.discovery.changes = append(w.discovery.changes, listChange{w.discovery.index, w.entry(h, "SERVING")})
-	} else {
-		w.discovery.announce(h, "SERVING")
+// startFleet starts the hosts and the nodes of the script.
+func (s *simulation) startFleet() {
+	for range s.script.Fleet.Hosts {
+		s.addHost(0)
+	}
+	s.settings = s.nodeSettings()
+	for i := range s.script.Fleet.Nodes {
+		n := &nodeProcess{machine: newMachine(fmt.Sprintf("n%d", i), i%s.script.Fleet.Zones), world: s, index: i}
+		s.nodes = append(s.nodes, n)
+		s.boot(n)
 	}
-	return h
 }
 
-// boot starts a node's process anew, with the list as it stands at discovery.
-func (w *simulation) boot(n *nodeProcess) {
-	r, d, err := settings.Parse(w.settings, newRandom(w.seed, n.name, int(w.Now*1e3)).Uint64())
-	if err != nil {
-		panic(err) // the settings are made here
-	}
-	r.NodeNumber = n.index
-	if w.options.AdjustSettings != nil {
-		w.options.AdjustSettings(&r)
-	}
-	n.running, n.vanished, n.connections, n.notifiedAt = true, false, map[node.Conn]*connection{}, map[string]float64{}
-	n.knownStarts = map[string]float64{}
-	n.shuttingDown, n.tookOver, n.predecessor, n.successor = false, false, nil, nil
-	n.watchState = watchState{startedAt: w.Now, calledAt: w.Now, relocations: w.discovery.relocations}
-	n.disabledAt = map[string]float64{} // a process that starts by itself knows of none
-	n.lastConn, n.timerGeneration, n.idleAt = n.lastConn|1, n.timerGeneration+1, w.Now
-	n.listCalls.end()
-	known := w.discovery.completeList()
-	n.core = node.New(w.startTime+w.Now, node.Start{Settings: r, Listener: d, CachedList: known, MaxDescriptors: w.script.Fleet.MaxDescriptors})
-	if w.options.WrapCore != nil {
-		n.core = w.options.WrapCore(n.core)
+// runUntil runs all events up to a time, in seconds.
+func (s *simulation) runUntil(end float64) {
+	for more := true; more; {
+		more = s.Step(end)
 	}
-	n.recordList(known)
-	n.deliver(node.TimerFired{})
 }
 
-var shutdown node.Input = node.Shutdown{}
-
-func listReceived(l endpoint.List) node.Input            { return node.ListReceived{List: l} }
-func watchFailed(why string) node.Input                  { return node.WatchFailed{Reason: why} }
-func (w *simulation) flowByID(id string) *flow           { return w.flowsByID[id] }
-func (w *simulation) hostByAddress(address string) *host { return w.hostsByName[address] }
-
-// nodeSettings writes what a node is told at its start.
-func (w *simulation) nodeSettings() []byte {
-	type object = map[string]any
-	s, r := w.script, w.script.Rules
-	var types []object
-	var aims []float64
-	for _, t := range s.Traffic {
-		types = append(types, object{"name": t.Name, "effect": nodeEffects[t.Effect], "group": "all", "give_up_us": 1e6 * t.ConnectTimeout,
-			"setup_target_us": 1e6 * t.SetupObjective, "memory_span_us": 1e6 * t.MemorySpan})
-		aims = append(aims, 1e6*t.MessageObjective)
-	}
-	var zones []string
-	for z := range s.Fleet.Zones {
-		zones = append(zones, zoneName(z))
-	}
-	mode := "subscribe"
-	if r.Pushed {
-		mode = "automatic"
+// disconnectClients has all clients go for good.
+func (s *simulation) disconnectClients() {
+	for _, c := range s.clients {
+		c.finished = true
+		if c.socket != nil {
+			c.disconnect(false)
+		}
 	}
-	text, err := json.Marshal(object{"siblings": s.Fleet.Nodes, "granularity_us": 1000, "membership_mode": mode,
-		"zones": zones, "service_types": types, "parties": []object{{"name": "all"}},
-		"family_info": object{"mode": "proxy", "message_aim_us": aims, "tells_load": true, "tells_delay": true},
-		"invariants": object{"ask_within_us": 1e6 * r.PollWithin, "cold_from": s.Fleet.SlowStartFrom,
-			"cold_us": 1e6 * s.Fleet.SlowStartTime, "fall_multiple": r.FallMultiple, "fall_us": 1e6 * r.FallTime},
-		"limits": object{"dial_timeout_us": 1e6 * r.DialTimeout, "max_connects": r.MaxAttempts, "max_retry_after_us": 1e6 * r.RetryAfter,
-			"probes": true, "retry_after": r.RetryAfter > 0}})
-	if err != nil {
-		panic(err)
+}
+
+// addHost adds a host that started at the given time. A host that started at 0 is in the endpoint list at once, any
+// other after the delay of the list.
+func (s *simulation) addHost(startedAt float64) *host {
+	fleet := s.script.Fleet
+	index := len(s.hosts)
+	name := fmt.Sprintf("s-%08x", newRandom(s.seed, "host", index).Uint32())
+	h := &host{machine: newMachine(name, index%fleet.Zones), world: s, random: newRandom(s.seed, "box", index)}
+	h.capacity = fleet.Capacity * (1 + fleet.CapacitySpread*(2*h.random.Float64()-1))
+	h.start()
+	h.startedAt = startedAt
+	s.hosts = append(s.hosts, h)
+	s.hostsByName[h.name] = h
+	if startedAt == 0 {
+		s.discovery.addListed(h)
+	} else {
+		s.discovery.announce(h, statusServing)
 	}
-	return text
+	return h
 }
 
-// arrivals has new clients of a service type come, at random times.
-func (w *simulation) arrivals(kind int, t Traffic, chance *rand.Rand) {
+// scheduleArrivals has clients of a service type arrive at random times, until the script's duration is over.
+func (s *simulation) scheduleArrivals(trafficIndex int, t Traffic, random *rand.Rand) {
 	if t.Rate <= 0 {
 		return
 	}
-	w.After(chance.ExpFloat64()/t.Rate, func() {
-		if w.Now > w.script.Duration {
+	s.After(random.ExpFloat64()/t.Rate, func() {
+		if s.Now > s.script.Duration {
 			return
 		}
-		i := len(w.clients)
-		c := &client{machine: newMachine(fmt.Sprintf("c%d", i), chance.IntN(w.script.Fleet.Zones)), world: w, traffic: t, trafficIndex: kind,
-			random: newRandom(w.seed, "client", i)}
-		c.key, c.remaining = c.random.Uint64()|1, t.MeanLifetime*c.random.ExpFloat64()+0.1
-		c.load = t.Load * (0.5 + c.random.Float64())
-		if t.GroupSize > 0 {
-			c.group = uint64(1 + i/t.GroupSize + kind<<20)
-		}
-		w.clients = append(w.clients, c)
-		c.connect()
-		w.arrivals(kind, t, chance)
+		s.newClient(trafficIndex, t, random.IntN(s.script.Fleet.Zones)).connect()
+		s.scheduleArrivals(trafficIndex, t, random)
 	})
 }
 
-// pickNode names a node for a client of a zone: one that runs, of its zone if there is any.
-func (w *simulation) pickNode(zone int) *nodeProcess {
-	var near, all []*nodeProcess
-	for _, n := range w.nodes {
-		if n.running && !n.vanished {
-			all = append(all, n)
-			if n.zone == zone {
-				near = append(near, n)
-			}
+// newClient adds a client of a service type in a zone.
+func (s *simulation) newClient(trafficIndex int, t Traffic, zone int) *client {
+	index := len(s.clients)
+	c := &client{machine: newMachine(fmt.Sprintf("c%d", index), zone), world: s, traffic: t, trafficIndex: trafficIndex,
+		random: newRandom(s.seed, "client", index)}
+	c.key = c.random.Uint64() | 1
+	c.remaining = t.MeanLifetime*c.random.ExpFloat64() + minLifetime
+	c.load = t.Load * (0.5 + c.random.Float64())
+	if t.GroupSize > 0 {
+		c.group = uint64(1 + index/t.GroupSize + trafficIndex<<20)
+	}
+	s.clients = append(s.clients, c)
+	return c
+}
+
+// pickNode draws a node for a client of a zone: one that runs, in the same zone if there is one. It returns nil if no
+// node runs.
+func (s *simulation) pickNode(zone int) *nodeProcess {
+	var sameZone, running []*nodeProcess
+	for _, n := range s.nodes {
+		if !n.running || n.vanished {
+			continue
+		}
+		running = append(running, n)
+		if n.zone == zone {
+			sameZone = append(sameZone, n)
 		}
 	}
-	if len(near) > 0 {
-		all = near
+	candidates := running
+	if len(sameZone) > 0 {
+		candidates = sameZone
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return all[w.random.IntN(len(all))]
+	return candidates[s.random.IntN(len(candidates))]
 }
 
-func (w *simulation) maintainHosts() {
-	for _, h := range w.hosts {
+// maintainHosts does the housekeeping of all hosts and schedules the next, until the run is over.
+func (s *simulation) maintainHosts() {
+	for _, h := range s.hosts {
 		h.maintain()
 	}
-	if w.Now < w.script.Duration+w.script.Settle+finalWait {
-		w.After(0.1, w.maintainHosts)
+	if s.Now < s.script.Duration+s.script.Settle+finalWait {
+		s.After(housekeepingPeriod, s.maintainHosts)
 	}
 }
 
-func (w *simulation) trace(format string, args ...any) {
-	text := fmt.Sprintf("%.6f ", w.Now) + fmt.Sprintf(format, args...)
-	w.hash.Write([]byte(text))
-	if w.recentTrace = append(w.recentTrace, text); len(w.recentTrace) > 2*recentLineLimit {
-		w.recentTrace = append(w.recentTrace[:0], w.recentTrace[recentLineLimit:]...)
+// trace adds a line to the trace, with the present time before it.
+func (s *simulation) trace(format string, args ...any) {
+	text := fmt.Sprintf("%.6f ", s.Now) + fmt.Sprintf(format, args...)
+	s.hash.Write([]byte(text))
+	s.recentTrace = append(s.recentTrace, text)
+	if len(s.recentTrace) > 2*recentLineLimit {
+		s.recentTrace = append(s.recentTrace[:0], s.recentTrace[recentLineLimit:]...)
 	}
-	if w.options.Trace != nil {
-		fmt.Fprintln(w.options.Trace, text)
+	if s.options.Trace != nil {
+		fmt.Fprintln(s.options.Trace, text)
 	}
 }
 
-func (w *simulation) recentLines() []string {
-	return slices.Clone(w.recentTrace[max(len(w.recentTrace)-recentLineLimit, 0):])
+// recentLines returns the last lines of the trace.
+func (s *simulation) recentLines() []string {
+	return slices.Clone(s.recentTrace[max(len(s.recentTrace)-recentLineLimit, 0):])
 }
 
-func (w *simulation) finish() *Result {
-	r := w.result
-	asked, served := 0.0, 0.0
-	for _, c := range w.clients {
-		if c.established {
-			c.recordService()
-		}
-		asked += c.traffic.PriorityWeight * c.requestedSeconds
-		served += c.traffic.PriorityWeight * c.servedSeconds
-	}
-	r.ServedShare = 1
-	if asked > 0 {
-		r.ServedShare = served / asked
-	}
-	for _, h := range w.hosts {
+// finish completes the result of the run.
+func (s *simulation) finish() *Result {
+	r := s.result
+	r.ServedShare = s.servedShare()
+	for _, h := range s.hosts {
 		r.HealthChecks += h.healthChecks
 	}
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		r.CPU += n.cpuSeconds
 	}
-	r.StorePeak, r.StoreRefused, r.Steps, r.Violations, r.TraceHash = w.store.peak, w.store.rejected, w.Steps, w.checker.violations, w.hash.Sum64()
+	r.StorePeak = s.store.peak
+	r.StoreRefused = s.store.rejected
+	r.Steps = s.Steps
+	r.Violations = s.checker.violations
+	r.TraceHash = s.hash.Sum64()
 	return r
 }
 
-// bySerial orders sockets by the machine at their far end and their age, as a map has no order.
-func bySerial(all []*socket) {
-	slices.SortFunc(all, func(a, b *socket) int { return int(math.Copysign(1, float64(a.serial)-float64(b.serial))) })
+// servedShare returns the well-served seconds of all clients over those requested, weighted by priority, or 1 if
+// none were requested.
+func (s *simulation) servedShare() float64 {
+	requested, served := 0.0, 0.0
+	for _, c := range s.clients {
+		if c.established {
+			c.recordService()
+		}
+		requested += c.traffic.PriorityWeight * c.requestedSeconds
+		served += c.traffic.PriorityWeight * c.servedSeconds
+	}
+	if requested <= 0 {
+		return 1
+	}
+	return served / requested
 }
 
-// newRandom gives a stream of chance of its own, so that one actor's draws do not shift another's.
-func newRandom(seed uint64, actor string, n int) *rand.Rand {
+// newRandom returns a random source of its own for an actor, so that the draws of one actor do not shift those of
+// another.
+func newRandom(seed uint64, actor string, index int) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(actor))
-	return rand.New(rand.NewPCG(seed, h.Sum64()+uint64(n)))
+	return rand.New(rand.NewPCG(seed, h.Sum64()+uint64(index)))
 }
