--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -28,10 +28,10 @@
 }
 
 // New gives a client; nothing is asked yet.
-func New(address string) *Client { return Through(nil, address) }
+func New(address string) *Client { return NewWithDialer(nil, address) }
 
-// Through gives a client whose connections dial makes, those of the network where it is nil.
-func Through(dial func(ctx context.Context, network, address string) (net.Conn, error), address string) *Client {
+// NewWithDialer gives a client whose connections dial makes, those of the network where it is nil.
+func NewWithDialer(dial func(ctx context.Context, network, address string) (net.Conn, error), address string) *Client {
 	return &Client{address: address, http: &http.Client{Transport: &http.Transport{DialContext: dial,
 		DisableKeepAlives: true, DisableCompression: true}}}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -15,12 +15,12 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
-// within gives a client of a stand-in for discovery.
-func within(t *testing.T, handle http.HandlerFunc) *Client {
-	return Through(discoverytest.Dialer(t, handle), "discovery")
+// newTestClient gives a client of a stand-in for discovery.
+func newTestClient(t *testing.T, handle http.HandlerFunc) *Client {
+	return NewWithDialer(discoverytest.Dialer(t, handle), "discovery")
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchNotifiesOfLists(t *testing.T) {
 	write := func(w http.ResponseWriter, text string) {
 		io.WriteString(w, text)
 		w.(http.Flusher).Flush()
@@ -79,7 +79,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				asked := make(chan string, 1)
-				client := within(t, func(w http.ResponseWriter, r *http.Request) {
+				client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 					asked <- r.URL.String()
 					c.handle(w, r)
 				})
@@ -108,7 +108,7 @@
 	t.Run("called off", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			client := within(t, func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+			client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 			time.AfterFunc(time.Second, cancel)
 			if err := client.Watch(ctx, 0, nil, nil); !errors.Is(err, context.Canceled) {
 				t.Fatalf("ended with %v", err)
--- a/internal/discovery/endpoint/endpoint_test.go
+++ b/internal/discovery/endpoint/endpoint_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRead(t *testing.T) {
+func TestParse(t *testing.T) {
 	host := Host{Name: "s-5be2a07c", Address: "10.1.0.18:5000", Zone: "a", Group: 3, Status: "SERVING",
 		Weight: 1.5, StartedAtMS: 7}
 	for _, c := range []struct {
@@ -30,7 +30,7 @@
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"index":41,"snapshot":true,"endpoints":[{"name":"a","since_ms":1e300,"group":-1}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := Parse(text)
--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -10,15 +10,15 @@
 	"strconv"
 )
 
-// Longest is the length that a line may have, its end included.
-const Longest = 4096
+// MaxLength is the length that a line may have, its end included.
+const MaxLength = 4096
 
-// Word is what a line begins with.
-type Word uint8
+// Verb is what a line begins with.
+type Verb uint8
 
 // The words of the protocol; Other is any that it does not have.
 const (
-	Other Word = iota
+	Other Verb = iota
 	Open
 	Up
 	Bye
@@ -33,44 +33,44 @@
 	Syntax
 )
 
-var words = map[string]Word{"OPEN": Open, "UP": Up, "BYE": Bye, "MOVE": Move, "ERR": Err, "BUSY": Busy,
+var verbs = map[string]Verb{"OPEN": Open, "UP": Up, "BYE": Bye, "MOVE": Move, "ERR": Err, "BUSY": Busy,
 	"LOAD": Load,
 	"PING": Ping, "PONG": Pong, "STATS": Stats, "NO": No, "SYNTAX": Syntax}
 
 // Lines that the node says itself.
 const (
-	MoveLine = "MOVE\r\n"
-	ErrLine  = "ERR\r\n"
-	PingLine = "PING\r\n"
-	PongLine = "PONG\r\n"
-	StatLine = "STATS\r\n"
+	MoveLine  = "MOVE\r\n"
+	ErrLine   = "ERR\r\n"
+	PingLine  = "PING\r\n"
+	PongLine  = "PONG\r\n"
+	StatsLine = "STATS\r\n"
 )
 
 // Reasons why a first line is not taken.
 var (
-	ErrShape   = errors.New("not an opening line")
-	ErrTimeout = errors.New("no connect timeout in the opening line")
+	ErrNotOpening = errors.New("not an opening line")
+	ErrNoTimeout  = errors.New("no connect timeout in the opening line")
 )
 
 // Split gives the word that a line begins with and what follows it, without the line's end.
-func Split(text []byte) (Word, []byte) {
+func Split(text []byte) (Verb, []byte) {
 	text = bytes.TrimRight(text, "\r\n")
 	word, rest, _ := bytes.Cut(text, []byte(" "))
-	return words[string(word)], rest
+	return verbs[string(word)], rest
 }
 
 // Opening is what a flow's first line tells.
 type Opening struct {
-	ID         string
-	Key, Group uint64 // 0 where not told
-	Type       string
-	Tenant     string
-	At         string  // the host at which the connection is open already
-	Timeout    float64 // seconds until the client gives up
-	Load       float64 // expected load, work a second; 0 where not told
-	Back       bool
-	MidFlow    bool
-	from, to   int // where the value of d stands in the line
+	ID                       string
+	ClientKey, GroupKey      uint64 // 0 where not told
+	Type                     string
+	Tenant                   string
+	RestoredHost             string  // the host at which the connection is open already
+	Timeout                  float64 // seconds until the client gives up
+	Load                     float64 // expected load, work a second; 0 where not told
+	Returning                bool
+	MidFlow                  bool
+	timeoutStart, timeoutEnd int // where the value of d stands in the line
 }
 
 // ParseOpening reads a first line. An error leaves what was understood in the result.
@@ -78,15 +78,15 @@
 	var o Opening
 	text = bytes.TrimRight(text, "\r\n")
 	parts := bytes.Split(text, []byte(" "))
-	if len(parts) != 4 || words[string(parts[0])] != Open || len(parts[1]) == 0 || len(parts[2]) == 0 {
-		return o, ErrShape
+	if len(parts) != 4 || verbs[string(parts[0])] != Open || len(parts[1]) == 0 || len(parts[2]) == 0 {
+		return o, ErrNotOpening
 	}
 	for _, c := range text {
 		if c < ' ' || c > '~' {
-			return o, ErrShape
+			return o, ErrNotOpening
 		}
 	}
-	o.ID, o.Key = string(parts[1]), Number(parts[2])
+	o.ID, o.ClientKey = string(parts[1]), ParseKey(parts[2])
 	at := len(text) - len(parts[3])
 	for _, field := range bytes.Split(parts[3], []byte(",")) {
 		name, value, _ := bytes.Cut(field, []byte("="))
@@ -96,36 +96,36 @@
 		case "t":
 			o.Tenant = string(value)
 		case "g":
-			o.Group = Number(value)
+			o.GroupKey = ParseKey(value)
 		case "d":
 			ms, err := strconv.ParseFloat(string(value), 64)
 			if err == nil && ms > 0 && ms < math.MaxInt32 {
-				o.Timeout, o.from, o.to = ms/1e3, at+len(name)+1, at+len(field)
+				o.Timeout, o.timeoutStart, o.timeoutEnd = ms/1e3, at+len(name)+1, at+len(field)
 			}
 		case "h":
 			if us, err := strconv.ParseFloat(string(value), 64); err == nil && us > 0 && us < 1e12 {
 				o.Load = us / 1e6
 			}
 		case "again":
-			o.Back = string(value) == "1"
+			o.Returning = string(value) == "1"
 		case "mid":
 			o.MidFlow = string(value) == "1"
 		case "at":
-			o.At = string(value)
+			o.RestoredHost = string(value)
 		}
 		at += len(field) + 1
 	}
 	if o.Timeout == 0 {
-		return o, ErrTimeout
+		return o, ErrNoTimeout
 	}
 	return o, nil
 }
 
-// Within gives the first line with its connect timeout replaced; all else stays as the client wrote it.
-func (o Opening) Within(text []byte, within float64) []byte {
+// WithTimeout gives the first line with its connect timeout replaced; all else stays as the client wrote it.
+func (o Opening) WithTimeout(text []byte, within float64) []byte {
 	ms := max(int64(within*1e3), 1)
-	out := append(make([]byte, 0, len(text)+8), text[:o.from]...)
-	return append(strconv.AppendInt(out, ms, 10), text[o.to:]...)
+	out := append(make([]byte, 0, len(text)+8), text[:o.timeoutStart]...)
+	return append(strconv.AppendInt(out, ms, 10), text[o.timeoutEnd:]...)
 }
 
 // BusyLine rejects, with the time after which to come again where one is given.
@@ -136,8 +136,8 @@
 	return append(strconv.AppendInt([]byte("BUSY "), max(int64(math.Round(away*1e3)), 1), 10), "\r\n"...)
 }
 
-// Number reads a key: hexadecimal as clients write it, the hash of the text where it is something else.
-func Number(text []byte) uint64 {
+// ParseKey reads a key: hexadecimal as clients write it, the hash of the text where it is something else.
+func ParseKey(text []byte) uint64 {
 	if n, err := strconv.ParseUint(string(text), 16, 64); err == nil {
 		return n
 	}
@@ -154,14 +154,14 @@
 	return h.Sum64()
 }
 
-// LoadOf reads the figure of a LOAD line, work a second.
-func LoadOf(rest []byte) (float64, bool) {
+// ParseLoad reads the figure of a LOAD line, work a second.
+func ParseLoad(rest []byte) (float64, bool) {
 	us, err := strconv.ParseFloat(string(bytes.TrimSpace(rest)), 64)
 	return us / 1e6, err == nil && us >= 0 && !math.IsInf(us, 0)
 }
 
-// Report finds the figure of that name in a load report.
-func Report(rest []byte, name string) (float64, bool) {
+// ParseReport finds the figure of that name in a load report.
+func ParseReport(rest []byte, name string) (float64, bool) {
 	split := func(r rune) bool { return r == ' ' || r == ',' || r == ';' }
 	for _, field := range bytes.FieldsFunc(rest, split) {
 		key, value, found := bytes.Cut(field, []byte("="))
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -6,7 +6,7 @@
 )
 
 // outcomeByWord says what each word that a host may answer an opening line with means for the attempt.
-var outcomeByWord = map[line.Word]placement.Outcome{
+var outcomeByWord = map[line.Verb]placement.Outcome{
 	line.Bye:  placement.Served,
 	line.Move: placement.Canceled,
 	line.Err:  placement.Failed,
@@ -15,7 +15,7 @@
 
 // outcomeOf returns the outcome of an attempt that a host answered with something other than its receipt. An unknown
 // word counts as a failure, as the attempt may have run.
-func outcomeOf(word line.Word) placement.Outcome {
+func outcomeOf(word line.Verb) placement.Outcome {
 	if outcome, ok := outcomeByWord[word]; ok {
 		return outcome
 	}
@@ -44,7 +44,7 @@
 		n.attemptFailed(f, placement.NotSent)
 		return
 	}
-	f.host = n.dial(hostRole, host, f.opening.Within(f.openingLine, timeout), timeout, f.client.id)
+	f.host = n.dial(hostRole, host, f.opening.WithTimeout(f.openingLine, timeout), timeout, f.client.id)
 	f.host.flow = f
 }
 
--- a/internal/node/connection_io.go
+++ b/internal/node/connection_io.go
@@ -6,7 +6,7 @@
 )
 
 // bufferSize is the size of a connection's input buffer in bytes: a whole line always fits, and another begins.
-const bufferSize = 2 * line.Longest
+const bufferSize = 2 * line.MaxLength
 
 // requestRead asks for more input of c if there is space for it and none has been asked for.
 func (n *Node) requestRead(c *connection) {
--- a/internal/node/deadlines.go
+++ b/internal/node/deadlines.go
@@ -115,7 +115,7 @@
 		n.hostEnded(f) // the host announced its end, or its client ended: the end itself is late
 	case c.writeClosed:
 		n.connectionBroke(c)
-	case len(f.unansweredSince) > 0 && c.buffer.Room() > 0:
+	case len(f.unansweredSince) > 0 && c.buffer.Free() > 0:
 		n.answerOverdue(c)
 	}
 }
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -24,7 +24,7 @@
 
 	established     bool
 	over            bool
-	finalWord       line.Word // what the host sent to announce its end
+	finalWord       line.Verb // what the host sent to announce its end
 	setupTime       float64   // seconds from the accept until the flow was established
 	reportedLoad    float64   // the load that the host reported last
 	unansweredSince []float64 // when lines went to the host that had none back yet, oldest first
@@ -38,7 +38,7 @@
 func (f *flow) describe(hostName string) *InheritedConnection {
 	return &InheritedConnection{
 		ID:        f.opening.ID,
-		ClientKey: f.opening.Key,
+		ClientKey: f.opening.ClientKey,
 		Host:      hostName,
 		Load:      cmp.Or(f.reportedLoad, f.opening.Load),
 	}
@@ -111,12 +111,12 @@
 	arrival := placement.Arrival{
 		Type:      f.serviceType,
 		Tenant:    tenant,
-		ClientKey: f.opening.Key,
-		GroupKey:  f.opening.Group,
+		ClientKey: f.opening.ClientKey,
+		GroupKey:  f.opening.GroupKey,
 		Timeout:   f.opening.Timeout,
 		Load:      f.opening.Load,
 		MidFlow:   f.opening.MidFlow,
-		Returning: f.opening.Back,
+		Returning: f.opening.Returning,
 	}
 	if inherited := n.flows.ids.inherited[f.opening.ID]; inherited != nil {
 		arrival.HeldBy = 1 + inherited.hostIndex
--- a/internal/node/flow_ids.go
+++ b/internal/node/flow_ids.go
@@ -34,17 +34,17 @@
 // way now have the flow's id and its client key, and do not conflict.
 func (ids *flowIDs) conflicts(opening line.Opening) bool {
 	if f := ids.open[opening.ID]; f != nil {
-		return !opening.MidFlow || opening.Key != f.opening.Key
+		return !opening.MidFlow || opening.ClientKey != f.opening.ClientKey
 	}
 	if inherited := ids.inherited[opening.ID]; inherited != nil {
-		return !opening.MidFlow || opening.Key != inherited.ClientKey
+		return !opening.MidFlow || opening.ClientKey != inherited.ClientKey
 	}
 	hash := line.Hash([]byte(opening.ID))
 	key, ended := ids.recentlyEnded[hash]
 	if !ended {
 		key, ended = ids.previouslyEnded[hash]
 	}
-	return ended && key != opening.Key
+	return ended && key != opening.ClientKey
 }
 
 func (ids *flowIDs) add(f *flow) { ids.open[f.opening.ID] = f }
@@ -54,7 +54,7 @@
 	if ids.open[f.opening.ID] == f {
 		delete(ids.open, f.opening.ID)
 	}
-	ids.rememberEnded(f.opening.ID, f.opening.Key)
+	ids.rememberEnded(f.opening.ID, f.opening.ClientKey)
 }
 
 // rememberEnded keeps the id of a flow that is over, with its client key.
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -16,7 +16,7 @@
 // healthCheckLineFor returns what a health check sends; withReports asks for a load report as well.
 func healthCheckLineFor(withReports bool) string {
 	if withReports {
-		return line.StatLine
+		return line.StatsLine
 	}
 	return line.PingLine
 }
@@ -38,7 +38,7 @@
 		return
 	}
 	report := noLoadReport
-	if load, ok := line.Report(rest, loadReportField); ok {
+	if load, ok := line.ParseReport(rest, loadReportField); ok {
 		report.Load = load
 	}
 	n.healthCheckDone(c, placement.Served, report)
--- a/internal/node/host_lines.go
+++ b/internal/node/host_lines.go
@@ -26,7 +26,7 @@
 	}
 	switch word {
 	case line.Load:
-		if load, ok := line.LoadOf(rest); ok {
+		if load, ok := line.ParseLoad(rest); ok {
 			n.reportLoad(f, load)
 		}
 	case line.Bye, line.Move:
--- a/internal/node/lines.go
+++ b/internal/node/lines.go
@@ -15,14 +15,14 @@
 		}
 		end := c.buffer.Find(c.scanned, '\n')
 		if end < 0 {
-			if c.buffer.Len()-c.forwardable >= line.Longest {
+			if c.buffer.Len()-c.forwardable >= line.MaxLength {
 				n.lineTooLong(c)
 				return
 			}
 			c.scanned = c.buffer.Len()
 			return
 		}
-		if end+1-c.forwardable > line.Longest {
+		if end+1-c.forwardable > line.MaxLength {
 			n.lineTooLong(c)
 			return
 		}
@@ -33,7 +33,7 @@
 // limitEarlyInput ends a flow whose client fills the buffer before it is established: nothing more could be read, and
 // the end of that client would never be seen.
 func (n *Node) limitEarlyInput(c *connection) {
-	if c.buffer.Room() > 0 {
+	if c.buffer.Free() > 0 {
 		return
 	}
 	n.cancelSetup(c.flow)
--- a/internal/node/opening.go
+++ b/internal/node/opening.go
@@ -48,7 +48,7 @@
 	opening, err := line.ParseOpening(text)
 	serviceType, known := n.serviceTypes[opening.Type]
 	switch {
-	case errors.Is(err, line.ErrTimeout):
+	case errors.Is(err, line.ErrNoTimeout):
 		n.answer(c, []byte(line.ErrLine), NoTimeout)
 	case err != nil:
 		n.answer(c, []byte(line.ErrLine), BadLine)
@@ -72,7 +72,7 @@
 
 // beginFlow gives a flow to the balancer. A flow that says that it is open at a host goes to that host alone.
 func (n *Node) beginFlow(c *connection, f *flow) {
-	hostName := f.opening.At
+	hostName := f.opening.RestoredHost
 	host, listed := n.endpoints.byName[hostName]
 	if hostName != "" && (!listed || n.endpoints.hosts[host].address == "") {
 		n.rejectUnplaced(c, f.serviceType, UnknownHost)
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -23,18 +23,18 @@
 // Len is how many bytes are held.
 func (r *Ring) Len() int { return int(r.tail - r.head) }
 
-// Room is how many more bytes fit.
-func (r *Ring) Room() int { return len(r.buf) - r.Len() }
+// Free is how many more bytes fit.
+func (r *Ring) Free() int { return len(r.buf) - r.Len() }
 
 // Space gives the next free bytes that lie in one piece; it is empty when the ring is full.
 func (r *Ring) Space() []byte {
 	from := r.at(r.tail)
-	return r.buf[from:min(from+r.Room(), len(r.buf))]
+	return r.buf[from:min(from+r.Free(), len(r.buf))]
 }
 
 // Fill says that the first n bytes of Space hold data now.
 func (r *Ring) Fill(n int) {
-	if n < 0 || n > r.Room() {
+	if n < 0 || n > r.Free() {
 		panic("ring: filled past its room")
 	}
 	r.tail += uint64(n)
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -7,7 +7,7 @@
 )
 
 // What went in comes out, in order, whatever the steps; the free part never overlaps what is held.
-func TestInOrder(t *testing.T) {
+func TestBytesComeOutInOrder(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	r, in, out := New(16), byte(0), byte(0)
 	for range 20000 {
@@ -28,8 +28,8 @@
 			}
 			r.Drop(n)
 		}
-		if r.Len() != int(in-out) || r.Room() != 16-r.Len() || (len(r.Space()) == 0) != (r.Room() == 0) {
-			t.Fatalf("%d held, room for %d, %d in a piece", r.Len(), r.Room(), len(r.Space()))
+		if r.Len() != int(in-out) || r.Free() != 16-r.Len() || (len(r.Space()) == 0) != (r.Free() == 0) {
+			t.Fatalf("%d held, room for %d, %d in a piece", r.Len(), r.Free(), len(r.Space()))
 		}
 		held := r.Append(nil, 0, r.Len())
 		for i, b := range held {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestMisuse(t *testing.T) {
+func TestMisusePanics(t *testing.T) {
 	for name, do := range map[string]func(){
 		"no power of two": func() { New(12) },
 		"nothing":         func() { New(0) },
--- a/internal/settings/rundown_golden_test.go
+++ b/internal/settings/rundown_golden_test.go
@@ -48,7 +48,7 @@
 	text := goldenSettings(t)
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	var settings start
+	var settings object
 	if err := decoder.Decode(&settings); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,8 +26,8 @@
 	PassThrough       bool    // packets pass through: connections outlive the node
 }
 
-// start is the settings object of a start; keys not named here are skipped.
-type start struct {
+// object is the settings object of a start; keys not named here are skipped.
+type object struct {
 	Family struct {
 		MessageAim []float64 `json:"message_aim_us"`
 		Mode       string    `json:"mode"`
@@ -88,7 +88,7 @@
 // Parse turns the settings of a start into the module's rundown and the door's; what cannot be taken is a *Wrong. A key
 // that is not known or missing is none.
 func Parse(text []byte, seed uint64) (placement.Settings, ListenerSettings, error) {
-	var s start
+	var s object
 	if err := json.Unmarshal(text, &s); err != nil {
 		key := "settings"
 		if kind := (*json.UnmarshalTypeError)(nil); errors.As(err, &kind) && kind.Field != "" {
@@ -137,7 +137,7 @@
 
 // check gives the first figure below nothing, or the first effect that there is none of. Guards against a figure that
 // is taken for nothing, and an effect for one that it is not.
-func (s *start) check() *KeyError {
+func (s *object) check() *KeyError {
 	type figure struct {
 		key string
 		x   float64
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"gorseledge/placement"
 )
 
-func TestRead(t *testing.T) {
+func TestParse(t *testing.T) {
 	cases := []struct {
 		name, text string
 		rundown    placement.Settings
--- a/internal/sockets/listwatch_test.go
+++ b/internal/sockets/listwatch_test.go
@@ -243,7 +243,7 @@
 		start.CachedList.Hosts = append(start.CachedList.Hosts, host)
 	}
 	s := newServer(ctx, group, Config{}, zerolog.Nop())
-	s.discovery.client = discovery.Through(discoverytest.Dialer(t, handler), "discovery")
+	s.discovery.client = discovery.NewWithDialer(discoverytest.Dialer(t, handler), "discovery")
 	s.core = node.New(s.clock.now(), start)
 	ended := make(chan error, 1)
 	go func() { ended <- s.loop(nil) }()
--- a/internal/sockets/start.go
+++ b/internal/sockets/start.go
@@ -13,7 +13,7 @@
 // start turns the config into the core's start. A cached list that does not parse counts as empty. Settings that
 // cannot be taken are a *settings.KeyError.
 func (c Config) start() (node.Start, error) {
-	core, listener, err := settings.Parse(c.Settings, line.Number([]byte(c.Seed)))
+	core, listener, err := settings.Parse(c.Settings, line.ParseKey([]byte(c.Seed)))
 	if err != nil {
 		return node.Start{}, err
 	}
--- a/internal/sockets/stepped_test.go
+++ b/internal/sockets/stepped_test.go
@@ -54,7 +54,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	s := newServer(ctx, group, Config{}, zerolog.Nop())
 	s.timer = time.NewTimer(time.Hour)
-	s.discovery.client = discovery.Through(func(ctx context.Context, _, _ string) (net.Conn, error) {
+	s.discovery.client = discovery.NewWithDialer(func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}, "discovery")
