--- a/cmd/gorseledge/live_settings_test.go
+++ b/cmd/gorseledge/live_settings_test.go
@@ -175,7 +175,7 @@
 }
 
 // noSettingsInTime is what a node logs that accepts clients without any revision of the live settings.
-const noSettingsInTime = "no word of the live settings in time"
+const noSettingsInTime = "no live settings in time"
 
 // checkFirstClients has the first clients of a process come, with the first host disabled by the live settings. On a
 // machine so busy that the process did not receive these in time, which it then logs, there is nothing to check.
--- a/internal/node/flow_ids.go
+++ b/internal/node/flow_ids.go
@@ -13,7 +13,7 @@
 // flowIDs knows flows by the id in their opening line, which is new with every connection.
 type flowIDs struct {
 	open      map[string]*flow
-	inherited map[string]*InheritedConnection // held by the predecessor, by id
+	inherited map[string]*InheritedConnection // connections of the predecessor, by id
 
 	// Client keys by the hash of an ended flow's id, in two generations: once recentlyEnded is full it takes the place
 	// of previouslyEnded.
@@ -21,6 +21,7 @@
 	previouslyEnded map[uint64]uint64
 }
 
+// newFlowIDs returns ids of no flow.
 func newFlowIDs() flowIDs {
 	return flowIDs{
 		open:          map[string]*flow{},
@@ -47,6 +48,7 @@
 	return ended && key != opening.ClientKey
 }
 
+// add notes that a flow has begun, in place of one with the same id.
 func (ids *flowIDs) add(f *flow) { ids.open[f.opening.ID] = f }
 
 // remove takes out a flow that is over and remembers its id.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,6 +128,7 @@
 	balancer.TimeHealthChecks = !balancer.LoadReports && !start.Listener.ReportsDelay
 }
 
+// emit adds an effect to the result of the Apply under way.
 func (n *Node) emit(effect Effect) { n.effects = append(n.effects, effect) }
 
 // Apply handles one input at a time now and returns what to do about it, in this order. Time does not go back: an
@@ -203,7 +204,18 @@
 	n.balancer.Woken(n.now)
 }
 
-// Usage returns how many flows, connections and descriptors the node still holds; none once all its clients are gone.
-func (n *Node) Usage() (flows, connections, descriptors int) {
-	return n.flows.count(), len(n.connections.byID), n.connections.used()
+// Usage is what a node still holds; nothing once all its clients are gone.
+type Usage struct {
+	Flows       int
+	Connections int // open ones
+	Descriptors int // without those that are being closed
+}
+
+// Usage returns what the node holds now.
+func (n *Node) Usage() Usage {
+	return Usage{
+		Flows:       n.flows.count(),
+		Connections: len(n.connections.byID),
+		Descriptors: n.connections.used(),
+	}
 }
--- a/internal/sockets/origin.go
+++ b/internal/sockets/origin.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if answer.Refusal == handover.Busy {
+	if answer.Refusal == handover.RefusalBusy {
 		return nil, errPredecessorBusy
 	}
 	if answer.State == nil {
