--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink puts the decisions on the bench's wire, on standard input and output.
+// Command benchlink connects the balancer to the simulator: it reads batches of events on standard input and writes the
+// decisions as replies on standard output, until the input ends. It exits with 1 after a batch that it cannot decode.
 package main
 
 import (
--- a/internal/lbwire/link_golden_test.go
+++ b/internal/lbwire/serve_golden_test.go
@@ -38,7 +38,7 @@
 func codes(frames [][]byte, headLength, recordLength int) []byte {
 	var all []byte
 	for _, frame := range frames {
-		count := int(be.Uint32(frame[headLength-4:]))
+		count := int(byteOrder.Uint32(frame[headLength-4:]))
 		for i := range count {
 			all = append(all, frame[headLength+i*recordLength])
 		}
@@ -51,9 +51,9 @@
 func endings(frames [][]byte) map[uint16]bool {
 	found := map[uint16]bool{}
 	for _, frame := range frames {
-		for i := range int(be.Uint32(frame[12:])) {
+		for i := range int(byteOrder.Uint32(frame[12:])) {
 			if record := frame[16+i*48:]; record[0] == 7 {
-				found[be.Uint16(record[13:])] = true
+				found[byteOrder.Uint16(record[13:])] = true
 			}
 		}
 	}
@@ -85,10 +85,10 @@
 // actions takes a reply apart. It fails the test where the reply's length does not agree with what is in it.
 func actions(t *testing.T, reply []byte) []action {
 	t.Helper()
-	if len(reply) < 8 || int(be.Uint32(reply)) != len(reply) {
+	if len(reply) < 8 || int(byteOrder.Uint32(reply)) != len(reply) {
 		t.Fatalf("a reply of %d bytes has the head %x", len(reply), reply[:min(len(reply), 8)])
 	}
-	count := int(be.Uint32(reply[4:]))
+	count := int(byteOrder.Uint32(reply[4:]))
 	tail := reply[8+count*16:]
 	var all []action
 	used := 0
@@ -97,12 +97,12 @@
 		copy(a.record[:], reply[8+i*16:])
 		switch a.record[0] {
 		case 8: // a message to other instances
-			from, length := be.Uint32(a.record[5:]), be.Uint32(a.record[9:])
+			from, length := byteOrder.Uint32(a.record[5:]), byteOrder.Uint32(a.record[9:])
 			a.tail = string(tail[from : from+length])
 			used += int(length)
 			clear(a.record[5:13])
 		case 9: // a log line
-			from, length := be.Uint32(a.record[3:]), be.Uint32(a.record[7:])
+			from, length := byteOrder.Uint32(a.record[3:]), byteOrder.Uint32(a.record[7:])
 			if length == 0 || int(from+length) > len(tail) {
 				t.Fatalf("a log line of %d bytes at %d in a tail of %d", length, from, len(tail))
 			}
@@ -128,7 +128,7 @@
 		if output.Len() < 8 {
 			t.Fatalf("no reply %d", i)
 		}
-		got := output.Next(int(be.Uint32(output.Bytes())))
+		got := output.Next(int(byteOrder.Uint32(output.Bytes())))
 		if !slices.Equal(actions(t, got), actions(t, reply)) {
 			t.Fatalf("reply %d to %x:\n%x\nwant:\n%x", i, input[i], got, reply)
 		}
@@ -141,9 +141,9 @@
 // The settings in the stream's first frame have every key, and all of them are read.
 func TestGoldenSettingsAreRead(t *testing.T) {
 	first := goldenFrames(t, "input.hex")[0]
-	from, length := be.Uint32(first[16+11:]), be.Uint32(first[16+15:])
-	tail := first[16+48*be.Uint32(first[12:]):]
-	settings, rest, err := settings.Parse(tail[from:from+length], be.Uint64(first[16+3:]))
+	from, length := byteOrder.Uint32(first[16+11:]), byteOrder.Uint32(first[16+15:])
+	tail := first[16+48*byteOrder.Uint32(first[12:]):]
+	settings, rest, err := settings.Parse(tail[from:from+length], byteOrder.Uint64(first[16+3:]))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lbwire/link_test.go
+++ b/internal/lbwire/serve_test.go
@@ -7,15 +7,16 @@
 	"testing"
 )
 
+// Frames in hexadecimal: an empty batch, and the head of a batch with one record.
 const (
 	emptyBatch = "0000000000000001" + "00000010" + "00000000"
 	oneHead    = "0000000000000001" + "00000040" + "00000001" // 16 + 48 bytes, one record
 )
 
-func TestFrames(t *testing.T) {
+func TestServeAnswersFramesOrNamesWhatIsWrong(t *testing.T) {
 	pad := func(s string) string { return s + strings.Repeat("0", 96-len(s)) }
 	cases := []struct{ name, in, out, fails string }{
-		{"nothing", "", "", ""},
+		{"no batch", "", "", ""},
 		{"empty batch", emptyBatch, "0000000800000000", ""},
 		{"two empty batches", emptyBatch + emptyBatch, "00000008000000000000000800000000", ""},
 		{"cut off in the header", emptyBatch[:10], "", "batch 0: cut off in its header"},
@@ -44,12 +45,17 @@
 			}
 			var out bytes.Buffer
 			err = Serve(bytes.NewReader(in), &out)
-			if c.fails == "" && err != nil || c.fails != "" && (err == nil || !strings.Contains(err.Error(),
-				c.fails)) {
-				t.Fatalf("error %v, wanted %q", err, c.fails)
+			if c.fails != "" {
+				if err == nil || !strings.Contains(err.Error(), c.fails) {
+					t.Fatalf("error %v, want %q", err, c.fails)
+				}
+				return
 			}
-			if got := hex.EncodeToString(out.Bytes()); c.fails == "" && got != c.out {
-				t.Fatalf("got %s, wanted %s", got, c.out)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := hex.EncodeToString(out.Bytes()); got != c.out {
+				t.Fatalf("got %s, want %s", got, c.out)
 			}
 		})
 	}
