--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A line that is logged just before the end of the program is written.
+// A line that is logged just before the end of the program is written, also in the moment in which the buffer ends.
 func TestLastLineIsWritten(t *testing.T) {
 	const rounds = 5000
 	for round := range rounds {
--- a/internal/node/flow_ids_test.go
+++ b/internal/node/flow_ids_test.go
@@ -49,10 +49,10 @@
 func TestEndedIDsAreBounded(t *testing.T) {
 	ids := newFlowIDs()
 	ids.rememberEnded("7", 0xa1)
-	if !ids.conflicts(line.Opening{ID: "7", Key: 0xb2}) {
+	if !ids.conflicts(line.Opening{ID: "7", ClientKey: 0xb2}) {
 		t.Fatal("the id of an ended flow is free for another client")
 	}
-	if ids.conflicts(line.Opening{ID: "7", Key: 0xa1}) {
+	if ids.conflicts(line.Opening{ID: "7", ClientKey: 0xa1}) {
 		t.Fatal("the client's own id conflicts")
 	}
 	for i := range 3 * maxEndedIDs {
