--- a/cmd/gorseledge/gossip_test.go
+++ b/cmd/gorseledge/gossip_test.go
@@ -64,7 +64,7 @@
 func memberConfig(t *testing.T, own string, all ...string) map[string]any {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fleet.toml")
-	text := fmt.Sprintf("fleet = \"words\"\naddress = %q\njoin = [%q, %q]\nkey = \"00112233445566778899aabbccddeeff\"\nperiod_s = 0.2\n",
+	text := fmt.Sprintf("fleet = \"gossip\"\naddress = %q\njoin = [%q, %q]\nkey = \"00112233445566778899aabbccddeeff\"\nperiod_s = 0.2\n",
 		own, all[0], all[1])
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/gorseledge/main.go
+++ b/cmd/gorseledge/main.go
@@ -122,6 +122,6 @@
 		log.Error().Err(err).Msg("failed")
 		return exitCode(err)
 	}
-	log.Info().Msg("left")
+	log.Info().Msg("shutdown complete")
 	return exitGood
 }
--- a/cmd/gorseledge/overload_test.go
+++ b/cmd/gorseledge/overload_test.go
@@ -14,7 +14,7 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
-// More clients than descriptors: some are told to come later, the node lives, and all is free again afterwards.
+// More clients than descriptors: some are rejected, the node goes on, and all is free again afterwards.
 func TestMoreClientsThanDescriptors(t *testing.T) {
 	n := startNode(t, "proxy", 3, 60)
 	for at := range n.hosts {
@@ -156,7 +156,7 @@
 	next.Tell(endpoint.List{Index: 7, Complete: true, Hosts: []endpoint.Host{
 		{Name: "s-00000064", Address: n.hosts[0].Addr().String(), Status: "DRAINING"},
 		{Name: "s-00000065", Address: n.hosts[1].Addr().String(), Status: "SERVING"}}})
-	n.discovery.Close() // the old one is down, and only then the node is told of the new one
+	n.discovery.Close() // the old one is down, and only then the node hears about the new one
 	n.config["discovery"] = next.Address()
 	n.writeConfig()
 	n.signal(syscall.SIGHUP)
--- a/cmd/gorseledge/reload_test.go
+++ b/cmd/gorseledge/reload_test.go
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		n.signal(syscall.SIGHUP)
-		for strings.Count(n.log.text(), "config not taken") <= round {
+		for strings.Count(n.log.text(), "config rejected") <= round {
 			client.send("M\r\n")
 			host.expect("M")
 			host.send("M\r\n")
--- a/cmd/gorseledge/shutdown_test.go
+++ b/cmd/gorseledge/shutdown_test.go
@@ -19,7 +19,7 @@
 			waiting.send(openingLine(900))
 			late, _ := n.acceptAtHost(0)
 			n.signal(syscall.SIGTERM)
-			n.waitForLog("asked to leave")
+			n.waitForLog("graceful shutdown begins")
 			if mode == "pass" {
 				host.send("M 1\r\n")
 			}
--- a/cmd/gorseledge/upgrade_faults_test.go
+++ b/cmd/gorseledge/upgrade_faults_test.go
@@ -74,7 +74,7 @@
 		replacePredecessor(t, n, func(net.Conn) {}) // it hears nothing of the old one's list
 		n.config["discovery"] = "127.0.0.1:1"
 		old := n.startSuccessor()
-		n.waitForLog("nothing handed over")
+		n.waitForLog("handover from the predecessor failed")
 		if code, _ := n.callAdmin("GET", "/-/ready"); code == 200 {
 			t.Error("ready without a list")
 		}
@@ -170,7 +170,7 @@
 	{"SIGTERM to the predecessor before it hands over", func(t *testing.T, n *testNode) {
 		client, host := n.establish()
 		n.signal(syscall.SIGTERM)
-		n.waitForLog("asked to leave")
+		n.waitForLog("graceful shutdown begins")
 		n.startSuccessor()
 		n.waitUntilReady()
 		client.send("M 1\r\n")
@@ -191,7 +191,7 @@
 				t.Fatal(err)
 			}
 		}
-		n.waitForLog("config read again")
+		n.waitForLog("config reloaded")
 		n.shutDown(old)
 	}},
 }
@@ -220,6 +220,6 @@
 	n.Helper()
 	old := n.startSuccessor()
 	n.waitUntilReady()
-	n.waitForLog("hands nothing over")
+	n.waitForLog("address in use by a process without handover")
 	n.shutDown(old)
 }
--- a/internal/line/figures_test.go
+++ b/internal/line/figures_test.go
@@ -37,6 +37,6 @@
 	}
 	first, second := ParseKey([]byte("listener-7")), ParseKey([]byte("listener-8"))
 	if first == second || first == 0 || second == 0 {
-		t.Error("keys that are no numbers are not told apart")
+		t.Error("keys that are no numbers do not differ")
 	}
 }
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -52,7 +52,7 @@
 	Zones      []string `json:"zones"`
 }
 
-// The object's words that stand for a choice.
+// The texts by which the object names a choice.
 const (
 	modePassThrough         = "pass"
 	listModeWatched         = "subscribe"
@@ -60,14 +60,14 @@
 	reportsWithHealthChecks = "on_probe"
 )
 
-// idempotencies gives the balancer's term for the object's word of a type's effect; the empty one is AtMostOnce.
+// idempotencies gives the balancer's term for the text of a type's effect; the empty one is AtMostOnce.
 var idempotencies = map[string]placement.Idempotency{
 	"repeatable": placement.Idempotent,
 	"by_key":     placement.IdempotentWithKey,
 	"once":       placement.AtMostOnce,
 }
 
-// keyScopes gives the balancer's term for the object's word of a type's group; any other is KeyScopeCell.
+// keyScopes gives the balancer's term for the text of a type's group; any other is KeyScopeCell.
 var keyScopes = map[string]placement.KeyScope{
 	"all":  placement.KeyScopeAll,
 	"zone": placement.KeyScopeZone,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads the settings object that a node or a simulated instance is given at its start: for the
 // balancer (placement.Settings) and for what carries its decisions out (ListenerSettings). It owns the mapping from the
-// object's keys, words and microseconds to the terms and seconds of the code. It sets no defaults.
+// object's keys, names of choices and microseconds to the terms and seconds of the code. It sets no defaults.
 package settings
 
 import (
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -49,7 +49,7 @@
 			"settings.service_types[1].effect"},
 		{"no JSON", "{{", placement.Settings{}, ListenerSettings{}, "settings"},
 		{"another shape", `{"service_types":7}`, placement.Settings{}, ListenerSettings{}, "settings.service_types"},
-		{"a word for a figure", `{"limits":{"max_connects":"five"}}`, placement.Settings{}, ListenerSettings{}, "settings.limits.max_connects"},
+		{"text for a figure", `{"limits":{"max_connects":"five"}}`, placement.Settings{}, ListenerSettings{}, "settings.limits.max_connects"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/sockets/admin.go
+++ b/internal/sockets/admin.go
@@ -70,7 +70,7 @@
 
 func (s *server) serveAdmin(ctx context.Context, listener net.Listener) error {
 	maxConnections := s.config.adminConnections()
-	s.log.Info().Str("admin_addr", listener.Addr().String()).Int("callers", maxConnections).Msg("second address")
+	s.log.Info().Str("admin_addr", listener.Addr().String()).Int("callers", maxConnections).Msg("admin address")
 	return admin.Serve(ctx, listener, maxConnections, s.ask, s.fleetView())
 }
 
--- a/internal/sockets/effects.go
+++ b/internal/sockets/effects.go
@@ -64,7 +64,7 @@
 
 func (s *server) closeWrite(conn node.Conn) {
 	if err := s.connections[conn].socket.CloseWrite(); err != nil {
-		s.log.Debug().Err(err).Msg("shut")
+		s.log.Debug().Err(err).Msg("close for writing")
 	}
 }
 
--- a/internal/sockets/fleet.go
+++ b/internal/sockets/fleet.go
@@ -23,7 +23,7 @@
 		if link == nil {
 			return nil
 		}
-		s.log.Info().Str("peer_addr", s.config.PeerAddress).Int("peers", len(s.config.Peers)).Msg("messages among nodes")
+		s.log.Info().Str("peer_addr", s.config.PeerAddress).Int("peers", len(s.config.Peers)).Msg("load gossip among nodes")
 		s.group.Go(func() error { return s.sendGossip(ctx, link.Send) })
 		return link.Serve(ctx, s.gossipReceived)
 	})
@@ -33,7 +33,7 @@
 func (s *server) listenForPeers(ctx context.Context) *peers.Link {
 	link, err := peers.Listen(ctx, s.config.PeerAddress, s.config.Peers)
 	if err != nil {
-		s.log.Warn().Err(err).Msg("no messages among nodes yet")
+		s.log.Warn().Err(err).Msg("no load gossip among nodes yet")
 	}
 	for err != nil {
 		if !pause(ctx, retryPause) {
--- a/internal/sockets/listwatch.go
+++ b/internal/sockets/listwatch.go
@@ -117,5 +117,5 @@
 	s.discovery.liveAddress = address
 	current := cmp.Or(address, s.config.Discovery)
 	s.discovery.client = discovery.New(current)
-	s.log.Info().Str("discovery", current).Bool("live", address != "").Msg("discovery by the live settings")
+	s.log.Info().Str("discovery", current).Bool("live", address != "").Msg("discovery set by the live settings")
 }
--- a/internal/sockets/origin.go
+++ b/internal/sockets/origin.go
@@ -57,7 +57,7 @@
 			shareAddress(o.listener)
 		}
 	case config.AdminAddress != "" && errors.Is(err, syscall.EADDRINUSE):
-		log.Warn().Str("listen", config.Listen).Msg("another process has the address and hands nothing over")
+		log.Warn().Str("listen", config.Listen).Msg("address in use by a process without handover")
 	default:
 		return o, fmt.Errorf("listen: %w", err)
 	}
@@ -74,14 +74,14 @@
 		case err == nil:
 			state := claimed.state
 			log.Info().Int("hosts", len(state.Hosts)).Int("connections", len(state.Connections)).
-				Bool("heard", state.ListReceived).Msg("claimed from the predecessor")
+				Bool("heard", state.ListReceived).Msg("handover state received")
 			return claimed
 		case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED): // nobody, or only a stale socket
 			return nil
 		case errors.Is(err, errPredecessorBusy) && time.Now().Before(end) && ctx.Err() == nil:
 			time.Sleep(retryPause)
 		default:
-			log.Warn().Err(err).Msg("nothing handed over")
+			log.Warn().Err(err).Msg("handover from the predecessor failed")
 			return nil
 		}
 	}
--- a/internal/sockets/reload.go
+++ b/internal/sockets/reload.go
@@ -30,14 +30,14 @@
 // that cannot be taken, which may be half-written, ends no node that serves: the previous one stays in force.
 func (s *server) reloaded(config Config, err error) node.Input {
 	if err != nil {
-		s.log.Error().Err(err).Msg("config not taken, the old one holds")
+		s.log.Error().Err(err).Msg("config rejected, the previous one stays in force")
 		return nil
 	}
 	if s.config.needsRestart(config) {
-		s.log.Warn().Msg("config read again: all but discovery waits for a restart")
+		s.log.Warn().Msg("config reloaded: all but discovery waits for a restart")
 	}
 	moved := config.Discovery != s.config.Discovery
-	s.log.Info().Str("discovery", config.Discovery).Bool("moved", moved).Msg("config read again")
+	s.log.Info().Str("discovery", config.Discovery).Bool("moved", moved).Msg("config reloaded")
 	if !moved {
 		return nil
 	}
--- a/internal/sockets/server.go
+++ b/internal/sockets/server.go
@@ -163,7 +163,7 @@
 }
 
 func (s *server) beginShutdown() node.Input {
-	s.log.Info().Msg("asked to leave")
+	s.log.Info().Msg("graceful shutdown begins")
 	if s.fleet != nil && !s.upgrade.handedOver {
 		s.fleet.Leave()
 	}
--- a/internal/sockets/stepped_test.go
+++ b/internal/sockets/stepped_test.go
@@ -19,7 +19,7 @@
 // eventTimeout is how long a test waits for what must come.
 const eventTimeout = 10 * time.Second
 
-// steppedServer is a server whose loop the test runs by hand, one input at a time, with a client and a host on loopback
+// steppedServer is a server whose loop the test runs itself, one input at a time, with a client and a host on loopback
 // sockets.
 type steppedServer struct {
 	*testing.T
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -62,7 +62,7 @@
 	}
 	listener, err := handover.Listen(s.upgrade.path)
 	if err != nil {
-		s.log.Warn().Err(err).Msg("no hand-over to a later version")
+		s.log.Warn().Err(err).Msg("handover to a later version not available")
 		return
 	}
 	s.upgrade.successors = listener
@@ -197,7 +197,7 @@
 	if s.fleet != nil {
 		s.fleet.Follow()
 	}
-	s.log.Info().AnErr("why", reason).Msg("the predecessor's end of the hand-over is closed")
+	s.log.Info().AnErr("why", reason).Msg("handover link to the predecessor closed")
 	s.listener.openPending = s.listener.coreReady && !s.listener.opened
 	return node.PredecessorGone{}
 }
@@ -211,7 +211,7 @@
 			s.upgrade.unsent = append(s.upgrade.unsent, m.conn)
 		}
 	}
-	s.log.Info().AnErr("why", reason).Msg("the successor's end of the hand-over is closed")
+	s.log.Info().AnErr("why", reason).Msg("handover link to the successor closed")
 	if s.upgrade.handedOver {
 		s.takeClientsBack()
 	}
