--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -11,6 +11,8 @@
 )
 
 const (
+	millisecondsPerSecond = 1e3
+
 	statusRemoved = "DELETED" // discovery's status of a host that is not on the list
 
 	// failedCallsUntilCached is after how many failed calls a node without a list serves by its cached one.
@@ -52,6 +54,7 @@
 	failedCalls  int   // calls of discovery that failed since the last list
 }
 
+// newEndpointDirectory returns a directory without hosts, with the zones of the settings.
 func newEndpointDirectory(zones []string) endpointDirectory {
 	return endpointDirectory{byName: map[string]int{}, byID: map[uint32]int{}, zones: indexByName(zones)}
 }
@@ -117,7 +120,7 @@
 	return state
 }
 
-// mayServe reports whether there is a list to serve by: discovery has sent one, or it is out and the cached one must do.
+// mayServe reports whether there is a list to serve by: discovery has sent one, or is out and the cached one must do.
 func (d *endpointDirectory) mayServe() bool {
 	return d.listReceived || d.failedCalls >= failedCallsUntilCached && len(d.hosts) > 0
 }
@@ -161,7 +164,7 @@
 		Server:    host,
 		ID:        hostID(listing.Name),
 		State:     n.endpoints.stateOf(host),
-		StartedAt: max(listing.StartedAtMS, 0) / 1e3,
+		StartedAt: max(listing.StartedAtMS, 0) / millisecondsPerSecond,
 		Zone:      n.endpoints.zoneOf(listing.Zone),
 		Cell:      int(listing.Group),
 		Size:      n.weightOf(listing.Name, listing.Weight),
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -98,7 +98,7 @@
 	case m.Transfer != nil:
 		return s.inheritConnection(p, m)
 	case m.Ask == handover.RequestState && (u.successor != nil || !s.listener.opened):
-		p.post(outgoingMessage{Message: handover.Message{Refusal: handover.Busy}})
+		p.post(outgoingMessage{Message: handover.Message{Refusal: handover.RefusalBusy}})
 	case m.Ask == handover.RequestState:
 		u.successor = p
 		limitMemory(s.config.Limits.MemoryMB, true)
