--- a/cmd/gorseledge-config/status_test.go
+++ b/cmd/gorseledge-config/status_test.go
@@ -9,6 +9,7 @@
 	"gorseledge/internal/configfeed/controlfile"
 )
 
+// revision returns the version of a revision in the first epoch.
 func revision(revision uint64) configfeed.Version {
 	return configfeed.Version{Epoch: 1, Revision: revision}
 }
--- a/internal/configfeed/feedhttp/authentication_test.go
+++ b/internal/configfeed/feedhttp/authentication_test.go
@@ -55,18 +55,20 @@
 		{testFleet, otherKey, "rejected.mac"},
 		{"cusco", testKeys, "rejected.fleet"},
 	} {
-		client := NewClient(c.fleet, c.keys, nil)
-		_, err := client.Status(t.Context(), f.writer())
-		_, applied := client.Apply(t.Context(), f.writer(), configfeed.Proposal{ID: "p", Entries: entriesWithNodes(1)})
-		client.Close()
-		for _, err := range []error{err, applied} {
-			if !isStatus(err, http.StatusForbidden) {
-				t.Errorf("%s: %v", c.metric, err)
+		t.Run(c.metric, func(t *testing.T) {
+			client := NewClient(c.fleet, c.keys, nil)
+			defer client.Close()
+			_, statusErr := client.Status(t.Context(), f.writer())
+			_, applyErr := client.Apply(t.Context(), f.writer(), configfeed.Proposal{ID: "p", Entries: entriesWithNodes(1)})
+			for _, err := range []error{statusErr, applyErr} {
+				if !isStatus(err, http.StatusForbidden) {
+					t.Errorf("%s: %v", c.metric, err)
+				}
 			}
-		}
-		if count := metric(t, f.writer(), c.metric); count != "2" {
-			t.Errorf("%s is %s", c.metric, count)
-		}
+			if count := metric(t, f.writer(), c.metric); count != "2" {
+				t.Errorf("%s is %s", c.metric, count)
+			}
+		})
 	}
 	// The MAC covers the body: a request with another one is rejected.
 	request := httptest.NewRequest(http.MethodPost, "http://"+f.writer()+pathPoll, strings.NewReader("{}"))
--- a/internal/configfeed/feedhttp/caller.go
+++ b/internal/configfeed/feedhttp/caller.go
@@ -42,6 +42,7 @@
 	traffic       trafficCounter
 }
 
+// newCaller returns a caller; via may be nil.
 func newCaller(a *authenticator, via map[string]string) *caller {
 	c := &caller{authenticator: a, via: via}
 	c.transport = &http.Transport{
--- a/internal/configfeed/feedhttp/exchanges_golden_test.go
+++ b/internal/configfeed/feedhttp/exchanges_golden_test.go
@@ -131,7 +131,7 @@
 			body: propose(configfeed.Entry{Key: "listen", Value: "1"})},
 		{name: "apply_busy", method: "POST", target: "/v1/apply", body: accepted, before: func(s *Server) {
 			for range maxApplies {
-				s.applies <- struct{}{}
+				s.applySlots <- struct{}{}
 			}
 		}},
 
--- a/internal/configfeed/feedhttp/follower_test.go
+++ b/internal/configfeed/feedhttp/follower_test.go
@@ -37,6 +37,7 @@
 	return n
 }
 
+// install records the values of a state, or refuses the state.
 func (n *testFollower) install(state configfeed.State, changed []string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/configfeed/feedhttp/handler.go
+++ b/internal/configfeed/feedhttp/handler.go
@@ -46,8 +46,8 @@
 func (s *Server) limitConcurrency(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case s.applies <- struct{}{}:
-			defer func() { <-s.applies }()
+		case s.applySlots <- struct{}{}:
+			defer func() { <-s.applySlots }()
 			next(w, r)
 		default:
 			http.Error(w, "other proposals are under way: try again", http.StatusServiceUnavailable)
--- a/internal/configfeed/feedhttp/helpers_test.go
+++ b/internal/configfeed/feedhttp/helpers_test.go
@@ -146,10 +146,12 @@
 	return value
 }
 
+// entriesWithNodes returns a configuration with a number of nodes.
 func entriesWithNodes(value int) []configfeed.Entry {
 	return []configfeed.Entry{{Key: "nodes", Value: fmt.Sprint(value)}}
 }
 
+// version returns the version of an epoch and a revision.
 func version(epoch, revision uint64) configfeed.Version {
 	return configfeed.Version{Epoch: epoch, Revision: revision}
 }
--- a/internal/configfeed/feedhttp/requests_test.go
+++ b/internal/configfeed/feedhttp/requests_test.go
@@ -104,7 +104,7 @@
 func TestConcurrentLargeBodiesAreBounded(t *testing.T) {
 	server := NewServer(ServerOptions{Config: configfeed.ServerConfig{Name: "c1", Writer: "c1"}})
 	for range maxApplies {
-		server.applies <- struct{}{}
+		server.applySlots <- struct{}{}
 	}
 	answer := httptest.NewRecorder()
 	server.handler().ServeHTTP(answer, httptest.NewRequest(http.MethodPost, pathApply, strings.NewReader("{}")))
--- a/internal/configfeed/feedhttp/server.go
+++ b/internal/configfeed/feedhttp/server.go
@@ -57,7 +57,7 @@
 	saves         chan configfeed.Save
 	stopping      chan struct{} // closed when held polls are to end
 	counters      serverCounters
-	applies       chan struct{} // holds an element for each apply in progress
+	applySlots    chan struct{} // holds an element for each apply in progress
 
 	// Owned by the loop's goroutine.
 	lastRequest uint64
@@ -74,7 +74,7 @@
 		authenticator: &authenticator{fleet: o.Fleet, keys: o.Keys},
 		saves:         make(chan configfeed.Save, 1),
 		stopping:      make(chan struct{}),
-		applies:       make(chan struct{}, maxApplies),
+		applySlots:    make(chan struct{}, maxApplies),
 		polls:         map[uint64]chan<- encodedAnswer{},
 		proposals:     map[uint64]chan<- configfeed.Outcome{},
 	}
--- a/internal/configfeed/follower_test.go
+++ b/internal/configfeed/follower_test.go
@@ -7,6 +7,7 @@
 
 var testServers = []ServerAddress{{"c0", "c0", "north"}, {"c1", "c1", "north"}, {"c2", "c2", "south"}}
 
+// newTestFollower returns a follower of testServers in the region north.
 func newTestFollower(have State) *Follower {
 	return NewFollower(0, FollowerConfig{Name: "n", Region: "north", Servers: testServers, Seed: 1}, have)
 }
@@ -26,6 +27,7 @@
 	return 0, SendPoll{}
 }
 
+// mustState returns a state of the first epoch.
 func mustState(t *testing.T, revision uint64, entries ...Entry) State {
 	t.Helper()
 	s, err := NewState(Version{Epoch: 1, Revision: revision}, entries)
--- a/internal/configfeed/helpers_test.go
+++ b/internal/configfeed/helpers_test.go
@@ -14,6 +14,7 @@
 	return s
 }
 
+// newTestServer returns the writer of three servers, which has not heard the others.
 func newTestServer(stored Stored) *Server {
 	servers := []ServerAddress{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	return NewServer(0, ServerConfig{Name: "a", Servers: servers, Writer: "a"}, stored)
@@ -33,6 +34,7 @@
 	return Version{}
 }
 
+// saveOf returns the Save among effects, and ends the test if there is none.
 func saveOf(t *testing.T, effects []ServerEffect) Save {
 	t.Helper()
 	for _, effect := range effects {
@@ -66,6 +68,7 @@
 	return updates
 }
 
+// assertEqual reports an error unless two values are deeply equal.
 func assertEqual[T any](t *testing.T, got, want T) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
--- a/internal/configfeed/pending.go
+++ b/internal/configfeed/pending.go
@@ -21,6 +21,7 @@
 	byFollower map[string]*pendingPoll
 }
 
+// newPendingPolls returns an index without polls.
 func newPendingPolls() *pendingPolls {
 	return &pendingPolls{byRequest: map[uint64]*pendingPoll{}, byFollower: map[string]*pendingPoll{}}
 }
--- a/internal/configfeed/sim_test.go
+++ b/internal/configfeed/sim_test.go
@@ -47,6 +47,7 @@
 	bytes        int // sent and received by polls
 }
 
+// newSimulation returns a simulation without processes.
 func newSimulation(seed uint64, r rules) *simulation {
 	s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), rules: r, cutLinks: map[[2]string]bool{},
 		saved: map[Version][]State{}}
--- a/internal/livesettings/livesettings_test.go
+++ b/internal/livesettings/livesettings_test.go
@@ -205,24 +205,27 @@
 func TestInvalidEntriesAreRejected(t *testing.T) {
 	entry := func(key, value string) configfeed.Entry { return configfeed.Entry{Key: key, Value: value} }
 	for _, c := range []struct {
+		name    string
 		entries []configfeed.Entry
 		key     string
 	}{
-		{[]configfeed.Entry{entry("nodes", "3"), entry("ask_within_s", "3")}, "ask_within_s"},
-		{[]configfeed.Entry{entry("nodes", "3"), entry("nodes", "3")}, "nodes"},
-		{[]configfeed.Entry{entry("nodes", " 3")}, "nodes"},
-		{[]configfeed.Entry{entry("nodes", "")}, "nodes"},
-		{[]configfeed.Entry{entry("nodes", "3e1")}, "nodes"},
-		{[]configfeed.Entry{entry("nodes", "null")}, "nodes"},
-		{[]configfeed.Entry{entry("discovery", "null")}, "discovery"},
-		{[]configfeed.Entry{entry("retry_advice_s", "1e999")}, "retry_advice_s"},
-		{[]configfeed.Entry{entry("", "3")}, ""},
-		{[]configfeed.Entry{entry("hosts.s-1", "3")}, "hosts.s-1"},
+		{"out of order", []configfeed.Entry{entry("nodes", "3"), entry("ask_within_s", "3")}, "ask_within_s"},
+		{"key twice", []configfeed.Entry{entry("nodes", "3"), entry("nodes", "3")}, "nodes"},
+		{"space before the value", []configfeed.Entry{entry("nodes", " 3")}, "nodes"},
+		{"no value", []configfeed.Entry{entry("nodes", "")}, "nodes"},
+		{"integer with an exponent", []configfeed.Entry{entry("nodes", "3e1")}, "nodes"},
+		{"null for a number", []configfeed.Entry{entry("nodes", "null")}, "nodes"},
+		{"null for an address", []configfeed.Entry{entry("discovery", "null")}, "discovery"},
+		{"number beyond any float", []configfeed.Entry{entry("retry_advice_s", "1e999")}, "retry_advice_s"},
+		{"no key", []configfeed.Entry{entry("", "3")}, ""},
+		{"key of a table", []configfeed.Entry{entry("hosts.s-1", "3")}, "hosts.s-1"},
 	} {
-		var wrong *KeyError
-		if err := Check(c.entries); !errors.As(err, &wrong) || wrong.Key != c.key {
-			t.Errorf("%v: %v", c.entries, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var keyError *KeyError
+			if err := Check(c.entries); !errors.As(err, &keyError) || keyError.Key != c.key {
+				t.Errorf("%v: %v", c.entries, err)
+			}
+		})
 	}
 	long := entry("hosts.s-1.weight", strings.Repeat("1", configfeed.MaxStateBytes))
 	if err := Check([]configfeed.Entry{long}); err == nil || !strings.Contains(err.Error(), "bytes of keys and values") {
