--- a/internal/emulator/members/checks.go
+++ b/internal/emulator/members/checks.go
@@ -12,7 +12,7 @@
 // Replaced reports whether a process learned that a later one has its name.
 func (s *Simulation) Replaced(i int) bool { return s.nodes[i].replaced }
 
-// StateSeenBy returns the state in which a node holds the member with a name; false where it does not know it.
+// StateSeenBy returns the state in which a node sees the member with a name; false where it does not know it.
 func (s *Simulation) StateSeenBy(i int, name string) (membership.State, bool) {
 	member, known := s.nodes[i].Member(name)
 	if !known {
@@ -21,7 +21,7 @@
 	return member.State, true
 }
 
-// CheckAgreement returns nil where each running process holds exactly the running ones for alive. Otherwise the error
+// CheckAgreement returns nil where each running process sees exactly the running ones as alive. Otherwise the error
 // names one that does not.
 func (s *Simulation) CheckAgreement() error {
 	running := map[string]bool{}
@@ -41,13 +41,13 @@
 	return nil
 }
 
-// checkAgreement returns an error where the node does not hold exactly the running processes for alive.
+// checkAgreement returns an error where the node does not see exactly the running processes as alive.
 func (n *node) checkAgreement(running map[string]bool) error {
 	alive := 0
 	for _, member := range n.All() {
 		seenAlive := member.State == membership.Alive
 		if seenAlive != running[member.Name] {
-			return fmt.Errorf("%s holds %s for %v", n.name, member.Name, member.State)
+			return fmt.Errorf("%s sees %s as %v", n.name, member.Name, member.State)
 		}
 		if seenAlive {
 			alive++
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// FalseDeaths returns how often a process that runs now was held for dead by another, and a description of the first
+// FalseDeaths returns how often a process that runs now was declared dead by another, and a description of the first
 // such event.
 func (s *Simulation) FalseDeaths() (count int, first string) {
 	running := map[string]bool{}
@@ -74,7 +74,7 @@
 		}
 		count++
 		if count == 1 {
-			first = fmt.Sprintf("%s held %s for dead at %.1f", s.nodes[e.Node].name, e.Name, e.At)
+			first = fmt.Sprintf("%s declared %s dead at %.1f", s.nodes[e.Node].name, e.Name, e.At)
 		}
 	}
 	return count, first
--- a/internal/emulator/members/detection.go
+++ b/internal/emulator/members/detection.go
@@ -19,9 +19,9 @@
 type Measurement struct {
 	Seed            uint64
 	FirstSuspicion  float64 // periods from the death to the first suspicion of it; +Inf for none
-	FirstDeath      float64 // periods from the death to the first member that held it for dead; +Inf for none
+	FirstDeath      float64 // periods from the death to the first member that declared it dead; +Inf for none
 	LastDeath       float64 // periods from the death to the last member that did; 0 for none
-	KnownFraction   float64 // fraction of the members that held it for dead
+	KnownFraction   float64 // fraction of the members that declared it dead
 	FalseSuspicions float64 // of live members, an hour, at all members together
 	FalseDeaths     float64 // of live members, an hour, at all members together
 	IdleBytes       float64 // sent by a member in a second at rest
@@ -81,7 +81,7 @@
 	}
 }
 
-// measureDeath kills the last node and measures when the others suspect it and hold it for dead.
+// measureDeath kills the last node and measures when the others suspect it and declare it dead.
 func (s *Simulation) measureDeath(m *Measurement) {
 	before := len(s.Events)
 	from := s.Now
--- a/internal/emulator/members/detection_test.go
+++ b/internal/emulator/members/detection_test.go
@@ -22,7 +22,7 @@
 				converge(t, s, 30)
 				s.Run(s.Now + 10)
 				if state, _ := s.StateSeenBy(0, s.nodes[nodes-1].name); state != membership.Left {
-					t.Errorf("the node that left is held for %v", state)
+					t.Errorf("the node that left is seen as %v", state)
 				}
 				if s.LargestMessage > maxDatagramMessageBytes {
 					t.Errorf("a message of %d bytes", s.LargestMessage)
@@ -32,7 +32,7 @@
 	}
 }
 
-// A paused process is a member again by refutation, and does not hold others for suspect or dead on resuming.
+// A paused process is a member again by refutation, and does not consider others suspect or dead on resuming.
 func TestPausedNodeRefutesAndSuspectsNobody(t *testing.T) {
 	const paused, pausedName = 5, "n0005"
 	for _, pause := range []float64{0.2, 1.5, 3, 20} {
@@ -47,7 +47,7 @@
 				converge(t, s, 60)
 				for _, e := range s.Events[before:] {
 					if e.Node == paused && e.State != membership.Alive && e.Name != pausedName {
-						t.Errorf("on resuming it holds %s for %v", e.Name, e.State)
+						t.Errorf("on resuming it sees %s as %v", e.Name, e.State)
 					}
 				}
 				if count, first := s.FalseDeaths(); count > 0 && pause < 4 {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestNodesPausedTogetherHoldNobodyForDead(t *testing.T) {
+func TestNodesPausedTogetherDeclareNobodyDead(t *testing.T) {
 	const nodes = 30
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/internal/emulator/members/helpers_test.go
+++ b/internal/emulator/members/helpers_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// checkNoFalseDeaths fails where a process that runs was held for dead by another.
+// checkNoFalseDeaths fails where a process that runs was declared dead by another.
 func checkNoFalseDeaths(t *testing.T, s *Simulation) {
 	t.Helper()
 	if count, first := s.FalseDeaths(); count > 0 {
@@ -46,12 +46,12 @@
 	}
 }
 
-// checkNoDeathsBut fails where any member but the one named was held for dead.
+// checkNoDeathsBut fails where any member but the one named was declared dead.
 func checkNoDeathsBut(t *testing.T, s *Simulation, name string) {
 	t.Helper()
 	for _, e := range s.Events {
 		if e.State == membership.Dead && e.Name != name {
-			t.Errorf("seed %d: n%04d holds %s for dead at %.1f", s.Seed, e.Node, e.Name, e.At)
+			t.Errorf("seed %d: n%04d declares %s dead at %.1f", s.Seed, e.Node, e.Name, e.At)
 		}
 	}
 }
--- a/internal/emulator/members/network_test.go
+++ b/internal/emulator/members/network_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// With up to 20% of the messages lost, and with delayed, duplicated and reordered ones, no live member is held for dead.
+// With up to 20% of the messages lost, and with delayed, duplicated and reordered ones, no live member is declared dead.
 func TestLossCausesNoFalseDeaths(t *testing.T) {
 	for _, loss := range []float64{0.05, 0.2} {
 		for seed := range uint64(4) {
@@ -62,14 +62,15 @@
 	}
 }
 
-// A node that hears nobody, or that nobody hears, declares none of the others dead, and is a member again afterwards.
-func TestIsolatedNodeHoldsNobodyForDead(t *testing.T) {
+// A node that receives nothing, or that no other receives, declares none of the others dead, and is a member again
+// afterwards.
+func TestIsolatedNodeDeclaresNobodyDead(t *testing.T) {
 	const nodes, isolated, isolatedName = 12, 4, "n0004"
 	for _, c := range []struct {
 		name      string
 		separated func(from, to int) bool
 	}{
-		{"hears nobody", func(from, to int) bool { return to == isolated && from != isolated }},
+		{"receives nothing", func(from, to int) bool { return to == isolated && from != isolated }},
 		{"not heard", func(from, to int) bool { return from == isolated && to != isolated }},
 	} {
 		for seed := range uint64(3) {
@@ -86,8 +87,8 @@
 }
 
 // In a fleet that is too large for all members to probe a suspect themselves, a node that is not heard learns that it is
-// held for dead, and declares none of the others dead.
-func TestNodeNotHeardInALargeFleetHoldsNobodyForDead(t *testing.T) {
+// considered dead, and declares none of the others dead.
+func TestNodeNotHeardInALargeFleetDeclaresNobodyDead(t *testing.T) {
 	t.Parallel() // one of the longest here
 	const nodes, notHeard = 300, 4
 	s := settled(t, Options{Nodes: nodes, Seed: 2})
--- a/internal/emulator/members/simulation.go
+++ b/internal/emulator/members/simulation.go
@@ -55,7 +55,7 @@
 	cutLinks  map[link]bool
 }
 
-// link is the way from one node to another.
+// link is the direction from one node to another.
 type link struct{ from, to int }
 
 // New returns a simulation whose nodes start together. Each knows the first three addresses.
--- a/internal/fleet/budget_divisor.go
+++ b/internal/fleet/budget_divisor.go
@@ -6,9 +6,9 @@
 const fallSeconds = 120.0
 
 // BudgetDivisor smooths the number of nodes by which a node divides a budget that all nodes share. The number rises at
-// once and falls slowly, to half of the fleet's configured size at the least. This prevents that the two halves of a
-// partitioned fleet each give out the full budget of a host in slow start: the placement module gives out half of it, so
-// that both halves together stay within it. The zero value is ready to use.
+// once and falls slowly, to half of the fleet's configured size at the least. This prevents the two halves of a
+// partitioned fleet from each giving out the full budget of a host in slow start: the placement module gives out half of
+// it, so that both halves together stay within it. The zero value is ready to use.
 type BudgetDivisor struct {
 	nodes     float64 // smoothed; 0 before the first update
 	updatedAt float64 // seconds
--- a/internal/fleet/budget_divisor_test.go
+++ b/internal/fleet/budget_divisor_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The two halves of a partitioned fleet, each of which holds the other for dead, divide a budget by numbers with which
+// The two halves of a partitioned fleet, each of which considers the other dead, divide a budget by numbers with which
 // both together stay within it. The number falls no faster than in fallSeconds, and recovers.
 func TestHalvesOfAPartitionedFleetStayWithinTheBudget(t *testing.T) {
 	const partitionedAt, healedAt, end = 10.0, 500.0, 1000.0
--- a/internal/fleet/queries.go
+++ b/internal/fleet/queries.go
@@ -5,7 +5,7 @@
 	"gorseledge/internal/membership"
 )
 
-// Living returns the number of members that this node holds for alive or suspect, including itself.
+// Living returns the number of members that are alive or suspect at this node, including itself.
 func (f *Fleet) Living() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -50,7 +50,7 @@
 	// expire, so that the last survivor of a fleet declares the others dead within minutes.
 	isolatedSlowing = 0.97
 	// suspectedPeriods is the number of periods for which a node counts as isolated after it learned that others
-	// suspect it or hold it for dead.
+	// suspect it or consider it dead.
 	suspectedPeriods = 4.0
 
 	// transmissionFactor times the logarithm of the fleet's size is how often an update is sent.
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -10,7 +10,8 @@
 )
 
 // exchangeState compares the full state with that of a random member, where that is due. It also asks an address of the
-// config and a member that is gone to join. This prevents that two halves of a fleet hold each other for dead for good.
+// config and a member that is gone to join. This prevents two halves of a fleet from
+// considering each other dead for good.
 func (m *Members) exchangeState() {
 	if m.now < m.nextExchangeAt {
 		return
@@ -27,8 +28,8 @@
 	}
 }
 
-// joinConfigured asks a random address of the config at which no live member is known for its state; a node that knows
-// nobody asks twice, as the first address may be that of a node as new as itself.
+// joinConfigured asks a random address of the config at which no live member is known for its state; a node that knows no
+// other asks twice, as the first address may be that of a node as new as itself.
 func (m *Members) joinConfigured(alone bool) {
 	addresses := m.unknownJoinAddresses()
 	if len(addresses) == 0 {
@@ -55,7 +56,7 @@
 	return addresses
 }
 
-// joinGone asks a random member that is gone for its state and sends it the state in which this node holds it. A member
+// joinGone asks a random member that is gone for its state and sends it this node's view of it. A member
 // that receives messages while its own are lost learns by it that it is not heard; otherwise it would declare others
 // dead.
 func (m *Members) joinGone() {
--- a/internal/membership/indirect_probe.go
+++ b/internal/membership/indirect_probe.go
@@ -12,7 +12,7 @@
 	requester         string
 	target            string
 	requesterSequence uint64  // of the requester's probe
-	nackAt            float64 // when the requester is told that there was no answer
+	nackAt            float64 // when the requester is notified that there was no answer
 	nackSent          bool
 	expiresAt         float64 // when an answer is no longer forwarded
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -29,8 +29,8 @@
 	m.ping(peer, m.sequence)
 }
 
-// ping sends a ping to a member. A member that is not alive at this node is told so, to be able to refute it (Lifeguard's
-// buddy system).
+// ping sends a ping to a member. A member that is not alive at this node gets this node's view of it, to be able to
+// refute it (Lifeguard's buddy system).
 func (m *Members) ping(peer *member, sequence uint64) {
 	msg := &wire.Message{Kind: wire.Message_PING, Seq: sequence, About: peer.Name, At: m.self.Address}
 	if peer.State != Alive {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -29,8 +29,8 @@
 	return m.effects
 }
 
-// receiveFromSameName handles a message of another process with this node's name. An older one is told that it is
-// replaced. This process's own messages are ignored.
+// receiveFromSameName handles a message of another process with this node's name. An older one is notified that
+// it is replaced. This process's own messages are ignored.
 func (m *Members) receiveFromSameName(msg *wire.Message) {
 	if msg.Start == m.self.Start {
 		return
