--- a/cmd/gorseledge-config/commands_test.go
+++ b/cmd/gorseledge-config/commands_test.go
@@ -11,12 +11,12 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-func TestApplyRevertAndNewEpoch(t *testing.T) {
+func TestApplyRevertAndNewEpochChangeRevisions(t *testing.T) {
 	servers := newServers(t, 3)
 	for _, s := range servers {
 		s.start()
 	}
-	s := servers[1] // any server's control file does: commands go to the writer
+	s := servers[1] // commands go to the writer, whichever server's control file they use
 	s.untilReady()
 	s.apply("0", 1)
 	s.apply("1", 2)
@@ -35,10 +35,16 @@
 		{[]string{"new-epoch"}, 0, "revision 1 of epoch 2", ""},
 		{[]string{"revert", "2"}, exitRefused, "", "does not reach revision 2 of epoch 2"},
 	} {
-		r := s.command(c.arguments...)
-		if c.code == 0 && (r.code != 0 || !strings.Contains(r.out, c.out)) || c.code != 0 && !r.oneLine(c.code, c.says) {
-			t.Errorf("%v: %+v", c.arguments, r)
-		}
+		t.Run(strings.Join(c.arguments, " "), func(t *testing.T) {
+			r := s.command(c.arguments...)
+			succeeded := r.code == 0 && strings.Contains(r.out, c.out)
+			if c.code == 0 && !succeeded {
+				t.Errorf("%v: %+v", c.arguments, r)
+			}
+			if c.code != 0 && !r.oneLine(c.code, c.says) {
+				t.Errorf("%v: %+v", c.arguments, r)
+			}
+		})
 	}
 	r := s.command("history", "--json")
 	var history feedhttp.HistoryAnswer
@@ -49,30 +55,33 @@
 	if reverted.Note != "the second was wrong" || len(reverted.Delta.Set) != 1 || reverted.Delta.Set[0].Value != "1" {
 		t.Errorf("%+v", reverted)
 	}
-	if r := s.command("history", "--values"); r.code != 0 || !strings.Contains(r.out, "nodes = 2") || !strings.Contains(r.out, "the second was wrong") {
+	r = s.command("history", "--values")
+	if r.code != 0 || !strings.Contains(r.out, "nodes = 2") || !strings.Contains(r.out, "the second was wrong") {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestStatusNamesAServerThatDoesNotAnswer(t *testing.T) {
+func TestStatusNamesUnresponsiveServer(t *testing.T) {
 	servers := newServers(t, 3)
 	for _, s := range servers {
 		s.start()
 	}
 	servers[0].untilReady()
-	if r := servers[0].command("status"); r.code != 0 || strings.Count(r.out, "follows") != 2 {
+	r := servers[0].command("status")
+	if r.code != 0 || strings.Count(r.out, "follows") != 2 {
 		t.Errorf("%+v", r)
 	}
 	servers[2].end(syscall.SIGTERM)
-	if r := servers[0].command("status"); !r.oneLine(exitRefused, "1 of 3 servers") || !strings.Contains(r.out, "no answer") {
+	r = servers[0].command("status")
+	if !r.oneLine(exitRefused, "1 of 3 servers") || !strings.Contains(r.out, "no answer") {
 		t.Errorf("%+v", r)
 	}
 }
 
 func TestBadInputIsOneLineAndExitCode2(t *testing.T) {
-	s := newServers(t, 1)[0] // does not run: nothing of this gets as far as a call
-	broken := filepath.Join(t.TempDir(), "control.toml")
-	if err := os.WriteFile(broken, []byte("fleet = \"lima\"\nname = 3\n"), 0o600); err != nil {
+	s := newServers(t, 1)[0] // does not run: no command gets as far as a call
+	invalid := filepath.Join(t.TempDir(), "control.toml")
+	if err := os.WriteFile(invalid, []byte("fleet = \"lima\"\nname = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	live := document(t, "nodes = 1\n")
@@ -80,11 +89,11 @@
 		arguments []string
 		says      string
 	}{
-		{[]string{"check", broken}, broken + ":2:"},
-		{[]string{"serve", broken}, broken + ":2:"},
-		{[]string{"status", "--control", broken}, broken + ":2:"},
+		{[]string{"check", invalid}, invalid + ":2:"},
+		{[]string{"serve", invalid}, invalid + ":2:"},
+		{[]string{"status", "--control", invalid}, invalid + ":2:"},
 		{[]string{"status", "--control", ""}, "no control file"},
-		{[]string{"check", broken + ".none"}, broken + ".none"},
+		{[]string{"check", invalid + ".none"}, invalid + ".none"},
 		{[]string{"apply", live, "--control", s.file}, "if-revision"},
 		{[]string{"apply", live, "--if-revision", "x", "--control", s.file}, `"x" is no revision`},
 		{[]string{"apply", live + ".none", "--if-revision", "1", "--control", s.file}, live + ".none"},
@@ -92,9 +101,11 @@
 		{[]string{"apply", document(t, "listen = \"127.0.0.1:1\"\n"), "--if-revision", "1", "--control", s.file}, "needs a restart"},
 		{[]string{"frobnicate"}, "frobnicate"},
 	} {
-		if r := run(t, c.arguments...); !r.oneLine(exitBadInput, c.says) {
-			t.Errorf("%v: %+v", c.arguments, r)
-		}
+		t.Run(strings.Join(c.arguments, " "), func(t *testing.T) {
+			if r := run(t, c.arguments...); !r.oneLine(exitBadInput, c.says) {
+				t.Errorf("%v: %+v", c.arguments, r)
+			}
+		})
 	}
 	if r := run(t, "check", s.file); r.code != 0 || r.out != "good\n" {
 		t.Errorf("%+v", r)
