--- a/internal/sockets/stepped_test.go
+++ b/internal/sockets/stepped_test.go
@@ -19,7 +19,7 @@
 // eventTimeout is how long a test waits for what must come.
 const eventTimeout = 10 * time.Second
 
-// steppedServer is a server whose loop the test runs by hand, one input at a time, with a client and a host on loopback
+// steppedServer is a server whose loop the test runs itself, one input at a time, with a client and a host on loopback
 // sockets.
 type steppedServer struct {
 	*testing.T
@@ -54,7 +54,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	s := newServer(ctx, group, Config{}, zerolog.Nop())
 	s.timer = time.NewTimer(time.Hour)
-	s.discovery.client = discovery.Through(func(ctx context.Context, _, _ string) (net.Conn, error) {
+	s.discovery.client = discovery.NewWithDialer(func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}, "discovery")
