--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -190,14 +190,14 @@
 
 // handleLine handles one line from the node.
 func (c *client) handleLine(row string) {
-	word, rest := line.Split([]byte(row))
+	verb, rest := line.Split([]byte(row))
 	if c.established {
-		c.handleMessage(word)
+		c.handleMessage(verb)
 		return
 	}
 	c.flow.answers++
 	c.world.checker.checkAnswers(c.flow)
-	switch word {
+	switch verb {
 	case line.Up:
 		c.handleUp()
 	case line.Busy:
@@ -208,8 +208,8 @@
 }
 
 // handleMessage handles a line over the established connection.
-func (c *client) handleMessage(word line.Word) {
-	switch word {
+func (c *client) handleMessage(verb line.Verb) {
+	switch verb {
 	case line.Bye:
 		c.recordService()
 		c.disconnect(false)
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -36,7 +36,6 @@
 	reportedLoadFormat   = "LOAD %.3f\r\n"
 	reportedBusy         = "BUSY\r\n"
 	reportedSyntaxError  = "SYNTAX\r\n"
-	reportedSetupError   = "ERR\r\n"
 	reportedEndOfSession = "BYE\r\n"
 )
 
--- a/internal/emulator/session.go
+++ b/internal/emulator/session.go
@@ -42,12 +42,12 @@
 
 // handleLine handles one line, without its newline.
 func (c *session) handleLine(row []byte) {
-	word, _ := line.Split(row)
+	verb, _ := line.Split(row)
 	switch {
-	case word == line.Ping && !c.established:
+	case verb == line.Ping && !c.established:
 		c.healthChecks++
 		c.after(c.delay(), func() { c.send(line.PongLine) })
-	case word == line.Open && c.id == "":
+	case verb == line.Open && c.id == "":
 		c.open(row)
 	case c.established:
 		c.after(c.delay(), func() { c.socket.send(append(row, '\n')) })
@@ -98,7 +98,7 @@
 	failed := !stored || c.random.Float64() < c.errorShare
 	c.world.checker.checkSetup(f, c.host)
 	if failed {
-		c.send(reportedSetupError)
+		c.send(line.ErrLine)
 		c.close()
 		return
 	}
