--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -64,14 +64,14 @@
 
 // checkUnanswered checks a connection that ended without an answer. It may, where its node was killed.
 func (r *checker) checkUnanswered(f *flow) {
-	if f.acceptedBy != nil && f.acceptedBy.running && !f.acceptedBy.vanished {
+	if f.nodeRuns() {
 		r.report(RuleOneAnswer, "flow %s: %s ended its connection without an answer", f.id, f.acceptedBy.name)
 	}
 }
 
 // checkOverdue checks a flow whose client gave up. A running node has to answer before.
 func (r *checker) checkOverdue(f *flow) {
-	if f.acceptedBy != nil && f.acceptedBy.running && !f.acceptedBy.vanished {
+	if f.nodeRuns() {
 		r.report(RuleOneAnswer, "flow %s: no answer of %s before the connect timeout", f.id, f.acceptedBy.name)
 	}
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -323,7 +323,7 @@
 	}
 }
 
-// restartWatch tells a process that discovery has moved.
+// restartWatch notifies a process that discovery has moved.
 func (n *nodeProcess) restartWatch() {
 	n.watchState = watchState{
 		relocatedAt: n.world.Now,
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -44,7 +44,7 @@
 	minStoreCallLimit = 0.1  // calls a second
 	maxFaultCount     = 5000 // hosts
 	maxFaultDuration  = 1e4  // seconds
-	maxFaultAmount    = 1e4
+	maxFaultAmount    = 1e4  // in the unit of the kind
 )
 
 // Fault is one thing that goes wrong, or that operators do, in a run. Host, Node and Zone count from 0.
--- a/internal/emulator/fault_draw.go
+++ b/internal/emulator/fault_draw.go
@@ -27,7 +27,7 @@
 		At:       random.Float64() * s.script.Duration,
 		Kind:     faultClientsLeave,
 		Amount:   random.Float64(),
-		Duration: 1 + 9*random.Float64(),
+		Duration: drawFaultDuration(random),
 	})
 }
 
@@ -36,7 +36,7 @@
 	f := Fault{
 		At:       random.Float64() * duration,
 		Kind:     kinds[random.IntN(len(kinds))],
-		Duration: 1 + 9*random.Float64(),
+		Duration: drawFaultDuration(random),
 		Host:     random.IntN(max(fleet.Hosts, 1)),
 		Node:     random.IntN(fleet.Nodes),
 		Zone:     random.IntN(fleet.Zones),
@@ -57,6 +57,9 @@
 	return f
 }
 
+// drawFaultDuration draws how long a fault lasts, 1 to 10 seconds.
+func drawFaultDuration(random *rand.Rand) float64 { return 1 + 9*random.Float64() }
+
 // drawFleet returns the script with a fleet and rules drawn from the seed: 5 to 350 nodes and 4 to 600 hosts, small
 // fleets as often as large ones. The order of the draws is part of what a seed means.
 func (s Scenario) drawFleet(seed uint64) Scenario {
--- a/internal/emulator/faulty_cores_test.go
+++ b/internal/emulator/faulty_cores_test.go
@@ -23,7 +23,7 @@
 	var out []node.Effect
 	for _, e := range c.Core.Apply(now, in) {
 		if w, ok := e.(node.Write); ok && bytes.HasPrefix(w.Data, []byte("UP ")) {
-			e = node.Write{Conn: w.Conn, Data: append([]byte(reportedBusy), w.Data...)}
+			e = node.Write{Conn: w.Conn, Data: append([]byte(busyLine), w.Data...)}
 			c.Core = &correctedWriteCount{c.Core, w.Conn, len(w.Data)}
 		}
 		out = append(out, e)
@@ -39,7 +39,7 @@
 }
 
 func (c *correctedWriteCount) Apply(now float64, in node.Input) []node.Effect {
-	if w, ok := in.(node.WriteDone); ok && w.Conn == c.conn && w.Count == c.count+len(reportedBusy) {
+	if w, ok := in.(node.WriteDone); ok && w.Conn == c.conn && w.Count == c.count+len(busyLine) {
 		in = node.WriteDone{Conn: w.Conn, Count: c.count}
 	}
 	return c.Core.Apply(now, in)
--- a/internal/emulator/flow.go
+++ b/internal/emulator/flow.go
@@ -20,3 +20,8 @@
 
 // flowByID returns the flow with an id, or nil.
 func (s *simulation) flowByID(id string) *flow { return s.flowsByID[id] }
+
+// nodeRuns reports whether a node has accepted the flow's connection and still runs.
+func (f *flow) nodeRuns() bool {
+	return f.acceptedBy != nil && f.acceptedBy.running && !f.acceptedBy.vanished
+}
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -17,26 +17,19 @@
 	removed
 )
 
+// Figures of a simulated host.
 const (
 	overloadUtilization  = 1.2  // utilization above which a host is overloaded
 	overloadTolerance    = 2.0  // seconds of overload after which a host drops connections
-	droppedFraction      = 10   // it drops one connection in so many
-	migratedFraction     = 40   // a draining host migrates one connection in so many at each tick
+	dropDivisor          = 10   // it then drops one connection in so many
+	migrationDivisor     = 40   // a draining host migrates one connection in so many at each tick
 	queueingUtilization  = 0.9  // utilization from which on work piles up
 	responseTime         = 1e-3 // seconds of one message at an idle host
-	queueingTime         = 1e-2 // seconds of one message where work piles up
+	queueingTime         = 1e-2 // seconds of one message where work begins to pile up
 	queueingSlope        = 2.0  // further seconds for each unit of utilization above that
-	announcedDelayFloor  = 0.01 // seconds; delays below are not announced
+	announcedDelayFloor  = 0.01 // seconds; a change between delays below it is not announced
 	announcedDelayChange = 0.2  // share by which a delay has to change to be announced
 	maxAnnouncedDelay    = 900  // milliseconds
-	setupTime            = 2e-3 // seconds of one call to the session store
-	refusedSetupTime     = 0.05 // seconds of one call that the session store refuses
-	loadUnit             = 1e6  // load of one core in a load report
-	connectionLoadDigits = 3
-	reportedLoadFormat   = "LOAD %.3f\r\n"
-	reportedBusy         = "BUSY\r\n"
-	reportedSyntaxError  = "SYNTAX\r\n"
-	reportedEndOfSession = "BYE\r\n"
 )
 
 // host is a simulated server of long-lived connections. It sets connections up and answers messages, becomes slow when
@@ -153,7 +146,7 @@
 		return
 	}
 	h.overloadedSince = now
-	for range 1 + len(h.sessionOrder)/droppedFraction {
+	for range 1 + len(h.sessionOrder)/dropDivisor {
 		c := h.sessionOrder[h.random.IntN(len(h.sessionOrder))]
 		if !c.closed {
 			c.disconnect(true)
@@ -172,7 +165,7 @@
 	h.announcedDelay = delay
 	for _, c := range h.sessionOrder {
 		if !c.closed {
-			c.send(fmt.Sprintf(reportedLoadFormat, min(millisecondsPerSecond*delay, maxAnnouncedDelay)))
+			c.send(fmt.Sprintf(delayLineFormat, min(millisecondsPerSecond*delay, maxAnnouncedDelay)))
 		}
 	}
 }
@@ -182,7 +175,7 @@
 	if len(h.sessionOrder) == 0 {
 		return
 	}
-	for range 1 + len(h.sessionOrder)/migratedFraction {
+	for range 1 + len(h.sessionOrder)/migrationDivisor {
 		c := h.sessionOrder[0]
 		if !c.closed {
 			c.send(line.MoveLine)
@@ -226,29 +219,3 @@
 	h.load = 0
 	h.pending = 0
 }
-
-// sessionStore is the store that each set-up calls. It refuses calls beyond its limit within a second of the clock.
-type sessionStore struct {
-	world     *simulation
-	callLimit float64 // calls a second; 0 for no limit
-	second    float64 // the present second of the clock
-	calls     float64 // within it
-	peak      float64 // most calls within a second
-	rejected  int
-}
-
-// call makes one call. It returns the seconds that the call takes, and whether the store accepts it.
-func (s *sessionStore) call() (seconds float64, accepted bool) {
-	second := math.Floor(s.world.Now)
-	if second != s.second {
-		s.second = second
-		s.calls = 0
-	}
-	s.calls++
-	s.peak = max(s.peak, s.calls)
-	if s.callLimit > 0 && s.calls > s.callLimit {
-		s.rejected++
-		return refusedSetupTime, false
-	}
-	return setupTime, true
-}
--- a/internal/emulator/notification.go
+++ b/internal/emulator/notification.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// A node counts as notified of a change by the protocol, whether it has heard of it or not, after these times.
+// A node counts as notified of a change by the protocol, whether it got it or not, after these times.
 const (
 	reachableLimit   = 6.0  // seconds in which discovery had the change and could be reached
 	silenceLimit     = 6.0  // seconds after a watch fell silent
@@ -63,7 +63,7 @@
 }
 
 // notificationDue returns the time in seconds from which on a process counts as notified that a host takes no new
-// flows: when it heard of it, or would have heard had it followed the list as the settings ask. It is infinite while
+// flows: when it got the change, or would have got it had it followed the list as the settings ask. It is infinite while
 // there is no such time.
 func (r *checker) notificationDue(n *nodeProcess, h *host) float64 {
 	due := math.Inf(1)
@@ -79,7 +79,7 @@
 	return min(due, watch.notificationDue(r.world.script.Rules, available))
 }
 
-// notificationDue returns the time in seconds by which a process in this state has to have heard of a change, infinite
+// notificationDue returns the time in seconds from which on a process in this state counts as notified of a change, infinite
 // for no limit. From the given time on discovery could deliver the change.
 func (w *watchState) notificationDue(rules Rules, available float64) float64 {
 	answered := !w.callFailed || rules.Pushed
--- a/internal/emulator/session.go
+++ b/internal/emulator/session.go
@@ -8,6 +8,19 @@
 	"gorseledge/internal/line"
 )
 
+// Lines that a host sends and package line has no constants for.
+const (
+	busyLine        = "BUSY\r\n"
+	syntaxLine      = "SYNTAX\r\n"
+	byeLine         = "BYE\r\n"
+	delayLineFormat = "LOAD %.3f\r\n" // milliseconds of a message
+)
+
+const (
+	loadReportUnit   = 1e6 // load of one core in a load report
+	loadReportDigits = 3   // after the decimal point
+)
+
 // session is one connection that a host serves, or that is asking for it.
 type session struct {
 	*host
@@ -52,7 +65,7 @@
 	case c.established:
 		c.after(c.delay(), func() { c.socket.send(append(row, '\n')) })
 	default:
-		c.send(reportedSyntaxError)
+		c.send(syntaxLine)
 		c.close()
 	}
 }
@@ -76,13 +89,13 @@
 	c.id = opening.ID
 	f := c.world.flowByID(opening.ID)
 	if err != nil || f == nil {
-		c.send(reportedSyntaxError)
+		c.send(syntaxLine)
 		c.close()
 		return
 	}
 	c.world.checker.checkArrival(f, c.host)
 	if c.state == draining {
-		c.send(reportedBusy)
+		c.send(busyLine)
 		c.close()
 		return
 	}
@@ -108,9 +121,9 @@
 	c.sessions[c] = true
 	c.sessionOrder = append(c.sessionOrder, c)
 	c.send("UP " + c.id + "\r\n")
-	c.send("LOAD " + strconv.FormatFloat(loadUnit*c.load, 'f', connectionLoadDigits, 64) + "\r\n")
+	c.send("LOAD " + strconv.FormatFloat(loadReportUnit*c.load, 'f', loadReportDigits, 64) + "\r\n")
 	c.after(f.lifetime, func() {
-		c.send(reportedEndOfSession)
+		c.send(byeLine)
 		c.close()
 	})
 }
--- a/internal/emulator/upgrade.go
+++ b/internal/emulator/upgrade.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// notifyPeersOfExit tells the node's other processes that this one has ended.
+// notifyPeersOfExit notifies the node's other processes that this one has ended.
 func (n *nodeProcess) notifyPeersOfExit() {
 	if n.successor != nil && n.successor.running {
 		n.successor.deliver(node.PredecessorGone{})
