--- a/cmd/gorseledge-lab/capacity.go
+++ b/cmd/gorseledge-lab/capacity.go
@@ -60,5 +60,5 @@
 	if text == nil {
 		return os.Remove(path)
 	}
-	return lab.Keep(path, text)
+	return lab.WriteFile(path, text)
 }
--- a/cmd/gorseledge-lab/fleet.go
+++ b/cmd/gorseledge-lab/fleet.go
@@ -144,13 +144,13 @@
 	if err != nil {
 		return err
 	}
-	if err := lab.Keep(filepath.Join(out, fmt.Sprintf("result-%d.json", r.Seed)), append(text, '\n')); err != nil {
+	if err := lab.WriteFile(filepath.Join(out, fmt.Sprintf("result-%d.json", r.Seed)), append(text, '\n')); err != nil {
 		return err
 	}
 	if text, err = rig.Timeline(r); err != nil {
 		return err
 	}
-	return lab.Keep(filepath.Join(out, fmt.Sprintf("timeline-%d.svg", r.Seed)), text)
+	return lab.WriteFile(filepath.Join(out, fmt.Sprintf("timeline-%d.svg", r.Seed)), text)
 }
 
 // quantity is a row of the summary: what was measured, and the values of all runs in seconds.
--- a/cmd/gorseledge-lab/main.go
+++ b/cmd/gorseledge-lab/main.go
@@ -123,7 +123,7 @@
 				return err
 			}
 			if out != "" {
-				if err := lab.Keep(out, lab.CSV(results)); err != nil {
+				if err := lab.WriteFile(out, lab.CSV(results)); err != nil {
 					return err
 				}
 			}
--- a/cmd/gorseledge-lab/members.go
+++ b/cmd/gorseledge-lab/members.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	return lab.Keep(filepath.Join(o.charts, fmt.Sprintf("members-%d.svg", o.fleet.Nodes)), text)
+	return lab.WriteFile(filepath.Join(o.charts, fmt.Sprintf("members-%d.svg", o.fleet.Nodes)), text)
 }
 
 // measureIdle measures fleets without faults, one after the other, and writes a row for each.
--- a/cmd/gorseledge-lab/scale.go
+++ b/cmd/gorseledge-lab/scale.go
@@ -155,7 +155,7 @@
 	if out == "" {
 		return nil
 	}
-	if err := lab.Keep(filepath.Join(out, "scale.csv"), scale.CSV(from, rows)); err != nil {
+	if err := lab.WriteFile(filepath.Join(out, "scale.csv"), scale.CSV(from, rows)); err != nil {
 		return err
 	}
 	return drawScale(out, rows)
@@ -175,7 +175,7 @@
 		if err != nil {
 			return err
 		}
-		if err := lab.Keep(filepath.Join(out, name), text); err != nil {
+		if err := lab.WriteFile(filepath.Join(out, name), text); err != nil {
 			return err
 		}
 	}
--- a/cmd/gorseledge-lab/table.go
+++ b/cmd/gorseledge-lab/table.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	table.Machine += "; load at the end " + load()
-	return lab.Keep(f.path, table.CSV())
+	return lab.WriteFile(f.path, table.CSV())
 }
 
 // load is what the machine had to do of late: the mean number of processes that want a processor over a minute, five and
--- a/internal/lab/lab_golden_test.go
+++ b/internal/lab/lab_golden_test.go
@@ -31,7 +31,7 @@
 // goldenResults has a figure in each column. The set-up times are those of a play, as nothing else records them.
 func goldenResults(t *testing.T) []*emulator.Result {
 	t.Helper()
-	played := emulator.Run(small(t, "5"), 1, emulator.Options{})
+	played := emulator.Run(smallScenario(t, "5"), 1, emulator.Options{})
 	if played.SetupQuantile(0.5) <= 0 {
 		t.Fatal("the play has no set-up time")
 	}
