--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -80,10 +80,10 @@
 	count := float64(len(differences))
 	mean := (sumAfter - sumBefore) / count
 	return comparison{
-		before:     sumBefore / count,
-		after:      sumAfter / count,
-		difference: mean,
-		error:      standardError(differences, mean),
+		before:        sumBefore / count,
+		after:         sumAfter / count,
+		difference:    mean,
+		standardError: standardError(differences, mean),
 	}, nil
 }
 
