--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -8,232 +8,264 @@
 	"gorseledge/internal/node"
 )
 
-// discovery tells the list late and works through calls in turn; one that waits too long fails.
+const (
+	maxCallWait       = 3.0  // seconds; a call that has to wait longer fails
+	heartbeatInterval = 2.0  // seconds between heartbeats of a watch
+	callDelay         = 1e-3 // seconds of a call that does not wait
+	deliveryDelay     = 1e-3 // seconds from discovery to a node
+)
+
+// The statuses of hosts in endpoint lists.
+const (
+	statusServing  = "SERVING"
+	statusDraining = "DRAINING"
+	statusDeleted  = "DELETED"
+)
+
+// The reasons of failed calls and watches, as a node gets them.
+const (
+	failureUnavailable = "status 503"
+	failureReset       = "reset"
+)
+
+// discovery delivers the endpoint list late, and answers calls for it one after another.
 type discovery struct {
-	w       *World
-	index   int64
-	changes []change
-	freeAt  float64
-	late    float64 // on top of the script's delay
-	calls   float64 // a second, that it works through
-	down    bool
-	backAt  float64    // when it was last back, from the start on
-	moved   int        // how often nodes were sent to another
-	watches []standing // watches that stand
-	waiting []func()   // for its return
-	chance  *rand.Rand
+	world          *simulation
+	index          int64 // of the last change
+	changes        []listChange
+	idleAt         float64 // time at which it has answered all calls so far
+	extraDelay     float64 // seconds beside the script's delay
+	callRate       float64 // calls a second that it answers
+	down           bool
+	availableSince float64     // when it last became available
+	relocations    int         // how often nodes were sent to another discovery
+	watches        []listWatch // established watches, possibly some that have ended
+	waiting        []func()    // answers for when it is available again
+	random         *rand.Rand
 }
 
-type change struct {
+// listChange is a change of the endpoint list.
+type listChange struct {
 	index int64
 	host  endpoint.Host
 }
 
-type standing struct {
-	n    *station
-	core Core
-	turn int
+// listWatch is a call of a process for the endpoint list, or the watch that it became.
+type listWatch struct {
+	process *nodeProcess
+	core    Core
+	call    int // number of the call within the process
 }
 
-const (
-	callWait  = 3.0  // a call in the queue for longer fails
-	heartbeat = 2.0  // between empty lines while nothing changes
-	toAsk     = 1e-3 // for a call whose turn it is, as it always is at the agent to which lists are pushed
-)
-
-func (w *World) entry(h *host, status string) endpoint.Host {
-	return endpoint.Host{Name: h.name, Address: h.name, Zone: zoneName(h.zone), Status: status, Weight: h.capacity,
-		StartedAtMS: 1e3 * since(w.base, h.since)}
+// listCalls are the calls of a process for the endpoint list that are in flight, by number. One of them may be a watch.
+type listCalls struct {
+	open         []int // oldest first
+	count        int   // calls made so far
+	silencedUpTo int   // calls up to this number deliver nothing any more
 }
 
-func since(base, at float64) float64 {
-	if at <= 0 {
-		return 0
+// newest returns the number of the last call.
+func (c *listCalls) newest() int { return c.count }
+
+// begin makes a call that replaces all others, or all but the oldest.
+func (c *listCalls) begin(keepOldest bool) {
+	kept := 0
+	if keepOldest {
+		kept = min(1, len(c.open))
 	}
-	return base + at
+	c.count++
+	c.open = append(c.open[:kept], c.count)
 }
 
-// tell has the list change after the delay.
-func (d *discovery) tell(h *host, status string) {
-	entry := d.w.entry(h, status)
-	d.w.After(d.w.script.Fleet.Roster+d.late, func() {
-		d.index++
-		d.changes = append(d.changes, change{d.index, entry})
-		if status == "SERVING" {
-			h.leftAt = 0
-		} else if h.leftAt == 0 {
-			h.leftAt = d.w.Now
-		}
-		d.w.trace("listed %s %s", entry.Name, entry.Status)
-		for _, s := range d.watches {
-			d.send(s, endpoint.List{Index: d.index, Hosts: []endpoint.Host{entry}})
-		}
-	})
-}
+// end ends all calls.
+func (c *listCalls) end() { c.open = nil }
 
-// calls are a process's calls for the list that are under way, by number; one of them may be a watch.
-type calls struct {
-	open  []int // oldest first
-	count int
-	muted int // up to this number nothing is said any more
+// fail ends one call and reports whether none is left.
+func (c *listCalls) fail(call int) bool {
+	c.open = slices.DeleteFunc(c.open, func(other int) bool { return other == call })
+	return len(c.open) == 0
 }
 
-func (c *calls) newest() int { return c.count }
+// current reports whether the process still has this call or watch, and it is not silenced.
+func (w listWatch) current() bool {
+	calls := &w.process.listCalls
+	sameProcess := w.process.running && w.process.core == w.core
+	return sameProcess && slices.Contains(calls.open, w.call) && w.call > calls.silencedUpTo
+}
 
-// begin makes a call in place of all others, or beside the oldest.
-func (c *calls) begin(beside bool) {
-	keep := 0
-	if beside {
-		keep = min(1, len(c.open))
+// entry returns the entry of a host in the endpoint list.
+func (s *simulation) entry(h *host, status string) endpoint.Host {
+	return endpoint.Host{
+		Name:        h.name,
+		Address:     h.name,
+		Zone:        zoneName(h.zone),
+		Status:      status,
+		Weight:      h.capacity,
+		StartedAtMS: millisecondsPerSecond * startTimeOfDay(s.startTime, h.startedAt),
 	}
-	c.count++
-	c.open = append(c.open[:keep], c.count)
 }
 
-func (c *calls) end() { c.open = nil }
+// startTimeOfDay returns the Unix time, in seconds, of a start at a time of the clock; 0 stands for a start long ago.
+func startTimeOfDay(base, startedAt float64) float64 {
+	if startedAt <= 0 {
+		return 0
+	}
+	return base + startedAt
+}
 
-// fail ends one and tells whether none is left.
-func (c *calls) fail(turn int) bool {
-	c.open = slices.DeleteFunc(c.open, func(t int) bool { return t == turn })
-	return len(c.open) == 0
+// addListed adds a host to the list at once.
+func (d *discovery) addListed(h *host) {
+	d.index++
+	d.changes = append(d.changes, listChange{d.index, d.world.entry(h, statusServing)})
 }
 
-// stands tells whether a watch or a call is still its node's, and is no silent one.
-func (s standing) stands() bool {
-	c := &s.n.calls
-	return s.n.running && s.n.core == s.core && slices.Contains(c.open, s.turn) && s.turn > c.muted
+// announce changes the status of a host in the list after the delay.
+func (d *discovery) announce(h *host, status string) {
+	entry := d.world.entry(h, status)
+	d.world.After(d.world.script.Fleet.ListDelay+d.extraDelay, func() {
+		d.index++
+		d.changes = append(d.changes, listChange{d.index, entry})
+		if status == statusServing {
+			h.withdrawnAt = 0
+		} else if h.withdrawnAt == 0 {
+			h.withdrawnAt = d.world.Now
+		}
+		d.world.trace("listed %s %s", entry.Name, entry.Status)
+		for _, w := range d.watches {
+			d.deliver(w, endpoint.List{Index: d.index, Hosts: []endpoint.Host{entry}})
+		}
+	})
 }
 
-// send hands a list to a watch that still stands.
-func (d *discovery) send(s standing, l endpoint.List) {
-	d.w.After(1e-3, func() {
-		if !d.down && s.stands() {
-			s.n.hearing.heard()
-			s.n.hearing.numbered = d.moved
-			s.n.give(listed(l))
+// deliver sends a list to a watch.
+func (d *discovery) deliver(w listWatch, list endpoint.List) {
+	d.world.After(deliveryDelay, func() {
+		if d.down || !w.current() {
+			return
 		}
+		w.process.watchState.received()
+		w.process.watchState.relocations = d.relocations
+		w.process.deliver(node.ListReceived{List: list})
 	})
 }
 
-// beat has a watch that stands say something now and then.
-func (d *discovery) beat(s standing) {
-	d.w.After(heartbeat, func() {
-		if !d.down && s.stands() {
-			s.n.give(node.WatchAlive{})
-			d.beat(s)
+// sendHeartbeats sends heartbeats to a watch while it is current.
+func (d *discovery) sendHeartbeats(w listWatch) {
+	d.world.After(heartbeatInterval, func() {
+		if d.down || !w.current() {
+			return
 		}
+		w.process.deliver(node.WatchAlive{})
+		d.sendHeartbeats(w)
 	})
 }
 
-// whole is the list as discovery has it.
-func (d *discovery) whole() endpoint.List {
-	l := endpoint.List{Index: d.index, Complete: true}
-	at := map[string]int{}
-	for _, c := range d.changes {
-		i, seen := at[c.host.Name]
+// completeList returns the list as discovery has it, without deleted hosts.
+func (d *discovery) completeList() endpoint.List {
+	list := endpoint.List{Index: d.index, Complete: true}
+	positions := map[string]int{}
+	for _, change := range d.changes {
+		position, seen := positions[change.host.Name]
 		if !seen {
-			i, at[c.host.Name] = len(l.Hosts), len(l.Hosts)
-			l.Hosts = append(l.Hosts, c.host)
+			position = len(list.Hosts)
+			positions[change.host.Name] = position
+			list.Hosts = append(list.Hosts, change.host)
 		}
-		l.Hosts[i] = c.host
+		list.Hosts[position] = change.host
+	}
+	list.Hosts = slices.DeleteFunc(list.Hosts, func(h endpoint.Host) bool { return h.Status == statusDeleted })
+	return list
+}
+
+// listSince returns the changes after an index, or the complete list if there is no such index.
+func (d *discovery) listSince(index int64) endpoint.List {
+	if index <= 0 || index > d.index {
+		return d.completeList()
 	}
-	kept := l.Hosts[:0]
-	for _, h := range l.Hosts {
-		if h.Status != "DELETED" {
-			kept = append(kept, h)
+	list := endpoint.List{Index: d.index}
+	for _, change := range d.changes {
+		if change.index > index {
+			list.Hosts = append(list.Hosts, change.host)
 		}
 	}
-	l.Hosts = kept
-	return l
+	return list
 }
 
-// call is a node's call for a watch.
-func (d *discovery) call(n *station, turn int, index int64) {
-	d.w.result.ListCalls++
-	s := standing{n, n.core, turn}
-	n.hearing.asks(d.w.Now)
-	if d.w.script.Rules.Pushed {
-		if d.down { // its own agent takes the call and has nothing to say
-			d.waiting = append(d.waiting, func() { d.answer(s, index) })
-		} else {
-			d.answerAfter(toAsk, s, index)
+// handleCall takes a process's call for a watch that begins after an index. Where lists are pushed, the agent beside the
+// node takes the call and answers once discovery is available.
+func (d *discovery) handleCall(n *nodeProcess, call int, index int64) {
+	d.world.result.ListCalls++
+	w := listWatch{n, n.core, call}
+	n.watchState.calling(d.world.Now)
+	if d.world.script.Rules.Pushed {
+		if d.down {
+			d.waiting = append(d.waiting, func() { d.startWatch(w, index) })
+			return
 		}
+		d.startWatchAfter(callDelay, w, index)
 		return
 	}
-	d.freeAt = max(d.freeAt, d.w.Now)
-	wait := d.freeAt - d.w.Now + toAsk
-	if d.down || wait > callWait {
-		d.fail(s, min(wait, callWait), "status 503")
+	d.idleAt = max(d.idleAt, d.world.Now)
+	wait := d.idleAt - d.world.Now + callDelay
+	if d.down || wait > maxCallWait {
+		d.fail(w, min(wait, maxCallWait), failureUnavailable)
 		return
 	}
-	d.freeAt += 1 / d.calls
-	d.answerAfter(wait, s, index)
+	d.idleAt += 1 / d.callRate
+	d.startWatchAfter(wait, w, index)
 }
 
-// answerAfter answers a call in its turn, unless discovery is down by then.
-func (d *discovery) answerAfter(wait float64, s standing, index int64) {
-	d.w.After(wait, func() {
+// startWatchAfter answers a call after some seconds. The call fails if discovery is down by then.
+func (d *discovery) startWatchAfter(wait float64, w listWatch, index int64) {
+	d.world.After(wait, func() {
 		if d.down {
-			d.fail(s, 0, "reset")
+			d.fail(w, 0, failureReset)
 			return
 		}
-		d.answer(s, index)
+		d.startWatch(w, index)
 	})
 }
 
-// answer begins a watch with what it missed.
-func (d *discovery) answer(s standing, index int64) {
-	if !s.stands() {
+// startWatch makes a call the watch of its process, in place of any other, and delivers what changed after the index.
+func (d *discovery) startWatch(w listWatch, index int64) {
+	if !w.current() {
 		return
 	}
-	s.n.calls.open = []int{s.turn}
-	live := d.watches[:0]
-	for _, o := range d.watches { // a watch taken up again takes the place of the old one
-		if o.n != s.n && o.n.core == o.core {
-			live = append(live, o)
+	w.process.listCalls.open = []int{w.call}
+	kept := d.watches[:0]
+	for _, other := range d.watches {
+		if other.process != w.process && other.process.core == other.core {
+			kept = append(kept, other)
 		}
 	}
-	d.watches = append(live, s)
-	if s.n.hearing.numbered != d.moved { // an index that it never gave
-		index = 0
-	}
-	d.send(s, d.since(index))
-	d.beat(s)
-}
-
-// since is what changed after an index, or the whole list.
-func (d *discovery) since(index int64) endpoint.List {
-	if index <= 0 || index > d.index {
-		return d.whole()
-	}
-	l := endpoint.List{Index: d.index}
-	for _, c := range d.changes {
-		if c.index > index {
-			l.Hosts = append(l.Hosts, c.host)
-		}
+	d.watches = append(kept, w)
+	if w.process.watchState.relocations != d.relocations {
+		index = 0 // another discovery gave this index
 	}
-	return l
+	d.deliver(w, d.listSince(index))
+	d.sendHeartbeats(w)
 }
 
-// fail ends a call, or the watch that it became.
-func (d *discovery) fail(s standing, after float64, why string) {
-	d.w.After(after, func() {
-		if s.stands() && s.n.calls.fail(s.turn) { // else one beside it waits still
-			s.n.hearing.ended(true)
-			s.n.give(unlisted(why))
+// fail ends a call or a watch after some seconds. The process learns of it unless another call is still open.
+func (d *discovery) fail(w listWatch, after float64, reason string) {
+	d.world.After(after, func() {
+		if w.current() && w.process.listCalls.fail(w.call) {
+			w.process.watchState.ended(true)
+			w.process.deliver(node.WatchFailed{Reason: reason})
 		}
 	})
 }
 
-// fall ends all watches for some time.
-func (d *discovery) fall(lasts float64) {
+// interrupt takes discovery down for some seconds and ends all watches.
+func (d *discovery) interrupt(duration float64) {
 	d.down = true
-	for _, s := range d.watches {
-		d.fail(s, 0, "reset")
+	for _, w := range d.watches {
+		d.fail(w, 0, failureReset)
 	}
 	d.watches = nil
-	d.w.After(lasts, func() {
-		d.down, d.backAt = false, d.w.Now
+	d.world.After(duration, func() {
+		d.down = false
+		d.availableSince = d.world.Now
 		for _, answer := range d.waiting {
 			answer()
 		}
@@ -241,50 +273,63 @@
 	})
 }
 
-// struck draws the processes whose watches and calls a fault befalls.
-func (d *discovery) struck(share float64) (out []*station) {
-	for _, n := range d.w.processes() {
-		if d.chance.Float64() < share && n.hearing.open() {
-			out = append(out, n)
+// drawAffected draws a share of the processes, and returns those of them that have a watch or a call.
+func (d *discovery) drawAffected(share float64) []*nodeProcess {
+	var affected []*nodeProcess
+	for _, n := range d.world.processes() {
+		if d.random.Float64() < share && n.watchState.active() {
+			affected = append(affected, n)
 		}
 	}
-	return out
+	return affected
 }
 
-// hush has watches, and calls that wait, say nothing any more; nobody hears of it.
-func (d *discovery) hush(share float64) {
-	for _, n := range d.struck(share) {
-		n.hush()
+// silenceWatches has the watches and calls of a share of the processes deliver nothing any more. The processes get no
+// event for it.
+func (d *discovery) silenceWatches(share float64) {
+	for _, n := range d.drawAffected(share) {
+		n.silenceWatch()
 	}
 }
 
-// cut ends watches, and calls that wait, at once.
-func (d *discovery) cut(share float64) {
-	for _, n := range d.struck(share) {
-		for _, turn := range n.calls.open {
-			d.fail(standing{n, n.core, turn}, 0, "reset")
+// resetWatches ends the watches and calls of a share of the processes at once.
+func (d *discovery) resetWatches(share float64) {
+	for _, n := range d.drawAffected(share) {
+		for _, call := range n.listCalls.open {
+			d.fail(listWatch{n, n.core, call}, 0, failureReset)
 		}
 	}
 }
 
-// move sends the nodes, one by one within some time, to a discovery that knows the same hosts and begins its index
-// anew; the watches of the old one fall silent. A node that asks before it is sent finds the new one as well.
-func (d *discovery) move(within float64) {
-	hosts := d.whole().Hosts
-	d.changes, d.index, d.moved = nil, 1, d.moved+1
+// relocate sends the nodes, one by one within some seconds, to a discovery that has the same hosts and numbers its
+// changes anew. The watches of the old one fall silent. A node that polls before it is sent reaches the new one as well.
+func (d *discovery) relocate(within float64) {
+	hosts := d.completeList().Hosts
+	d.index = 1
+	d.relocations++
+	d.changes = nil
 	for _, h := range hosts {
-		d.changes = append(d.changes, change{1, h})
+		d.changes = append(d.changes, listChange{d.index, h})
 	}
 	d.watches = nil
-	for _, n := range d.w.processes() {
+	for _, n := range d.world.processes() {
 		core := n.core
-		n.hush() // nothing more comes from the old one
-		d.w.After(within*d.chance.Float64(), func() {
+		n.silenceWatch()
+		d.world.After(within*d.random.Float64(), func() {
 			if n.running && n.core == core {
-				h := &n.hearing
-				*h = hearing{movedAt: d.w.Now, calledAt: d.w.Now, bootAt: h.bootAt, numbered: h.numbered}
-				n.give(node.DiscoveryMoved{})
+				n.restartWatch()
 			}
 		})
 	}
 }
+
+// restartWatch notifies a process that discovery has moved.
+func (n *nodeProcess) restartWatch() {
+	n.watchState = watchState{
+		relocatedAt: n.world.Now,
+		calledAt:    n.world.Now,
+		startedAt:   n.watchState.startedAt,
+		relocations: n.watchState.relocations,
+	}
+	n.deliver(node.DiscoveryMoved{})
+}
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -1,297 +1,221 @@
 package emulator
 
 import (
-	"bytes"
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"strconv"
 
 	"gorseledge/internal/line"
 )
 
-// state of a host as it is, which the roster tells later.
-type state uint8
+// hostState is the true state of a host. The endpoint list has it later.
+type hostState uint8
 
 const (
-	serving state = iota
+	serving hostState = iota
 	draining
-	gone
+	removed
 )
 
-// host is a stand-in stream box: it sets connections up, answers lines, slows down when it is asked for too
-// much and drops connections when that goes on.
+// Figures of a simulated host.
+const (
+	overloadUtilization  = 1.2  // utilization above which a host is overloaded
+	overloadTolerance    = 2.0  // seconds of overload after which a host drops connections
+	dropDivisor          = 10   // it then drops one connection in so many
+	migrationDivisor     = 40   // a draining host migrates one connection in so many at each tick
+	queueingUtilization  = 0.9  // utilization from which on work piles up
+	responseTime         = 1e-3 // seconds of one message at an idle host
+	queueingTime         = 1e-2 // seconds of one message where work begins to pile up
+	queueingSlope        = 2.0  // further seconds for each unit of utilization above that
+	announcedDelayFloor  = 0.01 // seconds; a change between delays below it is not announced
+	announcedDelayChange = 0.2  // share by which a delay has to change to be announced
+	maxAnnouncedDelay    = 900  // milliseconds
+)
+
+// host is a simulated server of long-lived connections. It sets connections up and answers messages, becomes slow when
+// it is overloaded, and drops connections when that lasts. Times are in seconds, loads in cores.
 type host struct {
 	*machine
-	w        *World
-	chance   *rand.Rand
-	index    int
-	capacity float64
-	since    float64 // when it started; 0 for long ago
-	state    state
-	leftAt   float64 // when discovery could first tell that it drains or is gone; 0 for not
-	running  bool
-	stalled  bool
-	slow     float64 // by what its work takes longer; 1 for sound
-	errs     float64 // share of set-ups that err
-	load     float64
-	pending  float64 // load of the set-ups that are under way
-	held     map[*session]bool
-	order    []*session // of held, in the order in which they came; some have ended
-	overAt   float64    // since when it is asked for more than a cold host bears; 0 for not
-	jamAt    float64
-	told     float64 // the delay that its connections were told last
-	aware    int     // connects since its start from nodes that had been told of it
-	unaware  int     // and from others
-	probes   int
-	connects int
-}
-
-// session is one connection that a host serves, or is asked to.
-type session struct {
-	*host
-	s     *socket
-	text  []byte
-	id    string
-	load  float64
-	up    bool
-	asked bool // its load counts among the pending
-	over  bool
-}
-
-// warmth is the share of its capacity that it has by now.
-func (h *host) warmth() float64 {
-	f := h.w.script.Fleet
-	if h.since <= 0 || f.ColdFor <= 0 {
+	world        *simulation
+	random       *rand.Rand
+	capacity     float64
+	startedAt    float64 // 0 for long ago
+	state        hostState
+	withdrawnAt  float64 // when discovery could first deliver that it drains or is removed; 0 for not
+	running      bool
+	stalled      bool    // it accepts connections and does not respond
+	slowdown     float64 // factor on the time of its work; 1 for none
+	errorShare   float64 // share of its set-ups that fail
+	load         float64 // of established connections
+	pending      float64 // of set-ups under way
+	sessions     map[*session]bool
+	sessionOrder []*session // in the order in which they were established; some have ended
+
+	coldOverloadSince  float64 // since when it has more load than it can take in slow start; 0 for not
+	overloadedSince    float64 // since when it is overloaded; 0 for not
+	announcedDelay     float64 // that its connections were sent last
+	informedAttempts   int     // attempts since its start from nodes that knew of the start
+	uninformedAttempts int     // attempts since its start from other nodes
+	healthChecks       int
+}
+
+// slowStartWeight returns the share of its capacity that the host has now.
+func (h *host) slowStartWeight() float64 {
+	fleet := h.world.script.Fleet
+	if h.startedAt <= 0 || fleet.SlowStartTime <= 0 {
 		return 1
 	}
-	return min(1, f.ColdFrom+(1-f.ColdFrom)*(h.w.Now-h.since)/f.ColdFor)
+	return min(1, fleet.SlowStartFrom+(1-fleet.SlowStartFrom)*(h.world.Now-h.startedAt)/fleet.SlowStartTime)
 }
 
-// use is the load asked over what it can do now.
-func (h *host) use() float64 { return h.load * h.slow / (h.capacity * h.warmth()) }
+// utilization returns the load of established connections over the capacity that the host has now.
+func (h *host) utilization() float64 { return h.load * h.slowdown / (h.capacity * h.slowStartWeight()) }
 
-// delay is how long a line takes here now.
+// delay returns the seconds that a message takes at the host now.
 func (h *host) delay() float64 {
-	u := h.use()
-	if u < 0.9 {
-		return 1e-3 * h.slow / (1 - u)
+	utilization := h.utilization()
+	if utilization < queueingUtilization {
+		return responseTime * h.slowdown / (1 - utilization)
 	}
-	return 1e-2*h.slow + 2*(u-0.9) // what piles up within a second or so
+	return queueingTime*h.slowdown + queueingSlope*(utilization-queueingUtilization)
 }
 
+// accept takes a connection of a node.
 func (h *host) accept(s *socket) {
-	c := &session{host: h, s: s}
-	s.wake = func() { c.hear() }
+	c := &session{host: h, socket: s}
+	s.onArrival = func() { c.receive() }
 }
 
-// hear takes what arrived.
-func (c *session) hear() {
-	if c.over || !c.running {
+// maintain does the housekeeping of the host: it fails or drops connections under overload, announces its delay, and
+// migrates connections while it drains.
+func (h *host) maintain() {
+	if !h.running {
 		return
 	}
-	c.text, c.s.in = append(c.text, c.s.in...), c.s.in[:0]
-	for !c.over && !c.stalled {
-		row, rest, whole := bytes.Cut(c.text, []byte("\n"))
-		if !whole {
-			break
-		}
-		row = append([]byte(nil), row...)
-		c.text = rest
-		c.said(row)
+	h.forgetEndedSessions()
+	if h.failsInSlowStart() {
+		h.world.checker.checkOverturned(h)
+		h.crash()
+		return
 	}
-	if c.s.end != going && !c.over {
-		c.end()
+	h.dropUnderOverload()
+	h.announceDelay()
+	if h.state == draining {
+		h.migrateSessions()
 	}
 }
 
-func (c *session) said(row []byte) {
-	word, _ := line.Split(row)
-	switch {
-	case word == line.Ping && !c.up:
-		c.probes++
-		c.later(c.delay(), func() { c.s.send([]byte(line.PongLine)) })
-	case word == line.Open && c.id == "":
-		c.open(row)
-	case c.up:
-		c.later(c.delay(), func() { c.s.send(append(row, '\n')) })
-	default:
-		c.say("SYNTAX\r\n")
-		c.end()
+// forgetEndedSessions removes ended sessions from the order.
+func (h *host) forgetEndedSessions() {
+	open := h.sessionOrder[:0]
+	for _, c := range h.sessionOrder {
+		if h.sessions[c] {
+			open = append(open, c)
+		}
 	}
+	h.sessionOrder = open
 }
 
-// later runs something for this session, unless it is over by then.
-func (c *session) later(seconds float64, run func()) {
-	since := c.since
-	c.w.After(seconds, func() {
-		if !c.over && c.running && !c.stalled && c.since == since {
-			run()
-		}
-	})
+// failsInSlowStart reports whether the host has had too much load for its slow start for too long.
+func (h *host) failsInSlowStart() bool {
+	rules := h.world.script.Rules
+	weight := h.slowStartWeight()
+	overloaded := weight < 1 && h.load+h.pending > rules.FallMultiple*h.capacity*weight
+	if !overloaded {
+		h.coldOverloadSince = 0
+		return false
+	}
+	if h.coldOverloadSince == 0 {
+		h.coldOverloadSince = h.world.Now
+		return false
+	}
+	return h.world.Now-h.coldOverloadSince >= rules.FallTime
 }
 
-func (c *session) say(text string) { c.s.send([]byte(text)) }
-
-// open sets a connection up: a call to the session store, and its share of this host.
-func (c *session) open(row []byte) {
-	o, err := line.ParseOpening(append(row, '\n'))
-	c.id = o.ID
-	c.connects++
-	f := c.w.flowOf(o.ID)
-	if err != nil || f == nil {
-		c.say("SYNTAX\r\n")
-		c.end()
+// dropUnderOverload resets some connections, drawn at random, each time an overload has lasted too long.
+func (h *host) dropUnderOverload() {
+	now := h.world.Now
+	if h.utilization() <= overloadUtilization {
+		h.overloadedSince = 0
 		return
 	}
-	c.w.rules.arrived(f, c.host)
-	if c.state == draining {
-		c.say("BUSY\r\n")
-		c.end()
+	if h.overloadedSince == 0 {
+		h.overloadedSince = now
+	}
+	if h.overloadedSince == 0 || now-h.overloadedSince <= overloadTolerance {
 		return
 	}
-	c.load, c.asked = f.load, true
-	c.host.pending += c.load
-	took, stored := c.w.store.call()
-	c.later(c.delay()+took, func() {
-		if !stored || c.chance.Float64() < c.errs {
-			c.w.rules.ran(f, c.host)
-			c.say("ERR\r\n")
-			c.end()
-			return
+	h.overloadedSince = now
+	for range 1 + len(h.sessionOrder)/dropDivisor {
+		c := h.sessionOrder[h.random.IntN(len(h.sessionOrder))]
+		if !c.closed {
+			c.disconnect(true)
 		}
-		c.w.rules.ran(f, c.host)
-		c.settle()
-		c.up = true
-		c.host.load += c.load
-		c.held[c] = true
-		c.order = append(c.order, c)
-		c.say("UP " + c.id + "\r\n")
-		c.say("LOAD " + strconv.FormatFloat(1e6*c.load, 'f', 3, 64) + "\r\n")
-		c.later(f.lives, func() { c.say("BYE\r\n"); c.end() })
-	})
-}
-
-// settle ends the time in which a set-up is under way.
-func (c *session) settle() {
-	if c.asked {
-		c.asked = false
-		c.host.pending = max(c.host.pending-c.load, 0)
 	}
 }
 
-// end lets a session go from this side, in good order.
-func (c *session) end() { c.quit(false) }
-
-func (c *session) quit(broken bool) {
-	if c.over {
+// announceDelay sends the present delay to all connections if it has changed enough.
+func (h *host) announceDelay() {
+	delay := h.delay()
+	noticeable := delay > announcedDelayFloor || h.announcedDelay > announcedDelayFloor
+	changed := math.Abs(delay-h.announcedDelay) > announcedDelayChange*h.announcedDelay
+	if h.stalled || !noticeable || !changed {
 		return
 	}
-	c.over = true
-	c.settle()
-	if c.up {
-		c.host.load = max(c.host.load-c.load, 0)
-		delete(c.held, c)
+	h.announcedDelay = delay
+	for _, c := range h.sessionOrder {
+		if !c.closed {
+			c.send(fmt.Sprintf(delayLineFormat, min(millisecondsPerSecond*delay, maxAnnouncedDelay)))
+		}
 	}
-	c.s.close(broken)
 }
 
-// beat is a host's housekeeping: what it is asked for too long it drops, what waits it tells.
-func (h *host) beat() {
-	if !h.running {
+// migrateSessions asks the clients of some of the oldest connections to migrate.
+func (h *host) migrateSessions() {
+	if len(h.sessionOrder) == 0 {
 		return
 	}
-	rules := h.w.script.Rules
-	now := h.w.Now
-	live := h.order[:0]
-	for _, c := range h.order {
-		if h.held[c] {
-			live = append(live, c)
+	for range 1 + len(h.sessionOrder)/migrationDivisor {
+		c := h.sessionOrder[0]
+		if !c.closed {
+			c.send(line.MoveLine)
+			c.close()
 		}
-	}
-	h.order = live
-	if warm := h.warmth(); warm < 1 && h.load+h.pending > rules.FallMultiple*h.capacity*warm {
-		if h.overAt == 0 {
-			h.overAt = now
-		} else if now-h.overAt >= rules.FallFor {
-			h.w.rules.fell(h)
-			h.crash()
+		h.sessionOrder = h.sessionOrder[1:]
+		if len(h.sessionOrder) == 0 {
 			return
 		}
-	} else {
-		h.overAt = 0
-	}
-	if h.use() > 1.2 {
-		if h.jamAt == 0 {
-			h.jamAt = now
-		}
-	} else {
-		h.jamAt = 0
-	}
-	if h.jamAt > 0 && now-h.jamAt > 2 { // it sheds a tenth, at random
-		h.jamAt = now
-		for range 1 + len(h.order)/10 {
-			if c := h.order[h.chance.IntN(len(h.order))]; !c.over {
-				c.quit(true)
-			}
-		}
-	}
-	if d := h.delay(); !h.stalled && (d > 0.01 || h.told > 0.01) && math.Abs(d-h.told) > 0.2*h.told {
-		h.told = d
-		for _, c := range h.order {
-			if !c.over {
-				c.say(fmt.Sprintf("LOAD %.3f\r\n", min(1e3*d, 900)))
-			}
-		}
-	}
-	if h.state == draining && len(h.order) > 0 { // bit by bit
-		for range 1 + len(h.order)/40 {
-			if c := h.order[0]; !c.over {
-				c.say(line.MoveLine)
-				c.end()
-			}
-			if h.order = h.order[1:]; len(h.order) == 0 {
-				break
-			}
-		}
 	}
 }
 
-// crash ends the process: its connections are reset.
+// crash ends the host's process and resets its connections.
 func (h *host) crash() {
 	h.running = false
-	h.machine.die(bySerial)
-	h.aware, h.unaware = 0, 0
-	h.held, h.order, h.load, h.pending = map[*session]bool{}, nil, 0, 0
+	h.machine.resetAll()
+	h.clear()
 }
 
-// start runs it anew, cold.
+// start starts the host's process anew, in slow start.
 func (h *host) start() {
-	h.running, h.vanished, h.stalled, h.state = true, false, false, serving
-	h.since, h.slow, h.errs, h.overAt, h.jamAt, h.told = h.w.Now, 1, 0, 0, 0, 0
-	h.aware, h.unaware = 0, 0
-	h.held, h.order, h.load, h.pending = map[*session]bool{}, nil, 0, 0
-}
-
-// store is the session store: each set-up is a call, and too many in a second fail.
-type store struct {
-	w       *World
-	bears   float64 // calls a second; 0 for any number
-	second  float64
-	calls   float64 // in it
-	peak    float64
-	refused int
-}
-
-func (s *store) call() (took float64, ok bool) {
-	if sec := math.Floor(s.w.Now); sec != s.second {
-		s.second, s.calls = sec, 0
-	}
-	s.calls++
-	s.peak = max(s.peak, s.calls)
-	if s.bears > 0 && s.calls > s.bears {
-		s.refused++
-		return 0.05, false
-	}
-	return 2e-3, true
+	h.running = true
+	h.vanished = false
+	h.stalled = false
+	h.state = serving
+	h.startedAt = h.world.Now
+	h.slowdown = 1
+	h.errorShare = 0
+	h.coldOverloadSince = 0
+	h.overloadedSince = 0
+	h.announcedDelay = 0
+	h.clear()
+}
+
+// clear forgets the connections of the process and the attempts that it got.
+func (h *host) clear() {
+	h.informedAttempts = 0
+	h.uninformedAttempts = 0
+	h.sessions = map[*session]bool{}
+	h.sessionOrder = nil
+	h.load = 0
+	h.pending = 0
 }
