--- a/cmd/gorseledge-lab/fleet.go
+++ b/cmd/gorseledge-lab/fleet.go
@@ -82,7 +82,7 @@
 			return err
 		}
 		report(cmd.OutOrStdout(), result, o.seeds == 1)
-		broken += len(result.Breaks)
+		broken += len(result.Violations)
 		result.Events = nil // of many seeds they would fill the memory
 		results = append(results, result)
 	}
@@ -110,7 +110,7 @@
 		options.Dir = filepath.Join(o.out, fmt.Sprintf("nodes-%d", seed))
 		options.History = filepath.Join(o.out, fmt.Sprintf("history-%d.jsonl", seed))
 	}
-	result, err := rig.Play(cmd.Context(), script, options)
+	result, err := rig.Run(cmd.Context(), script, options)
 	if err != nil {
 		return nil, err
 	}
@@ -165,11 +165,11 @@
 	changes := map[string]int{}
 	var met, agreed, first, last, inForce []float64
 	for _, r := range played {
-		calls, faults, broken = calls+r.Calls, faults+r.FaultCount(), broken+len(r.Breaks)
+		calls, faults, broken = calls+r.Calls, faults+r.FaultCount(), broken+len(r.Violations)
 		for outcome, count := range r.Changes {
 			changes[outcome] += count
 		}
-		met, inForce = append(met, r.Met), append(inForce, r.InForce...)
+		met, inForce = append(met, r.JoinTime), append(inForce, r.InForce...)
 		if r.Agreed >= 0 {
 			agreed = append(agreed, r.Agreed)
 		}
@@ -202,7 +202,7 @@
 	if whole {
 		reportTable(w, r)
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		fmt.Fprintln(w, "broken:", b)
 	}
 	fmt.Fprintln(w, r.Summary())
@@ -218,7 +218,7 @@
 // reportTable prints the table of a run.
 func reportTable(w io.Writer, r *rig.Result) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "nodes\t%d\nmet after\t%.1f s\n", r.Nodes, r.Met)
+	fmt.Fprintf(t, "nodes\t%d\nmet after\t%.1f s\n", r.Nodes, r.JoinTime)
 	if r.Agreed >= 0 {
 		fmt.Fprintf(t, "agreed after the last fault\t%.1f s\n", r.Agreed)
 	}
--- a/cmd/gorseledge/flows_test.go
+++ b/cmd/gorseledge/flows_test.go
@@ -124,7 +124,7 @@
 	if got := n.placeFlow(); got != "UP 1" {
 		t.Fatalf("answered %q", got)
 	}
-	n.discovery.Tell(endpoint.List{Index: 2, Hosts: []endpoint.Host{{Name: "s-00000064", Status: "DRAINING"}}})
+	n.discovery.Publish(endpoint.List{Index: 2, Hosts: []endpoint.Host{{Name: "s-00000064", Status: "DRAINING"}}})
 	for end := time.Now().Add(waitTimeout); !strings.HasPrefix(n.placeFlow(), "BUSY"); {
 		if time.Now().After(end) {
 			t.Fatal("it still does")
--- a/cmd/gorseledge/harness_test.go
+++ b/cmd/gorseledge/harness_test.go
@@ -80,7 +80,7 @@
 		list.Hosts = append(list.Hosts, endpoint.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: n.hosts[i].Addr().String(),
 			Zone: "a", Status: "SERVING", Weight: 1})
 	}
-	n.discovery.Tell(list)
+	n.discovery.Publish(list)
 	n.address = freeAddress(t)
 	n.config = n.newConfig(mode)
 	n.configPath = filepath.Join(t.TempDir(), "config.json")
--- a/cmd/gorseledge/live_settings_test.go
+++ b/cmd/gorseledge/live_settings_test.go
@@ -197,8 +197,8 @@
 	elsewhere, third := startDiscovery(t), startDiscovery(t)
 	list := endpoint.List{Index: 1, Complete: true, Hosts: []endpoint.Host{{Name: "s-00000066", Address: n.hosts[2].Addr().String(),
 		Zone: "a", Status: "SERVING", Weight: 1}}}
-	elsewhere.Tell(list)
-	third.Tell(endpoint.List{Index: 1, Complete: true})
+	elsewhere.Publish(list)
+	third.Publish(endpoint.List{Index: 1, Complete: true})
 	n.waitForRevision(c.apply(fmt.Sprintf("discovery = %q", elsewhere.Address())))
 	n.waitForMetric("lb.targets:1|g\n")
 	n.config["discovery"] = third.Address()
@@ -210,6 +210,6 @@
 	}
 	n.waitForRevision(c.apply(""))
 	n.waitForMetric("lb.targets:0|g\n")
-	third.Tell(endpoint.List{Index: 2, Complete: true, Hosts: list.Hosts})
+	third.Publish(endpoint.List{Index: 2, Complete: true, Hosts: list.Hosts})
 	n.waitForMetric("lb.targets:1|g\n")
 }
--- a/cmd/gorseledge/overload_test.go
+++ b/cmd/gorseledge/overload_test.go
@@ -153,7 +153,7 @@
 	go func() { crowd <- crowdListener(n.address, stop) }()
 	n.waitForLog(`"reason":"no-sockets"`)
 	next := startDiscovery(t)
-	next.Tell(endpoint.List{Index: 7, Complete: true, Hosts: []endpoint.Host{
+	next.Publish(endpoint.List{Index: 7, Complete: true, Hosts: []endpoint.Host{
 		{Name: "s-00000064", Address: n.hosts[0].Addr().String(), Status: "DRAINING"},
 		{Name: "s-00000065", Address: n.hosts[1].Addr().String(), Status: "SERVING"}}})
 	n.discovery.Close() // the old one is down, and only then the node is told of the new one
@@ -161,7 +161,7 @@
 	n.writeConfig()
 	n.signal(syscall.SIGHUP)
 	select {
-	case <-next.Asked:
+	case <-next.WatchOpened:
 	case <-time.After(6 * time.Second):
 		t.Error("the new discovery was not asked within 6 s")
 	}
--- a/cmd/gorseledge/reload_test.go
+++ b/cmd/gorseledge/reload_test.go
@@ -37,11 +37,11 @@
 		n.config["discovery"] = next.Address()
 		n.writeConfig()
 		n.signal(syscall.SIGHUP)
-		next.Tell(endpoint.List{Index: int64(round + 2), Hosts: []endpoint.Host{{Name: fmt.Sprintf("s-0000000%d", round+1),
+		next.Publish(endpoint.List{Index: int64(round + 2), Hosts: []endpoint.Host{{Name: fmt.Sprintf("s-0000000%d", round+1),
 			Address: "h:1", Status: "DRAINING"}}})
 		n.waitForLog(fmt.Sprintf("base list of %d servers", round+4))
 		select {
-		case <-old.Left:
+		case <-old.WatchClosed:
 		case <-time.After(waitTimeout):
 			t.Fatal("the old discovery is still watched")
 		}
--- a/internal/rig/judge.go
+++ b/internal/rig/check.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// Break is a violation of one of the rules of a run. At is in seconds from the start of the rig.
-type Break struct {
+// Violation is a violation of one of the rules of a run. At is in seconds from the start of the rig.
+type Violation struct {
 	Rule string  `json:"rule"`
 	At   float64 `json:"at"`
 	Text string  `json:"text"`
 }
 
-func (b Break) String() string { return fmt.Sprintf("%.2f s: %s: %s", b.At, b.Rule, b.Text) }
+func (b Violation) String() string { return fmt.Sprintf("%.2f s: %s: %s", b.At, b.Rule, b.Text) }
 
 // The rules of a run, as they stand in reports.
 const (
@@ -42,9 +42,9 @@
 // interval is the time from the begin to the end of something, in seconds from the start of the rig.
 type interval struct{ from, to float64 }
 
-// Judge returns the violations in a run, by their times. It reads the events of the result and the times that the script
+// Check returns the violations in a run, by their times. It reads the events of the result and the times that the script
 // states; disagreement is what Play found when it waited for agreement, empty where all nodes agreed.
-func Judge(s *Script, r *Result, disagreement string) (out []Break) {
+func Check(s *Script, r *Result, disagreement string) (out []Violation) {
 	out = append(out, checkDeaths(s, r.Events)...)
 	out = append(out, checkAnswers(r.Events)...)
 	out = append(out, checkExits(r.Events)...)
@@ -52,9 +52,9 @@
 	out = append(out, checkBudgets(r.Events)...)
 	out = append(out, checkControl(s, r.Events)...)
 	if disagreement != "" {
-		out = append(out, Break{RuleAgree, endOf(r.Events), disagreement})
+		out = append(out, Violation{RuleAgree, endOf(r.Events), disagreement})
 	}
-	slices.SortStableFunc(out, func(a, b Break) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(out, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return out
 }
 
@@ -171,7 +171,7 @@
 
 // checkDeaths checks that no node without a fault of its own is declared dead. The fault of the node that declares it
 // does not count: one that was stopped or cut off must not accuse others when it is back.
-func checkDeaths(s *Script, events []Event) (out []Break) {
+func checkDeaths(s *Script, events []Event) (out []Violation) {
 	intervals := excusedIntervals(s, events)
 	for _, e := range events {
 		if e.What != eventMember || e.State != memberDead {
@@ -182,7 +182,7 @@
 			excused = excused || e.At >= w.from && e.At <= w.to+excusePeriods*s.Period
 		}
 		if !excused {
-			out = append(out, Break{RuleDeath, e.At, fmt.Sprintf("n%d holds %s for dead", e.Node, e.Member)})
+			out = append(out, Violation{RuleDeath, e.At, fmt.Sprintf("n%d holds %s for dead", e.Node, e.Member)})
 		}
 	}
 	return out
@@ -190,7 +190,7 @@
 
 // checkAnswers checks that each flow got exactly one final answer and was not cut off, unless its node was killed, stopped
 // or asked to leave during it. More than one answer is never excused.
-func checkAnswers(events []Event) (out []Break) {
+func checkAnswers(events []Event) (out []Violation) {
 	disturbed := map[int][]interval{}
 	for _, e := range episodes(events) {
 		if faultKinds[e.Kind].onLink {
@@ -210,17 +210,17 @@
 		}
 		switch {
 		case e.Count > 1:
-			out = append(out, Break{RuleAnswer, e.At, fmt.Sprintf("a flow through n%d got %d answers", e.Node, e.Count)})
+			out = append(out, Violation{RuleAnswer, e.At, fmt.Sprintf("a flow through n%d got %d answers", e.Node, e.Count)})
 		case excused:
 		case e.Count == 0 || e.Answer == "failed" || e.Answer == "up" && e.Ended == "cut":
-			out = append(out, Break{RuleAnswer, e.At, fmt.Sprintf("a flow through n%d: %s %s", e.Node, e.Answer, e.Ended)})
+			out = append(out, Violation{RuleAnswer, e.At, fmt.Sprintf("a flow through n%d: %s %s", e.Node, e.Answer, e.Ended)})
 		}
 	}
 	return out
 }
 
 // checkExits checks that a process ends only because of a fault that ends it.
-func checkExits(events []Event) (out []Break) {
+func checkExits(events []Event) (out []Violation) {
 	for i, e := range events {
 		if e.What != eventExit {
 			continue
@@ -231,7 +231,7 @@
 				slices.Contains(f.Fault.Nodes, e.Node)
 		}
 		if !asked {
-			out = append(out, Break{RuleExit, e.At, fmt.Sprintf("n%d ended: %s", e.Node, e.Note)})
+			out = append(out, Violation{RuleExit, e.At, fmt.Sprintf("n%d ended: %s", e.Node, e.Note)})
 		}
 	}
 	return out
@@ -239,7 +239,7 @@
 
 // checkKnownDeaths checks that all nodes without a fault of their own declare a process that stays down dead within the
 // script's liveness time.
-func checkKnownDeaths(s *Script, events []Event) (out []Break) {
+func checkKnownDeaths(s *Script, events []Event) (out []Violation) {
 	for _, f := range events {
 		if f.What != eventFault || !faultKinds[f.Fault.Kind].staysDown ||
 			f.Fault.For < s.Liveness+excusePeriods*s.Period && f.Fault.For > 0 {
@@ -256,7 +256,7 @@
 						e.At >= f.At && e.At <= f.At+s.Liveness
 				}
 				if end := endOf(events); !heard && end >= f.At+s.Liveness {
-					out = append(out, Break{RuleKnown, f.At + s.Liveness, fmt.Sprintf("n%d does not know that n%d is dead", n, dead)})
+					out = append(out, Violation{RuleKnown, f.At + s.Liveness, fmt.Sprintf("n%d does not know that n%d is dead", n, dead)})
 				}
 			}
 		}
@@ -265,10 +265,10 @@
 }
 
 // checkBudgets checks that all nodes together never gave out more than a cold host's budget.
-func checkBudgets(events []Event) (out []Break) {
+func checkBudgets(events []Event) (out []Violation) {
 	for _, e := range events {
 		if e.What == eventBudget && e.Part > 1 {
-			out = append(out, Break{RuleBudget, e.At, fmt.Sprintf("%.2f of it", e.Part)})
+			out = append(out, Violation{RuleBudget, e.At, fmt.Sprintf("%.2f of it", e.Part)})
 		}
 	}
 	return out
--- a/internal/rig/judge_test.go
+++ b/internal/rig/check_test.go
@@ -11,7 +11,7 @@
 )
 
 // Each checker fires on what it is for, and on nothing that is excused.
-func TestJudge(t *testing.T) {
+func TestCheckersReportViolationsAndExcuses(t *testing.T) {
 	s := &Script{Nodes: 5, Period: 0.25, Liveness: 10, Settle: 10}
 	stop := &Fault{At: 1, Kind: "stop", Nodes: []int{1}, For: 5}
 	short := &Fault{At: 1, Kind: "stop", Nodes: []int{1}, For: 0.5}
@@ -65,7 +65,7 @@
 	} {
 		var rules []string
 		slices.SortFunc(c.events, func(a, b Event) int { return int(100 * (a.At - b.At)) })
-		for _, b := range Judge(s, &Result{Events: c.events}, c.says) {
+		for _, b := range Check(s, &Result{Events: c.events}, c.says) {
 			rules = append(rules, b.Rule)
 		}
 		if got := strings.Join(slices.Compact(rules), ", "); got != c.rule {
@@ -75,7 +75,7 @@
 }
 
 // When a death was known, and by how many; one that was over too soon does not count.
-func TestDeaths(t *testing.T) {
+func TestDeathsReportsDetectionTimes(t *testing.T) {
 	s := &Script{Nodes: 4, Period: 0.25, Lasts: 20}
 	killed := &Fault{At: 1, Kind: "kill", Nodes: []int{1}}
 	events := []Event{{At: 1, What: "fault", Fault: killed}, {At: 1, What: "over", Fault: killed}} // for good
@@ -93,7 +93,7 @@
 }
 
 // Old datagrams come again while a way says so, and not before or after.
-func TestReplay(t *testing.T) {
+func TestRelayReplaysDatagramsOnlyWhileSet(t *testing.T) {
 	to, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -123,18 +123,18 @@
 	if a, b := read(), read(); a != "first" || b != "second" {
 		t.Fatalf("%s %s", a, b)
 	}
-	r.Set(func(w *Way) { w.Replay = 100 })
+	r.Set(func(w *LinkConditions) { w.Replay = 100 })
 	for seen := map[string]bool{}; len(seen) < 2; { // both come, in any order
 		seen[read()] = true
 	}
-	r.Set(func(w *Way) { w.Replay = 0 })
+	r.Set(func(w *LinkConditions) { w.Replay = 0 })
 	from.Write([]byte("third"))
 	for read() != "third" { // what was on the way comes first
 	}
 }
 
 // A mistake in a script is told by file and line.
-func TestScript(t *testing.T) {
+func TestScriptErrorNamesFileAndLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
 	good := "nodes = 4\nlasts = 10\n\n[[fault]]\nat = 1\nkind = \"cut\"\nnodes = [0]\nto = [1]\nfor = 2\n\n[[fault]]\nat = 2\n" +
 		"kind = \"kill\"\nnodes = [3]\n"
@@ -166,14 +166,14 @@
 }
 
 // The same seed draws the same faults, and of these no more than a third of the processes are away at once.
-func TestDraw(t *testing.T) {
-	s := &Script{Nodes: 9, Period: 0.25, Lasts: 60, Drawn: 30}
+func TestGeneratedFaultsAreReproducibleAndLeaveEnoughNodes(t *testing.T) {
+	s := &Script{Nodes: 9, Period: 0.25, Lasts: 60, GeneratedFaults: 30}
 	for seed := range uint64(20) {
-		faults := s.Draw(seed)
+		faults := s.GenerateFaults(seed)
 		if len(faults) < 10 {
 			t.Errorf("seed %d: %d faults", seed, len(faults))
 		}
-		for i, f := range s.Draw(seed) {
+		for i, f := range s.GenerateFaults(seed) {
 			if f.String() != faults[i].String() || f.At != faults[i].At {
 				t.Fatalf("seed %d draws two ways", seed)
 			}
@@ -193,7 +193,7 @@
 }
 
 // A history is a whole file or none; a timeline is drawn.
-func TestFiles(t *testing.T) {
+func TestHistoryIsCompleteOrAbsent(t *testing.T) {
 	dir := t.TempDir()
 	for _, whole := range []bool{false, true} {
 		h, err := newHistory(filepath.Join(dir, "h.jsonl"))
--- a/internal/rig/control_judge.go
+++ b/internal/rig/control_check.go
@@ -10,45 +10,45 @@
 // The rules of the configuration's distribution.
 const (
 	RuleNoReturn = "no node goes back a revision"
-	RuleWhole    = "no node has a part of a change in force"
-	RulePromise  = "no accepted change is lost while its disk lives"
+	RuleComplete = "no node has a part of a change in force"
+	RuleDurable  = "no accepted change is lost while its disk lives"
 	RuleInForce  = "a change is in force everywhere within the stated time"
 	RuleAccept   = "after all faults a change is accepted"
 	RuleServer   = "no control server ends by itself"
 )
 
-// mayReachPeers is the time in seconds in which an accepted change reaches servers that are not cut off or down.
-const mayReachPeers = 5.0
+// replicationTime is the time in seconds in which an accepted change reaches servers that are not cut off or down.
+const replicationTime = 5.0
 
-// observationTime is the time in seconds by which the rig may see a node's version late.
-const observationTime = 0.5
+// observationDelay is the time in seconds by which the rig may see a node's version late.
+const observationDelay = 0.5
 
 // checkControl returns the violations of the rules of the configuration's distribution.
-func checkControl(s *Script, events []Event) (out []Break) {
+func checkControl(s *Script, events []Event) (out []Violation) {
 	if s.Control == 0 {
 		return nil
 	}
 	out = append(out, checkNoReturn(events)...)
-	out = append(out, checkWhole(events)...)
-	out = append(out, checkPromises(s, events)...)
+	out = append(out, checkComplete(events)...)
+	out = append(out, checkDurable(s, events)...)
 	out = append(out, checkInForce(s, events)...)
 	out = append(out, checkAccept(events)...)
 	for _, e := range events {
 		if e.What == eventServerDied {
-			out = append(out, Break{RuleServer, e.At, fmt.Sprintf("c%d: %s", e.Control.Server, e.Note)})
+			out = append(out, Violation{RuleServer, e.At, fmt.Sprintf("c%d: %s", e.Control.Server, e.Note)})
 		}
 	}
 	return out
 }
 
 // checkAccept checks the last proposal, which comes after all faults and whose like nobody else makes.
-func checkAccept(events []Event) (out []Break) {
+func checkAccept(events []Event) (out []Violation) {
 	for _, e := range slices.Backward(events) {
 		if e.What != eventApply {
 			continue
 		}
 		if e.Control.Outcome != string(configfeed.Accepted) {
-			out = append(out, Break{RuleAccept, e.At, fmt.Sprintf("it was answered %s: %s", e.Control.Outcome, e.Note)})
+			out = append(out, Violation{RuleAccept, e.At, fmt.Sprintf("it was answered %s: %s", e.Control.Outcome, e.Note)})
 		}
 		return out
 	}
@@ -57,7 +57,7 @@
 
 // checkNoReturn checks that the versions of a node only go up. A node that had no process for a while has forgotten what
 // it had, and begins anew.
-func checkNoReturn(events []Event) (out []Break) {
+func checkNoReturn(events []Event) (out []Violation) {
 	processes, had := map[int]int{}, map[int]configfeed.Version{}
 	for _, e := range events {
 		switch e.What {
@@ -69,7 +69,7 @@
 			processes[e.Node]--
 		case eventConfig:
 			if v := e.Control.Version; v.Compare(had[e.Node]) < 0 {
-				out = append(out, Break{RuleNoReturn, e.At, fmt.Sprintf("n%d from %s to %s", e.Node, had[e.Node], v)})
+				out = append(out, Violation{RuleNoReturn, e.At, fmt.Sprintf("n%d from %s to %s", e.Node, had[e.Node], v)})
 			}
 			had[e.Node] = e.Control.Version
 		}
@@ -77,9 +77,9 @@
 	return out
 }
 
-// checkWhole checks that a node has, under each version, the entries of a change that was accepted as that version, or
+// checkComplete checks that a node has, under each version, the entries of a change that was accepted as that version, or
 // of one whose answer was lost or came later.
-func checkWhole(events []Event) (out []Break) {
+func checkComplete(events []Event) (out []Violation) {
 	accepted, unknown := map[configfeed.Version][]string{}, map[string]bool{}
 	for _, e := range events {
 		switch {
@@ -94,7 +94,7 @@
 			continue
 		}
 		if c := e.Control; !slices.Contains(accepted[c.Version], c.Digest) && !unknown[c.Digest] {
-			out = append(out, Break{RuleWhole, e.At, fmt.Sprintf("n%d has digest %s under %s, accepted was %v", e.Node, c.Digest,
+			out = append(out, Violation{RuleComplete, e.At, fmt.Sprintf("n%d has digest %s under %s, accepted was %v", e.Node, c.Digest,
 				c.Version, accepted[c.Version])})
 		}
 	}
@@ -122,9 +122,9 @@
 	return out
 }
 
-// checkPromises checks that the writer holds every accepted change at the end, unless its disk was taken away after the
+// checkDurable checks that the writer holds every accepted change at the end, unless its disk was taken away after the
 // change and other faults may have kept the change from the others.
-func checkPromises(s *Script, events []Event) (out []Break) {
+func checkDurable(s *Script, events []Event) (out []Violation) {
 	at := slices.IndexFunc(events, func(e Event) bool { return e.What == eventMarks })
 	if at < 0 {
 		return nil
@@ -132,26 +132,26 @@
 	faults := controlEpisodes(events)
 	for _, e := range events {
 		if e.What != eventApply || e.Control.Outcome != string(configfeed.Accepted) ||
-			slices.Contains(events[at].Control.Marks, e.Control.ID) || released(e.At, faults) {
+			slices.Contains(events[at].Control.Marks, e.Control.ID) || mayBeLost(e.At, faults) {
 			continue
 		}
 		text := fmt.Sprintf("%s was accepted as %s", e.Control.ID, e.Control.Version)
-		out = append(out, Break{RulePromise, e.At, text})
+		out = append(out, Violation{RuleDurable, e.At, text})
 	}
 	return out
 }
 
-// released reports whether a change that was accepted at a time need not be held any more.
-func released(accepted float64, faults []controlEpisode) bool {
+// mayBeLost reports whether a change that was accepted at a time need not be held any more.
+func mayBeLost(accepted float64, faults []controlEpisode) bool {
 	for _, lost := range faults {
 		if !touchesDirectory(lost.ControlFault) || !slices.Contains(lost.Servers, 0) || lost.to < accepted {
 			continue
 		}
-		if lost.from < accepted+mayReachPeers || len(lost.Servers) > 1 {
+		if lost.from < accepted+replicationTime || len(lost.Servers) > 1 {
 			return true
 		}
 		for _, other := range faults {
-			if other.interval != lost.interval && other.from < lost.to+mayReachPeers && other.to > accepted {
+			if other.interval != lost.interval && other.from < lost.to+replicationTime && other.to > accepted {
 				return true
 			}
 		}
@@ -161,15 +161,15 @@
 
 // checkInForce checks that the waits of the rig for a version succeeded, and that each change which nothing kept from the
 // nodes was in force at all of them in time.
-func checkInForce(s *Script, events []Event) (out []Break) {
+func checkInForce(s *Script, events []Event) (out []Violation) {
 	for _, e := range events {
 		if e.What == eventLate {
-			out = append(out, Break{RuleInForce, e.At, fmt.Sprintf("not within %g s: %s", s.InForce, e.Note)})
+			out = append(out, Violation{RuleInForce, e.At, fmt.Sprintf("not within %g s: %s", s.InForce, e.Note)})
 		}
 	}
-	for _, change := range judgedChanges(s, events) {
-		if change.took > s.InForce+observationTime {
-			out = append(out, Break{RuleInForce, change.at,
+	for _, change := range measuredChanges(s, events) {
+		if change.took > s.InForce+observationDelay {
+			out = append(out, Violation{RuleInForce, change.at,
 				fmt.Sprintf("%s at n%d after %.2f s", change.version, change.last, change.took)})
 		}
 	}
@@ -178,23 +178,23 @@
 
 // inForceTimes returns for each change that is judged the seconds until it was in force at the last node.
 func inForceTimes(s *Script, events []Event) (times []float64) {
-	for _, change := range judgedChanges(s, events) {
+	for _, change := range measuredChanges(s, events) {
 		times = append(times, change.took)
 	}
 	return times
 }
 
-// judgedChange is an accepted change and the node that had it in force last.
-type judgedChange struct {
+// measuredChange is an accepted change and the node that had it in force last.
+type measuredChange struct {
 	at      float64
 	version configfeed.Version
 	took    float64
 	last    int
 }
 
-// judgedChanges returns the accepted changes in whose time at most one fault of control servers lasted, which was neither
+// measuredChanges returns the accepted changes in whose time at most one fault of control servers lasted, which was neither
 // one of the writer's process nor a region's cut. Nodes that were not up for the whole time do not count.
-func judgedChanges(s *Script, events []Event) (out []judgedChange) {
+func measuredChanges(s *Script, events []Event) (out []measuredChange) {
 	faults := controlEpisodes(events)
 	nodeFaults := episodes(events)
 	end := endOf(events)
@@ -206,7 +206,7 @@
 		if window.to > end || keptFromNodes(faults, window) {
 			continue
 		}
-		change := judgedChange{at: e.At, version: e.Control.Version}
+		change := measuredChange{at: e.At, version: e.Control.Version}
 		for node := range s.Nodes {
 			if disturbed(nodeFaults, node, window) {
 				continue
--- a/internal/rig/control_judge_test.go
+++ b/internal/rig/control_check_test.go
@@ -32,10 +32,10 @@
 }
 
 // controlChecker is one of the checkers; a case is judged by the one of its rule alone.
-type controlChecker func(*Script, []Event) []Break
+type controlChecker func(*Script, []Event) []Violation
 
-func eventsOnly(check func([]Event) []Break) controlChecker {
-	return func(_ *Script, events []Event) []Break { return check(events) }
+func eventsOnly(check func([]Event) []Violation) controlChecker {
+	return func(_ *Script, events []Event) []Violation { return check(events) }
 }
 
 // TestControlCheckersFire gives each checker a history that breaks its rule, and one beside it that does not.
@@ -53,7 +53,7 @@
 	lateStopped, lateContinued := faultOf(late)
 	regionCut, regionBack := faultOf(ControlFault{At: 11, Kind: faultRegion, Region: "south", For: 4})
 	lost := Event{At: 3, What: eventApply, Control: &ControlEvent{ID: "x", Outcome: outcomeUnknown, Digest: "dx"}}
-	noReturn, whole := eventsOnly(checkNoReturn), eventsOnly(checkWhole)
+	noReturn, whole := eventsOnly(checkNoReturn), eventsOnly(checkComplete)
 	accept := eventsOnly(checkAccept)
 	cases := []struct {
 		name   string
@@ -67,18 +67,18 @@
 			seen(4, 0, "a", 1)}, RuleNoReturn},
 		{"anew after a restart", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), exit, start,
 			seen(4, 0, "a", 1)}, ""},
-		{"half a change", whole, []Event{start, accepted(1, "a", 1), seen(2, 0, "z", 1)}, RuleWhole},
-		{"another change's entries", whole, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 2)}, RuleWhole},
+		{"half a change", whole, []Event{start, accepted(1, "a", 1), seen(2, 0, "z", 1)}, RuleComplete},
+		{"another change's entries", whole, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 2)}, RuleComplete},
 		{"a change whose answer was lost", whole, []Event{start, lost, seen(3, 0, "x", 1)}, ""},
-		{"all held", checkPromises, []Event{accepted(1, "a", 1), marks(30, "a")}, ""},
-		{"one lost", checkPromises, []Event{accepted(1, "a", 1), accepted(2, "b", 2), marks(30, "b")}, RulePromise},
-		{"lost though another's disk was wiped", checkPromises, []Event{otherWiped, accepted(1, "a", 1), otherStarted, marks(30)}, RulePromise},
-		{"lost though all others had it", checkPromises, []Event{accepted(1, "a", 1), wiped, started, marks(30)}, RulePromise},
-		{"lost with the disk at once", checkPromises, []Event{accepted(19, "a", 1), wiped, started, marks(30)}, ""},
-		{"lost with the disk while another was stopped", checkPromises, []Event{accepted(1, "a", 1), stopped, wiped, started, continued,
+		{"all held", checkDurable, []Event{accepted(1, "a", 1), marks(30, "a")}, ""},
+		{"one lost", checkDurable, []Event{accepted(1, "a", 1), accepted(2, "b", 2), marks(30, "b")}, RuleDurable},
+		{"lost though another's disk was wiped", checkDurable, []Event{otherWiped, accepted(1, "a", 1), otherStarted, marks(30)}, RuleDurable},
+		{"lost though all others had it", checkDurable, []Event{accepted(1, "a", 1), wiped, started, marks(30)}, RuleDurable},
+		{"lost with the disk at once", checkDurable, []Event{accepted(19, "a", 1), wiped, started, marks(30)}, ""},
+		{"lost with the disk while another was stopped", checkDurable, []Event{accepted(1, "a", 1), stopped, wiped, started, continued,
 			marks(30)}, ""},
-		{"lost with several disks at once", checkPromises, []Event{accepted(1, "a", 1), allWiped, allStarted, marks(30)}, ""},
-		{"lost after the disk was wiped", checkPromises, []Event{wiped, started, accepted(27, "a", 1), marks(30)}, RulePromise},
+		{"lost with several disks at once", checkDurable, []Event{accepted(1, "a", 1), allWiped, allStarted, marks(30)}, ""},
+		{"lost after the disk was wiped", checkDurable, []Event{wiped, started, accepted(27, "a", 1), marks(30)}, RuleDurable},
 		{"in time", checkInForce, []Event{start, accepted(10, "a", 1), seen(15, 0, "a", 1), marks(30, "a")}, ""},
 		{"late", checkInForce, []Event{start, accepted(10, "a", 1), seen(17, 0, "a", 1), marks(30, "a")}, RuleInForce},
 		{"late with a server stopped", checkInForce, []Event{start, accepted(10, "a", 1), lateStopped, lateContinued, seen(17, 0, "a", 1),
--- a/internal/rig/control_faults.go
+++ b/internal/rig/control_faults.go
@@ -15,12 +15,12 @@
 		return sleep(ctx, time.Until(started.Add(time.Duration(seconds*1e9))))
 	}
 	group := new(errgroup.Group)
-	for _, f := range c.rig.script.DrawControl(c.rig.Seed) {
+	for _, f := range c.rig.script.GenerateControlFaults(c.rig.Seed) {
 		group.Go(func() error {
 			if err := waitUntil(f.At); err != nil {
 				return err
 			}
-			c.add(eventControlFault, ControlEvent{Fault: &f})
+			c.record(eventControlFault, ControlEvent{Fault: &f})
 			c.rig.progressf("%5.1f s  %s", f.At, f)
 			if err := c.changeFault(f, false); err != nil {
 				return err
@@ -29,7 +29,7 @@
 				return err
 			}
 			err := c.changeFault(f, true)
-			c.add(eventControlOver, ControlEvent{Fault: &f})
+			c.record(eventControlOver, ControlEvent{Fault: &f})
 			return err
 		})
 	}
@@ -46,9 +46,9 @@
 	for _, i := range f.Servers {
 		group.Go(func() error {
 			if over {
-				return c.servers[i].over(f)
+				return c.servers[i].endFault(f)
 			}
-			return c.servers[i].begin(f)
+			return c.servers[i].beginFault(f)
 		})
 	}
 	return group.Wait()
@@ -67,7 +67,7 @@
 		} else {
 			c.cuts[l]++
 		}
-		relay.Set(func(w *Way) { w.Cut = c.cuts[l] > 0 })
+		relay.Set(func(w *LinkConditions) { w.Cut = c.cuts[l] > 0 })
 	}
 }
 
--- a/internal/rig/control_run.go
+++ b/internal/rig/control_run.go
@@ -20,24 +20,24 @@
 
 // The values of Event.What that concern control servers and the configuration.
 const (
-	eventServerStart  = "server start"
-	eventServerExit   = "server exit"   // the rig ended it
-	eventServerDied   = "server died"   // it ended by itself
-	eventControlFault = "control fault" // began
-	eventControlOver  = "control over"  // a fault of control servers ended
-	eventApply        = "apply"         // a proposal was answered, or its answer was lost
-	eventConfig       = "config"        // a node was seen with a version in force that it did not have before
-	eventEpoch        = "epoch"         // the rig, as an operator, drew a new epoch
-	eventAwait        = "await"         // from now on the writer's version has to come in force everywhere
-	eventInForce      = "in force"      // it has
-	eventLate         = "late"          // it has not, within the stated time
-	eventMarks        = "marks"         // what the writer holds at the end
-	outcomeUnknown    = "answer lost"   // of a proposal
-	markPrefix        = "tenants.mark-" // of a key that names a proposal
-	markSuffix        = ".connections"  // of the same key
-	configLook        = 50 * time.Millisecond
-	applyTimeout      = 5 * time.Second
-	firstApplyTimeout = 20 * time.Second
+	eventServerStart   = "server start"
+	eventServerExit    = "server exit"   // the rig ended it
+	eventServerDied    = "server died"   // it ended by itself
+	eventControlFault  = "control fault" // began
+	eventControlOver   = "control over"  // a fault of control servers ended
+	eventApply         = "apply"         // a proposal was answered, or its answer was lost
+	eventConfig        = "config"        // a node was seen with a version in force that it did not have before
+	eventEpoch         = "epoch"         // the rig, as an operator, drew a new epoch
+	eventAwait         = "await"         // from now on the writer's version has to come in force everywhere
+	eventInForce       = "in force"      // it has
+	eventLate          = "late"          // it has not, within the stated time
+	eventMarks         = "marks"         // what the writer holds at the end
+	outcomeUnknown     = "answer lost"   // of a proposal
+	markPrefix         = "tenants.mark-" // of a key that names a proposal
+	markSuffix         = ".connections"  // of the same key
+	configPollInterval = 50 * time.Millisecond
+	applyTimeout       = 5 * time.Second
+	firstApplyTimeout  = 20 * time.Second
 )
 
 // ControlEvent is what an event says of control servers and the configuration.
@@ -72,7 +72,7 @@
 func newControl(r *Rig) *control {
 	return &control{rig: r, relays: map[link]*Relay{}, cuts: map[link]int{},
 		client: feedhttp.NewClient(r.fleetName(), [][]byte{[]byte(fleetKey)}, nil),
-		random: rand.New(rand.NewPCG(r.Seed, drawControl+1))}
+		random: rand.New(rand.NewPCG(r.Seed, controlRandomStream+1))}
 }
 
 // fleetName is the fleet's id.
@@ -98,11 +98,13 @@
 
 func (c *control) writer() *controlServer { return c.servers[0] }
 
-func (c *control) add(what string, e ControlEvent) { c.rig.history.add(Event{What: what, Control: &e}) }
+func (c *control) record(what string, e ControlEvent) {
+	c.rig.history.add(Event{What: what, Control: &e})
+}
 
-// play has changes of configuration go on while nodes and servers have their faults, and waits until the configuration is
+// runWithFaults has changes of configuration go on while nodes and servers have their faults, and waits until the configuration is
 // in force after them.
-func (c *control) play(ctx context.Context, nodeFaults func() error) error {
+func (c *control) runWithFaults(ctx context.Context, nodeFaults func() error) error {
 	if err := c.firstChange(ctx); err != nil {
 		return err
 	}
@@ -143,7 +145,7 @@
 		if last = c.apply(ctx, configfeed.State{}, c.nextID()); last == string(configfeed.Accepted) {
 			return nil
 		}
-		if err := sleep(ctx, configLook); err != nil {
+		if err := sleep(ctx, configPollInterval); err != nil {
 			return err
 		}
 	}
@@ -229,14 +231,14 @@
 // watch records each version that a node has in force, until the context ends.
 func (c *control) watch(ctx context.Context, n *node) {
 	var last ControlEvent
-	for sleep(ctx, configLook) == nil {
+	for sleep(ctx, configPollInterval) == nil {
 		v, err := c.config(ctx, n)
 		if err != nil {
 			continue
 		}
 		now := ControlEvent{Version: configfeed.Version{Epoch: v.Epoch, Revision: v.Revision}, Digest: v.Digest}
 		if now.Version != last.Version || now.Digest != last.Digest {
-			c.rig.history.add(Event{What: eventConfig, Node: n.i, Control: &now})
+			c.rig.history.add(Event{What: eventConfig, Node: n.index, Control: &now})
 		}
 		last = now
 	}
@@ -281,28 +283,28 @@
 	if err != nil {
 		return fmt.Errorf("the writer does not say what it holds: %w", err)
 	}
-	c.add(eventMarks, ControlEvent{Version: last.Version, Digest: digestText(last.Digest), Marks: marksOf(last)})
+	c.record(eventMarks, ControlEvent{Version: last.Version, Digest: digestText(last.Digest), Marks: marksOf(last)})
 	return nil
 }
 
 // awaitReady waits for the stated time at most until the writer takes proposals.
 func (c *control) awaitReady(ctx context.Context) error {
 	reason := ""
-	for end := time.Now().Add(c.stated()); time.Now().Before(end); {
+	for end := time.Now().Add(c.inForceTimeout()); time.Now().Before(end); {
 		status, err := c.client.Status(ctx, c.writer().address)
 		if err == nil && status.NotReady == "" {
 			return nil
 		}
 		reason = fmt.Sprint(status.NotReady, err)
-		if err := sleep(ctx, configLook); err != nil {
+		if err := sleep(ctx, configPollInterval); err != nil {
 			return err
 		}
 	}
 	return fmt.Errorf("the writer is not ready: %s", reason)
 }
 
-// stated is the time within which a change is to be in force.
-func (c *control) stated() time.Duration { return time.Duration(c.rig.script.InForce * 1e9) }
+// inForceTimeout is the time within which a change is to be in force.
+func (c *control) inForceTimeout() time.Duration { return time.Duration(c.rig.script.InForce * 1e9) }
 
 // newEpoch draws a new epoch, as an operator does.
 func (c *control) newEpoch(ctx context.Context) (configfeed.Outcome, error) {
@@ -311,23 +313,23 @@
 		return configfeed.Outcome{}, err
 	}
 	outcome, err := c.client.NewEpoch(ctx, c.writer().address, feedhttp.EpochRequest{IfVersion: from.Version, Author: "rig"})
-	c.add(eventEpoch, ControlEvent{Outcome: string(outcome.Kind), Version: outcome.Version, Digest: digestText(from.Digest)})
+	c.record(eventEpoch, ControlEvent{Outcome: string(outcome.Kind), Version: outcome.Version, Digest: digestText(from.Digest)})
 	return outcome, err
 }
 
 // awaitInForce waits until all nodes have the writer's version in force, for the stated time at most, and records how
 // that ended.
 func (c *control) awaitInForce(ctx context.Context) error {
-	c.add(eventAwait, ControlEvent{})
+	c.record(eventAwait, ControlEvent{})
 	behind := "the writer does not answer"
-	for end := time.Now().Add(c.stated()); time.Now().Before(end); {
+	for end := time.Now().Add(c.inForceTimeout()); time.Now().Before(end); {
 		if want, err := c.state(ctx); err == nil {
-			if behind = c.behind(ctx, want); behind == "" {
-				c.add(eventInForce, ControlEvent{Version: want.Version})
+			if behind = c.nodesBehind(ctx, want); behind == "" {
+				c.record(eventInForce, ControlEvent{Version: want.Version})
 				return nil
 			}
 		}
-		if err := sleep(ctx, configLook); err != nil {
+		if err := sleep(ctx, configPollInterval); err != nil {
 			return err
 		}
 	}
@@ -335,8 +337,8 @@
 	return nil
 }
 
-// behind names the nodes that run and do not have a state in force; empty where there are none.
-func (c *control) behind(ctx context.Context, want configfeed.State) string {
+// nodesBehind names the nodes that run and do not have a state in force; empty where there are none.
+func (c *control) nodesBehind(ctx context.Context, want configfeed.State) string {
 	var names []string
 	for _, n := range c.rig.nodes {
 		if !n.up() {
--- a/internal/rig/control_play_test.go
+++ b/internal/rig/control_run_test.go
@@ -75,8 +75,8 @@
 `
 
 func TestConfigurationIsInForceUnderServerFaults(t *testing.T) {
-	r := playWith(t, Options{Program: program, Control: serverProgram, Seed: 1}, serverFaults)
-	for _, b := range r.Breaks {
+	r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 1}, serverFaults)
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	accepted, conflicts := 0, 0
@@ -133,29 +133,29 @@
 for = 18
 `
 
-// TestNodesLeaveAServerThatReachesNoOther shows that the server's word of that gets through to its nodes, also where it
+// TestNodesLeaveAnIsolatedServer shows that the server's word of that gets through to its nodes, also where it
 // keeps encoded answers.
-func TestNodesLeaveAServerThatReachesNoOther(t *testing.T) {
-	r := playWith(t, Options{Program: program, Control: serverProgram, Seed: 7}, onlyServerIsolated)
-	if len(r.Breaks) > 0 || len(r.InForce) == 0 {
-		t.Errorf("broken: %v; %d changes were judged", r.Breaks, len(r.InForce))
+func TestNodesLeaveAnIsolatedServer(t *testing.T) {
+	r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 7}, onlyServerIsolated)
+	if len(r.Violations) > 0 || len(r.InForce) == 0 {
+		t.Errorf("broken: %v; %d changes were judged", r.Violations, len(r.InForce))
 	}
 }
 
-func TestNodesThatStayWithAStoppedServerAreFoundOut(t *testing.T) {
-	late := func(b Break) bool { return b.Rule == RuleInForce }
+func TestNodeThatPollsOneStoppedServerIsDetected(t *testing.T) {
+	late := func(b Violation) bool { return b.Rule == RuleInForce }
 	t.Run("right core", func(t *testing.T) {
 		t.Parallel()
-		r := playWith(t, Options{Program: program, Control: serverProgram, Seed: 1}, onlyServerStopped)
-		if len(r.Breaks) > 0 || len(r.InForce) == 0 {
-			t.Errorf("broken: %v; %d changes were judged", r.Breaks, len(r.InForce))
+		r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 1}, onlyServerStopped)
+		if len(r.Violations) > 0 || len(r.InForce) == 0 {
+			t.Errorf("broken: %v; %d changes were judged", r.Violations, len(r.InForce))
 		}
 	})
 	t.Run("core that polls one server", func(t *testing.T) {
 		t.Parallel()
-		r := playWith(t, Options{Program: oneServer, Control: serverProgram, Seed: 1}, onlyServerStopped)
-		if !slices.ContainsFunc(r.Breaks, late) {
-			t.Errorf("it is not found out: %v", r.Breaks)
+		r := runWithOptions(t, Options{Program: singleServerProgram, Control: serverProgram, Seed: 1}, onlyServerStopped)
+		if !slices.ContainsFunc(r.Violations, late) {
+			t.Errorf("it is not found out: %v", r.Violations)
 		}
 	})
 }
--- a/internal/rig/control_script.go
+++ b/internal/rig/control_script.go
@@ -72,19 +72,19 @@
 
 // Shares and bounds of drawn faults of control servers.
 const (
-	drawControl        = 0x636f6e74 // sets their random stream apart
-	allRestartedOneIn  = 8
-	maxServersDisabled = 2
+	controlRandomStream = 0x636f6e74 // sets their random stream apart
+	allRestartedOneIn   = 8
+	maxServersDisabled  = 2
 )
 
-// DrawControl returns the script's faults of control servers and those that are drawn from the seed, by their times. At
+// GenerateControlFaults returns the script's faults of control servers and those that are drawn from the seed, by their times. At
 // most two servers are down or stopped at once, but for a restart of all; at most one directory is touched at a time.
-func (s *Script) DrawControl(seed uint64) []ControlFault {
+func (s *Script) GenerateControlFaults(seed uint64) []ControlFault {
 	faults := slices.Clone(s.ControlFaults)
-	random := rand.New(rand.NewPCG(seed, drawControl))
-	for try := 0; len(faults) < len(s.ControlFaults)+s.DrawnControl && try < drawAttempts*s.DrawnControl; try++ {
-		fault := s.drawControlFault(random)
-		if s.canAddControl(faults, fault) {
+	random := rand.New(rand.NewPCG(seed, controlRandomStream))
+	for try := 0; len(faults) < len(s.ControlFaults)+s.GeneratedControlFaults && try < generationAttempts*s.GeneratedControlFaults; try++ {
+		fault := s.generateControlFault(random)
+		if s.canAddControlFault(faults, fault) {
 			faults = append(faults, fault)
 		}
 	}
@@ -92,7 +92,7 @@
 	return faults
 }
 
-func (s *Script) drawControlFault(random *rand.Rand) ControlFault {
+func (s *Script) generateControlFault(random *rand.Rand) ControlFault {
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
 	kinds := []string{faultStop, faultKill, faultWipe, faultRollback, faultRestart, faultCut, faultCutNodes, faultRegion}
 	f := ControlFault{Kind: kinds[random.IntN(len(kinds))], For: round(0.5 + random.Float64()*s.Lasts/5)}
@@ -118,9 +118,9 @@
 	return f
 }
 
-// canAddControl reports whether a drawn fault leaves enough servers beside the others, and no server with two faults of
+// canAddControlFault reports whether a drawn fault leaves enough servers beside the others, and no server with two faults of
 // its process at once.
-func (s *Script) canAddControl(faults []ControlFault, f ControlFault) bool {
+func (s *Script) canAddControlFault(faults []ControlFault, f ControlFault) bool {
 	if controlKinds[f.Kind] {
 		return true
 	}
--- a/internal/rig/control_server.go
+++ b/internal/rig/control_server.go
@@ -21,17 +21,17 @@
 // controlServer is a control server of the rig: its address, its directory and its process.
 type controlServer struct {
 	control *control
-	i       int
+	index   int
 	dir     string
 	address string
 
-	mu     sync.Mutex // guards the fields below
-	now    *process
-	ending bool // the rig ends the process
+	mu      sync.Mutex // guards the fields below
+	current *process
+	ending  bool // the rig ends the process
 }
 
-func (s *controlServer) name() string   { return fmt.Sprintf("c%d", s.i) }
-func (s *controlServer) region() string { return serverRegions[s.i] }
+func (s *controlServer) name() string   { return fmt.Sprintf("c%d", s.index) }
+func (s *controlServer) region() string { return serverRegions[s.index] }
 
 // data is the directory that a wipe and a rollback act on.
 func (s *controlServer) data() string { return filepath.Join(s.dir, "data") }
@@ -40,11 +40,11 @@
 func startControl(r *Rig) (*control, error) {
 	c := newControl(r)
 	for i := range r.script.Control {
-		address, err := free(firstServerAddress + i)
+		address, err := freeAddress(firstServerAddress + i)
 		if err != nil {
 			return c, err
 		}
-		c.servers = append(c.servers, &controlServer{control: c, i: i, dir: filepath.Join(r.Dir, fmt.Sprintf("c%d", i)),
+		c.servers = append(c.servers, &controlServer{control: c, index: i, dir: filepath.Join(r.Dir, fmt.Sprintf("c%d", i)),
 			address: address})
 	}
 	for k, to := range c.servers {
@@ -94,8 +94,8 @@
 	for k, other := range s.control.servers {
 		file.Servers = append(file.Servers,
 			controlfile.Server{Name: other.name(), Address: other.address, Region: other.region()})
-		if k != s.i {
-			file.Via[other.address] = s.control.relays[link{server: true, from: s.i, to: k}].Address()
+		if k != s.index {
+			file.Via[other.address] = s.control.relays[link{server: true, from: s.index, to: k}].Address()
 		}
 	}
 	text, err := toml.Marshal(file)
@@ -111,16 +111,16 @@
 func (s *controlServer) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.now != nil {
+	if s.current != nil {
 		return nil
 	}
 	s.ending = false
 	rig := s.control.rig
 	command := exec.Command(rig.Control, "serve", s.path())
 	p, err := rig.launch(command, filepath.Join(s.dir, "log"), func(int) {
-		rig.history.add(Event{What: eventServerStart, Control: &ControlEvent{Server: s.i}})
+		rig.history.add(Event{What: eventServerStart, Control: &ControlEvent{Server: s.index}})
 	}, func(*process, logLine) {}, s.exited)
-	s.now = p
+	s.current = p
 	return err
 }
 
@@ -133,13 +133,13 @@
 	if !ending {
 		what = eventServerDied
 	}
-	s.control.rig.history.add(Event{What: what, Note: note, Control: &ControlEvent{Server: s.i}})
+	s.control.rig.history.add(Event{What: what, Note: note, Control: &ControlEvent{Server: s.index}})
 }
 
 // end ends the server's process by a function and waits for it.
 func (s *controlServer) end(by func(*process)) {
 	s.mu.Lock()
-	p := s.now
+	p := s.current
 	s.ending = true
 	s.mu.Unlock()
 	if p == nil {
@@ -148,7 +148,7 @@
 	by(p)
 	<-p.exited
 	s.mu.Lock()
-	s.now = nil
+	s.current = nil
 	s.mu.Unlock()
 }
 
@@ -159,14 +159,14 @@
 func (s *controlServer) stop(held bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.now == nil {
+	if s.current == nil {
 		return
 	}
 	signal := syscall.SIGCONT
 	if held {
 		signal = syscall.SIGSTOP
 	}
-	s.now.cmd.Process.Signal(signal)
+	s.current.cmd.Process.Signal(signal)
 }
 
 // keepCopy copies the server's directory; restore puts that copy back, and wipe empties it.
@@ -186,8 +186,8 @@
 	return os.MkdirAll(s.data(), 0o755)
 }
 
-// begin begins a fault of the server's process.
-func (s *controlServer) begin(f ControlFault) error {
+// beginFault begins a fault of the server's process.
+func (s *controlServer) beginFault(f ControlFault) error {
 	switch f.Kind {
 	case faultStop:
 		s.stop(true)
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// over ends a fault of the server's process.
-func (s *controlServer) over(f ControlFault) error {
+// endFault ends a fault of the server's process.
+func (s *controlServer) endFault(f ControlFault) error {
 	if f.Kind == faultStop {
 		s.stop(false)
 		return nil
--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -58,12 +58,12 @@
 
 // measureOnce measures a program once.
 func measureOnce(ctx context.Context, program string, load Load) (c Cost, err error) {
-	if c.Start, err = spent(ctx, program, Load{}); err != nil {
+	if c.Start, err = processorTime(ctx, program, Load{}); err != nil {
 		return c, err
 	}
 	// perUnit is the cost of one unit of a load, without that of the start.
 	perUnit := func(load Load, units float64) (float64, error) {
-		whole, err := spent(ctx, program, load)
+		whole, err := processorTime(ctx, program, load)
 		return (whole - c.Start) / units, err
 	}
 	if c.Flow, err = perUnit(Load{Flows: load.Flows}, float64(load.Flows)); err != nil {
@@ -76,8 +76,8 @@
 	return c, err
 }
 
-// spent runs a node without a fleet, puts a load on it after a first flow and returns the CPU time of its process.
-func spent(ctx context.Context, program string, load Load) (us float64, err error) {
+// processorTime runs a node without a fleet, puts a load on it after a first flow and returns the CPU time of its process.
+func processorTime(ctx context.Context, program string, load Load) (us float64, err error) {
 	dir, err := os.MkdirTemp("", "cost")
 	if err != nil {
 		return 0, err
@@ -98,7 +98,7 @@
 	flow := func(lines int) (f standin.Flow, err error) {
 		for from := time.Now(); ; {
 			id++
-			f = standin.Play(ctx, n.Client, fmt.Sprintf("%08x", id), 7, flowTimeout, lateAnswerGrace, lines, 0)
+			f = standin.RunFlow(ctx, n.Client, fmt.Sprintf("%08x", id), 7, flowTimeout, lateAnswerGrace, lines, 0)
 			if f.Answer == standin.Up {
 				return f, nil
 			}
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -56,7 +56,7 @@
 // changeFault begins a fault, or ends it where over is true.
 func (r *Rig) changeFault(f Fault, over bool) error {
 	if faultKinds[f.Kind].onLink {
-		r.changeLinks(f, func(w *Way) { setLinkFault(w, f, over) })
+		r.changeLinks(f, func(w *LinkConditions) { setLinkFault(w, f, over) })
 		return nil
 	}
 	for _, i := range f.Nodes {
@@ -74,7 +74,7 @@
 }
 
 // setLinkFault sets what a fault changes of a link, or sets it back where the fault is over.
-func setLinkFault(w *Way, f Fault, over bool) {
+func setLinkFault(w *LinkConditions, f Fault, over bool) {
 	amount := f.By
 	if over {
 		amount = 0
@@ -91,11 +91,11 @@
 	case faultReplay:
 		w.Replay = amount
 	case faultTear:
-		w.CutAt = int64(amount)
+		w.BreakAfter = int64(amount)
 	case faultSlow:
-		w.PerByte = 0
+		w.SecondsPerByte = 0
 		if amount > 0 {
-			w.PerByte = 1 / amount
+			w.SecondsPerByte = 1 / amount
 		}
 	}
 }
@@ -143,7 +143,7 @@
 }
 
 // changeLinks changes the relays of a fault's links.
-func (r *Rig) changeLinks(f Fault, change func(*Way)) {
+func (r *Rig) changeLinks(f Fault, change func(*LinkConditions)) {
 	for _, from := range f.Nodes {
 		to := f.To
 		if len(to) == 0 {
--- a/internal/rig/draw.go
+++ b/internal/rig/generate.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	drawStream   = 0x7269670a // sets the faults' random stream apart from others of the same seed
-	drawAttempts = 50         // for each drawn fault, to find one that leaves enough nodes running
+	faultRandomStream  = 0x7269670a // sets the faults' random stream apart from others of the same seed
+	generationAttempts = 50         // for each drawn fault, to find one that leaves enough nodes running
 )
 
-// Draw returns the script's faults and those that are drawn from the seed, in the order of their times. Drawn
+// GenerateFaults returns the script's faults and those that are drawn from the seed, in the order of their times. Drawn
 // process faults take down or stop at most a third of the nodes at once, and drawn cuts do not overlap, so that
 // the remaining nodes have a path to each other.
-func (s *Script) Draw(seed uint64) []Fault {
+func (s *Script) GenerateFaults(seed uint64) []Fault {
 	faults := slices.Clone(s.Faults)
-	random := rand.New(rand.NewPCG(seed, drawStream))
-	kinds := s.drawnKinds()
-	for try := 0; len(faults) < len(s.Faults)+s.Drawn && try < drawAttempts*s.Drawn; try++ {
-		fault := s.drawFault(random, kinds)
+	random := rand.New(rand.NewPCG(seed, faultRandomStream))
+	kinds := s.generatedKinds()
+	for try := 0; len(faults) < len(s.Faults)+s.GeneratedFaults && try < generationAttempts*s.GeneratedFaults; try++ {
+		fault := s.generateFault(random, kinds)
 		if s.canAdd(faults, fault) {
 			faults = append(faults, fault)
 		}
@@ -29,10 +29,10 @@
 	return faults
 }
 
-// drawnKinds returns the kinds of faults to draw from, in a fixed order.
-func (s *Script) drawnKinds() []string {
-	if len(s.Kinds) > 0 {
-		return s.Kinds
+// generatedKinds returns the kinds of faults to draw from, in a fixed order.
+func (s *Script) generatedKinds() []string {
+	if len(s.GeneratedKinds) > 0 {
+		return s.GeneratedKinds
 	}
 	var names []string
 	for name, kind := range faultKinds {
@@ -44,8 +44,8 @@
 	return names
 }
 
-// drawFault draws one fault. Its times and its amount have two decimals.
-func (s *Script) drawFault(random *rand.Rand, kinds []string) Fault {
+// generateFault draws one fault. Its times and its amount have two decimals.
+func (s *Script) generateFault(random *rand.Rand, kinds []string) Fault {
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
 	f := Fault{Kind: kinds[random.IntN(len(kinds))], Nodes: []int{random.IntN(s.Nodes)}}
 	f.For = round(min(s.Period*(1+20*random.Float64()*random.Float64()), s.Lasts/2))
@@ -59,12 +59,12 @@
 			f.To = []int{(f.Nodes[0] + 1 + random.IntN(s.Nodes-1)) % s.Nodes}
 		}
 	}
-	f.By = round(s.drawAmount(random, f.Kind))
+	f.By = round(s.generateAmount(random, f.Kind))
 	return f
 }
 
-// drawAmount draws a fault's amount, 0 for a kind that has none.
-func (s *Script) drawAmount(random *rand.Rand, kind string) float64 {
+// generateAmount draws a fault's amount, 0 for a kind that has none.
+func (s *Script) generateAmount(random *rand.Rand, kind string) float64 {
 	switch kind {
 	case faultLoss:
 		return 0.05 + 0.35*random.Float64()
--- a/internal/rig/history.go
+++ b/internal/rig/history.go
@@ -48,13 +48,13 @@
 
 // history keeps the events of a run in order and writes them as JSON Lines. It is safe for concurrent use.
 type history struct {
-	mu     sync.Mutex
-	began  time.Time
-	events []Event
-	file   *os.File
-	out    *bufio.Writer
-	path   string
-	seen   func(Event) // told of each, with At as Unix seconds; nil for nobody
+	mu      sync.Mutex
+	began   time.Time
+	events  []Event
+	file    *os.File
+	out     *bufio.Writer
+	path    string
+	observe func(Event) // told of each, with At as Unix seconds; nil for nobody
 }
 
 // newHistory returns a history that writes to a file, which gets its name when the history is closed as complete. With an
@@ -83,10 +83,10 @@
 		e.At = h.now()
 	}
 	h.events = append(h.events, e)
-	if h.seen != nil {
+	if h.observe != nil {
 		told := e
 		told.At += float64(h.began.UnixNano()) / 1e9
-		h.seen(told)
+		h.observe(told)
 	}
 	if h.out != nil {
 		json.NewEncoder(h.out).Encode(e)
--- a/internal/rig/nodes.go
+++ b/internal/rig/nodes.go
@@ -16,8 +16,8 @@
 // Nodes are nodes of the built program with their stand-ins, for runs that no Script describes: the caller chooses
 // names and fleet files and brings its own faults about.
 type Nodes struct {
-	rig *Rig
-	of  []*Node
+	rig   *Rig
+	nodes []*Node
 }
 
 // Node is one of them.
@@ -33,7 +33,7 @@
 	Seed    uint64
 	Hosts   int         // stand-ins
 	Flows   float64     // new clients a second, over all nodes
-	Seen    func(Event) // told as it is seen, with At as Unix seconds; may be nil
+	Observe func(Event) // told as it is seen, with At as Unix seconds; may be nil
 }
 
 // NewNodes starts the stand-ins. Close ends them and all nodes.
@@ -42,40 +42,40 @@
 	if err != nil {
 		return nil, err
 	}
-	h.seen = o.Seen
+	h.observe = o.Observe
 	r := &Rig{Options: Options{Program: o.Program, Seed: o.Seed, Dir: o.Dir}, script: &Script{Flows: o.Flows}, history: h,
 		rand:   rand.New(rand.NewPCG(o.Seed, 11)),
-		client: &http.Client{Timeout: viewWithin, Transport: &http.Transport{DisableKeepAlives: true}}}
+		client: &http.Client{Timeout: viewTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	n := &Nodes{rig: r}
 	if r.hosts, err = standin.StartHosts(o.Hosts); err != nil {
 		return nil, err
 	}
-	r.roster = standin.StartDiscovery()
-	r.roster.Tell(r.hosts.List(1))
+	r.discovery = standin.StartDiscovery()
+	r.discovery.Publish(r.hosts.EndpointList(1))
 	return n, nil
 }
 
-// viewWithin is the time for an answer from a node that knows a large fleet, on a busy machine.
-const viewWithin = 5 * time.Second
+// viewTimeout is the time for an answer from a node that knows a large fleet, on a busy machine.
+const viewTimeout = 5 * time.Second
 
 // Add prepares a node with a name and a fleet file of its own; settled is the number of nodes that its settings
 // speak of. Prepare writes its files, Start starts it.
 func (n *Nodes) Add(name string, file fleet.Config) (*Node, error) {
 	i := len(n.rig.nodes)
-	one := &node{rig: n.rig, i: i, label: name, dir: filepath.Join(n.rig.Dir, name), fleet: file.Address}
+	one := &node{rig: n.rig, index: i, label: name, dir: filepath.Join(n.rig.Dir, name), fleet: file.Address}
 	for _, at := range []*string{&one.client, &one.admin, &one.fleet} {
 		if *at != "" {
 			continue
 		}
 		var err error
-		if *at, err = free(i); err != nil {
+		if *at, err = freeAddress(i); err != nil {
 			return nil, err
 		}
 	}
 	file.Address = one.fleet
 	n.rig.nodes = append(n.rig.nodes, one)
 	added := &Node{node: one, File: file}
-	n.of = append(n.of, added)
+	n.nodes = append(n.nodes, added)
 	return added, nil
 }
 
@@ -120,10 +120,10 @@
 func (n *Node) PID() int {
 	n.node.mu.Lock()
 	defer n.node.mu.Unlock()
-	if n.node.now == nil {
+	if n.node.current == nil {
 		return 0
 	}
-	return n.node.now.cmd.Process.Pid
+	return n.node.current.cmd.Process.Pid
 }
 
 // View asks the node for what it knows of its fleet.
@@ -131,6 +131,6 @@
 
 // Config asks the node for the configuration that it has in force.
 func (n *Node) Config(ctx context.Context) (c view.Config, err error) {
-	err = n.node.rig.ask(ctx, n.node, "/-/config", &c)
+	err = n.node.rig.fetch(ctx, n.node, "/-/config", &c)
 	return c, err
 }
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -34,7 +34,7 @@
 // node is a node of the rig: its addresses, its directory and its process, or the two processes of an upgrade.
 type node struct {
 	rig    *Rig
-	i      int
+	index  int
 	label  string // its name, where that is not its number
 	dir    string
 	client string // addresses
@@ -42,7 +42,7 @@
 	fleet  string
 
 	mu          sync.Mutex // guards the fields below
-	now         *process   // the process that serves
+	current     *process   // the process that serves
 	predecessor *process   // hands over to now in an upgrade
 	stopped     bool       // by SIGSTOP
 }
@@ -51,7 +51,7 @@
 	if n.label != "" {
 		return n.label
 	}
-	return fmt.Sprintf("n%d", n.i)
+	return fmt.Sprintf("n%d", n.index)
 }
 
 // launch starts a process and writes its standard error to a log until it has ended. It calls started with the process
@@ -99,16 +99,16 @@
 	command := exec.Command(n.rig.Program)
 	command.Env = append(os.Environ(), "LB_CONFIG="+filepath.Join(n.dir, "config.json"), "TMPDIR="+n.dir)
 	return n.rig.launch(command, filepath.Join(n.dir, "log"), func(pid int) {
-		n.rig.history.add(Event{What: eventStart, Node: n.i, Note: fmt.Sprint(pid)})
+		n.rig.history.add(Event{What: eventStart, Node: n.index, Note: fmt.Sprint(pid)})
 	}, func(p *process, l logLine) {
 		switch l.Message {
 		case "member":
-			n.rig.history.add(Event{What: eventMember, Node: n.i, Member: l.Member, State: l.State})
+			n.rig.history.add(Event{What: eventMember, Node: n.index, Member: l.Member, State: l.State})
 		case "member of a fleet":
 			p.once.Do(func() { close(p.ready) })
 		}
 	}, func(note string) {
-		n.rig.history.add(Event{What: eventExit, Node: n.i, Note: note})
+		n.rig.history.add(Event{What: eventExit, Node: n.index, Note: note})
 	})
 }
 
@@ -116,11 +116,11 @@
 func (n *node) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.now != nil {
+	if n.current != nil {
 		return nil
 	}
 	p, err := n.launch()
-	n.now = p
+	n.current = p
 	return err
 }
 
@@ -168,14 +168,14 @@
 func (n *node) up() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.now != nil && !n.stopped
+	return n.current != nil && !n.stopped
 }
 
 // processes returns the node's processes.
 func (n *node) processes() (out []*process) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, p := range []*process{n.now, n.predecessor} {
+	for _, p := range []*process{n.current, n.predecessor} {
 		if p != nil {
 			out = append(out, p)
 		}
@@ -190,7 +190,7 @@
 		<-p.exited
 	}
 	n.mu.Lock()
-	n.now, n.predecessor, n.stopped = nil, nil, false
+	n.current, n.predecessor, n.stopped = nil, nil, false
 	n.mu.Unlock()
 }
 
@@ -211,7 +211,7 @@
 		p.leave()
 	}
 	n.mu.Lock()
-	n.now, n.predecessor = nil, nil
+	n.current, n.predecessor = nil, nil
 	n.mu.Unlock()
 }
 
@@ -233,7 +233,7 @@
 // new process is a member, or after shutdownTimeout.
 func (n *node) upgrade() error {
 	n.mu.Lock()
-	predecessor := n.now
+	predecessor := n.current
 	n.mu.Unlock()
 	if predecessor == nil {
 		return nil
@@ -243,7 +243,7 @@
 		return err
 	}
 	n.mu.Lock()
-	n.now, n.predecessor = p, predecessor
+	n.current, n.predecessor = p, predecessor
 	n.mu.Unlock()
 	select {
 	case <-p.ready:
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Way is what becomes of what goes from one process to another.
-type Way struct {
-	Cut     bool
-	Loss    float64 // part of the datagrams that is lost
-	Delay   float64 // seconds, for datagrams and streams
-	Jitter  float64 // seconds more at the most, drawn: datagrams overtake one another
-	Repeat  float64 // part of the datagrams that comes twice
-	Replay  float64 // old datagrams that come again, a second
-	CutAt   int64   // a stream breaks off after so many bytes; 0 for never
-	PerByte float64 // seconds that a byte of a stream takes
+// LinkConditions is what becomes of what goes from one process to another.
+type LinkConditions struct {
+	Cut            bool
+	Loss           float64 // part of the datagrams that is lost
+	Delay          float64 // seconds, for datagrams and streams
+	Jitter         float64 // seconds more at the most, drawn: datagrams overtake one another
+	Repeat         float64 // part of the datagrams that comes twice
+	Replay         float64 // old datagrams that come again, a second
+	BreakAfter     int64   // a stream breaks off after so many bytes; 0 for never
+	SecondsPerByte float64 // seconds that a byte of a stream takes
 }
 
 // Relay carries what one process sends another, datagrams and streams, by a way that may change at any time.
 type Relay struct {
-	in      *net.UDPConn
-	streams *net.TCPListener
-	to      string // the receiver's own address
-	mu      sync.Mutex
-	way     Way
-	rand    *rand.Rand
-	conns   map[net.Conn]bool
-	old     [][]byte // what passed, some of it, to be played again
-	passed  int
-	closed  chan struct{}
-	group   sync.WaitGroup
+	in         *net.UDPConn
+	streams    *net.TCPListener
+	to         string // the receiver's own address
+	mu         sync.Mutex
+	conditions LinkConditions
+	rand       *rand.Rand
+	conns      map[net.Conn]bool
+	recorded   [][]byte // what passed, some of it, to be played again
+	passed     int
+	closed     chan struct{}
+	group      sync.WaitGroup
 }
 
 const (
-	mostOld   = 256                    // datagrams of a way that are kept to be played again
-	replayGap = 100 * time.Millisecond // between two lots of old datagrams
+	maxRecordedDatagrams = 256                    // datagrams of a way that are kept to be played again
+	replayInterval       = 100 * time.Millisecond // between two lots of old datagrams
 )
 
 // NewRelay opens a relay to an address, on one port for both.
@@ -66,11 +66,11 @@
 func (r *Relay) Address() string { return r.in.LocalAddr().String() }
 
 // Set changes the way; streams that are open break where it is cut.
-func (r *Relay) Set(change func(*Way)) {
+func (r *Relay) Set(change func(*LinkConditions)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(&r.way)
-	if r.way.Cut {
+	change(&r.conditions)
+	if r.conditions.Cut {
 		for c := range r.conns {
 			c.Close()
 		}
@@ -94,14 +94,14 @@
 	for {
 		n, err := r.in.Read(buf)
 		if err != nil {
-			if r.over() {
+			if r.isClosed() {
 				return
 			}
 			continue
 		}
 		r.mu.Lock()
-		r.keep(buf[:n])
-		w := r.way
+		r.recordDatagram(buf[:n])
+		w := r.conditions
 		copies := 1
 		if w.Cut || r.rand.Float64() < w.Loss {
 			copies = 0
@@ -128,8 +128,8 @@
 	}
 }
 
-// over tells whether the relay is closed.
-func (r *Relay) over() bool {
+// isClosed tells whether the relay is closed.
+func (r *Relay) isClosed() bool {
 	select {
 	case <-r.closed:
 		return true
@@ -138,32 +138,32 @@
 	}
 }
 
-// keep notes a datagram that passed, for who has the lock: each has the same chance to be among those that
+// recordDatagram notes a datagram that passed, for who has the lock: each has the same chance to be among those that
 // are kept.
-func (r *Relay) keep(text []byte) {
+func (r *Relay) recordDatagram(text []byte) {
 	r.passed++
-	at := len(r.old)
-	if at < mostOld {
-		r.old = append(r.old, nil)
-	} else if at = r.rand.IntN(r.passed); at >= mostOld {
+	at := len(r.recorded)
+	if at < maxRecordedDatagrams {
+		r.recorded = append(r.recorded, nil)
+	} else if at = r.rand.IntN(r.passed); at >= maxRecordedDatagrams {
 		return
 	}
-	r.old[at] = append([]byte(nil), text...)
+	r.recorded[at] = append([]byte(nil), text...)
 }
 
 // replay sends old datagrams again, where the way says so, until the relay is closed.
 func (r *Relay) replay(out *net.UDPConn, to *net.UDPAddr) {
 	for due := 0.0; ; {
 		select {
-		case <-time.After(replayGap):
+		case <-time.After(replayInterval):
 		case <-r.closed:
 			return
 		}
 		r.mu.Lock()
 		var lot [][]byte
-		for due += r.way.Replay * replayGap.Seconds(); due >= 1; due-- {
-			if len(r.old) > 0 && !r.way.Cut {
-				lot = append(lot, r.old[r.rand.IntN(len(r.old))])
+		for due += r.conditions.Replay * replayInterval.Seconds(); due >= 1; due-- {
+			if len(r.recorded) > 0 && !r.conditions.Cut {
+				lot = append(lot, r.recorded[r.rand.IntN(len(r.recorded))])
 			}
 		}
 		r.mu.Unlock()
@@ -180,7 +180,7 @@
 			return
 		}
 		r.mu.Lock()
-		cut := r.way.Cut || r.over()
+		cut := r.conditions.Cut || r.isClosed()
 		r.mu.Unlock()
 		if cut {
 			c.Close()
@@ -198,7 +198,7 @@
 	}
 	r.mu.Lock()
 	r.conns[c], r.conns[far] = true, true
-	if r.over() || r.way.Cut { // since it was accepted
+	if r.isClosed() || r.conditions.Cut { // since it was accepted
 		c.Close()
 		far.Close()
 	}
@@ -221,13 +221,13 @@
 	for total := int64(0); ; {
 		n, err := from.Read(buf)
 		r.mu.Lock()
-		w := r.way
+		w := r.conditions
 		r.mu.Unlock()
-		if w.CutAt > 0 && total+int64(n) >= w.CutAt {
-			to.Write(buf[:max(w.CutAt-total, 0)])
+		if w.BreakAfter > 0 && total+int64(n) >= w.BreakAfter {
+			to.Write(buf[:max(w.BreakAfter-total, 0)])
 			return
 		}
-		if wait := w.Delay + w.PerByte*float64(n); wait > 0 && n > 0 {
+		if wait := w.Delay + w.SecondsPerByte*float64(n); wait > 0 && n > 0 {
 			time.Sleep(time.Duration(wait * 1e9))
 		}
 		total += int64(n)
--- a/internal/rig/relay_test.go
+++ b/internal/rig/relay_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	r.Set(func(w *Way) { w.Cut = true })
+	r.Set(func(w *LinkConditions) { w.Cut = true })
 	near, accepted := net.Pipe()
 	done := make(chan struct{})
 	go func() {
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -21,17 +21,17 @@
 // Rig is a run in progress: the nodes, the relays between them and the stand-ins around them.
 type Rig struct {
 	Options
-	script  *Script
-	history *history
-	nodes   []*node
-	relays  map[[2]int]*Relay
-	hosts   *standin.Hosts
-	roster  *standin.Discovery
-	client  *http.Client
-	control *control // nil where the script has no control servers
-	flows   sync.WaitGroup
-	rand    *rand.Rand
-	mu      sync.Mutex // guards rand
+	script    *Script
+	history   *history
+	nodes     []*node
+	relays    map[[2]int]*Relay
+	hosts     *standin.Hosts
+	discovery *standin.Discovery
+	client    *http.Client
+	control   *control // nil where the script has no control servers
+	flows     sync.WaitGroup
+	rand      *rand.Rand
+	mu        sync.Mutex // guards rand
 }
 
 // close stops everything that the rig started and waits until it has ended.
@@ -46,8 +46,8 @@
 	for _, l := range r.relays {
 		l.Close()
 	}
-	if r.roster != nil {
-		r.roster.Close()
+	if r.discovery != nil {
+		r.discovery.Close()
 	}
 	if r.hosts != nil {
 		r.hosts.Close()
--- a/internal/rig/rig_golden_test.go
+++ b/internal/rig/rig_golden_test.go
@@ -64,8 +64,8 @@
 
 // goldenScript has every key, and values other than the defaults.
 func goldenScript() *Script {
-	s := &Script{Name: "golden", Lasts: 100, Settle: 30, Nodes: 6, Zones: 3, Period: 0.5, Hosts: 7, Flows: 8.5, Drawn: 9, Liveness: 15,
-		Kinds: []string{"stop", "kill"}, Control: 5, Applies: 0.75, InForce: 4, DrawnControl: 2}
+	s := &Script{Name: "golden", Lasts: 100, Settle: 30, Nodes: 6, Zones: 3, Period: 0.5, Hosts: 7, Flows: 8.5, GeneratedFaults: 9, Liveness: 15,
+		GeneratedKinds: []string{"stop", "kill"}, Control: 5, Applies: 0.75, InForce: 4, GeneratedControlFaults: 2}
 	for i, kind := range goldenFaultKinds {
 		f := Fault{At: float64(1 + i), Kind: kind, Nodes: []int{1, 2}, To: []int{}, For: 2.5, By: 0.25}
 		if faultKinds[kind].onLink {
@@ -219,8 +219,8 @@
 func TestGoldenResult(t *testing.T) {
 	event := goldenEvent()
 	checkJSON(t, "result.json", &Result{Seed: 1, Faults: []Fault{*event.Fault}, ControlFaults: []ControlFault{*event.Control.Fault},
-		Events: []Event{event}, Breaks: []Break{{Rule: "no blameless member is held for dead", At: 1.5, Text: "n1 holds n2 for dead"}}, Calls: 2,
-		Answers: map[string]int{"up": 3, "busy": 4}, Met: 5.5, Agreed: 6.5, Changes: map[string]int{"accepted": 7}, InForce: []float64{8.5, 9.5},
+		Events: []Event{event}, Violations: []Violation{{Rule: "no blameless member is held for dead", At: 1.5, Text: "n1 holds n2 for dead"}}, Calls: 2,
+		Answers: map[string]int{"up": 3, "busy": 4}, JoinTime: 5.5, Agreed: 6.5, Changes: map[string]int{"accepted": 7}, InForce: []float64{8.5, 9.5},
 		Deaths: []Death{{Node: 1, First: 10.5, Last: 11.5, Known: 12}}, Nodes: 13})
 }
 
@@ -238,7 +238,7 @@
 
 // The config file that the rig writes for a node, which has no list of known hosts.
 func TestGoldenNodeConfig(t *testing.T) {
-	n := &node{i: 3, client: "127.0.1.4:7001", admin: "127.0.1.4:7002", fleet: "127.0.1.4:7003"}
+	n := &node{index: 3, client: "127.0.1.4:7001", admin: "127.0.1.4:7002", fleet: "127.0.1.4:7003"}
 	written, err := json.Marshal(config(n, "127.0.0.1:7004", "fleet.toml", 0x0123456789abcdef, 5))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rig/play.go
+++ b/internal/rig/run.go
@@ -16,10 +16,10 @@
 	Faults        []Fault
 	ControlFaults []ControlFault
 	Events        []Event
-	Breaks        []Break
+	Violations    []Violation    `json:"Breaks"`
 	Calls         int            // flows and proposed changes
 	Answers       map[string]int // flows by their answer
-	Met           float64        // until all nodes had found each other
+	JoinTime      float64        `json:"Met"` // until all nodes had found each other
 	Agreed        float64        // from the end of the last fault until all agreed, -1 where they did not
 	Changes       map[string]int // proposed changes of configuration by their outcome
 	InForce       []float64      // from each accepted change without cuts until it was in force at the last node
@@ -29,12 +29,12 @@
 
 // Summary returns the last line of the report of a run.
 func (r *Result) Summary() string {
-	return fmt.Sprintf("SEED %d: %d calls, %d faults, broken %d", r.Seed, r.Calls, r.FaultCount(), len(r.Breaks))
+	return fmt.Sprintf("SEED %d: %d calls, %d faults, broken %d", r.Seed, r.Calls, r.FaultCount(), len(r.Violations))
 }
 
-// Play runs a script once and judges it. An error means that the run itself failed, not that a rule was broken. When
+// Run runs a script once and judges it. An error means that the run itself failed, not that a rule was broken. When
 // Play returns, nothing that it started is running, whatever happened.
-func Play(ctx context.Context, s *Script, o Options) (res *Result, err error) {
+func Run(ctx context.Context, s *Script, o Options) (res *Result, err error) {
 	h, err := newHistory(o.History)
 	if err != nil {
 		return nil, err
@@ -52,21 +52,21 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	res = &Result{Seed: o.Seed, Faults: s.Draw(o.Seed), ControlFaults: s.DrawControl(o.Seed), Nodes: s.Nodes, Answers: map[string]int{}}
-	disagreement, err := r.run(ctx, res)
+	res = &Result{Seed: o.Seed, Faults: s.GenerateFaults(o.Seed), ControlFaults: s.GenerateControlFaults(o.Seed), Nodes: s.Nodes, Answers: map[string]int{}}
+	disagreement, err := r.runScript(ctx, res)
 	if err != nil {
 		return nil, err
 	}
 	res.Events = h.all()
 	res.countCalls()
-	res.Breaks, res.Deaths = Judge(s, res, disagreement), Deaths(s, res.Events)
+	res.Violations, res.Deaths = Check(s, res, disagreement), Deaths(s, res.Events)
 	res.InForce = inForceTimes(s, res.Events)
 	return res, nil
 }
 
-// run waits until the nodes have found each other, applies the faults with clients coming and waits until the nodes
+// runScript waits until the nodes have found each other, applies the faults with clients coming and waits until the nodes
 // agree. It returns the disagreement that is left, empty where there is none.
-func (r *Rig) run(ctx context.Context, res *Result) (disagreement string, err error) {
+func (r *Rig) runScript(ctx context.Context, res *Result) (disagreement string, err error) {
 	flowing, stopFlows := context.WithCancel(ctx)
 	defer stopFlows()
 	defer r.reportProgress(flowing)()
@@ -80,7 +80,7 @@
 	}
 	r.flows.Go(func() { r.traffic(flowing, ctx) })
 	r.flows.Go(func() { r.recordBudget(flowing) })
-	if err := r.playFaults(ctx, res.Faults); err != nil {
+	if err := r.injectFaults(ctx, res.Faults); err != nil {
 		return "", err
 	}
 	if res.Agreed, disagreement, err = r.awaitAgreement(ctx, r.script.Settle); err != nil {
@@ -94,25 +94,25 @@
 	return disagreement, nil
 }
 
-// playFaults applies the faults of nodes and of control servers, with changes of configuration going on, and waits until
+// injectFaults applies the faults of nodes and of control servers, with changes of configuration going on, and waits until
 // the configuration is in force after them.
-func (r *Rig) playFaults(ctx context.Context, faults []Fault) error {
+func (r *Rig) injectFaults(ctx context.Context, faults []Fault) error {
 	if r.control == nil {
 		return r.applyFaults(ctx, faults)
 	}
-	return r.control.play(ctx, func() error { return r.applyFaults(ctx, faults) })
+	return r.control.runWithFaults(ctx, func() error { return r.applyFaults(ctx, faults) })
 }
 
 // awaitJoin waits until all nodes have found each other, which is an error where it takes too long.
 func (r *Rig) awaitJoin(ctx context.Context, res *Result) (err error) {
 	var disagreement string
-	if res.Met, disagreement, err = r.awaitAgreement(ctx, joinTimeout); err != nil {
+	if res.JoinTime, disagreement, err = r.awaitAgreement(ctx, joinTimeout); err != nil {
 		return err
 	}
 	if disagreement != "" {
 		return fmt.Errorf("the nodes have not found each other within %g s: %s", joinTimeout, disagreement)
 	}
-	r.progressf("all %d have found each other after %.1f s", len(r.nodes), res.Met)
+	r.progressf("all %d have found each other after %.1f s", len(r.nodes), res.JoinTime)
 	return nil
 }
 
--- a/internal/rig/play_test.go
+++ b/internal/rig/run_test.go
@@ -12,19 +12,19 @@
 
 // Built once for all tests: the node, one with a core that gives nobody time to answer, one that polls one control server
 // only, and the control server.
-var program, hasty, oneServer, serverProgram string
+var nodeProgram, shortSuspicionProgram, singleServerProgram, serverProgram string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		panic(err)
 	}
-	program, hasty = filepath.Join(dir, "gorseledge"), filepath.Join(dir, "hasty")
+	nodeProgram, shortSuspicionProgram = filepath.Join(dir, "gorseledge"), filepath.Join(dir, "hasty")
 	serverProgram = filepath.Join(dir, "gorseledge-config")
-	oneServer = filepath.Join(dir, "oneserver")
+	singleServerProgram = filepath.Join(dir, "oneserver")
 	code := 1
-	if compile(program, nodeCommand, "-race") && compile(hasty, nodeCommand, "-tags=hasty") &&
-		compile(serverProgram, serverCommand, "-race") && compile(oneServer, nodeCommand, "-tags=oneserver") {
+	if compile(nodeProgram, nodeCommand, "-race") && compile(shortSuspicionProgram, nodeCommand, "-tags=hasty") &&
+		compile(serverProgram, serverCommand, "-race") && compile(singleServerProgram, nodeCommand, "-tags=oneserver") {
 		code = m.Run()
 	}
 	os.RemoveAll(dir)
@@ -42,14 +42,14 @@
 	return c.Run() == nil
 }
 
-// play plays a script's text and fails where a node's log tells of a race, or a process is left.
-func play(t *testing.T, program, text string, seed uint64) *Result {
+// runProgram plays a script's text and fails where a node's log tells of a race, or a process is left.
+func runProgram(t *testing.T, program, text string, seed uint64) *Result {
 	t.Helper()
-	return playWith(t, Options{Program: program, Seed: seed}, text)
+	return runWithOptions(t, Options{Program: program, Seed: seed}, text)
 }
 
-// playWith is play with a control server too.
-func playWith(t *testing.T, o Options, text string) *Result {
+// runWithOptions is play with a control server too.
+func runWithOptions(t *testing.T, o Options, text string) *Result {
 	t.Helper()
 	s, err := Read("script", []byte(text))
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 	dir := t.TempDir()
 	o.Dir, o.History = dir, filepath.Join(dir, "history.jsonl")
-	r, err := Play(t.Context(), s, o)
+	r, err := Run(t.Context(), s, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,8 +73,8 @@
 // Five processes through a stop, a cut in one direction, a kill with its directory
 // put back older, old messages played again, garbage and an upgrade:
 // nobody blameless is held for dead, no flow is without its one answer, all agree in the end.
-func TestPlay(t *testing.T) {
-	r := play(t, program, `
+func TestFaultsOfAllKindsViolateNoRule(t *testing.T) {
+	r := runProgram(t, nodeProgram, `
 nodes = 5
 period = 0.25
 lasts = 16
@@ -123,7 +123,7 @@
 nodes = [2]
 for = 2
 `, 3)
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	if r.Calls < 100 || r.Answers["up"] < r.Calls/2 {
@@ -135,8 +135,8 @@
 }
 
 // A core that gives nobody time to answer is caught: a process stopped for two periods is held for dead.
-func TestHastyIsCaught(t *testing.T) {
-	r := play(t, hasty, `
+func TestTooShortSuspicionIsDetected(t *testing.T) {
+	r := runProgram(t, shortSuspicionProgram, `
 nodes = 4
 period = 0.5
 lasts = 8
@@ -155,16 +155,16 @@
 nodes = [2]
 for = 1.9
 `, 1)
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		if b.Rule == RuleDeath {
 			return
 		}
 	}
-	t.Errorf("nothing was caught: %v", r.Breaks)
+	t.Errorf("nothing was caught: %v", r.Violations)
 }
 
 // An interrupt leaves no process and no half-written file.
-func TestInterrupt(t *testing.T) {
+func TestInterruptLeavesNoProcessAndNoPartialFile(t *testing.T) {
 	s, err := Read("script", []byte("nodes = 3\nlasts = 60\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	done := make(chan error, 1)
 	var pids string
 	go func() {
-		_, err := Play(ctx, s, Options{Program: program, Seed: 1, Dir: dir, History: filepath.Join(dir, "history.jsonl"),
+		_, err := Run(ctx, s, Options{Program: nodeProgram, Seed: 1, Dir: dir, History: filepath.Join(dir, "history.jsonl"),
 			Progress: func(string) { met <- true }})
 		done <- err
 	}()
@@ -184,7 +184,7 @@
 	case <-time.After(time.Minute):
 		t.Fatal("the nodes have not met")
 	}
-	out, _ := exec.Command("pgrep", "-f", program).Output()
+	out, _ := exec.Command("pgrep", "-f", nodeProgram).Output()
 	pids = string(out)
 	cancel()
 	if err := <-done; err == nil {
@@ -194,7 +194,7 @@
 		t.Errorf("left: %v", left)
 	}
 	for _, pid := range strings.Fields(pids) {
-		if cmdline, err := os.ReadFile("/proc/" + pid + "/cmdline"); err == nil && strings.HasPrefix(string(cmdline), program) {
+		if cmdline, err := os.ReadFile("/proc/" + pid + "/cmdline"); err == nil && strings.HasPrefix(string(cmdline), nodeProgram) {
 			t.Errorf("process %s is left", pid)
 		}
 	}
--- a/internal/rig/script.go
+++ b/internal/rig/script.go
@@ -14,24 +14,24 @@
 
 // Script describes one run: the fleet, the load that clients put on it and the faults. Times are seconds.
 type Script struct {
-	Name     string   `toml:"name"`
-	Lasts    float64  `toml:"lasts"`  // duration of the run, counted from when all nodes have found each other
-	Settle   float64  `toml:"settle"` // after the last fault is over, for all to agree
-	Nodes    int      `toml:"nodes"`  // 3 to 30
-	Zones    int      `toml:"zones"`
-	Period   float64  `toml:"period"` // of the members' probes
-	Hosts    int      `toml:"hosts"`
-	Flows    float64  `toml:"flows"` // new clients a second
-	Faults   []Fault  `toml:"fault"`
-	Drawn    int      `toml:"drawn_faults"` // number of further faults, drawn from the seed
-	Kinds    []string `toml:"drawn_kinds"`  // kinds of drawn faults; where missing, all but those of streams
-	Liveness float64  `toml:"liveness"`     // within which a death is known everywhere; Settle where missing
-
-	Control       int            `toml:"control"`              // control servers that the nodes follow: 0, 3 or 5
-	Applies       float64        `toml:"applies"`              // changes of configuration a second; each third is two at once
-	InForce       float64        `toml:"in_force"`             // within which a change is in force at every reachable node
-	ControlFaults []ControlFault `toml:"control_fault"`        // faults of control servers
-	DrawnControl  int            `toml:"drawn_control_faults"` // number of further ones, drawn from the seed
+	Name            string   `toml:"name"`
+	Lasts           float64  `toml:"lasts"`  // duration of the run, counted from when all nodes have found each other
+	Settle          float64  `toml:"settle"` // after the last fault is over, for all to agree
+	Nodes           int      `toml:"nodes"`  // 3 to 30
+	Zones           int      `toml:"zones"`
+	Period          float64  `toml:"period"` // of the members' probes
+	Hosts           int      `toml:"hosts"`
+	Flows           float64  `toml:"flows"` // new clients a second
+	Faults          []Fault  `toml:"fault"`
+	GeneratedFaults int      `toml:"drawn_faults"` // number of further faults, drawn from the seed
+	GeneratedKinds  []string `toml:"drawn_kinds"`  // kinds of drawn faults; where missing, all but those of streams
+	Liveness        float64  `toml:"liveness"`     // within which a death is known everywhere; Settle where missing
+
+	Control                int            `toml:"control"`              // control servers that the nodes follow: 0, 3 or 5
+	Applies                float64        `toml:"applies"`              // changes of configuration a second; each third is two at once
+	InForce                float64        `toml:"in_force"`             // within which a change is in force at every reachable node
+	ControlFaults          []ControlFault `toml:"control_fault"`        // faults of control servers
+	GeneratedControlFaults int            `toml:"drawn_control_faults"` // number of further ones, drawn from the seed
 }
 
 // Fault is one fault that the rig injects. Times are seconds from when all nodes have found each other.
@@ -157,18 +157,18 @@
 		{"period", s.Period, 0.05, 10},
 		{"hosts", float64(s.Hosts), 1, 50},
 		{"flows", s.Flows, 0, 500},
-		{"drawn_faults", float64(s.Drawn), 0, 200},
+		{"drawn_faults", float64(s.GeneratedFaults), 0, 200},
 		{"liveness", s.Liveness, 1, 600},
 		{"control", float64(s.Control), 0, float64(len(serverRegions))},
 		{"applies", s.Applies, 0, 20},
 		{"in_force", s.InForce, 1, 60},
-		{"drawn_control_faults", float64(s.DrawnControl), 0, 200},
+		{"drawn_control_faults", float64(s.GeneratedControlFaults), 0, 200},
 	} {
 		if !(r.value >= r.least && r.value <= r.most) {
 			return top(r.key), fmt.Errorf("%s: %g is not between %g and %g", r.key, r.value, r.least, r.most)
 		}
 	}
-	for _, kind := range s.Kinds {
+	for _, kind := range s.GeneratedKinds {
 		if _, known := faultKinds[kind]; !known {
 			return top("drawn_kinds"), fmt.Errorf("drawn_kinds: no fault is called %q", kind)
 		}
--- a/internal/rig/setup.go
+++ b/internal/rig/setup.go
@@ -24,12 +24,12 @@
 	if r.hosts, err = standin.StartHosts(r.script.Hosts); err != nil {
 		return err
 	}
-	r.roster = standin.StartDiscovery()
-	r.roster.Tell(r.hosts.List(1))
+	r.discovery = standin.StartDiscovery()
+	r.discovery.Publish(r.hosts.EndpointList(1))
 	for i := range r.script.Nodes {
-		n := &node{rig: r, i: i, dir: filepath.Join(r.Dir, fmt.Sprintf("n%d", i))}
+		n := &node{rig: r, index: i, dir: filepath.Join(r.Dir, fmt.Sprintf("n%d", i))}
 		for _, at := range []*string{&n.client, &n.admin, &n.fleet} {
-			if *at, err = free(i); err != nil {
+			if *at, err = freeAddress(i); err != nil {
 				return err
 			}
 		}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// free returns an address of node i whose port is free for both TCP and UDP.
-func free(i int) (string, error) {
+// freeAddress returns an address of node i whose port is free for both TCP and UDP.
+func freeAddress(i int) (string, error) {
 	host := fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200)
 	for range 50 {
 		ln, err := net.Listen("tcp", host+":0")
@@ -87,18 +87,18 @@
 	file := fleet.Config{Fleet: r.fleetName(), Address: n.fleet, Period: r.script.Period,
 		Key: hex.EncodeToString([]byte(fleetKey)), Via: map[string]string{}}
 	if r.script.Zones > 0 {
-		file.Zone = string(rune('a' + n.i%r.script.Zones))
+		file.Zone = string(rune('a' + n.index%r.script.Zones))
 	}
 	for k, other := range r.nodes {
 		if k < 3 {
 			file.Join = append(file.Join, other.fleet)
 		}
-		if k != n.i {
-			file.Via[other.fleet] = r.relays[[2]int{n.i, k}].Address()
+		if k != n.index {
+			file.Via[other.fleet] = r.relays[[2]int{n.index, k}].Address()
 		}
 	}
 	if r.control != nil {
-		r.control.addTo(&file, n.i)
+		r.control.addTo(&file, n.index)
 	}
 	return r.writeFiles(n, file, len(r.nodes))
 }
@@ -113,7 +113,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	text, err = json.Marshal(config(n, r.roster.Address(), path, r.Seed*31+uint64(n.i), settled))
+	text, err = json.Marshal(config(n, r.discovery.Address(), path, r.Seed*31+uint64(n.index), settled))
 	if err != nil {
 		return err
 	}
--- a/internal/rig/single.go
+++ b/internal/rig/single.go
@@ -23,13 +23,13 @@
 func StartSingle(ctx context.Context, program, dir string, hosts *standin.Hosts, limits NodeLimits) (*Single, error) {
 	n := &node{}
 	var err error
-	if n.client, err = free(0); err != nil {
+	if n.client, err = freeAddress(0); err != nil {
 		return nil, err
 	}
 	s := &Single{Client: n.client, discovery: standin.StartDiscovery()}
-	s.discovery.Tell(hosts.List(1))
+	s.discovery.Publish(hosts.EndpointList(1))
 	c := config(n, s.discovery.Address(), "", 1, 1)
-	known := hosts.List(1)
+	known := hosts.EndpointList(1)
 	c.Known, c.Limits = &known, limits
 	text, err := json.Marshal(c)
 	path := filepath.Join(dir, "config.json")
--- a/internal/rig/standin/standin.go
+++ b/internal/rig/standin/standin.go
@@ -21,16 +21,16 @@
 
 // Hosts are stand-ins for hosts: each takes every flow and sends every line back.
 type Hosts struct {
-	listeners []net.Listener
-	mu        sync.Mutex
-	conns     map[net.Conn]bool
-	flows     map[string]net.Conn // by the id of the first line
-	group     sync.WaitGroup
+	listeners   []net.Listener
+	mu          sync.Mutex
+	connections map[net.Conn]bool
+	flows       map[string]net.Conn // by the id of the first line
+	group       sync.WaitGroup
 }
 
 // StartHosts starts that many.
 func StartHosts(n int) (*Hosts, error) {
-	h := &Hosts{conns: map[net.Conn]bool{}, flows: map[string]net.Conn{}}
+	h := &Hosts{connections: map[net.Conn]bool{}, flows: map[string]net.Conn{}}
 	for i := range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -50,12 +50,12 @@
 			return
 		}
 		h.mu.Lock()
-		h.conns[c] = true
+		h.connections[c] = true
 		h.mu.Unlock()
 		h.group.Go(func() {
 			h.serve(i, c)
 			h.mu.Lock()
-			delete(h.conns, c)
+			delete(h.connections, c)
 			h.mu.Unlock()
 		})
 	}
@@ -71,8 +71,8 @@
 		}
 		switch {
 		case strings.HasPrefix(line, "OPEN "):
-			id := h.begin(c, line)
-			defer h.end(c, id)
+			id := h.addFlow(c, line)
+			defer h.removeFlow(c, id)
 			line = fmt.Sprintf("UP h%d\r\n", i)
 		case strings.HasPrefix(line, "PING"), strings.HasPrefix(line, "STATS"):
 			line = "PONG\r\n"
@@ -83,8 +83,8 @@
 	}
 }
 
-// List gives the hosts as discovery tells them.
-func (h *Hosts) List(index int64) endpoint.List {
+// EndpointList gives the hosts as discovery tells them.
+func (h *Hosts) EndpointList(index int64) endpoint.List {
 	l := endpoint.List{Index: index, Complete: true}
 	for i, ln := range h.listeners {
 		l.Hosts = append(l.Hosts, endpoint.Host{Name: fmt.Sprintf("s-%08x", 100+i), Address: ln.Addr().String(),
@@ -99,7 +99,7 @@
 		ln.Close()
 	}
 	h.mu.Lock()
-	for c := range h.conns {
+	for c := range h.connections {
 		c.Close()
 	}
 	h.mu.Unlock()
@@ -108,21 +108,21 @@
 
 // Discovery tells lists to whoever watches: the last whole one and what changed since, then what comes.
 type Discovery struct {
-	Asked  <-chan bool // brings a word for each call
-	Left   <-chan bool // and one for each watch that was given up
-	server *httptest.Server
-	mu     sync.Mutex
-	said   [][]byte // a list each
-	whole  int      // where the last whole one stands
-	more   chan struct{}
-	asked  chan bool
-	left   chan bool
+	WatchOpened  <-chan bool // brings a word for each call
+	WatchClosed  <-chan bool // and one for each watch that was given up
+	server       *httptest.Server
+	mu           sync.Mutex
+	published    [][]byte // a list each
+	lastComplete int      // where the last whole one stands
+	changed      chan struct{}
+	watchOpened  chan bool
+	watchClosed  chan bool
 }
 
 // StartDiscovery starts it; nothing is told yet.
 func StartDiscovery() *Discovery {
 	asked, left := make(chan bool, 16), make(chan bool, 16)
-	d := &Discovery{Asked: asked, Left: left, more: make(chan struct{}), asked: asked, left: left}
+	d := &Discovery{WatchOpened: asked, WatchClosed: left, changed: make(chan struct{}), watchOpened: asked, watchClosed: left}
 	d.server = httptest.NewServer(http.HandlerFunc(d.watch))
 	return d
 }
@@ -130,8 +130,8 @@
 // Address is where nodes reach it.
 func (d *Discovery) Address() string { return d.server.Listener.Addr().String() }
 
-// Tell tells a list.
-func (d *Discovery) Tell(list endpoint.List) {
+// Publish tells a list.
+func (d *Discovery) Publish(list endpoint.List) {
 	text, err := json.Marshal(list)
 	if err != nil {
 		panic(err) // a list is plain figures and words
@@ -139,24 +139,24 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if list.Complete {
-		d.whole = len(d.said)
+		d.lastComplete = len(d.published)
 	}
-	d.said = append(d.said, append(text, '\n'))
-	close(d.more)
-	d.more = make(chan struct{})
+	d.published = append(d.published, append(text, '\n'))
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request) {
 	select {
-	case d.asked <- true:
+	case d.watchOpened <- true:
 	default:
 	}
 	d.mu.Lock()
-	next := d.whole
+	next := d.lastComplete
 	d.mu.Unlock()
 	for {
 		d.mu.Lock()
-		told, more := d.said[next:], d.more
+		told, more := d.published[next:], d.changed
 		d.mu.Unlock()
 		for _, text := range told {
 			w.Write(text)
@@ -169,7 +169,7 @@
 			io.WriteString(w, "\n")
 		case <-r.Context().Done():
 			select {
-			case d.left <- true:
+			case d.watchClosed <- true:
 			default:
 			}
 			return
@@ -188,12 +188,12 @@
 
 // The answers. Cut and Silent are none.
 const (
-	Up     Answer = "up"
-	Busy   Answer = "busy"
-	Failed Answer = "failed"
-	Cut    Answer = "cut"    // the connection ended with no answer
-	Silent Answer = "silent" // no answer came in time
-	NoDoor Answer = "no door"
+	Up           Answer = "up"
+	Busy         Answer = "busy"
+	Failed       Answer = "failed"
+	Cut          Answer = "cut"    // the connection ended with no answer
+	Silent       Answer = "silent" // no answer came in time
+	NotListening Answer = "no door"
 )
 
 // Flow is one client's flow through a node: the first line, the answer and, where it is up, lines that come back.
@@ -203,13 +203,13 @@
 	Ended   string // how an established connection ended: "client", "move", "cut"
 }
 
-// Play plays one flow at a node's address. It gives up within the timeout and grace seconds more.
-func Play(ctx context.Context, address, id string, key uint64, timeout, grace float64, lines int, gap time.Duration) (f Flow) {
+// RunFlow plays one flow at a node's address. It gives up within the timeout and grace seconds more.
+func RunFlow(ctx context.Context, address, id string, key uint64, timeout, grace float64, lines int, gap time.Duration) (f Flow) {
 	began := time.Now()
 	dialer := net.Dialer{Timeout: time.Duration(timeout * 1e9)}
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		f.Answer = NoDoor
+		f.Answer = NotListening
 		return f
 	}
 	defer c.Close()
--- a/internal/rig/traffic.go
+++ b/internal/rig/traffic.go
@@ -41,12 +41,12 @@
 		}
 		r.flows.Go(func() {
 			began := r.history.now()
-			f := standin.Play(whole, n.client, fmt.Sprintf("%08x", id), key, flowTimeout, lateAnswerGrace, flowLines,
+			f := standin.RunFlow(whole, n.client, fmt.Sprintf("%08x", id), key, flowTimeout, lateAnswerGrace, flowLines,
 				flowLineGap)
 			if whole.Err() != nil { // the run was interrupted
 				return
 			}
-			r.history.add(Event{What: eventFlow, Node: n.i, Answer: string(f.Answer), Count: f.Answers, Ended: f.Ended,
+			r.history.add(Event{What: eventFlow, Node: n.index, Answer: string(f.Answer), Count: f.Answers, Ended: f.Ended,
 				Began: began})
 		})
 	}
--- a/internal/rig/views.go
+++ b/internal/rig/views.go
@@ -16,12 +16,12 @@
 
 // view asks a node for its view of its fleet.
 func (r *Rig) view(ctx context.Context, n *node) (v view.View, err error) {
-	err = r.ask(ctx, n, "/-/members", &v)
+	err = r.fetch(ctx, n, "/-/members", &v)
 	return v, err
 }
 
-// ask puts a call to a node's second address and decodes the answer into v.
-func (r *Rig) ask(ctx context.Context, n *node, path string, v any) error {
+// fetch puts a call to a node's second address and decodes the answer into v.
+func (r *Rig) fetch(ctx context.Context, n *node, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.admin+path, nil)
 	if err != nil {
 		return err
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -252,7 +252,7 @@
 	}
 	for way, relay := range c.relays {
 		cut := network.drops(way.region, c.servers[way.server].region)
-		relay.Set(func(w *rig.Way) { w.Cut = cut })
+		relay.Set(func(w *rig.LinkConditions) { w.Cut = cut })
 	}
 }
 
--- a/internal/scale/reals.go
+++ b/internal/scale/reals.go
@@ -37,7 +37,7 @@
 // startReals starts the plan's real nodes; nothing of it is left running where it gives an error.
 func startReals(s *Script, p *Plan, program, dir string, seed uint64) (r *reals, err error) {
 	r = &reals{relays: map[[2]int]*rig.Relay{}, watch: newWatch(), inForce: newInForce(), stopped: map[int]bool{}}
-	r.nodes, err = rig.NewNodes(rig.NodesOptions{Program: program, Dir: dir, Seed: seed, Hosts: s.Hosts, Flows: s.Flows, Seen: r.see})
+	r.nodes, err = rig.NewNodes(rig.NodesOptions{Program: program, Dir: dir, Seed: seed, Hosts: s.Hosts, Flows: s.Flows, Observe: r.see})
 	if err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 func (r *reals) cut(c *cutNetwork) {
 	for pair, relay := range r.relays {
 		cut := c.drops(r.of[pair[0]].plan.Region, r.of[pair[1]].plan.Region)
-		relay.Set(func(w *rig.Way) { w.Cut = cut })
+		relay.Set(func(w *rig.LinkConditions) { w.Cut = cut })
 	}
 }
 
--- a/internal/serving/clients.go
+++ b/internal/serving/clients.go
@@ -113,7 +113,7 @@
 	socket.SetDeadline(time.Now().Add(openWithin))
 	fmt.Fprintf(socket, "OPEN %s %x c=chat,d=%d\r\n", id, number, connectTime)
 	answer, err = in.ReadString('\n')
-	host := c.hosts.Flow(id)
+	host := c.hosts.FlowConnection(id)
 	if err != nil || !strings.HasPrefix(answer, "UP") || host == nil {
 		socket.Close()
 		return nil, strings.TrimSpace(answer), err
--- a/internal/serving/connections.go
+++ b/internal/serving/connections.go
@@ -84,7 +84,7 @@
 			}
 			one.end()
 		}
-		return await(ctx, func() bool { return b.hosts.Flows() == len(b.clients.all) })
+		return await(ctx, func() bool { return b.hosts.FlowCount() == len(b.clients.all) })
 	})
 	if err != nil {
 		return err
