--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -10,6 +10,9 @@
 	"gorseledge/internal/rig/standin"
 )
 
+// costClientKey is the client key of all flows of a measurement.
+const costClientKey = 7
+
 // Cost is the CPU time that a node's process uses, user and system, in microseconds.
 type Cost struct {
 	Start float64 // of a process from its start to its end, with one flow
@@ -98,7 +101,14 @@
 	flow := func(lines int) (f standin.Flow, err error) {
 		for from := time.Now(); ; {
 			id++
-			f = standin.RunFlow(ctx, n.Client, fmt.Sprintf("%08x", id), 7, flowTimeout, lateAnswerGrace, lines, 0)
+			f = standin.RunFlow(ctx, standin.FlowRequest{
+				Address: n.Client,
+				ID:      fmt.Sprintf("%08x", id),
+				Key:     costClientKey,
+				Timeout: flowTimeout,
+				Grace:   lateAnswerGrace,
+				Lines:   lines,
+			})
 			if f.Answer == standin.Up {
 				return f, nil
 			}
@@ -120,7 +130,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if f.Ended != "client" {
+	if f.Ended != standin.EndedByClient {
 		return 0, fmt.Errorf("a flow of %d lines ends by %q", load.Lines, f.Ended)
 	}
 	select {
--- /dev/null
+++ b/internal/rig/standin/client_test.go
@@ -0,0 +1,78 @@
+package standin
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// startNode starts a listener that answers the opening line of one connection with a text and sends nothing more.
+func startNode(t *testing.T, answer string) (address string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		defer connection.Close()
+		in := bufio.NewReader(connection)
+		in.ReadString('\n')
+		io.WriteString(connection, answer)
+		connection.(*net.TCPConn).CloseWrite()
+		io.Copy(io.Discard, in) // closing with unread lines would reset the connection before the client has read all
+	}()
+	return listener.Addr().String()
+}
+
+func TestRunFlowReportsAnswerOfNode(t *testing.T) {
+	for _, c := range []struct {
+		name, answer string
+		want         Flow
+	}{
+		{"rejected", "BUSY 5\r\n", Flow{Answer: Busy, Answers: 1}},
+		{"error", "ERR\r\n", Flow{Answer: Failed, Answers: 1}},
+		{"closed without an answer", "", Flow{Answer: Cut}},
+		{"established and broken", "UP h0\r\n", Flow{Answer: Up, Answers: 1, Ended: EndedByCut}},
+		{"established and moved", "UP h0\r\nMOVE\r\n", Flow{Answer: Up, Answers: 1, Ended: EndedByMove}},
+		{"answered twice", "UP h0\r\nERR\r\nBYE\r\n", Flow{Answer: Up, Answers: 2, Ended: EndedByMove}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			request := FlowRequest{Address: startNode(t, c.answer), ID: "1", Timeout: 5 * time.Second, Lines: 4}
+			if got := RunFlow(t.Context(), request); got != c.want {
+				t.Errorf("got %+v, want %+v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestRunFlowReportsClosedListener(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener.Close()
+	request := FlowRequest{Address: listener.Addr().String(), Timeout: time.Second}
+	if got := RunFlow(t.Context(), request); got.Answer != NotListening {
+		t.Errorf("got %+v, want %q", got, NotListening)
+	}
+}
+
+func TestHostEchoesLinesOfFlow(t *testing.T) {
+	hosts, err := StartHosts(1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(hosts.Close)
+	request := FlowRequest{Address: hosts.EndpointList(1).Hosts[0].Address, ID: "1", Timeout: 5 * time.Second, Lines: 3}
+	want := Flow{Answer: Up, Answers: 1, Ended: EndedByClient}
+	if got := RunFlow(t.Context(), request); got != want {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
--- /dev/null
+++ b/internal/rig/standin/discovery.go
@@ -0,0 +1,121 @@
+package standin
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"sync"
+	"time"
+
+	"gorseledge/internal/discovery/endpoint"
+)
+
+const (
+	// watchEventCapacity is the number of unread notifications that Discovery keeps; further ones are dropped.
+	watchEventCapacity = 16
+
+	// watchKeepAlive is the time after which a watch without news receives an empty line.
+	watchKeepAlive = time.Second
+)
+
+// Discovery is a discovery service. A new watch receives the last complete endpoint list and all changes published
+// since, then each list as it is published. Use StartDiscovery; the zero value is not usable.
+type Discovery struct {
+	WatchOpened <-chan bool // receives a value for each watch that a node opens
+	WatchClosed <-chan bool // receives a value for each watch that a node closes
+
+	server      *httptest.Server
+	watchOpened chan bool
+	watchClosed chan bool
+
+	mu           sync.Mutex    // protects the fields below
+	published    [][]byte      // encoded lists, one line each
+	lastComplete int           // index in published of the last complete list
+	changed      chan struct{} // closed and replaced when a list is published
+}
+
+// StartDiscovery starts a discovery service that has not published anything. The caller must close it.
+func StartDiscovery() *Discovery {
+	opened := make(chan bool, watchEventCapacity)
+	closed := make(chan bool, watchEventCapacity)
+	d := &Discovery{
+		WatchOpened: opened,
+		WatchClosed: closed,
+		watchOpened: opened,
+		watchClosed: closed,
+		changed:     make(chan struct{}),
+	}
+	d.server = httptest.NewServer(http.HandlerFunc(d.serveWatch))
+	return d
+}
+
+// Address returns the host and port on which nodes reach the service.
+func (d *Discovery) Address() string { return d.server.Listener.Addr().String() }
+
+// Publish sends an endpoint list, complete or as a change, to all watches. It panics if the list cannot be encoded.
+func (d *Discovery) Publish(list endpoint.List) {
+	text, err := json.Marshal(list)
+	if err != nil {
+		panic(fmt.Sprintf("encoding an endpoint list: %v", err)) // impossible: a list holds only numbers and strings
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if list.Complete {
+		d.lastComplete = len(d.published)
+	}
+	d.published = append(d.published, append(text, '\n'))
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// Close ends the service and all watches.
+func (d *Discovery) Close() {
+	d.server.CloseClientConnections()
+	d.server.Close()
+}
+
+// serveWatch answers a watch request until the client closes it.
+func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
+	notify(d.watchOpened)
+	next := d.watchStart()
+	for {
+		lists, changed := d.publishedSince(next)
+		for _, text := range lists {
+			w.Write(text) // an error also ends the request's context
+		}
+		next += len(lists)
+		w.(http.Flusher).Flush()
+		select {
+		case <-changed:
+		case <-time.After(watchKeepAlive):
+			io.WriteString(w, "\n")
+		case <-r.Context().Done():
+			notify(d.watchClosed)
+			return
+		}
+	}
+}
+
+// watchStart returns the index of the first list that a new watch receives.
+func (d *Discovery) watchStart() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.lastComplete
+}
+
+// publishedSince returns the lists from an index on and a channel that is closed when the next one is published.
+func (d *Discovery) publishedSince(next int) (lists [][]byte, changed <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.published[next:], d.changed
+}
+
+// notify sends to a channel unless its buffer is full.
+func notify(events chan<- bool) {
+	select {
+	case events <- true:
+	default:
+	}
+}
--- a/internal/rig/traffic.go
+++ b/internal/rig/traffic.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	flowTimeout     = 2.0 // seconds that a client gives a node to answer
-	lateAnswerGrace = 5.0 // seconds more in which a late answer is still recorded
-	flowLines       = 4   // lines that a client sends on an established flow
+	flowTimeout     = 2 * time.Second // in which a client expects an answer
+	lateAnswerGrace = 5 * time.Second // after flowTimeout, in which a late answer is still recorded
+	flowLines       = 4               // lines that a client sends on an established flow
 	flowLineGap     = 250 * time.Millisecond
 	budgetInterval  = time.Second
 
@@ -21,7 +21,7 @@
 
 // traffic starts clients at random times, each at a random node that runs, until the first context ends. A client that
 // has come stays until its flow is over or the second context ends.
-func (r *Rig) traffic(ctx, whole context.Context) {
+func (r *Rig) traffic(ctx, runContext context.Context) {
 	if r.script.Flows <= 0 {
 		return
 	}
@@ -41,12 +41,19 @@
 		}
 		r.flows.Go(func() {
 			began := r.history.now()
-			f := standin.RunFlow(whole, n.client, fmt.Sprintf("%08x", id), key, flowTimeout, lateAnswerGrace, flowLines,
-				flowLineGap)
-			if whole.Err() != nil { // the run was interrupted
+			f := standin.RunFlow(runContext, standin.FlowRequest{
+				Address: n.client,
+				ID:      fmt.Sprintf("%08x", id),
+				Key:     key,
+				Timeout: flowTimeout,
+				Grace:   lateAnswerGrace,
+				Lines:   flowLines,
+				Gap:     flowLineGap,
+			})
+			if runContext.Err() != nil { // the run was interrupted
 				return
 			}
-			r.history.add(Event{What: eventFlow, Node: n.index, Answer: string(f.Answer), Count: f.Answers, Ended: f.Ended,
+			r.history.add(Event{What: eventFlow, Node: n.index, Answer: string(f.Answer), Count: f.Answers, Ended: string(f.Ended),
 				Began: began})
 		})
 	}
