--- a/internal/rig/check.go
+++ b/internal/rig/check.go
@@ -43,7 +43,7 @@
 type interval struct{ from, to float64 }
 
 // Check returns the violations in a run, by their times. It reads the events of the result and the times that the script
-// states; disagreement is what Play found when it waited for agreement, empty where all nodes agreed.
+// states; disagreement is what Run found when it waited for agreement, empty where all nodes agreed.
 func Check(s *Script, r *Result, disagreement string) (out []Violation) {
 	out = append(out, checkDeaths(s, r.Events)...)
 	out = append(out, checkAnswers(r.Events)...)
--- a/internal/rig/check_test.go
+++ b/internal/rig/check_test.go
@@ -148,7 +148,7 @@
 		{"for = 2", "for = 20", ":9:", "outlasts"},
 		{"at = 2", "at = -2", ":12:", "at"},
 		{"nodes = [3]", "nodes = [3]\nto = [1]", ":15:", "processes"},
-		{"nodes = [3]", "", ":11:", "whom"},
+		{"nodes = [3]", "", ":11:", "no affected node"},
 	} {
 		if err := os.WriteFile(path, []byte(strings.Replace(good, c.from, c.to, 1)), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/rig/control_check.go
+++ b/internal/rig/control_check.go
@@ -41,7 +41,7 @@
 	return out
 }
 
-// checkAccept checks the last proposal, which comes after all faults and whose like nobody else makes.
+// checkAccept checks the last proposal, which is made after all faults and without a concurrent one.
 func checkAccept(events []Event) (out []Violation) {
 	for _, e := range slices.Backward(events) {
 		if e.What != eventApply {
@@ -55,23 +55,27 @@
 	return out
 }
 
-// checkNoReturn checks that the versions of a node only go up. A node that had no process for a while has forgotten what
-// it had, and begins anew.
+// checkNoReturn checks that the versions of a node only go up. A node that had no process for a while has lost its
+// version and starts without one.
 func checkNoReturn(events []Event) (out []Violation) {
-	processes, had := map[int]int{}, map[int]configfeed.Version{}
+	processes := map[int]int{}
+	versions := map[int]configfeed.Version{}
 	for _, e := range events {
 		switch e.What {
 		case eventStart:
-			if processes[e.Node]++; processes[e.Node] == 1 {
-				delete(had, e.Node)
+			processes[e.Node]++
+			if processes[e.Node] == 1 {
+				delete(versions, e.Node)
 			}
 		case eventExit:
 			processes[e.Node]--
 		case eventConfig:
-			if v := e.Control.Version; v.Compare(had[e.Node]) < 0 {
-				out = append(out, Violation{RuleNoReturn, e.At, fmt.Sprintf("n%d from %s to %s", e.Node, had[e.Node], v)})
+			previous, current := versions[e.Node], e.Control.Version
+			if current.Compare(previous) < 0 {
+				text := fmt.Sprintf("n%d from %s to %s", e.Node, previous, current)
+				out = append(out, Violation{RuleNoReturn, e.At, text})
 			}
-			had[e.Node] = e.Control.Version
+			versions[e.Node] = current
 		}
 	}
 	return out
@@ -80,7 +84,8 @@
 // checkComplete checks that a node has, under each version, the entries of a change that was accepted as that version, or
 // of one whose answer was lost or came later.
 func checkComplete(events []Event) (out []Violation) {
-	accepted, unknown := map[configfeed.Version][]string{}, map[string]bool{}
+	accepted := map[configfeed.Version][]string{}
+	unknown := map[string]bool{}
 	for _, e := range events {
 		switch {
 		case e.What == eventApply && e.Control.Outcome == string(configfeed.Accepted), e.What == eventEpoch:
@@ -93,10 +98,12 @@
 		if e.What != eventConfig || e.Control.Version == (configfeed.Version{}) {
 			continue
 		}
-		if c := e.Control; !slices.Contains(accepted[c.Version], c.Digest) && !unknown[c.Digest] {
-			out = append(out, Violation{RuleComplete, e.At, fmt.Sprintf("n%d has digest %s under %s, accepted was %v", e.Node, c.Digest,
-				c.Version, accepted[c.Version])})
+		c := e.Control
+		if slices.Contains(accepted[c.Version], c.Digest) || unknown[c.Digest] {
+			continue
 		}
+		text := fmt.Sprintf("n%d has digest %s under %s, accepted was %v", e.Node, c.Digest, c.Version, accepted[c.Version])
+		out = append(out, Violation{RuleComplete, e.At, text})
 	}
 	return out
 }
@@ -159,8 +166,8 @@
 	return false
 }
 
-// checkInForce checks that the waits of the rig for a version succeeded, and that each change which nothing kept from the
-// nodes was in force at all of them in time.
+// checkInForce checks that the waits of the rig for a version succeeded, and that each measured change was in force at all
+// nodes in time.
 func checkInForce(s *Script, events []Event) (out []Violation) {
 	for _, e := range events {
 		if e.What == eventLate {
@@ -176,7 +183,7 @@
 	return out
 }
 
-// inForceTimes returns for each change that is judged the seconds until it was in force at the last node.
+// inForceTimes returns for each measured change the seconds until it was in force at the last node.
 func inForceTimes(s *Script, events []Event) (times []float64) {
 	for _, change := range measuredChanges(s, events) {
 		times = append(times, change.took)
@@ -186,10 +193,10 @@
 
 // measuredChange is an accepted change and the node that had it in force last.
 type measuredChange struct {
-	at      float64
+	at      float64 // when it was accepted, in seconds from the start of the rig
 	version configfeed.Version
-	took    float64
-	last    int
+	took    float64 // seconds until it was in force at the last node, infinite where it never was
+	last    int     // index of that node
 }
 
 // measuredChanges returns the accepted changes in whose time at most one fault of control servers lasted, which was neither
@@ -211,8 +218,10 @@
 			if disturbed(nodeFaults, node, window) {
 				continue
 			}
-			if took := firstInForce(events, node, e.Control.Version) - e.At; took > change.took {
-				change.took, change.last = took, node
+			took := firstInForce(events, node, e.Control.Version) - e.At
+			if took > change.took {
+				change.took = took
+				change.last = node
 			}
 		}
 		out = append(out, change)
--- a/internal/rig/control_run.go
+++ b/internal/rig/control_run.go
@@ -7,7 +7,6 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
-	"strings"
 	"sync"
 	"time"
 
@@ -18,55 +17,33 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// The values of Event.What that concern control servers and the configuration.
 const (
-	eventServerStart   = "server start"
-	eventServerExit    = "server exit"   // the rig ended it
-	eventServerDied    = "server died"   // it ended by itself
-	eventControlFault  = "control fault" // began
-	eventControlOver   = "control over"  // a fault of control servers ended
-	eventApply         = "apply"         // a proposal was answered, or its answer was lost
-	eventConfig        = "config"        // a node was seen with a version in force that it did not have before
-	eventEpoch         = "epoch"         // the rig, as an operator, drew a new epoch
-	eventAwait         = "await"         // from now on the writer's version has to come in force everywhere
-	eventInForce       = "in force"      // it has
-	eventLate          = "late"          // it has not, within the stated time
-	eventMarks         = "marks"         // what the writer holds at the end
-	outcomeUnknown     = "answer lost"   // of a proposal
-	markPrefix         = "tenants.mark-" // of a key that names a proposal
-	markSuffix         = ".connections"  // of the same key
-	configPollInterval = 50 * time.Millisecond
-	applyTimeout       = 5 * time.Second
-	firstApplyTimeout  = 20 * time.Second
-)
+	configPollInterval = 50 * time.Millisecond // between two requests for a node's or the writer's configuration
+	applyTimeout       = 5 * time.Second       // for one request to the writer
+	firstApplyTimeout  = 20 * time.Second      // until a newly started writer accepts a change
 
-// ControlEvent is what an event says of control servers and the configuration.
-type ControlEvent struct {
-	Server  int                `json:"server,omitempty"`
-	Fault   *ControlFault      `json:"fault,omitempty"`
-	ID      string             `json:"id,omitempty"`      // of a proposal
-	Outcome string             `json:"outcome,omitempty"` // of a proposal
-	Version configfeed.Version `json:"version,omitzero"`
-	Digest  string             `json:"digest,omitempty"` // of the entries
-	Marks   []string           `json:"marks,omitempty"`  // IDs of the proposals whose marks the writer's entries hold
-}
+	// markPrefix and markSuffix enclose the ID of a proposal in the key of the entry that identifies it.
+	markPrefix = "tenants.mark-"
+	markSuffix = ".connections"
+)
 
-// link is the way from a node or a control server to a control server.
+// link identifies the connection from a node or a control server to a control server, both by index.
 type link struct {
-	server   bool
+	server   bool // from a control server, otherwise from a node
 	from, to int
 }
 
-// control is the part of a run that concerns control servers.
+// control owns the control servers of a run, the relays to them and the changes of configuration.
 type control struct {
 	rig     *Rig
 	servers []*controlServer
 	relays  map[link]*Relay
 	client  *feedhttp.Client
 	random  *rand.Rand
-	cuts    map[link]int // faults that cut a link, guarded by mu
-	mu      sync.Mutex
-	applied int
+
+	mu      sync.Mutex   // protects the fields below
+	cuts    map[link]int // number of faults that cut each link
+	applied int          // number of proposals made
 }
 
 func newControl(r *Rig) *control {
@@ -88,9 +65,9 @@
 	for _, s := range c.servers {
 		s.kill()
 	}
-	for _, l := range c.relays {
-		if l != nil {
-			l.Close()
+	for _, relay := range c.relays {
+		if relay != nil {
+			relay.Close()
 		}
 	}
 	c.client.Close()
@@ -102,8 +79,8 @@
 	c.rig.history.add(Event{What: what, Control: &e})
 }
 
-// runWithFaults has changes of configuration go on while nodes and servers have their faults, and waits until the configuration is
-// in force after them.
+// runWithFaults proposes changes of configuration while the faults of nodes and control servers are injected, and waits
+// until the configuration is in force after them.
 func (c *control) runWithFaults(ctx context.Context, nodeFaults func() error) error {
 	if err := c.firstChange(ctx); err != nil {
 		return err
@@ -138,7 +115,7 @@
 	return c.settle(ctx)
 }
 
-// firstChange waits until the writer takes proposals and has a first one accepted.
+// firstChange waits until the writer takes proposals and has accepted a first one.
 func (c *control) firstChange(ctx context.Context) error {
 	last := ""
 	for end := time.Now().Add(firstApplyTimeout); time.Now().Before(end); {
@@ -149,7 +126,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("the control servers took no change within %v: %s", firstApplyTimeout, last)
+	return fmt.Errorf("the control servers accepted no change within %v: %s", firstApplyTimeout, last)
 }
 
 // sleep waits unless the context ends.
@@ -169,7 +146,7 @@
 	return fmt.Sprint(c.applied)
 }
 
-// apply proposes the entries of a state with a mark of the proposal's own, and records and gives the outcome.
+// apply proposes the entries of a state with an entry that identifies the proposal, and records and returns the outcome.
 func (c *control) apply(ctx context.Context, from configfeed.State, id string) string {
 	entries := append([]configfeed.Entry{{Key: markPrefix + id + markSuffix, Value: "1000"}}, from.Entries...)
 	next, err := configfeed.NewState(configfeed.Version{}, entries)
@@ -192,7 +169,7 @@
 
 func digestText(d configfeed.Digest) string { return fmt.Sprintf("%016x", uint64(d)) }
 
-// state gives the writer's newest state.
+// state returns the writer's newest state.
 func (c *control) state(ctx context.Context) (configfeed.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
@@ -220,7 +197,7 @@
 				return
 			}
 			var both sync.WaitGroup
-			for range 1 + count%3/2 {
+			for range proposalsAtOnce(count) {
 				both.Go(func() { c.apply(context.WithoutCancel(ctx), from, c.nextID()) })
 			}
 			both.Wait()
@@ -228,6 +205,14 @@
 	}
 }
 
+// proposalsAtOnce returns how many changes to propose on top of the same version: two each third time, otherwise one.
+func proposalsAtOnce(count int) int {
+	if count%3 == 2 {
+		return 2
+	}
+	return 1
+}
+
 // watch records each version that a node has in force, until the context ends.
 func (c *control) watch(ctx context.Context, n *node) {
 	var last ControlEvent
@@ -260,105 +245,3 @@
 	}
 	return v, json.NewDecoder(io.LimitReader(answer.Body, 1<<20)).Decode(&v)
 }
-
-// settle waits, after all faults, until the writer's version is in force; where the writer is not ready by then, an
-// operator draws a new epoch. Then a last change has to come in force, and the writer is asked what it holds.
-func (c *control) settle(ctx context.Context) error {
-	if c.awaitReady(ctx) != nil {
-		outcome, err := c.newEpoch(ctx)
-		c.rig.progressf("new epoch: %+v, %v", outcome, err)
-	}
-	if err := c.awaitInForce(ctx); err != nil {
-		return err
-	}
-	from, err := c.state(ctx)
-	if err != nil {
-		return fmt.Errorf("the writer does not say what it holds: %w", err)
-	}
-	c.apply(ctx, from, c.nextID())
-	if err := c.awaitInForce(ctx); err != nil {
-		return err
-	}
-	last, err := c.state(ctx)
-	if err != nil {
-		return fmt.Errorf("the writer does not say what it holds: %w", err)
-	}
-	c.record(eventMarks, ControlEvent{Version: last.Version, Digest: digestText(last.Digest), Marks: marksOf(last)})
-	return nil
-}
-
-// awaitReady waits for the stated time at most until the writer takes proposals.
-func (c *control) awaitReady(ctx context.Context) error {
-	reason := ""
-	for end := time.Now().Add(c.inForceTimeout()); time.Now().Before(end); {
-		status, err := c.client.Status(ctx, c.writer().address)
-		if err == nil && status.NotReady == "" {
-			return nil
-		}
-		reason = fmt.Sprint(status.NotReady, err)
-		if err := sleep(ctx, configPollInterval); err != nil {
-			return err
-		}
-	}
-	return fmt.Errorf("the writer is not ready: %s", reason)
-}
-
-// inForceTimeout is the time within which a change is to be in force.
-func (c *control) inForceTimeout() time.Duration { return time.Duration(c.rig.script.InForce * 1e9) }
-
-// newEpoch draws a new epoch, as an operator does.
-func (c *control) newEpoch(ctx context.Context) (configfeed.Outcome, error) {
-	from, err := c.state(ctx)
-	if err != nil {
-		return configfeed.Outcome{}, err
-	}
-	outcome, err := c.client.NewEpoch(ctx, c.writer().address, feedhttp.EpochRequest{IfVersion: from.Version, Author: "rig"})
-	c.record(eventEpoch, ControlEvent{Outcome: string(outcome.Kind), Version: outcome.Version, Digest: digestText(from.Digest)})
-	return outcome, err
-}
-
-// awaitInForce waits until all nodes have the writer's version in force, for the stated time at most, and records how
-// that ended.
-func (c *control) awaitInForce(ctx context.Context) error {
-	c.record(eventAwait, ControlEvent{})
-	behind := "the writer does not answer"
-	for end := time.Now().Add(c.inForceTimeout()); time.Now().Before(end); {
-		if want, err := c.state(ctx); err == nil {
-			if behind = c.nodesBehind(ctx, want); behind == "" {
-				c.record(eventInForce, ControlEvent{Version: want.Version})
-				return nil
-			}
-		}
-		if err := sleep(ctx, configPollInterval); err != nil {
-			return err
-		}
-	}
-	c.rig.history.add(Event{What: eventLate, Note: behind})
-	return nil
-}
-
-// nodesBehind names the nodes that run and do not have a state in force; empty where there are none.
-func (c *control) nodesBehind(ctx context.Context, want configfeed.State) string {
-	var names []string
-	for _, n := range c.rig.nodes {
-		if !n.up() {
-			continue
-		}
-		v, err := c.config(ctx, n)
-		if err != nil || v.Epoch != want.Version.Epoch || v.Revision != want.Version.Revision ||
-			v.Digest != digestText(want.Digest) {
-			names = append(names, fmt.Sprintf("%s at %d:%d, not %s", n.name(), v.Epoch, v.Revision, want.Version))
-		}
-	}
-	return strings.Join(names, ", ")
-}
-
-// marksOf gives the IDs of the proposals whose marks a state holds.
-func marksOf(s configfeed.State) (ids []string) {
-	for _, e := range s.Entries {
-		if id, ok := strings.CutPrefix(e.Key, markPrefix); ok {
-			ids = append(ids, strings.TrimSuffix(id, markSuffix))
-		}
-	}
-	return ids
-}
--- a/internal/rig/control_script.go
+++ b/internal/rig/control_script.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// serverRegions are the regions of the control servers; nodes are dealt over the regions in turn.
+// serverRegions are the regions of the control servers; nodes are assigned to the regions in turn.
 var serverRegions = []string{"north", "south", "west", "north", "south"}
 
 // regions are all regions.
@@ -51,7 +51,7 @@
 	case !(f.At >= 0 && f.At <= s.Lasts):
 		return "at", fmt.Errorf("at: %g is not between 0 and %g", f.At, s.Lasts)
 	case !(f.For > 0) || f.At+f.For > s.Lasts:
-		return "for", fmt.Errorf("for: %g is no time for it, or it outlasts the script", f.For)
+		return "for", fmt.Errorf("for: %g is not a valid duration, or the fault outlasts the script", f.For)
 	case f.Kind == faultRegion && !slices.Contains(regions, f.Region):
 		return "region", fmt.Errorf("region: there is no region %q", f.Region)
 	case f.Kind != faultRegion && len(f.Servers) == 0:
@@ -70,14 +70,14 @@
 	return "", nil
 }
 
-// Shares and bounds of drawn faults of control servers.
+// Shares and bounds of generated faults of control servers.
 const (
-	controlRandomStream = 0x636f6e74 // sets their random stream apart
+	controlRandomStream = 0x636f6e74 // separates their random numbers from others of the same seed
 	allRestartedOneIn   = 8
 	maxServersDisabled  = 2
 )
 
-// GenerateControlFaults returns the script's faults of control servers and those that are drawn from the seed, by their times. At
+// GenerateControlFaults returns the script's faults of control servers and those that are generated from the seed, by their times. At
 // most two servers are down or stopped at once, but for a restart of all; at most one directory is touched at a time.
 func (s *Script) GenerateControlFaults(seed uint64) []ControlFault {
 	faults := slices.Clone(s.ControlFaults)
@@ -118,7 +118,7 @@
 	return f
 }
 
-// canAddControlFault reports whether a drawn fault leaves enough servers beside the others, and no server with two faults of
+// canAddControlFault reports whether a generated fault leaves enough servers beside the others, and no server with two faults of
 // its process at once.
 func (s *Script) canAddControlFault(faults []ControlFault, f ControlFault) bool {
 	if controlKinds[f.Kind] {
--- a/internal/rig/generate.go
+++ b/internal/rig/generate.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	faultRandomStream  = 0x7269670a // sets the faults' random stream apart from others of the same seed
-	generationAttempts = 50         // for each drawn fault, to find one that leaves enough nodes running
+	faultRandomStream  = 0x7269670a // separates the random numbers of faults from others of the same seed
+	generationAttempts = 50         // for each generated fault, to find one that leaves enough nodes running
 )
 
-// GenerateFaults returns the script's faults and those that are drawn from the seed, in the order of their times. Drawn
-// process faults take down or stop at most a third of the nodes at once, and drawn cuts do not overlap, so that
+// GenerateFaults returns the script's faults and those that are generated from the seed, in the order of their times. generated
+// process faults take down or stop at most a third of the nodes at once, and generated cuts do not overlap, so that
 // the remaining nodes have a path to each other.
 func (s *Script) GenerateFaults(seed uint64) []Fault {
 	faults := slices.Clone(s.Faults)
@@ -29,7 +29,7 @@
 	return faults
 }
 
-// generatedKinds returns the kinds of faults to draw from, in a fixed order.
+// generatedKinds returns the kinds of faults to generate, in a fixed order.
 func (s *Script) generatedKinds() []string {
 	if len(s.GeneratedKinds) > 0 {
 		return s.GeneratedKinds
@@ -44,7 +44,7 @@
 	return names
 }
 
-// generateFault draws one fault. Its times and its amount have two decimals.
+// generateFault generates one fault. Its times and its amount have two decimals.
 func (s *Script) generateFault(random *rand.Rand, kinds []string) Fault {
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
 	f := Fault{Kind: kinds[random.IntN(len(kinds))], Nodes: []int{random.IntN(s.Nodes)}}
@@ -63,7 +63,7 @@
 	return f
 }
 
-// generateAmount draws a fault's amount, 0 for a kind that has none.
+// generateAmount generates a fault's amount, 0 for a kind that has none.
 func (s *Script) generateAmount(random *rand.Rand, kind string) float64 {
 	switch kind {
 	case faultLoss:
@@ -82,21 +82,21 @@
 	return 0
 }
 
-// canAdd reports whether a drawn fault can be added to the others: at most a third of the nodes are affected by
+// canAdd reports whether a generated fault can be added to the others: at most a third of the nodes are affected by
 // process faults at once, no node by two of them, and no two cuts overlap.
-func (s *Script) canAdd(faults []Fault, drawn Fault) bool {
+func (s *Script) canAdd(faults []Fault, generated Fault) bool {
 	down := 1
 	for _, other := range faults {
-		if drawn.At >= other.At+other.For+1 || other.At >= drawn.At+drawn.For+1 {
+		if generated.At >= other.At+other.For+1 || other.At >= generated.At+generated.For+1 {
 			continue
 		}
 		if !faultKinds[other.Kind].onLink {
 			down++
-			if slices.Contains(other.Nodes, drawn.Nodes[0]) {
+			if slices.Contains(other.Nodes, generated.Nodes[0]) {
 				return false
 			}
 		}
-		if drawn.Kind == faultCut && other.Kind == faultCut { // two may leave no path
+		if generated.Kind == faultCut && other.Kind == faultCut { // two may leave no path
 			return false
 		}
 	}
--- a/internal/rig/script.go
+++ b/internal/rig/script.go
@@ -23,15 +23,15 @@
 	Hosts           int      `toml:"hosts"`
 	Flows           float64  `toml:"flows"` // new clients a second
 	Faults          []Fault  `toml:"fault"`
-	GeneratedFaults int      `toml:"drawn_faults"` // number of further faults, drawn from the seed
-	GeneratedKinds  []string `toml:"drawn_kinds"`  // kinds of drawn faults; where missing, all but those of streams
+	GeneratedFaults int      `toml:"drawn_faults"` // number of further faults, generated from the seed
+	GeneratedKinds  []string `toml:"drawn_kinds"`  // kinds of generated faults; where missing, all but those of streams
 	Liveness        float64  `toml:"liveness"`     // within which a death is known everywhere; Settle where missing
 
 	Control                int            `toml:"control"`              // control servers that the nodes follow: 0, 3 or 5
 	Applies                float64        `toml:"applies"`              // changes of configuration a second; each third is two at once
 	InForce                float64        `toml:"in_force"`             // within which a change is in force at every reachable node
 	ControlFaults          []ControlFault `toml:"control_fault"`        // faults of control servers
-	GeneratedControlFaults int            `toml:"drawn_control_faults"` // number of further ones, drawn from the seed
+	GeneratedControlFaults int            `toml:"drawn_control_faults"` // number of further ones, generated from the seed
 }
 
 // Fault is one fault that the rig injects. Times are seconds from when all nodes have found each other.
@@ -198,13 +198,13 @@
 	case !(f.At >= 0 && f.At <= s.Lasts):
 		return "at", fmt.Errorf("at: %g is not between 0 and %g", f.At, s.Lasts)
 	case !(f.For >= 0) || kind.needsDuration && f.For == 0 || f.At+f.For > s.Lasts:
-		return "for", fmt.Errorf("for: %g is no time for it, or it outlasts the script", f.For)
+		return "for", fmt.Errorf("for: %g is not a valid duration, or the fault outlasts the script", f.For)
 	case kind.needsAmount && !(f.By > 0) || f.By < 0 || (f.Kind == faultLoss || f.Kind == faultRepeat) && f.By > 1:
-		return "by", fmt.Errorf("by: %g is no figure for it", f.By)
+		return "by", fmt.Errorf("by: %g is not a valid amount", f.By)
 	case len(f.Nodes) == 0:
-		return "nodes", errors.New("nodes: whom does it befall?")
+		return "nodes", errors.New("nodes: no affected node is named")
 	case !kind.onLink && (len(f.To) > 0 || f.Both):
-		return "to", errors.New("to: it befalls processes, not ways")
+		return "to", errors.New("to: the fault acts on processes, not on links")
 	}
 	for _, n := range slices.Concat(f.Nodes, f.To) {
 		if n < 0 || n >= s.Nodes {
