--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -10,6 +10,9 @@
 	"gorseledge/internal/rig/standin"
 )
 
+// costClientKey is the client key of all flows of a measurement.
+const costClientKey = 7
+
 // Cost is the CPU time that a node's process uses, user and system, in microseconds.
 type Cost struct {
 	Start float64 // of a process from its start to its end, with one flow
@@ -58,12 +61,12 @@
 
 // measureOnce measures a program once.
 func measureOnce(ctx context.Context, program string, load Load) (c Cost, err error) {
-	if c.Start, err = spent(ctx, program, Load{}); err != nil {
+	if c.Start, err = processorTime(ctx, program, Load{}); err != nil {
 		return c, err
 	}
 	// perUnit is the cost of one unit of a load, without that of the start.
 	perUnit := func(load Load, units float64) (float64, error) {
-		whole, err := spent(ctx, program, load)
+		whole, err := processorTime(ctx, program, load)
 		return (whole - c.Start) / units, err
 	}
 	if c.Flow, err = perUnit(Load{Flows: load.Flows}, float64(load.Flows)); err != nil {
@@ -76,8 +79,8 @@
 	return c, err
 }
 
-// spent runs a node without a fleet, puts a load on it after a first flow and returns the CPU time of its process.
-func spent(ctx context.Context, program string, load Load) (us float64, err error) {
+// processorTime runs a node without a fleet, puts a load on it after a first flow and returns the CPU time of its process.
+func processorTime(ctx context.Context, program string, load Load) (us float64, err error) {
 	dir, err := os.MkdirTemp("", "cost")
 	if err != nil {
 		return 0, err
@@ -98,7 +101,14 @@
 	flow := func(lines int) (f standin.Flow, err error) {
 		for from := time.Now(); ; {
 			id++
-			f = standin.Play(ctx, n.Client, fmt.Sprintf("%08x", id), 7, flowTimeout, lateAnswerGrace, lines, 0)
+			f = standin.RunFlow(ctx, standin.FlowRequest{
+				Address: n.Client,
+				ID:      fmt.Sprintf("%08x", id),
+				Key:     costClientKey,
+				Timeout: flowTimeout,
+				Grace:   lateAnswerGrace,
+				Lines:   lines,
+			})
 			if f.Answer == standin.Up {
 				return f, nil
 			}
@@ -120,7 +130,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if f.Ended != "client" {
+	if f.Ended != standin.EndedByClient {
 		return 0, fmt.Errorf("a flow of %d lines ends by %q", load.Lines, f.Ended)
 	}
 	select {
