--- a/internal/emulator/notification_test.go
+++ b/internal/emulator/notification_test.go
@@ -6,7 +6,7 @@
 	"gorseledge/internal/node"
 )
 
-// For each way in which a node counts as notified without having heard, or hears too late, the checker finds a node that
+// For each way in which a node counts as notified without a delivery, or takes one too late, the checker finds a node that
 // is wrong in just that way, and no violation of a correct one.
 func TestCheckerFindsNodeThatMissesDrain(t *testing.T) {
 	const (
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -10,7 +10,7 @@
 // Scenario is a script: a fleet, its traffic and its faults. Times are in seconds, loads in cores. The struct tags
 // map the keys of scripts.
 type Scenario struct {
-	Name        string    `toml:"name"`
+	Name        string    `toml:"name"`   // of the script, for tables
 	Duration    float64   `toml:"lasts"`  // until the last client arrives
 	Settle      float64   `toml:"settle"` // after Duration, in which what is under way ends
 	Fleet       Fleet     `toml:"fleet"`
@@ -53,11 +53,11 @@
 	AnswerSlack  float64 `toml:"answer_slack"`  // seconds; checked for its range only
 	FallMultiple float64 `toml:"fall_multiple"` // times its present capacity at which a host in slow start fails
 	FallTime     float64 `toml:"fall_for"`      // seconds of such load until it fails
-	MaxAttempts  int     `toml:"max_connects"`
-	RetryAfter   float64 `toml:"retry_after"`  // longest Retry-After of a node, in seconds; 0 for none
-	PollWithin   float64 `toml:"ask_within"`   // seconds in which a node polls discovery again
-	DialTimeout  float64 `toml:"dial_timeout"` // seconds
-	Pushed       bool    `toml:"pushed"`       // an agent beside each node has the list; the node counts as notified with it
+	MaxAttempts  int     `toml:"max_connects"`  // attempts of a flow at most
+	RetryAfter   float64 `toml:"retry_after"`   // longest Retry-After of a node, in seconds; 0 for none
+	PollWithin   float64 `toml:"ask_within"`    // seconds in which a node polls discovery again
+	DialTimeout  float64 `toml:"dial_timeout"`  // seconds
+	Pushed       bool    `toml:"pushed"`        // an agent beside each node has the list; the node counts as notified with it
 }
 
 // Effect says whether a service type's requests may be sent twice, in the form that scripts have.
@@ -88,11 +88,11 @@
 	SetupObjective   float64 `toml:"target"`      // seconds
 	ConnectTimeout   float64 `toml:"timeout"`     // seconds
 	MessageObjective float64 `toml:"message"`     // seconds
-	PriorityWeight   float64 `toml:"value"`
-	GroupSize        int     `toml:"group"`   // clients that share a group; 0 for no groups
-	Retries          int     `toml:"retries"` // consecutive retries of a client by itself
-	Backoff          float64 `toml:"backoff"` // seconds between a client's retries
-	RetryAfterShare  float64 `toml:"heeds"`   // share of the clients that wait as long as Retry-After says
+	PriorityWeight   float64 `toml:"value"`       // of a served second in ServedShare
+	GroupSize        int     `toml:"group"`       // clients that share a group; 0 for no groups
+	Retries          int     `toml:"retries"`     // consecutive retries of a client by itself
+	Backoff          float64 `toml:"backoff"`     // seconds between a client's retries
+	RetryAfterShare  float64 `toml:"heeds"`       // share of the clients that wait as long as Retry-After says
 }
 
 // defaultScenario has the values of keys that a script leaves out.
--- a/internal/emulator/scenario_test.go
+++ b/internal/emulator/scenario_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func FuzzScripts(f *testing.F) {
+func FuzzReadScript(f *testing.F) {
 	f.Add([]byte(calmScenario))
 	f.Add([]byte("[[fault]]\nkind = \"crash\"\n"))
 	f.Fuzz(func(t *testing.T, text []byte) { Read("f", text) })
