--- a/internal/rig/control_check_test.go
+++ b/internal/rig/control_check_test.go
@@ -38,8 +38,8 @@
 	return func(_ *Script, events []Event) []Violation { return check(events) }
 }
 
-// TestControlCheckersFire gives each checker a history that breaks its rule, and one beside it that does not.
-func TestControlCheckersFire(t *testing.T) {
+// TestControlCheckersReportViolationsAndExcuses gives each checker a history that breaks its rule, and one beside it that does not.
+func TestControlCheckersReportViolationsAndExcuses(t *testing.T) {
 	s := &Script{Nodes: 1, Control: 5, InForce: 6}
 	start, exit := Event{What: eventStart}, Event{What: eventExit}
 	wipe := ControlFault{At: 20, Kind: faultWipe, Servers: []int{0}, For: 1}
@@ -59,19 +59,19 @@
 		name   string
 		check  controlChecker
 		events []Event
-		rule   string // that is broken; none where empty
+		rule   string // that is violations; none where empty
 	}{
-		{"forwards", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 1), seen(4, 0, "b", 2)}, ""},
-		{"back", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), seen(4, 0, "a", 1)}, RuleNoReturn},
-		{"back in an upgrade", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), start, exit,
+		{"version goes up", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 1), seen(4, 0, "b", 2)}, ""},
+		{"version goes back", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), seen(4, 0, "a", 1)}, RuleNoReturn},
+		{"version goes back in an upgrade", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), start, exit,
 			seen(4, 0, "a", 1)}, RuleNoReturn},
-		{"anew after a restart", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), exit, start,
+		{"older version after a restart", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), exit, start,
 			seen(4, 0, "a", 1)}, ""},
-		{"half a change", whole, []Event{start, accepted(1, "a", 1), seen(2, 0, "z", 1)}, RuleComplete},
+		{"entries of no change", whole, []Event{start, accepted(1, "a", 1), seen(2, 0, "z", 1)}, RuleComplete},
 		{"another change's entries", whole, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 2)}, RuleComplete},
 		{"a change whose answer was lost", whole, []Event{start, lost, seen(3, 0, "x", 1)}, ""},
-		{"all held", checkDurable, []Event{accepted(1, "a", 1), marks(30, "a")}, ""},
-		{"one lost", checkDurable, []Event{accepted(1, "a", 1), accepted(2, "b", 2), marks(30, "b")}, RuleDurable},
+		{"all changes held", checkDurable, []Event{accepted(1, "a", 1), marks(30, "a")}, ""},
+		{"one change lost", checkDurable, []Event{accepted(1, "a", 1), accepted(2, "b", 2), marks(30, "b")}, RuleDurable},
 		{"lost though another's disk was wiped", checkDurable, []Event{otherWiped, accepted(1, "a", 1), otherStarted, marks(30)}, RuleDurable},
 		{"lost though all others had it", checkDurable, []Event{accepted(1, "a", 1), wiped, started, marks(30)}, RuleDurable},
 		{"lost with the disk at once", checkDurable, []Event{accepted(19, "a", 1), wiped, started, marks(30)}, ""},
@@ -79,27 +79,27 @@
 			marks(30)}, ""},
 		{"lost with several disks at once", checkDurable, []Event{accepted(1, "a", 1), allWiped, allStarted, marks(30)}, ""},
 		{"lost after the disk was wiped", checkDurable, []Event{wiped, started, accepted(27, "a", 1), marks(30)}, RuleDurable},
-		{"in time", checkInForce, []Event{start, accepted(10, "a", 1), seen(15, 0, "a", 1), marks(30, "a")}, ""},
-		{"late", checkInForce, []Event{start, accepted(10, "a", 1), seen(17, 0, "a", 1), marks(30, "a")}, RuleInForce},
+		{"in force in time", checkInForce, []Event{start, accepted(10, "a", 1), seen(15, 0, "a", 1), marks(30, "a")}, ""},
+		{"in force late", checkInForce, []Event{start, accepted(10, "a", 1), seen(17, 0, "a", 1), marks(30, "a")}, RuleInForce},
 		{"late with a server stopped", checkInForce, []Event{start, accepted(10, "a", 1), lateStopped, lateContinued, seen(17, 0, "a", 1),
 			marks(30, "a")}, RuleInForce},
 		{"late with a region cut off", checkInForce, []Event{start, accepted(10, "a", 1), regionCut, regionBack, seen(17, 0, "a", 1),
 			marks(30, "a")}, ""},
-		{"never", checkInForce, []Event{start, accepted(10, "a", 1), marks(30, "a")}, RuleInForce},
+		{"never in force", checkInForce, []Event{start, accepted(10, "a", 1), marks(30, "a")}, RuleInForce},
 		{"late after all faults", checkInForce, []Event{{What: eventLate, Note: "n0"}}, RuleInForce},
-		{"refused after all faults", accept, []Event{{What: eventApply, Control: &ControlEvent{Outcome: string(configfeed.NotReady)}}},
+		{"rejected after all faults", accept, []Event{{What: eventApply, Control: &ControlEvent{Outcome: string(configfeed.NotReady)}}},
 			RuleAccept},
 		{"a server that ended", checkControl, []Event{{What: eventServerDied, Control: &ControlEvent{Server: 1}}}, RuleServer},
 		{"a server that was ended", checkControl, []Event{{What: eventServerExit, Control: &ControlEvent{Server: 1}}}, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			broken := c.check(s, c.events)
-			if c.rule == "" && len(broken) > 0 {
-				t.Errorf("broken: %v", broken)
+			violations := c.check(s, c.events)
+			if c.rule == "" && len(violations) > 0 {
+				t.Errorf("violated: %v", violations)
 			}
-			if c.rule != "" && (len(broken) != 1 || broken[0].Rule != c.rule) {
-				t.Errorf("want %q broken, got %v", c.rule, broken)
+			if c.rule != "" && (len(violations) != 1 || violations[0].Rule != c.rule) {
+				t.Errorf("want %q violated, got %v", c.rule, violations)
 			}
 		})
 	}
--- a/internal/rig/control_run_test.go
+++ b/internal/rig/control_run_test.go
@@ -7,7 +7,7 @@
 	"gorseledge/internal/configfeed"
 )
 
-// serverFaults is a course for five servers and four nodes: a server stopped, one killed, one put back to an older state
+// serverFaults is a scenario for five servers and four nodes: a server stopped, one killed, one put back to an older state
 // while it is cut off, a region cut off, a node restarted and one upgraded, all servers restarted.
 const serverFaults = `
 nodes = 4
@@ -96,7 +96,7 @@
 	}
 }
 
-// onlyServerStopped is a course in which the only server of a node's region is stopped for longer than a change may take.
+// onlyServerStopped is a scenario in which the only server of a node's region is stopped for longer than a change may take.
 const onlyServerStopped = `
 nodes = 3
 lasts = 24
@@ -114,7 +114,7 @@
 for = 20
 `
 
-// onlyServerIsolated is a course in which the only server of a node's region reaches no other server, while all reach it.
+// onlyServerIsolated is a scenario in which the only server of a node's region reaches no other server, while all reach it.
 // Changes are rare, so that the server has answered polls with nothing new by then.
 const onlyServerIsolated = `
 nodes = 3
@@ -133,29 +133,29 @@
 for = 18
 `
 
-// TestNodesLeaveAnIsolatedServer shows that the server's word of that gets through to its nodes, also where it
-// keeps encoded answers.
+// TestNodesLeaveAnIsolatedServer shows that the nodes learn that their server is isolated, also where it
+// caches encoded answers.
 func TestNodesLeaveAnIsolatedServer(t *testing.T) {
 	r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 7}, onlyServerIsolated)
 	if len(r.Violations) > 0 || len(r.InForce) == 0 {
-		t.Errorf("broken: %v; %d changes were judged", r.Violations, len(r.InForce))
+		t.Errorf("violations: %v; %d changes were measured", r.Violations, len(r.InForce))
 	}
 }
 
 func TestNodeThatPollsOneStoppedServerIsDetected(t *testing.T) {
 	late := func(b Violation) bool { return b.Rule == RuleInForce }
-	t.Run("right core", func(t *testing.T) {
+	t.Run("correct build", func(t *testing.T) {
 		t.Parallel()
 		r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 1}, onlyServerStopped)
 		if len(r.Violations) > 0 || len(r.InForce) == 0 {
-			t.Errorf("broken: %v; %d changes were judged", r.Violations, len(r.InForce))
+			t.Errorf("violations: %v; %d changes were measured", r.Violations, len(r.InForce))
 		}
 	})
-	t.Run("core that polls one server", func(t *testing.T) {
+	t.Run("build that polls one server", func(t *testing.T) {
 		t.Parallel()
 		r := runWithOptions(t, Options{Program: singleServerProgram, Control: serverProgram, Seed: 1}, onlyServerStopped)
 		if !slices.ContainsFunc(r.Violations, late) {
-			t.Errorf("it is not found out: %v", r.Violations)
+			t.Errorf("no late change is reported: %v", r.Violations)
 		}
 	})
 }
--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -13,7 +13,7 @@
 // costClientKey is the client key of all flows of a measurement.
 const costClientKey = 7
 
-// Cost is the CPU time that a node's process uses, user and system, in microseconds.
+// Cost is the processor time that a node's process uses, user and system, in microseconds.
 type Cost struct {
 	Start float64 // of a process from its start to its end, with one flow
 	Flow  float64 // of a flow without lines
@@ -79,7 +79,7 @@
 	return c, err
 }
 
-// processorTime runs a node without a fleet, puts a load on it after a first flow and returns the CPU time of its process.
+// processorTime runs a node without a fleet, puts a load on it after a first flow and returns the processor time of its process, in microseconds.
 func processorTime(ctx context.Context, program string, load Load) (us float64, err error) {
 	dir, err := os.MkdirTemp("", "cost")
 	if err != nil {
@@ -96,37 +96,16 @@
 		return 0, err
 	}
 	defer n.Kill()
-	// flow runs one flow that is established. It retries, as a node that has just started accepts few flows.
-	id := 0
-	flow := func(lines int) (f standin.Flow, err error) {
-		for from := time.Now(); ; {
-			id++
-			f = standin.RunFlow(ctx, standin.FlowRequest{
-				Address: n.Client,
-				ID:      fmt.Sprintf("%08x", id),
-				Key:     costClientKey,
-				Timeout: flowTimeout,
-				Grace:   lateAnswerGrace,
-				Lines:   lines,
-			})
-			if f.Answer == standin.Up {
-				return f, nil
-			}
-			if time.Since(from) > shutdownTimeout || ctx.Err() != nil {
-				return f, fmt.Errorf("it does not serve: %s", f.Answer)
-			}
-			time.Sleep(time.Millisecond)
-		}
-	}
-	if _, err := flow(0); err != nil {
+	clients := &costClients{address: n.Client}
+	if _, err := clients.run(ctx, 0); err != nil {
 		return 0, err
 	}
 	for range load.Flows {
-		if _, err := flow(0); err != nil {
+		if _, err := clients.run(ctx, 0); err != nil {
 			return 0, err
 		}
 	}
-	f, err := flow(load.Lines)
+	f, err := clients.run(ctx, load.Lines)
 	if err != nil {
 		return 0, err
 	}
@@ -139,3 +118,31 @@
 	}
 	return n.Leave()
 }
+
+// costClients runs the flows of a measurement, one at a time.
+type costClients struct {
+	address string
+	last    int // number of the last flow
+}
+
+// run runs one established flow. It retries, as a node that has just started accepts few flows.
+func (c *costClients) run(ctx context.Context, lines int) (standin.Flow, error) {
+	for from := time.Now(); ; {
+		c.last++
+		flow := standin.RunFlow(ctx, standin.FlowRequest{
+			Address: c.address,
+			ID:      fmt.Sprintf("%08x", c.last),
+			Key:     costClientKey,
+			Timeout: flowTimeout,
+			Grace:   lateAnswerGrace,
+			Lines:   lines,
+		})
+		if flow.Answer == standin.Up {
+			return flow, nil
+		}
+		if time.Since(from) > shutdownTimeout || ctx.Err() != nil {
+			return flow, fmt.Errorf("opening a flow: the node answers %q", flow.Answer)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
--- a/internal/rig/detection.go
+++ b/internal/rig/detection.go
@@ -3,7 +3,7 @@
 // Death says when the other nodes learned of the death of a process. Times are seconds after it was killed.
 type Death struct {
 	Node  int
-	First float64 // when the first other node held it for dead
+	First float64 // when the first other node declared it dead
 	Last  float64 // when the last one did
 	Known int     // number of other nodes that did
 }
@@ -23,7 +23,8 @@
 					informed[e.Node] {
 					continue
 				}
-				if informed[e.Node] = true; d.Known == 0 {
+				informed[e.Node] = true
+				if d.Known == 0 {
 					d.First = e.At - f.from
 				}
 				d.Last = e.At - f.from
--- /dev/null
+++ b/internal/rig/generate_test.go
@@ -0,0 +1,31 @@
+package rig
+
+import (
+	"testing"
+)
+
+func TestGeneratedFaultsAreReproducibleAndLeaveEnoughNodes(t *testing.T) {
+	s := &Script{Nodes: 9, Period: 0.25, Lasts: 60, GeneratedFaults: 30}
+	for seed := range uint64(20) {
+		faults := s.GenerateFaults(seed)
+		if len(faults) < 10 {
+			t.Errorf("seed %d: %d faults", seed, len(faults))
+		}
+		for i, f := range s.GenerateFaults(seed) {
+			if f.String() != faults[i].String() || f.At != faults[i].At {
+				t.Fatalf("seed %d generates different faults", seed)
+			}
+		}
+		for at := 0.0; at < 60; at += 0.1 {
+			down := 0
+			for _, f := range faults {
+				if !faultKinds[f.Kind].onLink && at >= f.At && at < f.At+f.For {
+					down++
+				}
+			}
+			if down > 3 {
+				t.Errorf("seed %d, %.1f s: %d down", seed, at, down)
+			}
+		}
+	}
+}
--- a/internal/rig/history.go
+++ b/internal/rig/history.go
@@ -17,7 +17,7 @@
 	eventMember = "member" // a node saw a member change its state
 	eventFlow   = "flow"   // a client's flow ended
 	eventAgree  = "agree"  // all running nodes agree after the last fault
-	eventBudget = "budget" // the part of a cold host's budget that all nodes give out
+	eventBudget = "budget" // the share of a cold host's budget that all nodes grant together
 )
 
 // The states of a member in events and views.
@@ -54,7 +54,7 @@
 	file    *os.File
 	out     *bufio.Writer
 	path    string
-	observe func(Event) // told of each, with At as Unix seconds; nil for nobody
+	observe func(Event) // called with each event, At in Unix seconds; may be nil
 }
 
 // newHistory returns a history that writes to a file, which gets its name when the history is closed as complete. With an
@@ -84,9 +84,9 @@
 	}
 	h.events = append(h.events, e)
 	if h.observe != nil {
-		told := e
-		told.At += float64(h.began.UnixNano()) / 1e9
-		h.observe(told)
+		observed := e
+		observed.At += float64(h.began.UnixNano()) / 1e9
+		h.observe(observed)
 	}
 	if h.out != nil {
 		json.NewEncoder(h.out).Encode(e)
@@ -113,7 +113,7 @@
 }
 
 // close gives the file its name where the run is complete, and removes it otherwise.
-func (h *history) close(whole bool) error {
+func (h *history) close(complete bool) error {
 	if h.file == nil {
 		return nil
 	}
@@ -121,7 +121,7 @@
 	if cerr := h.file.Close(); err == nil {
 		err = cerr
 	}
-	if !whole || err != nil {
+	if !complete || err != nil {
 		os.Remove(h.path + ".part")
 		return err
 	}
--- /dev/null
+++ b/internal/rig/history_test.go
@@ -0,0 +1,24 @@
+package rig
+
+import (
+	"path/filepath"
+	"testing"
+)
+
+func TestHistoryIsCompleteOrAbsent(t *testing.T) {
+	dir := t.TempDir()
+	for _, complete := range []bool{false, true} {
+		h, err := newHistory(filepath.Join(dir, "h.jsonl"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		h.add(Event{What: "flow"})
+		if err := h.close(complete); err != nil {
+			t.Fatal(err)
+		}
+		left, _ := filepath.Glob(filepath.Join(dir, "*"))
+		if complete != (len(left) == 1) {
+			t.Errorf("complete %v: %v", complete, left)
+		}
+	}
+}
--- a/internal/rig/nodes.go
+++ b/internal/rig/nodes.go
@@ -14,26 +14,26 @@
 )
 
 // Nodes are nodes of the built program with their stand-ins, for runs that no Script describes: the caller chooses
-// names and fleet files and brings its own faults about.
+// names and fleet files and injects its own faults.
 type Nodes struct {
 	rig   *Rig
 	nodes []*Node
 }
 
-// Node is one of them.
+// Node is one node of Nodes.
 type Node struct {
 	node *node
 	File fleet.Config // its fleet file; Address is set by Add where it is empty
 }
 
-// NodesOptions are what Nodes are started with.
+// NodesOptions configure Nodes.
 type NodesOptions struct {
 	Program string
 	Dir     string // for the nodes' directories
 	Seed    uint64
-	Hosts   int         // stand-ins
+	Hosts   int         // number of stand-in hosts
 	Flows   float64     // new clients a second, over all nodes
-	Observe func(Event) // told as it is seen, with At as Unix seconds; may be nil
+	Observe func(Event) // called with each event, At in Unix seconds; may be nil
 }
 
 // NewNodes starts the stand-ins. Close ends them and all nodes.
@@ -62,41 +62,41 @@
 // speak of. Prepare writes its files, Start starts it.
 func (n *Nodes) Add(name string, file fleet.Config) (*Node, error) {
 	i := len(n.rig.nodes)
-	one := &node{rig: n.rig, index: i, label: name, dir: filepath.Join(n.rig.Dir, name), fleet: file.Address}
-	for _, at := range []*string{&one.client, &one.admin, &one.fleet} {
-		if *at != "" {
+	added := &node{rig: n.rig, index: i, label: name, dir: filepath.Join(n.rig.Dir, name), fleet: file.Address}
+	for _, address := range []*string{&added.client, &added.admin, &added.fleet} {
+		if *address != "" {
 			continue
 		}
 		var err error
-		if *at, err = freeAddress(i); err != nil {
+		if *address, err = freeAddress(i); err != nil {
 			return nil, err
 		}
 	}
-	file.Address = one.fleet
-	n.rig.nodes = append(n.rig.nodes, one)
-	added := &Node{node: one, File: file}
-	n.nodes = append(n.nodes, added)
-	return added, nil
+	file.Address = added.fleet
+	n.rig.nodes = append(n.rig.nodes, added)
+	result := &Node{node: added, File: file}
+	n.nodes = append(n.nodes, result)
+	return result, nil
 }
 
-// Traffic has clients come until the first context ends; those who are there stay until the second does, and are
-// waited for.
-func (n *Nodes) Traffic(ctx, whole context.Context) {
-	n.rig.flows.Go(func() { n.rig.traffic(ctx, whole) })
+// Traffic starts clients in the background until ctx ends; flows that are open then may continue until runContext ends.
+// Close waits for them.
+func (n *Nodes) Traffic(ctx, runContext context.Context) {
+	n.rig.flows.Go(func() { n.rig.traffic(ctx, runContext) })
 }
 
-// Flows gives how many flows ended, by their answers.
+// Flows returns the number of flows that have ended, by answer.
 func (n *Nodes) Flows() map[string]int {
 	out := map[string]int{}
 	for _, e := range n.rig.history.all() {
-		if e.What == "flow" {
+		if e.What == eventFlow {
 			out[e.Answer]++
 		}
 	}
 	return out
 }
 
-// Close ends everything and waits for it.
+// Close stops all nodes, clients and stand-ins and waits until they have ended.
 func (n *Nodes) Close() { n.rig.close() }
 
 // Prepare writes the node's directory; settled is the number of nodes that its settings speak of.
@@ -107,7 +107,7 @@
 	return n.node.rig.writeFiles(n.node, n.File, settled)
 }
 
-// Start starts the node where it does not run.
+// Start starts the node unless it runs.
 func (n *Node) Start() error { return n.node.start() }
 
 // Kill ends the node's process at once.
@@ -116,7 +116,7 @@
 // Leave asks the node to leave, and waits for it.
 func (n *Node) Leave() { n.node.leave() }
 
-// PID is the process that serves; 0 for none.
+// PID returns the id of the process that serves, 0 if there is none.
 func (n *Node) PID() int {
 	n.node.mu.Lock()
 	defer n.node.mu.Unlock()
--- a/internal/rig/relay_test.go
+++ b/internal/rig/relay_test.go
@@ -6,7 +6,6 @@
 	"time"
 )
 
-// A stream that was accepted before a cut and opened after it does not outlive the cut.
 func TestStreamThatOpensWithinACutBreaks(t *testing.T) {
 	to, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,3 +32,43 @@
 	}
 	<-done
 }
+
+func TestRelayReplaysDatagramsOnlyWhileSet(t *testing.T) {
+	to, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer to.Close()
+	r, err := NewRelay(to.LocalAddr().String(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Close()
+	from, err := net.Dial("udp", r.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer from.Close()
+	buf := make([]byte, 100)
+	read := func() string {
+		to.SetReadDeadline(time.Now().Add(10 * time.Second))
+		n, _, err := to.ReadFrom(buf)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(buf[:n])
+	}
+	from.Write([]byte("first"))
+	from.Write([]byte("second"))
+	if a, b := read(), read(); a != "first" || b != "second" {
+		t.Fatalf("%s %s", a, b)
+	}
+	r.Set(func(w *LinkConditions) { w.Replay = 100 })
+	for seen := map[string]bool{}; len(seen) < 2; { // both come, in any order
+		seen[read()] = true
+	}
+	r.Set(func(w *LinkConditions) { w.Replay = 0 })
+	from.Write([]byte("third"))
+	for read() != "third" { // what was on the way comes first
+	}
+}
--- a/internal/rig/run_test.go
+++ b/internal/rig/run_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Built once for all tests: the node, one with a core that gives nobody time to answer, one that polls one control server
-// only, and the control server.
+// The paths of the programs, built once for all tests: the node, the control server, and two mutant builds of the node,
+// one with a too short suspicion time and one that polls one control server only.
 var nodeProgram, shortSuspicionProgram, singleServerProgram, serverProgram string
 
 func TestMain(m *testing.M) {
@@ -42,13 +42,13 @@
 	return c.Run() == nil
 }
 
-// runProgram plays a script's text and fails where a node's log tells of a race, or a process is left.
+// runProgram runs a script's text and fails if a log reports a data race or a panic.
 func runProgram(t *testing.T, program, text string, seed uint64) *Result {
 	t.Helper()
 	return runWithOptions(t, Options{Program: program, Seed: seed}, text)
 }
 
-// runWithOptions is play with a control server too.
+// runWithOptions is runProgram with all options.
 func runWithOptions(t *testing.T, o Options, text string) *Result {
 	t.Helper()
 	s, err := Read("script", []byte(text))
@@ -70,9 +70,6 @@
 	return r
 }
 
-// Five processes through a stop, a cut in one direction, a kill with its directory
-// put back older, old messages played again, garbage and an upgrade:
-// nobody blameless is held for dead, no flow is without its one answer, all agree in the end.
 func TestFaultsOfAllKindsViolateNoRule(t *testing.T) {
 	r := runProgram(t, nodeProgram, `
 nodes = 5
@@ -134,7 +131,7 @@
 	}
 }
 
-// A core that gives nobody time to answer is caught: a process stopped for two periods is held for dead.
+// A node with a too short suspicion time declares a process dead that is stopped for less than two periods.
 func TestTooShortSuspicionIsDetected(t *testing.T) {
 	r := runProgram(t, shortSuspicionProgram, `
 nodes = 4
@@ -160,10 +157,9 @@
 			return
 		}
 	}
-	t.Errorf("nothing was caught: %v", r.Violations)
+	t.Errorf("no violation of %q: %v", RuleDeath, r.Violations)
 }
 
-// An interrupt leaves no process and no half-written file.
 func TestInterruptLeavesNoProcessAndNoPartialFile(t *testing.T) {
 	s, err := Read("script", []byte("nodes = 3\nlasts = 60\n"))
 	if err != nil {
@@ -171,24 +167,24 @@
 	}
 	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(t.Context())
-	met := make(chan bool, 100)
+	progress := make(chan bool, 100)
 	done := make(chan error, 1)
 	var pids string
 	go func() {
 		_, err := Run(ctx, s, Options{Program: nodeProgram, Seed: 1, Dir: dir, History: filepath.Join(dir, "history.jsonl"),
-			Progress: func(string) { met <- true }})
+			Progress: func(string) { progress <- true }})
 		done <- err
 	}()
 	select {
-	case <-met:
+	case <-progress:
 	case <-time.After(time.Minute):
-		t.Fatal("the nodes have not met")
+		t.Fatal("the run made no progress")
 	}
 	out, _ := exec.Command("pgrep", "-f", nodeProgram).Output()
 	pids = string(out)
 	cancel()
 	if err := <-done; err == nil {
-		t.Error("it says that all went well")
+		t.Error("an interrupted run returned no error")
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "history*")); len(left) > 0 {
 		t.Errorf("left: %v", left)
--- a/internal/rig/setup.go
+++ b/internal/rig/setup.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/hex"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -16,9 +15,15 @@
 	"gorseledge/internal/rig/standin"
 )
 
+// portAttempts is the number of ports that are tried to find one that is free for both TCP and UDP.
+const portAttempts = 50
+
 // fleetKey authenticates the messages of the rig's own fleet.
 const fleetKey = "a key of the rig, for its own nodes"
 
+// joinNodes is the number of nodes, the first ones, that every node joins its fleet through.
+const joinNodes = 3
+
 // start starts the stand-ins, the relays and the nodes.
 func (r *Rig) start() (err error) {
 	if r.hosts, err = standin.StartHosts(r.script.Hosts); err != nil {
@@ -28,8 +33,8 @@
 	r.discovery.Publish(r.hosts.EndpointList(1))
 	for i := range r.script.Nodes {
 		n := &node{rig: r, index: i, dir: filepath.Join(r.Dir, fmt.Sprintf("n%d", i))}
-		for _, at := range []*string{&n.client, &n.admin, &n.fleet} {
-			if *at, err = freeAddress(i); err != nil {
+		for _, address := range []*string{&n.client, &n.admin, &n.fleet} {
+			if *address, err = freeAddress(i); err != nil {
 				return err
 			}
 		}
@@ -63,20 +68,20 @@
 // freeAddress returns an address of node i whose port is free for both TCP and UDP.
 func freeAddress(i int) (string, error) {
 	host := fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200)
-	for range 50 {
+	for range portAttempts {
 		ln, err := net.Listen("tcp", host+":0")
 		if err != nil {
 			return "", err
 		}
-		at := ln.Addr().String()
-		c, err := net.ListenPacket("udp", at)
+		address := ln.Addr().String()
+		c, err := net.ListenPacket("udp", address)
 		ln.Close()
 		if err == nil {
 			c.Close()
-			return at, nil
+			return address, nil
 		}
 	}
-	return "", errors.New("no free address")
+	return "", fmt.Errorf("no port of %s is free for TCP and UDP after %d attempts", host, portAttempts)
 }
 
 // writeNodeFiles writes a node's directory: its config and its fleet file.
@@ -90,7 +95,7 @@
 		file.Zone = string(rune('a' + n.index%r.script.Zones))
 	}
 	for k, other := range r.nodes {
-		if k < 3 {
+		if k < joinNodes {
 			file.Join = append(file.Join, other.fleet)
 		}
 		if k != n.index {
--- a/internal/rig/single.go
+++ b/internal/rig/single.go
@@ -48,11 +48,11 @@
 	return s, nil
 }
 
-// Pid is the process's number.
+// Pid returns the process id.
 func (s *Single) Pid() int { return s.cmd.Process.Pid }
 
-// Leave asks the node to leave, waits for its end and gives the processor time of its whole life, user and system, in
-// microseconds.
+// Leave asks the node to shut down gracefully, waits for its end and returns the processor time that it used, user and
+// system, in microseconds.
 func (s *Single) Leave() (us float64, err error) {
 	defer s.discovery.Close()
 	s.cmd.Process.Signal(syscall.SIGTERM)
@@ -69,6 +69,6 @@
 		return
 	}
 	s.cmd.Process.Kill()
-	s.cmd.Wait() // it was killed: what it says of that is no news
+	s.cmd.Wait() // the error only says that the process was killed
 	s.discovery.Close()
 }
--- /dev/null
+++ b/internal/rig/timeline_test.go
@@ -0,0 +1,19 @@
+package rig
+
+import (
+	"strings"
+	"testing"
+)
+
+func TestTimelineShowsStatesOfMembers(t *testing.T) {
+	r := &Result{Nodes: 3, Events: []Event{{At: 1, What: "fault", Fault: &Fault{Kind: "stop", Nodes: []int{1}}},
+		{At: 2, What: "over", Fault: &Fault{Kind: "stop", Nodes: []int{1}}},
+		{At: 3, What: "member", Node: 0, Member: "n1", State: "suspect"}}}
+	text, err := Timeline(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !strings.Contains(string(text), "<svg") || !strings.Contains(string(text), "suspect") {
+		t.Error("no timeline")
+	}
+}
