--- a/internal/rig/check_test.go
+++ b/internal/rig/check_test.go
@@ -6,6 +6,25 @@
 	"testing"
 )
 
+// during returns the events of a run with a fault that begins at 1 s and, where over is not 0, ends at that time.
+func during(f *Fault, over float64, more ...Event) []Event {
+	all := append([]Event{{At: 1, What: "fault", Fault: f}}, more...)
+	if over > 0 {
+		all = append(all, Event{At: over, What: "over", Fault: f})
+	}
+	return append(all, Event{At: 30, What: "agree"})
+}
+
+// declaredByAllBut returns the events by which the nodes declare n1 dead, without n1 and one other node.
+func declaredByAllBut(but int) (out []Event) {
+	for n := range 5 {
+		if n != 1 && n != but {
+			out = append(out, Event{At: 5, What: "member", Node: n, Member: "n1", State: "dead"})
+		}
+	}
+	return out
+}
+
 func TestCheckersReportViolationsAndExcuses(t *testing.T) {
 	s := &Script{Nodes: 5, Period: 0.25, Liveness: 10, Settle: 10}
 	stop := &Fault{At: 1, Kind: "stop", Nodes: []int{1}, For: 5}
@@ -15,21 +34,6 @@
 	loss := &Fault{At: 1, Kind: "loss", Nodes: []int{0, 1, 2, 3, 4}, For: 5, By: 0.2}
 	heavy := &Fault{At: 1, Kind: "loss", Nodes: []int{0, 1, 2, 3, 4}, For: 5, By: 0.4}
 	dead := Event{At: 7, What: "member", Node: 2, Member: "n1", State: "dead"}
-	during := func(f *Fault, over float64, more ...Event) []Event {
-		all := append([]Event{{At: 1, What: "fault", Fault: f}}, more...)
-		if over > 0 {
-			all = append(all, Event{At: over, What: "over", Fault: f})
-		}
-		return append(all, Event{At: 30, What: "agree"})
-	}
-	declaredByAllBut := func(but int) (out []Event) {
-		for n := range 5 {
-			if n != 1 && n != but {
-				out = append(out, Event{At: 5, What: "member", Node: n, Member: "n1", State: "dead"})
-			}
-		}
-		return out
-	}
 	for _, c := range []struct {
 		name         string
 		events       []Event
--- a/internal/rig/control_check_test.go
+++ b/internal/rig/control_check_test.go
@@ -31,36 +31,43 @@
 	return Event{At: at, What: eventMarks, Control: &ControlEvent{Marks: ids}}
 }
 
-// controlChecker is one of the checkers; a case is judged by the one of its rule alone.
+// controlChecker is one of the checkers; each case uses only the one of its rule.
 type controlChecker func(*Script, []Event) []Violation
 
 func eventsOnly(check func([]Event) []Violation) controlChecker {
 	return func(_ *Script, events []Event) []Violation { return check(events) }
 }
 
-// TestControlCheckersReportViolationsAndExcuses gives each checker a history that breaks its rule, and one beside it that does not.
-func TestControlCheckersReportViolationsAndExcuses(t *testing.T) {
+// controlCase is a history and the rule that a checker finds violated in it.
+type controlCase struct {
+	name   string
+	check  controlChecker
+	events []Event
+	rule   string // that is violated; none where empty
+}
+
+// runControlCases checks that each case violates its rule once, or none.
+func runControlCases(t *testing.T, s *Script, cases []controlCase) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			violations := c.check(s, c.events)
+			if c.rule == "" && len(violations) > 0 {
+				t.Errorf("violated: %v", violations)
+			}
+			if c.rule != "" && (len(violations) != 1 || violations[0].Rule != c.rule) {
+				t.Errorf("want %q violated, got %v", c.rule, violations)
+			}
+		})
+	}
+}
+
+func TestControlCheckersReportViolationsOfVersions(t *testing.T) {
 	s := &Script{Nodes: 1, Control: 5, InForce: 6}
 	start, exit := Event{What: eventStart}, Event{What: eventExit}
-	wipe := ControlFault{At: 20, Kind: faultWipe, Servers: []int{0}, For: 1}
-	stop := ControlFault{At: 15, Kind: faultStop, Servers: []int{2}, For: 8}
-	other := ControlFault{At: 0, Kind: faultWipe, Servers: []int{1}, For: 3}
-	wiped, started := faultOf(wipe)
-	stopped, continued := faultOf(stop)
-	otherWiped, otherStarted := faultOf(other)
-	allWiped, allStarted := faultOf(ControlFault{At: 20, Kind: faultWipe, Servers: []int{0, 1, 2}, For: 1})
-	late := ControlFault{At: 11, Kind: faultStop, Servers: []int{2}, For: 4}
-	lateStopped, lateContinued := faultOf(late)
-	regionCut, regionBack := faultOf(ControlFault{At: 11, Kind: faultRegion, Region: "south", For: 4})
 	lost := Event{At: 3, What: eventApply, Control: &ControlEvent{ID: "x", Outcome: outcomeUnknown, Digest: "dx"}}
 	noReturn, whole := eventsOnly(checkNoReturn), eventsOnly(checkComplete)
-	accept := eventsOnly(checkAccept)
-	cases := []struct {
-		name   string
-		check  controlChecker
-		events []Event
-		rule   string // that is violations; none where empty
-	}{
+	runControlCases(t, s, []controlCase{
 		{"version goes up", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 1), seen(4, 0, "b", 2)}, ""},
 		{"version goes back", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), seen(4, 0, "a", 1)}, RuleNoReturn},
 		{"version goes back in an upgrade", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), start, exit,
@@ -70,6 +77,19 @@
 		{"entries of no change", whole, []Event{start, accepted(1, "a", 1), seen(2, 0, "z", 1)}, RuleComplete},
 		{"another change's entries", whole, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 2)}, RuleComplete},
 		{"a change whose answer was lost", whole, []Event{start, lost, seen(3, 0, "x", 1)}, ""},
+	})
+}
+
+func TestControlCheckersReportLostChanges(t *testing.T) {
+	s := &Script{Nodes: 1, Control: 5, InForce: 6}
+	wipe := ControlFault{At: 20, Kind: faultWipe, Servers: []int{0}, For: 1}
+	stop := ControlFault{At: 15, Kind: faultStop, Servers: []int{2}, For: 8}
+	other := ControlFault{At: 0, Kind: faultWipe, Servers: []int{1}, For: 3}
+	wiped, started := faultOf(wipe)
+	stopped, continued := faultOf(stop)
+	otherWiped, otherStarted := faultOf(other)
+	allWiped, allStarted := faultOf(ControlFault{At: 20, Kind: faultWipe, Servers: []int{0, 1, 2}, For: 1})
+	runControlCases(t, s, []controlCase{
 		{"all changes held", checkDurable, []Event{accepted(1, "a", 1), marks(30, "a")}, ""},
 		{"one change lost", checkDurable, []Event{accepted(1, "a", 1), accepted(2, "b", 2), marks(30, "b")}, RuleDurable},
 		{"lost though another's disk was wiped", checkDurable, []Event{otherWiped, accepted(1, "a", 1), otherStarted, marks(30)}, RuleDurable},
@@ -79,6 +99,17 @@
 			marks(30)}, ""},
 		{"lost with several disks at once", checkDurable, []Event{accepted(1, "a", 1), allWiped, allStarted, marks(30)}, ""},
 		{"lost after the disk was wiped", checkDurable, []Event{wiped, started, accepted(27, "a", 1), marks(30)}, RuleDurable},
+	})
+}
+
+func TestControlCheckersReportLateChangesAndEndedServers(t *testing.T) {
+	s := &Script{Nodes: 1, Control: 5, InForce: 6}
+	start := Event{What: eventStart}
+	late := ControlFault{At: 11, Kind: faultStop, Servers: []int{2}, For: 4}
+	lateStopped, lateContinued := faultOf(late)
+	regionCut, regionBack := faultOf(ControlFault{At: 11, Kind: faultRegion, Region: "south", For: 4})
+	accept := eventsOnly(checkAccept)
+	runControlCases(t, s, []controlCase{
 		{"in force in time", checkInForce, []Event{start, accepted(10, "a", 1), seen(15, 0, "a", 1), marks(30, "a")}, ""},
 		{"in force late", checkInForce, []Event{start, accepted(10, "a", 1), seen(17, 0, "a", 1), marks(30, "a")}, RuleInForce},
 		{"late with a server stopped", checkInForce, []Event{start, accepted(10, "a", 1), lateStopped, lateContinued, seen(17, 0, "a", 1),
@@ -91,16 +122,5 @@
 			RuleAccept},
 		{"a server that ended", checkControl, []Event{{What: eventServerDied, Control: &ControlEvent{Server: 1}}}, RuleServer},
 		{"a server that was ended", checkControl, []Event{{What: eventServerExit, Control: &ControlEvent{Server: 1}}}, ""},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			violations := c.check(s, c.events)
-			if c.rule == "" && len(violations) > 0 {
-				t.Errorf("violated: %v", violations)
-			}
-			if c.rule != "" && (len(violations) != 1 || violations[0].Rule != c.rule) {
-				t.Errorf("want %q violated, got %v", c.rule, violations)
-			}
-		})
-	}
+	})
 }
