--- a/internal/rig/control_check_test.go
+++ b/internal/rig/control_check_test.go
@@ -66,7 +66,7 @@
 	s := &Script{Nodes: 1, Control: 5, InForce: 6}
 	start, exit := Event{What: eventStart}, Event{What: eventExit}
 	lost := Event{At: 3, What: eventApply, Control: &ControlEvent{ID: "x", Outcome: outcomeUnknown, Digest: "dx"}}
-	noReturn, whole := eventsOnly(checkNoReturn), eventsOnly(checkComplete)
+	noReturn, complete := eventsOnly(checkNoReturn), eventsOnly(checkComplete)
 	runControlCases(t, s, []controlCase{
 		{"version goes up", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 1), seen(4, 0, "b", 2)}, ""},
 		{"version goes back", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), seen(4, 0, "a", 1)}, RuleNoReturn},
@@ -74,9 +74,9 @@
 			seen(4, 0, "a", 1)}, RuleNoReturn},
 		{"older version after a restart", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), exit, start,
 			seen(4, 0, "a", 1)}, ""},
-		{"entries of no change", whole, []Event{start, accepted(1, "a", 1), seen(2, 0, "z", 1)}, RuleComplete},
-		{"another change's entries", whole, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 2)}, RuleComplete},
-		{"a change whose answer was lost", whole, []Event{start, lost, seen(3, 0, "x", 1)}, ""},
+		{"entries of no change", complete, []Event{start, accepted(1, "a", 1), seen(2, 0, "z", 1)}, RuleComplete},
+		{"another change's entries", complete, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 2)}, RuleComplete},
+		{"a change whose answer was lost", complete, []Event{start, lost, seen(3, 0, "x", 1)}, ""},
 	})
 }
 
--- a/internal/rig/control_script.go
+++ b/internal/rig/control_script.go
@@ -82,7 +82,7 @@
 func (s *Script) GenerateControlFaults(seed uint64) []ControlFault {
 	faults := slices.Clone(s.ControlFaults)
 	random := rand.New(rand.NewPCG(seed, controlRandomStream))
-	for try := 0; len(faults) < len(s.ControlFaults)+s.GeneratedControlFaults && try < generationAttempts*s.GeneratedControlFaults; try++ {
+	for attempt := 0; len(faults) < len(s.ControlFaults)+s.GeneratedControlFaults && attempt < generationAttempts*s.GeneratedControlFaults; attempt++ {
 		fault := s.generateControlFault(random)
 		if s.canAddControlFault(faults, fault) {
 			faults = append(faults, fault)
--- a/internal/rig/control_server.go
+++ b/internal/rig/control_server.go
@@ -25,7 +25,7 @@
 	dir     string
 	address string
 
-	mu      sync.Mutex // guards the fields below
+	mu      sync.Mutex // protects the fields below
 	current *process
 	ending  bool // the rig ends the process
 }
@@ -62,19 +62,24 @@
 		}
 	}
 	for _, s := range c.servers {
-		if err := os.RemoveAll(s.dir); err != nil { // of an earlier run with the same directory
-			return c, err
-		}
-		if err := s.writeFile(); err != nil {
-			return c, err
+		if err := s.prepare(); err != nil {
+			return c, fmt.Errorf("preparing control server %s: %w", s.name(), err)
 		}
 		if err := s.start(); err != nil {
-			return c, err
+			return c, fmt.Errorf("starting control server %s: %w", s.name(), err)
 		}
 	}
 	return c, nil
 }
 
+// prepare writes the server's directory anew; an earlier run may have used the same one.
+func (s *controlServer) prepare() error {
+	if err := os.RemoveAll(s.dir); err != nil {
+		return err
+	}
+	return s.writeFile()
+}
+
 // addTo names the control servers in a node's fleet file.
 func (c *control) addTo(file *fleet.Config, node int) {
 	file.Region = regions[node%len(regions)]
@@ -117,9 +122,9 @@
 	s.ending = false
 	rig := s.control.rig
 	command := exec.Command(rig.Control, "serve", s.path())
-	p, err := rig.launch(command, filepath.Join(s.dir, "log"), func(int) {
+	p, err := rig.launch(command, filepath.Join(s.dir, "log"), processObserver{started: func(int) {
 		rig.history.add(Event{What: eventServerStart, Control: &ControlEvent{Server: s.index}})
-	}, func(*process, logLine) {}, s.exited)
+	}, logged: func(*process, logLine) {}, exited: s.exited})
 	s.current = p
 	return err
 }
@@ -137,7 +142,7 @@
 }
 
 // end ends the server's process by a function and waits for it.
-func (s *controlServer) end(by func(*process)) {
+func (s *controlServer) end(endProcess func(*process)) {
 	s.mu.Lock()
 	p := s.current
 	s.ending = true
@@ -145,7 +150,7 @@
 	if p == nil {
 		return
 	}
-	by(p)
+	endProcess(p)
 	<-p.exited
 	s.mu.Lock()
 	s.current = nil
@@ -155,15 +160,15 @@
 func (s *controlServer) kill()  { s.end(func(p *process) { p.cmd.Process.Kill() }) }
 func (s *controlServer) leave() { s.end(func(p *process) { p.leave() }) }
 
-// stop stops the server's process, or continues it where held is false.
-func (s *controlServer) stop(held bool) {
+// setStopped stops the server's process, or continues it where stopped is false.
+func (s *controlServer) setStopped(stopped bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current == nil {
 		return
 	}
 	signal := syscall.SIGCONT
-	if held {
+	if stopped {
 		signal = syscall.SIGSTOP
 	}
 	s.current.cmd.Process.Signal(signal)
@@ -190,7 +195,7 @@
 func (s *controlServer) beginFault(f ControlFault) error {
 	switch f.Kind {
 	case faultStop:
-		s.stop(true)
+		s.setStopped(true)
 	case faultKill:
 		s.kill()
 	case faultRestart:
@@ -208,7 +213,7 @@
 // endFault ends a fault of the server's process.
 func (s *controlServer) endFault(f ControlFault) error {
 	if f.Kind == faultStop {
-		s.stop(false)
+		s.setStopped(false)
 		return nil
 	}
 	return s.start()
--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -66,8 +66,8 @@
 	}
 	// perUnit is the cost of one unit of a load, without that of the start.
 	perUnit := func(load Load, units float64) (float64, error) {
-		whole, err := processorTime(ctx, program, load)
-		return (whole - c.Start) / units, err
+		total, err := processorTime(ctx, program, load)
+		return (total - c.Start) / units, err
 	}
 	if c.Flow, err = perUnit(Load{Flows: load.Flows}, float64(load.Flows)); err != nil {
 		return c, err
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -104,7 +104,7 @@
 func (r *Rig) beginNodeFault(n *node, f Fault) error {
 	switch f.Kind {
 	case faultStop:
-		n.stop(true)
+		n.setStopped(true)
 	case faultKill:
 		n.kill()
 	case faultWipe:
@@ -131,7 +131,7 @@
 func (r *Rig) endNodeFault(n *node, f Fault) error {
 	switch f.Kind {
 	case faultStop:
-		n.stop(false)
+		n.setStopped(false)
 	case faultKill, faultWipe, faultRollback:
 		if f.For > 0 {
 			return n.start()
@@ -155,9 +155,9 @@
 			if k == from {
 				continue
 			}
-			r.relays[[2]int{from, k}].Set(change)
+			r.relays[nodeLink{from: from, to: k}].Set(change)
 			if f.Both {
-				r.relays[[2]int{k, from}].Set(change)
+				r.relays[nodeLink{from: k, to: from}].Set(change)
 			}
 		}
 	}
--- a/internal/rig/generate.go
+++ b/internal/rig/generate.go
@@ -19,7 +19,7 @@
 	faults := slices.Clone(s.Faults)
 	random := rand.New(rand.NewPCG(seed, faultRandomStream))
 	kinds := s.generatedKinds()
-	for try := 0; len(faults) < len(s.Faults)+s.GeneratedFaults && try < generationAttempts*s.GeneratedFaults; try++ {
+	for attempt := 0; len(faults) < len(s.Faults)+s.GeneratedFaults && attempt < generationAttempts*s.GeneratedFaults; attempt++ {
 		fault := s.generateFault(random, kinds)
 		if s.canAdd(faults, fault) {
 			faults = append(faults, fault)
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -13,9 +13,18 @@
 	"time"
 )
 
-// shutdownTimeout is the time after which a process that was asked to leave is killed, as the platform does.
+// shutdownTimeout is the time after which a process that was asked to shut down is killed, as the platform does.
 const shutdownTimeout = 5 * time.Second
 
+// The messages of a node's log that the rig acts on. Nodes of earlier versions log them too.
+const (
+	logMemberChanged = "member"            // a member changed its state
+	logJoinedFleet   = "member of a fleet" // the node has joined its fleet
+)
+
+// maxLogLineBytes is the length of a log line beyond which the rig stops reading the log.
+const maxLogLineBytes = 1 << 20
+
 // process is a running process of the program.
 type process struct {
 	cmd    *exec.Cmd
@@ -41,7 +50,7 @@
 	admin  string
 	fleet  string
 
-	mu          sync.Mutex // guards the fields below
+	mu          sync.Mutex // protects the fields below
 	current     *process   // the process that serves
 	predecessor *process   // hands over to now in an upgrade
 	stopped     bool       // by SIGSTOP
@@ -54,10 +63,16 @@
 	return fmt.Sprintf("n%d", n.index)
 }
 
-// launch starts a process and writes its standard error to a log until it has ended. It calls started with the process
-// id, logged with each line that is a JSON object, and exited at the end with the exit status.
-func (r *Rig) launch(command *exec.Cmd, logPath string, started func(pid int), logged func(*process, logLine),
-	exited func(note string)) (*process, error) {
+// processObserver receives what happens to a process. Its functions are called one after the other.
+type processObserver struct {
+	started func(pid int)
+	logged  func(*process, logLine) // for each line of the log that is a JSON object
+	exited  func(note string)       // with the exit status, "0" for success
+}
+
+// launch starts a process and writes its standard error to a log until it has ended. A goroutine of the process reads
+// the log and waits for its end; it closes exited last.
+func (r *Rig) launch(command *exec.Cmd, logPath string, observer processObserver) (*process, error) {
 	p := &process{cmd: command, exited: make(chan struct{}), ready: make(chan struct{})}
 	pipe, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -71,15 +86,15 @@
 		log.Close()
 		return nil, err
 	}
-	started(p.cmd.Process.Pid)
+	observer.started(p.cmd.Process.Pid)
 	go func() {
 		in := bufio.NewScanner(pipe)
-		in.Buffer(nil, 1<<20)
+		in.Buffer(nil, maxLogLineBytes)
 		for in.Scan() {
 			fmt.Fprintf(log, "%.3f %s\n", r.history.now(), in.Bytes())
 			var l logLine
 			if json.Unmarshal(in.Bytes(), &l) == nil {
-				logged(p, l)
+				observer.logged(p, l)
 			}
 		}
 		log.Close()
@@ -88,7 +103,7 @@
 		if err != nil {
 			note = err.Error()
 		}
-		exited(note)
+		observer.exited(note)
 		close(p.exited)
 	}()
 	return p, nil
@@ -98,18 +113,18 @@
 func (n *node) launch() (*process, error) {
 	command := exec.Command(n.rig.Program)
 	command.Env = append(os.Environ(), "LB_CONFIG="+filepath.Join(n.dir, "config.json"), "TMPDIR="+n.dir)
-	return n.rig.launch(command, filepath.Join(n.dir, "log"), func(pid int) {
+	return n.rig.launch(command, filepath.Join(n.dir, "log"), processObserver{started: func(pid int) {
 		n.rig.history.add(Event{What: eventStart, Node: n.index, Note: fmt.Sprint(pid)})
-	}, func(p *process, l logLine) {
+	}, logged: func(p *process, l logLine) {
 		switch l.Message {
-		case "member":
+		case logMemberChanged:
 			n.rig.history.add(Event{What: eventMember, Node: n.index, Member: l.Member, State: l.State})
-		case "member of a fleet":
+		case logJoinedFleet:
 			p.once.Do(func() { close(p.ready) })
 		}
-	}, func(note string) {
+	}, exited: func(note string) {
 		n.rig.history.add(Event{What: eventExit, Node: n.index, Note: note})
-	})
+	}})
 }
 
 // start starts the node unless it runs.
@@ -194,7 +209,7 @@
 	n.mu.Unlock()
 }
 
-// leave asks a process to leave and waits until it has ended; it is killed after shutdownTimeout.
+// leave asks a process to shut down gracefully and waits until it has ended; it is killed after shutdownTimeout.
 func (p *process) leave() {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -205,7 +220,7 @@
 	}
 }
 
-// leave asks the node's processes to leave and waits until they have ended.
+// leave asks the node's processes to shut down gracefully and waits until they have ended.
 func (n *node) leave() {
 	for _, p := range n.processes() {
 		p.leave()
@@ -215,17 +230,17 @@
 	n.mu.Unlock()
 }
 
-// stop stops the node's processes, or continues them where held is false.
-func (n *node) stop(held bool) {
+// setStopped stops the node's processes, or continues them where stopped is false.
+func (n *node) setStopped(stopped bool) {
 	sig := syscall.SIGCONT
-	if held {
+	if stopped {
 		sig = syscall.SIGSTOP
 	}
 	for _, p := range n.processes() {
 		p.cmd.Process.Signal(sig)
 	}
 	n.mu.Lock()
-	n.stopped = held
+	n.stopped = stopped
 	n.mu.Unlock()
 }
 
--- a/internal/rig/relay_test.go
+++ b/internal/rig/relay_test.go
@@ -69,6 +69,6 @@
 	}
 	r.Set(func(w *LinkConditions) { w.Replay = 0 })
 	from.Write([]byte("third"))
-	for read() != "third" { // what was on the way comes first
+	for read() != "third" { // datagrams replayed earlier arrive first
 	}
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -15,23 +15,27 @@
 	Seed     uint64
 	Dir      string            // parent of the nodes' directories
 	History  string            // file for the events (JSON Lines); none where empty
-	Progress func(line string) // receives a line now and then; may be nil
+	Progress func(line string) // receives progress lines; may be nil
 }
 
+// nodeLink identifies the link from one node to another, both by index.
+type nodeLink struct{ from, to int }
+
 // Rig is a run in progress: the nodes, the relays between them and the stand-ins around them.
 type Rig struct {
 	Options
 	script    *Script
 	history   *history
 	nodes     []*node
-	relays    map[[2]int]*Relay
+	relays    map[nodeLink]*Relay
 	hosts     *standin.Hosts
 	discovery *standin.Discovery
-	client    *http.Client
-	control   *control // nil where the script has no control servers
-	flows     sync.WaitGroup
-	rand      *rand.Rand
-	mu        sync.Mutex // guards rand
+	client    *http.Client   // for the admin addresses of nodes
+	control   *control       // nil where the script has no control servers
+	flows     sync.WaitGroup // goroutines of clients and of the budget
+
+	mu   sync.Mutex // protects rand
+	rand *rand.Rand
 }
 
 // close stops everything that the rig started and waits until it has ended.
@@ -43,8 +47,8 @@
 	if r.control != nil {
 		r.control.close()
 	}
-	for _, l := range r.relays {
-		l.Close()
+	for _, relay := range r.relays {
+		relay.Close()
 	}
 	if r.discovery != nil {
 		r.discovery.Close()
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -32,21 +32,22 @@
 	return fmt.Sprintf("SEED %d: %d calls, %d faults, broken %d", r.Seed, r.Calls, r.FaultCount(), len(r.Violations))
 }
 
-// Run runs a script once and judges it. An error means that the run itself failed, not that a rule was broken. When
+// Run runs a script once and checks it. An error means that the run itself failed, not that a rule was broken. When
 // Play returns, nothing that it started is running, whatever happened.
 func Run(ctx context.Context, s *Script, o Options) (res *Result, err error) {
 	h, err := newHistory(o.History)
 	if err != nil {
 		return nil, err
 	}
-	r := &Rig{Options: o, script: s, history: h, relays: map[[2]int]*Relay{},
+	r := &Rig{Options: o, script: s, history: h, relays: map[nodeLink]*Relay{},
 		client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 		rand:   rand.New(rand.NewPCG(o.Seed, 11))}
 	defer func() {
 		r.close()
-		whole := res != nil && err == nil
-		if cerr := h.close(whole); err == nil {
-			err = cerr
+		complete := res != nil && err == nil
+		closeErr := h.close(complete)
+		if err == nil {
+			err = closeErr
 		}
 	}()
 	if err := r.start(); err != nil {
@@ -59,7 +60,8 @@
 	}
 	res.Events = h.all()
 	res.countCalls()
-	res.Violations, res.Deaths = Check(s, res, disagreement), Deaths(s, res.Events)
+	res.Violations = Check(s, res, disagreement)
+	res.Deaths = Deaths(s, res.Events)
 	res.InForce = inForceTimes(s, res.Events)
 	return res, nil
 }
--- a/internal/rig/script.go
+++ b/internal/rig/script.go
@@ -1,6 +1,3 @@
-// Package rig runs several processes of the built program, each with its own loopback addresses and directory, and
-// injects faults into their links and processes as a script or a seed says. Everything it observes goes into a
-// history, and checkers judge a run from that history alone. All addresses are within 127.0.0.0/8.
 package rig
 
 import (
--- a/internal/rig/setup.go
+++ b/internal/rig/setup.go
@@ -40,14 +40,8 @@
 		}
 		r.nodes = append(r.nodes, n)
 	}
-	for i := range r.nodes {
-		for k := range r.nodes {
-			if i != k {
-				if r.relays[[2]int{i, k}], err = NewRelay(r.nodes[k].fleet, r.Seed*1000+uint64(i*100+k)); err != nil {
-					return err
-				}
-			}
-		}
+	if err := r.startRelays(); err != nil {
+		return err
 	}
 	if r.script.Control > 0 {
 		if r.control, err = startControl(r); err != nil {
@@ -56,10 +50,27 @@
 	}
 	for _, n := range r.nodes {
 		if err := r.writeNodeFiles(n); err != nil {
-			return err
+			return fmt.Errorf("writing the files of node %s: %w", n.name(), err)
 		}
 		if err := n.start(); err != nil {
-			return err
+			return fmt.Errorf("starting node %s: %w", n.name(), err)
+		}
+	}
+	return nil
+}
+
+// startRelays opens a relay for the link from each node to each other node.
+func (r *Rig) startRelays() error {
+	for from := range r.nodes {
+		for to := range r.nodes {
+			if from == to {
+				continue
+			}
+			relay, err := NewRelay(r.nodes[to].fleet, r.Seed*1000+uint64(from*100+to))
+			if err != nil {
+				return err
+			}
+			r.relays[nodeLink{from: from, to: to}] = relay
 		}
 	}
 	return nil
@@ -99,7 +110,7 @@
 			file.Join = append(file.Join, other.fleet)
 		}
 		if k != n.index {
-			file.Via[other.fleet] = r.relays[[2]int{n.index, k}].Address()
+			file.Via[other.fleet] = r.relays[nodeLink{from: n.index, to: k}].Address()
 		}
 	}
 	if r.control != nil {
@@ -108,7 +119,7 @@
 	return r.writeFiles(n, file, len(r.nodes))
 }
 
-// writeFiles writes a node's fleet file and its config; settled is the number of nodes that its settings speak of.
+// writeFiles writes a node's fleet file and its config; settled is the number of nodes in its settings.
 func (r *Rig) writeFiles(n *node, file fleet.Config, settled int) error {
 	text, err := toml.Marshal(file)
 	if err != nil {
@@ -138,7 +149,7 @@
 	Settings  nodeSettings   `json:"settings"`
 }
 
-// NodeLimits are the resources that a node is told it has.
+// NodeLimits are the resources that a node is configured to use.
 type NodeLimits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
