--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,236 +9,313 @@
 	"gorseledge/internal/line"
 )
 
-// flow is one first line of a client, from its sending to its end; the checkers follow it by its id.
-type flow struct {
-	id       string
-	kind     int
-	effect   string
-	load     float64
-	lives    float64
-	due      float64 // when its client gives up
-	taken    *station
-	answers  int
-	ranAt    float64 // of the first time it ran, 0 for none
-	ranOn    *host
-	runs     int
-	out      int     // connects out now
-	leftAt   float64 // when its client left without an answer; 0 for not
-	rejected bool
-}
-
-// client is one listener: it comes, may be turned away, comes again by itself, and holds its connection.
+// Times of clients, in seconds.
+const (
+	minLifetime         = 0.1
+	noNodeBackoff       = 0.2 // where no node runs
+	messageInterval     = 2.0
+	minMessageObjective = 0.01
+	reconnectDelay      = 0.05 // least time until a client reconnects
+	brokenJitter        = 0.5  // added at most after a connection broke
+	migrationJitter     = 0.3  // added at most after a request to migrate
+)
+
+// client sets up one connection after another through the nodes, may be rejected, retries by itself, and sends messages
+// over its connection. Times are in seconds.
 type client struct {
 	*machine
-	w      *World
-	chance *rand.Rand
-	t      Traffic
-	kind   int
-	key    uint64
-	group  uint64
-	load   float64
-	tries  int
-	back   bool
-	s      *socket
-	flow   *flow
-	text   []byte
-	up     bool
-	sentAt float64 // of the line that waits for one back, 0 for none
-	stay   float64 // of its life that is left
-	upAt   float64
-	asked  float64 // seconds of service asked for, and those well served
-	served float64
-	gone   bool
-	turn   int // of the connection, so that late events of an old one are void
-}
-
-// come sends a first line to a node that the front names.
-func (c *client) come() {
-	w := c.w
-	if c.gone || w.Now > w.script.Lasts {
+	world            *simulation
+	random           *rand.Rand
+	traffic          Traffic
+	trafficIndex     int
+	key              uint64
+	group            uint64 // 0 for none
+	load             float64
+	retries          int  // consecutive ones
+	reconnecting     bool // it had a connection before
+	socket           *socket
+	flow             *flow
+	received         []byte // not handled yet
+	established      bool
+	messageSentAt    float64 // of the message that waits for its answer; 0 for none
+	remaining        float64 // of its lifetime
+	accountedAt      float64 // up to when the present connection is in the account
+	requestedSeconds float64
+	servedSeconds    float64 // of requestedSeconds, those that were served well
+	finished         bool    // it does not connect any more
+	generation       int     // of its connection; events of an older one have no effect
+}
+
+// connect sends a first line to a node.
+func (c *client) connect() {
+	w := c.world
+	if c.finished || w.Now > w.script.Duration {
 		return
 	}
-	c.turn++
-	turn := c.turn
-	to := w.front(c.zone)
-	if to == nil {
-		c.again(0.2)
+	c.generation++
+	n := w.pickNode(c.zone)
+	if n == nil {
+		c.retryAfter(noNodeBackoff)
 		return
 	}
-	w.flows++
-	f := &flow{id: strconv.FormatUint(uint64(w.flows)<<20|0xabcde, 16), kind: c.kind, effect: c.t.Effect, load: c.load,
-		lives: c.stay, due: w.Now + c.t.Timeout}
-	w.byID[f.id] = f
-	c.flow, c.up, c.text, c.sentAt = f, false, nil, 0
-	mine, theirs := w.net.join(c.machine, to.machine)
-	c.s = mine
-	mine.wake = func() {
-		if c.turn == turn {
-			c.hear()
+	f := c.newFlow()
+	near, far := w.join(c.machine, n.machine)
+	c.attach(near, f)
+	w.result.Requested++
+	near.send(c.opening())
+	w.After(w.delay(c.machine, n.machine), func() { n.accept(far, f) })
+	c.scheduleDeparture()
+	c.scheduleTimeout()
+}
+
+// newFlow returns a new flow of the client, which the checker finds by its id.
+func (c *client) newFlow() *flow {
+	w := c.world
+	w.flowCount++
+	f := &flow{
+		id:           strconv.FormatUint(uint64(w.flowCount)<<20|0xabcde, 16),
+		trafficIndex: c.trafficIndex,
+		effect:       c.traffic.Effect,
+		load:         c.load,
+		lifetime:     c.remaining,
+		deadline:     w.Now + c.traffic.ConnectTimeout,
+	}
+	w.flowsByID[f.id] = f
+	return f
+}
+
+// attach makes a socket and a flow those of the present generation.
+func (c *client) attach(s *socket, f *flow) {
+	c.socket = s
+	c.flow = f
+	c.established = false
+	c.received = nil
+	c.messageSentAt = 0
+	generation := c.generation
+	s.onArrival = func() {
+		if c.generation == generation {
+			c.receive()
 		}
 	}
-	again := ""
-	if c.back {
-		again = ",again=1"
-	}
-	if c.tries > 0 {
-		again += ",r=1"
-	}
-	w.result.Asked++
-	mine.send(fmt.Appendf(nil, "OPEN %s %016x c=%s,t=all,d=%d,g=%x%s\r\n", f.id, c.key, c.t.Name,
-		int(c.t.Timeout*1e3), c.group, again))
-	w.net.After(w.net.delay(c.machine, to.machine), func() { to.accept(theirs, f) })
-	if w.impatient > 0 && c.chance.Float64() < w.impatient {
-		w.After(c.chance.Float64()*min(c.t.Timeout, 4*c.t.Target), func() {
-			if c.turn == turn && !c.up && f.answers == 0 {
-				c.quit(c.chance.Float64() < 0.5)
-				f.leftAt = w.Now
-				c.again(c.t.Backoff)
-			}
-		})
-	}
-	w.After(c.t.Timeout, func() {
-		if c.turn == turn && !c.up && f.answers == 0 {
-			w.result.Unanswered++
-			w.rules.overdue(f)
-			c.quit(true)
-			c.again(c.t.Backoff)
+}
+
+// opening returns the first line of the client's flow.
+func (c *client) opening() []byte {
+	attributes := ""
+	if c.reconnecting {
+		attributes = ",again=1"
+	}
+	if c.retries > 0 {
+		attributes += ",r=1"
+	}
+	timeout := int(c.traffic.ConnectTimeout * millisecondsPerSecond)
+	return fmt.Appendf(nil, "OPEN %s %016x c=%s,t=all,d=%d,g=%x%s\r\n", c.flow.id, c.key, c.traffic.Name, timeout, c.group, attributes)
+}
+
+// scheduleDeparture has the client leave before its answer, for the share of clients that are impatient now.
+func (c *client) scheduleDeparture() {
+	w := c.world
+	if w.impatientShare <= 0 || c.random.Float64() >= w.impatientShare {
+		return
+	}
+	generation, f := c.generation, c.flow
+	patience := c.random.Float64() * min(c.traffic.ConnectTimeout, 4*c.traffic.SetupObjective)
+	w.After(patience, func() {
+		if c.awaitsAnswer(generation, f) {
+			c.disconnect(c.random.Float64() < 0.5)
+			f.clientLeftAt = w.Now
+			c.retryAfter(c.traffic.Backoff)
+		}
+	})
+}
+
+// scheduleTimeout has the client give up at its connect timeout.
+func (c *client) scheduleTimeout() {
+	generation, f := c.generation, c.flow
+	c.world.After(c.traffic.ConnectTimeout, func() {
+		if c.awaitsAnswer(generation, f) {
+			c.world.result.Unanswered++
+			c.world.checker.checkOverdue(f)
+			c.disconnect(true)
+			c.retryAfter(c.traffic.Backoff)
 		}
 	})
 }
 
-// hear takes what arrived from the node.
-func (c *client) hear() {
-	c.text, c.s.in = append(c.text, c.s.in...), c.s.in[:0]
-	turn := c.turn
-	for c.turn == turn {
-		row, rest, whole := bytes.Cut(c.text, []byte("\n"))
-		if !whole {
+// awaitsAnswer reports whether a flow of the given generation is still the client's and has no answer.
+func (c *client) awaitsAnswer(generation int, f *flow) bool {
+	return c.generation == generation && !c.established && f.answers == 0
+}
+
+// receive handles what has arrived from the node.
+func (c *client) receive() {
+	c.received = append(c.received, c.socket.received...)
+	c.socket.received = c.socket.received[:0]
+	generation := c.generation
+	for c.generation == generation {
+		row, rest, complete := bytes.Cut(c.received, []byte("\n"))
+		if !complete {
 			break
 		}
-		c.text = rest
-		f, up := c.flow, c.up
-		c.line(string(bytes.TrimSpace(row)))
-		if c.turn != turn && !up && bytes.IndexByte(c.text, '\n') >= 0 { // more than the last word
+		c.received = rest
+		f, established := c.flow, c.established
+		c.handleLine(string(bytes.TrimSpace(row)))
+		// A line after the one that ended the connection is a second answer.
+		if c.generation != generation && !established && bytes.IndexByte(c.received, '\n') >= 0 {
 			f.answers++
-			c.w.rules.answered(f)
+			c.world.checker.checkAnswers(f)
 		}
 	}
-	if c.turn == turn && c.s.end != going {
-		broken := c.s.end == reset
-		if !c.up && c.flow.answers == 0 {
-			c.w.rules.unanswered(c.flow)
-		}
-		was := c.up
-		c.quit(false)
-		if was {
-			c.back = true
-			c.w.result.Broken++
-			c.w.trace("client %s broken %v", c.name, broken)
-			c.again(0.05 + 0.5*c.chance.Float64())
-		}
+	if c.generation == generation && c.socket.farEnd != streamOpen {
+		c.handleEnd()
 	}
 }
 
-func (c *client) line(row string) {
-	w := c.w
-	word, rest := line.Split([]byte(row))
-	if c.up {
-		switch word {
-		case line.Bye:
-			c.account()
-			c.quit(false)
-			c.gone = true
-			w.result.Served++
-		case line.Move:
-			c.quit(false)
-			c.back = true
-			w.result.Moved++
-			c.again(0.05 + 0.3*c.chance.Float64())
-		case line.Load:
-		default:
-			c.sentAt = 0
-		}
+// handleEnd handles the end of the connection by the node. The client reconnects if it was established.
+func (c *client) handleEnd() {
+	reset := c.socket.farEnd == streamReset
+	if !c.established && c.flow.answers == 0 {
+		c.world.checker.checkUnanswered(c.flow)
+	}
+	established := c.established
+	c.disconnect(false)
+	if !established {
+		return
+	}
+	c.reconnecting = true
+	c.world.result.Disconnected++
+	c.world.trace("client %s broken %v", c.name, reset)
+	c.retryAfter(reconnectDelay + brokenJitter*c.random.Float64())
+}
+
+// handleLine handles one line from the node.
+func (c *client) handleLine(row string) {
+	verb, rest := line.Split([]byte(row))
+	if c.established {
+		c.handleMessage(verb)
 		return
 	}
 	c.flow.answers++
-	w.rules.answered(c.flow)
-	switch word {
+	c.world.checker.checkAnswers(c.flow)
+	switch verb {
 	case line.Up:
-		c.up, c.upAt, c.tries = true, w.Now, 0
-		w.result.Established++
-		took := w.Now - (c.flow.due - c.t.Timeout)
-		w.result.setup(took)
-		if took <= c.t.Target {
-			w.result.InTarget++
-		}
-		c.beat(c.turn)
+		c.handleUp()
 	case line.Busy:
-		w.result.Rejected++
-		c.flow.rejected = true
-		wait := c.t.Backoff
-		if ms, err := strconv.ParseFloat(string(bytes.TrimSpace(rest)), 64); err == nil && c.chance.Float64() < c.t.Heeds {
-			wait = ms / 1e3
-		}
-		c.quit(false)
-		c.again(wait)
+		c.handleRejection(rest)
 	default:
-		w.result.Aborted++
-		c.quit(false)
-		if c.t.Effect != "once-only" {
-			c.again(c.t.Backoff)
-		} else {
-			c.gone = true
-		}
+		c.handleFailure()
+	}
+}
+
+// handleMessage handles a line over the established connection.
+func (c *client) handleMessage(verb line.Verb) {
+	switch verb {
+	case line.Bye:
+		c.recordService()
+		c.disconnect(false)
+		c.finished = true
+		c.world.result.Served++
+	case line.Move:
+		c.disconnect(false)
+		c.reconnecting = true
+		c.world.result.Migrated++
+		c.retryAfter(reconnectDelay + migrationJitter*c.random.Float64())
+	case line.Load:
+	default:
+		c.messageSentAt = 0
+	}
+}
+
+// handleUp handles the answer that establishes the connection.
+func (c *client) handleUp() {
+	w := c.world
+	c.established = true
+	c.accountedAt = w.Now
+	c.retries = 0
+	w.result.Established++
+	setup := w.Now - (c.flow.deadline - c.traffic.ConnectTimeout)
+	w.result.recordSetup(setup)
+	if setup <= c.traffic.SetupObjective {
+		w.result.InTarget++
+	}
+	c.sendMessages(c.generation)
+}
+
+// handleRejection handles a rejection, whose Retry-After in milliseconds some of the clients heed.
+func (c *client) handleRejection(retryAfter []byte) {
+	c.world.result.Rejected++
+	c.flow.rejected = true
+	wait := c.traffic.Backoff
+	milliseconds, err := strconv.ParseFloat(string(bytes.TrimSpace(retryAfter)), 64)
+	if err == nil && c.random.Float64() < c.traffic.RetryAfterShare {
+		wait = milliseconds / millisecondsPerSecond
+	}
+	c.disconnect(false)
+	c.retryAfter(wait)
+}
+
+// handleFailure handles any other answer. A request that is not idempotent is not repeated after it.
+func (c *client) handleFailure() {
+	c.world.result.Aborted++
+	c.disconnect(false)
+	if c.traffic.Effect == effectNonIdempotent {
+		c.finished = true
+		return
 	}
+	c.retryAfter(c.traffic.Backoff)
 }
 
-// beat sends a line every two seconds and keeps account of what is well served.
-func (c *client) beat(turn int) {
-	if c.turn != turn || !c.up {
+// sendMessages sends a message at each interval, unless the one before waits for its answer, and keeps the account.
+func (c *client) sendMessages(generation int) {
+	if c.generation != generation || !c.established {
 		return
 	}
-	if c.sentAt == 0 {
-		c.sentAt = c.w.Now
-		c.s.send([]byte("x\r\n"))
+	if c.messageSentAt == 0 {
+		c.messageSentAt = c.world.Now
+		c.socket.send([]byte("x\r\n"))
 	}
-	c.w.After(2, func() {
-		if c.turn == turn && c.up {
-			c.account()
-			c.beat(turn)
+	c.world.After(messageInterval, func() {
+		if c.generation == generation && c.established {
+			c.recordService()
+			c.sendMessages(generation)
 		}
 	})
 }
 
-// account adds the time since the last to what was asked for and, unless a line waits too long, to what was
-// served.
-func (c *client) account() {
-	span := c.w.Now - c.upAt
-	c.upAt = c.w.Now
-	c.stay -= span
-	if late := c.sentAt > 0 && c.w.Now-c.sentAt > max(c.t.Message, 0.01); !late {
-		c.served += span
+// recordService adds the time since the last call to the requested seconds and, unless a message waits longer than its
+// objective, to the served ones.
+func (c *client) recordService() {
+	span := c.world.Now - c.accountedAt
+	c.accountedAt = c.world.Now
+	c.remaining -= span
+	objective := max(c.traffic.MessageObjective, minMessageObjective)
+	late := c.messageSentAt > 0 && c.world.Now-c.messageSentAt > objective
+	if !late {
+		c.servedSeconds += span
 	}
-	c.asked += span
+	c.requestedSeconds += span
 }
 
-func (c *client) quit(broken bool) {
-	if c.up {
-		c.account()
+// disconnect ends the connection from the client's side, in good order or by a reset.
+func (c *client) disconnect(reset bool) {
+	if c.established {
+		c.recordService()
 	}
-	c.turn++
-	c.up = false
-	c.s.close(broken)
+	c.generation++
+	c.established = false
+	c.socket.close(reset)
 }
 
-// again has the client try once more, as often as it does by itself.
-func (c *client) again(wait float64) {
-	c.asked += min(wait, max(c.stay, 0))
-	c.stay -= wait
-	if c.tries++; c.tries > c.t.Retries || c.stay <= 0 {
-		c.gone = true
-		c.asked += max(c.stay, 0)
+// retryAfter connects again after some seconds. The client goes for good if it has no retries or no lifetime left. The
+// wait counts as requested and not served.
+func (c *client) retryAfter(wait float64) {
+	c.requestedSeconds += min(wait, max(c.remaining, 0))
+	c.remaining -= wait
+	c.retries++
+	if c.retries > c.traffic.Retries || c.remaining <= 0 {
+		c.finished = true
+		c.requestedSeconds += max(c.remaining, 0)
 		return
 	}
-	c.w.After(wait, c.come)
+	c.world.After(wait, c.connect)
 }
