--- a/internal/rig/setup.go
+++ b/internal/rig/setup.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/hex"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -16,9 +15,15 @@
 	"gorseledge/internal/rig/standin"
 )
 
+// portAttempts is the number of ports that are tried to find one that is free for both TCP and UDP.
+const portAttempts = 50
+
 // fleetKey authenticates the messages of the rig's own fleet.
 const fleetKey = "a key of the rig, for its own nodes"
 
+// joinNodes is the number of nodes, the first ones, that every node joins its fleet through.
+const joinNodes = 3
+
 // start starts the stand-ins, the relays and the nodes.
 func (r *Rig) start() (err error) {
 	if r.hosts, err = standin.StartHosts(r.script.Hosts); err != nil {
@@ -28,21 +33,15 @@
 	r.discovery.Publish(r.hosts.EndpointList(1))
 	for i := range r.script.Nodes {
 		n := &node{rig: r, index: i, dir: filepath.Join(r.Dir, fmt.Sprintf("n%d", i))}
-		for _, at := range []*string{&n.client, &n.admin, &n.fleet} {
-			if *at, err = freeAddress(i); err != nil {
+		for _, address := range []*string{&n.client, &n.admin, &n.fleet} {
+			if *address, err = freeAddress(i); err != nil {
 				return err
 			}
 		}
 		r.nodes = append(r.nodes, n)
 	}
-	for i := range r.nodes {
-		for k := range r.nodes {
-			if i != k {
-				if r.relays[[2]int{i, k}], err = NewRelay(r.nodes[k].fleet, r.Seed*1000+uint64(i*100+k)); err != nil {
-					return err
-				}
-			}
-		}
+	if err := r.startRelays(); err != nil {
+		return err
 	}
 	if r.script.Control > 0 {
 		if r.control, err = startControl(r); err != nil {
@@ -51,10 +50,27 @@
 	}
 	for _, n := range r.nodes {
 		if err := r.writeNodeFiles(n); err != nil {
-			return err
+			return fmt.Errorf("writing the files of node %s: %w", n.name(), err)
 		}
 		if err := n.start(); err != nil {
-			return err
+			return fmt.Errorf("starting node %s: %w", n.name(), err)
+		}
+	}
+	return nil
+}
+
+// startRelays opens a relay for the link from each node to each other node.
+func (r *Rig) startRelays() error {
+	for from := range r.nodes {
+		for to := range r.nodes {
+			if from == to {
+				continue
+			}
+			relay, err := NewRelay(r.nodes[to].fleet, r.Seed*1000+uint64(from*100+to))
+			if err != nil {
+				return err
+			}
+			r.relays[nodeLink{from: from, to: to}] = relay
 		}
 	}
 	return nil
@@ -63,20 +79,20 @@
 // freeAddress returns an address of node i whose port is free for both TCP and UDP.
 func freeAddress(i int) (string, error) {
 	host := fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200)
-	for range 50 {
+	for range portAttempts {
 		ln, err := net.Listen("tcp", host+":0")
 		if err != nil {
 			return "", err
 		}
-		at := ln.Addr().String()
-		c, err := net.ListenPacket("udp", at)
+		address := ln.Addr().String()
+		c, err := net.ListenPacket("udp", address)
 		ln.Close()
 		if err == nil {
 			c.Close()
-			return at, nil
+			return address, nil
 		}
 	}
-	return "", errors.New("no free address")
+	return "", fmt.Errorf("no port of %s is free for TCP and UDP after %d attempts", host, portAttempts)
 }
 
 // writeNodeFiles writes a node's directory: its config and its fleet file.
@@ -90,11 +106,11 @@
 		file.Zone = string(rune('a' + n.index%r.script.Zones))
 	}
 	for k, other := range r.nodes {
-		if k < 3 {
+		if k < joinNodes {
 			file.Join = append(file.Join, other.fleet)
 		}
 		if k != n.index {
-			file.Via[other.fleet] = r.relays[[2]int{n.index, k}].Address()
+			file.Via[other.fleet] = r.relays[nodeLink{from: n.index, to: k}].Address()
 		}
 	}
 	if r.control != nil {
@@ -103,7 +119,7 @@
 	return r.writeFiles(n, file, len(r.nodes))
 }
 
-// writeFiles writes a node's fleet file and its config; settled is the number of nodes that its settings speak of.
+// writeFiles writes a node's fleet file and its config; settled is the number of nodes in its settings.
 func (r *Rig) writeFiles(n *node, file fleet.Config, settled int) error {
 	text, err := toml.Marshal(file)
 	if err != nil {
@@ -133,7 +149,7 @@
 	Settings  nodeSettings   `json:"settings"`
 }
 
-// NodeLimits are the resources that a node is told it has.
+// NodeLimits are the resources that a node is configured to use.
 type NodeLimits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
