--- a/cmd/gorseledge-lab/scale.go
+++ b/cmd/gorseledge-lab/scale.go
@@ -139,7 +139,7 @@
 	if beside == "" {
 		beside = "not noted"
 	}
-	return figures.Here(command, fmt.Sprintf("%s; beside it: %s", runtime.Version(), beside), 1)
+	return figures.NewProvenance(command, fmt.Sprintf("%s; beside it: %s", runtime.Version(), beside), 1)
 }
 
 // comments are the lines before a table, one key a line as in other tables of figures.
--- a/cmd/gorseledge-lab/table.go
+++ b/cmd/gorseledge-lab/table.go
@@ -22,7 +22,7 @@
 // begin gives a table with the provenance of this command.
 func (f *tableFile) begin(repeats int) *figures.Table {
 	command := strings.Join(append([]string{"gorseledge-lab"}, withoutPlace(os.Args[1:])...), " ")
-	return &figures.Table{Provenance: figures.Here(command, f.machine, repeats)}
+	return &figures.Table{Provenance: figures.NewProvenance(command, f.machine, repeats)}
 }
 
 // end keeps the table, if it is to be kept.
--- a/internal/figures/scale.go
+++ b/internal/figures/scale.go
@@ -1,27 +1,55 @@
 package figures
 
-import "strconv"
+import (
+	"fmt"
+	"strconv"
+)
 
-// scaleHeader are the columns of a table of gorseledge-lab scale: it varies the number of nodes alone, and plays each size once.
+const (
+	// scaleRun is the run of each figure: "gorseledge-lab scale" measures each size once.
+	scaleRun = 1
+	// scaleDimension is the only quantity that "gorseledge-lab scale" varies.
+	scaleDimension = "nodes"
+)
+
+// scaleHeader names the columns of a table of "gorseledge-lab scale".
 var scaleHeader = []string{"nodes", "kind", "nodes_of_kind", "phase", "cost", "unit", "value"}
 
-// scaleUnits are units that it gives a figure in, with this package's and the factor between them.
-var scaleUnits = map[string]struct {
+// unitConversion converts a value to another unit by a factor.
+type unitConversion struct {
 	unit   string
 	factor float64
-}{"cores": {"us/s", 1e6}, "part": {"1", 1}}
+}
+
+// scaleUnits maps units of "gorseledge-lab scale" to those of this package. Other units are the same in both.
+var scaleUnits = map[string]unitConversion{
+	"cores": {unit: "us/s", factor: 1e6},
+	"part":  {unit: "1", factor: 1},
+}
 
-// scaleRow reads one figure of gorseledge-lab scale.
-func scaleRow(record []string) (r Row, err error) {
-	r = Row{Run: 1, Source: Source(record[1]), Dimension: "nodes", Phase: record[3], Cost: record[4], Unit: record[5]}
-	if r.Size, err = strconv.ParseFloat(record[0], 64); err != nil {
-		return r, err
+// parseScaleRow reads one row whose columns are those of scaleHeader.
+func parseScaleRow(record []string) (Row, error) {
+	size, err := strconv.ParseFloat(record[0], 64)
+	if err != nil {
+		return Row{}, fmt.Errorf("reading nodes: %w", err)
 	}
-	if r.Value, err = strconv.ParseFloat(record[6], 64); err != nil {
-		return r, err
+	value, err := strconv.ParseFloat(record[6], 64)
+	if err != nil {
+		return Row{}, fmt.Errorf("reading value: %w", err)
 	}
-	if to, known := scaleUnits[r.Unit]; known {
-		r.Unit, r.Value = to.unit, r.Value*to.factor
+	unit := record[5]
+	if conversion, found := scaleUnits[unit]; found {
+		unit = conversion.unit
+		value *= conversion.factor
 	}
-	return r, nil
+	return Row{
+		Run:       scaleRun,
+		Source:    Source(record[1]),
+		Dimension: scaleDimension,
+		Size:      size,
+		Phase:     record[3],
+		Cost:      record[4],
+		Unit:      unit,
+		Value:     value,
+	}, nil
 }
