--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,8 +1,10 @@
-// Package chart draws plots as SVG.
+// Package chart renders plots as SVG. It owns the arrangement of several plots in one image; what the plots show is up to
+// their callers.
 package chart
 
 import (
 	"bytes"
+	"fmt"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/vg"
@@ -10,14 +12,17 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// SVG draws plots one below the other, each of the same size.
+// SVG renders plots in one column, each with the given width and height. Text and lines may differ in their last digits
+// between machines, so callers must not compare images byte for byte.
 func SVG(width, height vg.Length, plots ...*plot.Plot) ([]byte, error) {
 	canvas := vgsvg.New(width, height*vg.Length(len(plots)))
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1}
-	for row, p := range plots {
-		p.Draw(tiles.At(draw.New(canvas), 0, row))
+	for row, panel := range plots {
+		panel.Draw(tiles.At(draw.New(canvas), 0, row))
 	}
 	var text bytes.Buffer
-	_, err := canvas.WriteTo(&text)
-	return text.Bytes(), err
+	if _, err := canvas.WriteTo(&text); err != nil {
+		return nil, fmt.Errorf("rendering SVG: %w", err)
+	}
+	return text.Bytes(), nil
 }
