--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func near(t *testing.T, what string, got, want, within float64) {
+func checkNear(t *testing.T, what string, got, want, within float64) {
 	t.Helper()
 	if !(math.Abs(got-want) <= within) {
 		t.Errorf("%s is %v, want %v", what, got, want)
@@ -17,17 +17,17 @@
 func TestLineThroughAnscombesFirstSet(t *testing.T) {
 	x := []float64{10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5}
 	y := []float64{8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68}
-	l, err := fitLine(together(x, y))
+	l, err := fitLine(pointsOf(x, y))
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "slope", l.slope, 0.5001, 1e-4)
-	near(t, "intercept", l.intercept, 3.0001, 1e-4)
-	near(t, "error of the slope", l.slopeError, 0.1179, 1e-4)
-	near(t, "R2", l.determination, 0.6665, 1e-4)
-	near(t, "deviation", l.deviation, 1.2366, 1e-4)
-	if l.bends() {
-		t.Errorf("a bend of %v with an error of %v is taken for sure", l.bend, l.bendError)
+	checkNear(t, "slope", l.slope, 0.5001, 1e-4)
+	checkNear(t, "intercept", l.intercept, 3.0001, 1e-4)
+	checkNear(t, "error of the slope", l.slopeStandardError, 0.1179, 1e-4)
+	checkNear(t, "R2", l.rSquared, 0.6665, 1e-4)
+	checkNear(t, "deviation", l.residualDeviation, 1.2366, 1e-4)
+	if l.isCurved() {
+		t.Errorf("a bend of %v with an error of %v is taken for sure", l.curvature, l.curvatureStandardError)
 	}
 }
 
@@ -35,18 +35,18 @@
 func TestBendOfAnscombesSecondSet(t *testing.T) {
 	x := []float64{10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5}
 	y := []float64{9.14, 8.14, 8.74, 8.77, 9.26, 8.10, 6.13, 3.10, 9.13, 7.26, 4.74}
-	l, err := fitLine(together(x, y))
+	l, err := fitLine(pointsOf(x, y))
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "slope", l.slope, 0.5, 1e-3)
-	near(t, "bend", l.bend, -0.1267, 1e-4)
-	if !l.bends() || l.slopeChange() >= 0 {
-		t.Errorf("bends %v, by %v; the slope falls", l.bends(), l.slopeChange())
+	checkNear(t, "slope", l.slope, 0.5, 1e-3)
+	checkNear(t, "bend", l.curvature, -0.1267, 1e-4)
+	if !l.isCurved() || l.slopeChange() >= 0 {
+		t.Errorf("bends %v, by %v; the slope falls", l.isCurved(), l.slopeChange())
 	}
 }
 
-func together(x, y []float64) (out []point) {
+func pointsOf(x, y []float64) (out []point) {
 	for i := range x {
 		out = append(out, point{x[i], y[i]})
 	}
@@ -62,17 +62,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, deviation := l.at(100)
-	near(t, "slope", l.slope, 3, 1e-12)
-	near(t, "at 100", at, 307, 1e-9)
-	near(t, "error at 100", deviation, 0, 1e-9)
-	near(t, "largest residual", l.largest, 0, 1e-12)
-	near(t, "R2", l.determination, 1, 1e-12)
-	if l.bends() {
-		t.Errorf("what rounding leaves over is taken for a bend of %v ± %v", l.bend, l.bendError)
+	at, deviation := l.predict(100)
+	checkNear(t, "slope", l.slope, 3, 1e-12)
+	checkNear(t, "at 100", at, 307, 1e-9)
+	checkNear(t, "error at 100", deviation, 0, 1e-9)
+	checkNear(t, "largest residual", l.largestResidual, 0, 1e-12)
+	checkNear(t, "R2", l.rSquared, 1, 1e-12)
+	if l.isCurved() {
+		t.Errorf("what rounding leaves over is taken for a bend of %v ± %v", l.curvature, l.curvatureStandardError)
 	}
-	if l.from != 1 || l.to != 8 {
-		t.Errorf("sizes %v to %v", l.from, l.to)
+	if l.smallestSize != 1 || l.largestSize != 8 {
+		t.Errorf("sizes %v to %v", l.smallestSize, l.largestSize)
 	}
 }
 
@@ -88,9 +88,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "bend", l.bend, 0.01, 1e-4)
-	if !l.bends() || l.determination < 0.98 {
-		t.Errorf("bends %v with R2 %v", l.bends(), l.determination)
+	checkNear(t, "bend", l.curvature, 0.01, 1e-4)
+	if !l.isCurved() || l.rSquared < 0.98 {
+		t.Errorf("bends %v with R2 %v", l.isCurved(), l.rSquared)
 	}
 }
 
@@ -99,16 +99,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "slope", l.slope, 0, 0)
-	near(t, "R2", l.determination, 1, 0)
-	if l.bends() {
+	checkNear(t, "slope", l.slope, 0, 0)
+	checkNear(t, "R2", l.rSquared, 1, 0)
+	if l.isCurved() {
 		t.Error("a constant bends")
 	}
 }
 
 func TestTooFewFiguresGiveNoLine(t *testing.T) {
 	for _, points := range [][]point{nil, {{1, 1}, {2, 2}}, {{3, 1}, {3, 2}, {3, 3}}} {
-		if _, err := fitLine(points); !errors.Is(err, errTooFew) {
+		if _, err := fitLine(points); !errors.Is(err, errTooFewPoints) {
 			t.Errorf("%v: %v", points, err)
 		}
 	}
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-const significant = 3 // digits of a figure on the page
+const significantDigits = 3 // digits of a figure on the page
 
-// number writes a figure with three significant digits, its thousands apart.
-func number(x float64) string {
+// formatNumber writes a figure with three significant digits, its thousands apart.
+func formatNumber(x float64) string {
 	if x == 0 || math.IsInf(x, 0) || math.IsNaN(x) {
 		return strconv.FormatFloat(x, 'g', -1, 64)
 	}
-	digits := significant - 1 - int(math.Floor(math.Log10(math.Abs(x))))
+	digits := significantDigits - 1 - int(math.Floor(math.Log10(math.Abs(x))))
 	text := strconv.FormatFloat(x, 'f', max(digits, 0), 64)
 	if digits < 0 {
 		scale := math.Pow(10, float64(-digits))
@@ -23,11 +23,11 @@
 	if strings.Contains(text, ".") {
 		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
-	return thousands(text)
+	return groupThousands(text)
 }
 
-// thousands sets commas into the whole part of a number.
-func thousands(text string) string {
+// groupThousands sets commas into the whole part of a number.
+func groupThousands(text string) string {
 	whole, rest, found := strings.Cut(text, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
@@ -45,8 +45,8 @@
 	return sign + whole
 }
 
-// in writes a figure in its unit, or a larger one.
-func in(x float64, unit string) string {
+// formatIn writes a figure in its unit, or a larger one.
+func formatIn(x float64, unit string) string {
 	size := math.Abs(x)
 	switch unit {
 	case "B", "B/s":
@@ -55,46 +55,46 @@
 			prefix string
 		}{{1e9, "G"}, {1e6, "M"}, {1e3, "k"}} {
 			if size >= step.from {
-				return number(x/step.from) + " " + step.prefix + unit
+				return formatNumber(x/step.from) + " " + step.prefix + unit
 			}
 		}
 	case "us/s":
-		return number(x/1e4) + "% of a core"
+		return formatNumber(x/1e4) + "% of a core"
 	case "us":
 		if size >= 1e6 {
-			return number(x/1e6) + " s"
+			return formatNumber(x/1e6) + " s"
 		}
 		if size >= 1e3 {
-			return number(x/1e3) + " ms"
+			return formatNumber(x/1e3) + " ms"
 		}
 	case "s":
 		if size < 1e-3 && size > 0 {
-			return number(x*1e6) + " us"
+			return formatNumber(x*1e6) + " us"
 		}
 		if size < 1 {
-			return number(x*1e3) + " ms"
+			return formatNumber(x*1e3) + " ms"
 		}
 	case "1":
-		return number(x)
+		return formatNumber(x)
 	case "1/s":
-		return number(x) + " a second"
+		return formatNumber(x) + " a second"
 	}
-	return number(x) + " " + unit
+	return formatNumber(x) + " " + unit
 }
 
-// percent writes a part.
-func percent(part float64) string { return number(100*part) + "%" }
+// formatPercent writes a part.
+func formatPercent(part float64) string { return formatNumber(100*part) + "%" }
 
-// times writes a part, or how many times as much it is where that is much.
-func times(part float64) string {
+// formatRatio writes a part, or how many times as much it is where that is much.
+func formatRatio(part float64) string {
 	if part >= 10 {
-		return number(part) + " times"
+		return formatNumber(part) + " times"
 	}
-	return percent(part)
+	return formatPercent(part)
 }
 
-// markdown writes a table.
-func markdown(head []string, rows [][]string) string {
+// markdownTable writes a table.
+func markdownTable(head []string, rows [][]string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "| %s |\n|%s\n", strings.Join(head, " | "), strings.Repeat("---|", len(head)))
 	for _, row := range rows {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -38,7 +38,7 @@
 	}
 	quantities := e.plan.quantities()
 	for _, row := range e.plan.Rows {
-		r, err := row.reckon(quantities, e.measured)
+		r, err := row.evaluate(quantities, e.measured)
 		if err != nil {
 			return nil, err
 		}
@@ -48,26 +48,26 @@
 	if err != nil {
 		return nil, err
 	}
-	if page, err = fill(page, e.tables()); err != nil {
+	if page, err = fillTables(page, e.tables()); err != nil {
 		return nil, fmt.Errorf("%s: %w", pageFile, err)
 	}
 	files = map[string][]byte{pageFile: page}
-	for _, d := range e.drawings() {
-		if files[filepath.Join(chartsDirectory, d.file())], err = d.svg(); err != nil {
+	for _, d := range e.costCharts() {
+		if files[filepath.Join(chartsDirectory, d.fileName())], err = d.render(); err != nil {
 			return nil, err
 		}
 	}
 	return files, nil
 }
 
-var marked = regexp.MustCompile(`(?s)<!-- table: (\w+) -->\n(.*?)<!-- end of table -->`)
+var tableMarker = regexp.MustCompile(`(?s)<!-- table: (\w+) -->\n(.*?)<!-- end of table -->`)
 
-// fill writes tables between their marks. Each has to have its mark once, and no mark another table.
-func fill(page []byte, tables map[string]string) ([]byte, error) {
+// fillTables writes tables between their marks. Each has to have its mark once, and no mark another table.
+func fillTables(page []byte, tables map[string]string) ([]byte, error) {
 	seen := map[string]bool{}
 	var wrong error
-	page = marked.ReplaceAllFunc(page, func(old []byte) []byte {
-		name := string(marked.FindSubmatch(old)[1])
+	page = tableMarker.ReplaceAllFunc(page, func(old []byte) []byte {
+		name := string(tableMarker.FindSubmatch(old)[1])
 		text, known := tables[name]
 		if !known || seen[name] {
 			wrong = fmt.Errorf("the mark of table %q stands for none, or twice", name)
@@ -91,16 +91,16 @@
 		if err != nil && !os.IsNotExist(err) {
 			return nil, err
 		}
-		if !bytes.Equal(compared(name, there), compared(name, files[name])) {
+		if !bytes.Equal(comparablePart(name, there), comparablePart(name, files[name])) {
 			out = append(out, name)
 		}
 	}
-	gone, err := stale(docs, files)
+	gone, err := staleCharts(docs, files)
 	return append(out, gone...), err
 }
 
-// stale gives the charts that nothing draws any more.
-func stale(docs string, files map[string][]byte) (out []string, err error) {
+// staleCharts gives the charts that nothing draws any more.
+func staleCharts(docs string, files map[string][]byte) (out []string, err error) {
 	paths, err := filepath.Glob(filepath.Join(docs, chartsDirectory, chartPrefix+"*.svg"))
 	for _, path := range paths {
 		name := filepath.Join(chartsDirectory, filepath.Base(path))
@@ -111,8 +111,8 @@
 	return out, err
 }
 
-// compared is the part of a file that has to be the same: all of the page, a chart's last line.
-func compared(name string, text []byte) []byte {
+// comparablePart is the part of a file that has to be the same: all of the page, a chart's last line.
+func comparablePart(name string, text []byte) []byte {
 	if !strings.HasSuffix(name, ".svg") {
 		return text
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -31,25 +31,25 @@
 	return page + "\nAnd the end.\n"
 }
 
-// docsOf lays a directory of a plan, figures and a page, and writes what is to stand in it.
-func docsOf(t *testing.T) string {
+// newDocs lays a directory of a plan, figures and a page, and writes what is to stand in it.
+func newDocs(t *testing.T) string {
 	t.Helper()
 	docs := t.TempDir()
 	for name, text := range map[string]string{planFile: planText, "capacity/rest.csv": string(measured(100, 200, 400)["rest"].CSV()),
 		pageFile: pageText()} {
-		keep(t, filepath.Join(docs, name), text)
+		writeFile(t, filepath.Join(docs, name), text)
 	}
 	files, err := Build(docs)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range files {
-		keep(t, filepath.Join(docs, name), string(text))
+		writeFile(t, filepath.Join(docs, name), string(text))
 	}
 	return docs
 }
 
-func keep(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -59,8 +59,8 @@
 	}
 }
 
-// edit changes a file.
-func edit(t *testing.T, path, from, to string) {
+// editFile changes a file.
+func editFile(t *testing.T, path, from, to string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -70,11 +70,11 @@
 	if changed == string(text) {
 		t.Fatalf("%s has no %q", path, from)
 	}
-	keep(t, path, changed)
+	writeFile(t, path, changed)
 }
 
 func TestPageIsFilledAndKeepsWhatWasWrittenByHand(t *testing.T) {
-	docs := docsOf(t)
+	docs := newDocs(t)
 	text, err := os.ReadFile(filepath.Join(docs, pageFile))
 	if err != nil {
 		t.Fatal(err)
@@ -99,19 +99,19 @@
 	}{
 		"nothing changed": {func(*testing.T, string) {}, nil},
 		"a figure": {func(t *testing.T, docs string) {
-			edit(t, filepath.Join(docs, "capacity/rest.csv"), "5095", "5195")
+			editFile(t, filepath.Join(docs, "capacity/rest.csv"), "5095", "5195")
 		}, []string{pageFile, testChart}},
 		"where a run was": {func(t *testing.T, docs string) {
-			edit(t, filepath.Join(docs, "capacity/rest.csv"), "# cores: 1", "# cores: 2")
+			editFile(t, filepath.Join(docs, "capacity/rest.csv"), "# cores: 1", "# cores: 2")
 		}, []string{pageFile}},
 		"the plan": {func(t *testing.T, docs string) {
-			edit(t, filepath.Join(docs, planFile), "nodes = 860", "nodes = 870")
+			editFile(t, filepath.Join(docs, planFile), "nodes = 860", "nodes = 870")
 		}, []string{pageFile}},
 		"a table of the page": {func(t *testing.T, docs string) {
-			edit(t, filepath.Join(docs, pageFile), "50 B a node", "40 B a node")
+			editFile(t, filepath.Join(docs, pageFile), "50 B a node", "40 B a node")
 		}, []string{pageFile}},
 		"a chart": {func(t *testing.T, docs string) {
-			edit(t, filepath.Join(docs, testChart), "<!-- figures ", "<!-- figures 0")
+			editFile(t, filepath.Join(docs, testChart), "<!-- figures ", "<!-- figures 0")
 		}, []string{testChart}},
 		"no chart": {func(t *testing.T, docs string) {
 			if err := os.Remove(filepath.Join(docs, testChart)); err != nil {
@@ -119,17 +119,17 @@
 			}
 		}, []string{testChart}},
 		"a chart of old": {func(t *testing.T, docs string) {
-			keep(t, filepath.Join(docs, "charts/capacity-old.svg"), "<svg/>")
+			writeFile(t, filepath.Join(docs, "charts/capacity-old.svg"), "<svg/>")
 		}, []string{"charts/capacity-old.svg"}},
 		"a chart of others": {func(t *testing.T, docs string) {
-			keep(t, filepath.Join(docs, "charts/members-30.svg"), "<svg/>")
+			writeFile(t, filepath.Join(docs, "charts/members-30.svg"), "<svg/>")
 		}, nil},
 		"what was written by hand": {func(t *testing.T, docs string) {
-			edit(t, filepath.Join(docs, pageFile), "Written by hand", "Written anew")
+			editFile(t, filepath.Join(docs, pageFile), "Written by hand", "Written anew")
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			docs := docsOf(t)
+			docs := newDocs(t)
 			c.change(t, docs)
 			files, err := Build(docs)
 			if err != nil {
@@ -152,7 +152,7 @@
 		"complete": {"<!-- table: a -->\nold\n<!-- end of table -->", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			page, err := fill([]byte(c.page), map[string]string{"a": "new\n"})
+			page, err := fillTables([]byte(c.page), map[string]string{"a": "new\n"})
 			switch {
 			case c.want == "" && (err != nil || string(page) != "<!-- table: a -->\nnew\n<!-- end of table -->"):
 				t.Errorf("%q, %v", page, err)
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -38,14 +38,14 @@
 	DeliveryPart    float64 `toml:"delivery_part"`
 	Regions         float64 `toml:"regions"`
 	Zones           float64 `toml:"zones"`
-	ChangesADay     float64 `toml:"changes_a_day"`
+	ChangesPerDay   float64 `toml:"changes_a_day"`
 	ChangeWithin    float64 `toml:"change_in_force_within_s"`
 	ControlCore     float64 `toml:"control_part_of_a_core"`
 	ControlMemory   float64 `toml:"control_memory_bytes"`
 	ControlBytes    float64 `toml:"control_bytes_per_s"`
 	ControlMachines float64 `toml:"control_machines"`
-	FailuresADay    float64 `toml:"machine_failures_a_day"`
-	RestartsADay    float64 `toml:"restarts_a_day"`
+	FailuresPerDay  float64 `toml:"machine_failures_a_day"`
+	RestartsPerDay  float64 `toml:"restarts_a_day"`
 	RegionCutFor    float64 `toml:"region_cut_s"`
 }
 
@@ -59,44 +59,44 @@
 
 // Row is one cost of one role.
 type Row struct {
-	Group     string    `toml:"group"` // the table in which it stands
-	Name      string    `toml:"name"`
-	Mechanism string    `toml:"mechanism"` // what carries it; "none yet" and what it would take, where nothing does
-	Size      string    `toml:"size"`      // the quantity that it is reckoned at
-	Per       string    `toml:"per"`       // one of what the slope is a cost of
-	SlopeUnit string    `toml:"slope_unit"`
-	From      *From     `toml:"from"`
-	Reckoned  *Reckoned `toml:"reckoned"`
-	Budget    string    `toml:"budget"` // a quantity
-	Note      string    `toml:"note"`
+	Group        string          `toml:"group"` // the table in which it stands
+	Name         string          `toml:"name"`
+	Mechanism    string          `toml:"mechanism"` // what carries it; "none yet" and what it would take, where nothing does
+	Size         string          `toml:"size"`      // the quantity that it is reckoned at
+	Per          string          `toml:"per"`       // one of what the slope is a cost of
+	SlopeUnit    string          `toml:"slope_unit"`
+	From         *FigureSelector `toml:"from"`
+	AssumedSlope *AssumedSlope   `toml:"reckoned"`
+	Budget       string          `toml:"budget"` // a quantity
+	Note         string          `toml:"note"`
 }
 
-// From names the figures that a row's line is fitted to.
-type From struct {
-	Table     string `toml:"table"`
-	Source    string `toml:"source"`
-	Dimension string `toml:"dimension"`
-	Phase     string `toml:"phase"`
-	Cost      string `toml:"cost"`
-	At        bool   `toml:"measured_at_size"` // the median of the figures at the size itself, without a line
-	SlopeOnly bool   `toml:"slope_only"`       // what is added to something that is there: slope times size, without the line's value at none
+// FigureSelector names the figures that a row's line is fitted to.
+type FigureSelector struct {
+	Table          string `toml:"table"`
+	Source         string `toml:"source"`
+	Dimension      string `toml:"dimension"`
+	Phase          string `toml:"phase"`
+	Cost           string `toml:"cost"`
+	MeasuredAtSize bool   `toml:"measured_at_size"` // the median of the figures at the size itself, without a line
+	SlopeOnly      bool   `toml:"slope_only"`       // what is added to something that is there: slope times size, without the line's value at none
 }
 
-// Reckoned is a slope that no run of this page gave.
-type Reckoned struct {
+// AssumedSlope is a slope that no run of this page gave.
+type AssumedSlope struct {
 	Slope float64 `toml:"slope"`
 	Unit  string  `toml:"unit"`
 	Basis string  `toml:"basis"`
 }
 
-// none begins the mechanism of a row that nothing carries yet.
-const none = "none yet"
+// noMechanism begins the mechanism of a row that nothing carries yet.
+const noMechanism = "none yet"
 
 // quantity is a figure of the plan, or what follows from it by division.
 type quantity struct {
-	value float64
-	unit  string
-	how   string // it follows, where it is not of the plan itself
+	value      float64
+	unit       string
+	derivation string // it follows, where it is not of the plan itself
 }
 
 // ReadPlan reads and checks a plan.
@@ -151,10 +151,10 @@
 	case r.Name == "":
 		return "name", errors.New("a row has a name")
 	case r.Mechanism == "":
-		return "mechanism", errors.New("a row names what carries it, or says " + none)
-	case r.From != nil && r.Reckoned != nil:
+		return "mechanism", errors.New("a row names what carries it, or says " + noMechanism)
+	case r.From != nil && r.AssumedSlope != nil:
 		return "reckoned", errors.New("a row is either fitted or reckoned")
-	case (r.From != nil || r.Reckoned != nil) && !size:
+	case (r.From != nil || r.AssumedSlope != nil) && !size:
 		return "size", fmt.Errorf("no quantity %q", r.Size)
 	case r.Budget != "" && !budget:
 		return "budget", fmt.Errorf("no quantity %q", r.Budget)
--- a/internal/capacity/quantities.go
+++ b/internal/capacity/quantities.go
@@ -1,20 +1,20 @@
 package capacity
 
 const (
-	secondsADay   = 86400
+	secondsPerDay = 86400
 	changesAtOnce = 10 // in ten seconds, for which the plan's page says to plan
 )
 
-// planned is one figure of the plan.
-type planned struct {
+// planFigure is one figure of the plan.
+type planFigure struct {
 	key, text string
 	value     float64
 	unit      string
 }
 
 // figures gives the plan in its own order.
-func (s Size) figures() []planned {
-	return []planned{
+func (s Size) figures() []planFigure {
+	return []planFigure{
 		{"nodes", "nodes", s.Nodes, "1"},
 		{"connections", "connections", s.Connections, "1"},
 		{"shards", "shards of topics", s.Shards, "1"},
@@ -24,29 +24,29 @@
 		{"delivery_part", "for this part of them", s.DeliveryPart, "1"},
 		{"regions", "regions", s.Regions, "1"},
 		{"zones", "zones", s.Zones, "1"},
-		{"changes_a_day", "changes of configuration a day", s.ChangesADay, "1"},
+		{"changes_a_day", "changes of configuration a day", s.ChangesPerDay, "1"},
 		{"change_in_force_within_s", "a change in force everywhere within", s.ChangeWithin, "s"},
 		{"control_part_of_a_core", "control at a node: part of a core", s.ControlCore, "1"},
 		{"control_memory_bytes", "control at a node: memory", s.ControlMemory, "B"},
 		{"control_bytes_per_s", "control at a node: bytes a second", s.ControlBytes, "B/s"},
 		{"control_machines", "machines for control", s.ControlMachines, "1"},
-		{"machine_failures_a_day", "machines that fail on a day", s.FailuresADay, "1"},
-		{"restarts_a_day", "machines restarted or replaced on a day", s.RestartsADay, "1"},
+		{"machine_failures_a_day", "machines that fail on a day", s.FailuresPerDay, "1"},
+		{"restarts_a_day", "machines restarted or replaced on a day", s.RestartsPerDay, "1"},
 		{"region_cut_s", "regions lose each other for", s.RegionCutFor, "s"},
 	}
 }
 
-// named is a quantity under the name that rows call it by.
-type named struct {
+// derivedQuantity is a quantity under the name that rows call it by.
+type derivedQuantity struct {
 	name, text string
 	quantity
 }
 
-// rackNodes is the assumption of how many nodes a rack has.
-const rackNodes = "nodes_a_rack"
+// nodesPerRackName is the assumption of how many nodes a rack has.
+const nodesPerRackName = "nodes_a_rack"
 
-// assumed gives the figure of an assumption, 0 where it is not made.
-func (p *Plan) assumed(name string) float64 {
+// assumedValue gives the figure of an assumption, 0 where it is not made.
+func (p *Plan) assumedValue(name string) float64 {
 	for _, a := range p.Assumed {
 		if a.Name == name {
 			return a.Value
@@ -56,11 +56,11 @@
 }
 
 // derived gives what follows from the plan by division.
-func (p *Plan) derived() []named {
+func (p *Plan) derived() []derivedQuantity {
 	s := p.Size
 	left := s.Nodes * (s.Zones - 1) / s.Zones
-	rack := p.assumed(rackNodes)
-	return []named{
+	rack := p.assumedValue(nodesPerRackName)
+	return []derivedQuantity{
 		{"connections_a_node", "connections a node", quantity{s.Connections / s.Nodes, "1", "connections / nodes"}},
 		{"deliveries_a_node", "deliveries a second and node", quantity{s.Deliveries / s.Nodes, "1/s", "deliveries / nodes"}},
 		{"listeners_a_node", "listeners of the largest topic a node", quantity{s.LargestTopic / s.Nodes, "1", "listeners / nodes"}},
@@ -79,9 +79,9 @@
 		{"clients_of_a_zone_to_each_other", "clients of a lost zone, to each node left",
 			quantity{s.Connections / s.Zones / left, "1", "clients of a zone / nodes left"}},
 		{"restarted_clients_a_second", "clients that come again by restarts, a second in the mean",
-			quantity{s.RestartsADay * s.Connections / s.Nodes / secondsADay, "1/s", "restarts x connections a node / 86,400 s"}},
+			quantity{s.RestartsPerDay * s.Connections / s.Nodes / secondsPerDay, "1/s", "restarts x connections a node / 86,400 s"}},
 		{"restarted_clients_a_second_and_node", "the same, to each node",
-			quantity{s.RestartsADay * s.Connections / s.Nodes / secondsADay / s.Nodes, "1/s", "the same / nodes"}},
+			quantity{s.RestartsPerDay * s.Connections / s.Nodes / secondsPerDay / s.Nodes, "1/s", "the same / nodes"}},
 		{"bytes_a_change", "bytes that a node's budget gives a change",
 			quantity{s.ControlBytes * s.ChangeWithin, "B", "control bytes a second x 6 s"}},
 		{"control_cpu", "processor time for control a node", quantity{1e6 * s.ControlCore, "us/s", "part of a core"}},
--- a/internal/capacity/result_test.go
+++ b/internal/capacity/result_test.go
@@ -23,22 +23,22 @@
 
 func memoryRow() Row {
 	return Row{Group: "node_control", Name: "memory", Mechanism: "a table", Size: "nodes", Per: "a node", Budget: "memory",
-		From: &From{Table: "rest", Source: "virtual", Dimension: "nodes", Phase: "rest", Cost: "node.memory"}}
+		From: &FigureSelector{Table: "rest", Source: "virtual", Dimension: "nodes", Phase: "rest", Cost: "node.memory"}}
 }
 
 var someQuantities = map[string]quantity{"nodes": {860, "1", ""}, "memory": {86e3, "B", ""}, "seconds": {6, "s", ""}}
 
 func TestFittedRowAtThePlannedSize(t *testing.T) {
-	r, err := memoryRow().reckon(someQuantities, measured(100, 200, 400))
+	r, err := memoryRow().evaluate(someQuantities, measured(100, 200, 400))
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "value", r.value, 43100, 1e-6)
-	near(t, "slope", r.slope, 50, 1e-9)
-	part, _ := r.part()
-	near(t, "part of the budget", part, 43100/86e3, 1e-9)
-	reach, _ := r.reach()
-	near(t, "size at which the budget ends", reach, (86e3-100)/50, 1e-6)
+	checkNear(t, "value", r.value, 43100, 1e-6)
+	checkNear(t, "slope", r.slope, 50, 1e-9)
+	part, _ := r.budgetShare()
+	checkNear(t, "part of the budget", part, 43100/86e3, 1e-9)
+	reach, _ := r.sizeAtBudget()
+	checkNear(t, "size at which the budget ends", reach, (86e3-100)/50, 1e-6)
 	cells := strings.Join(r.cells(), " | ")
 	for _, want := range []string{"50 B a node ±", "`rest`, virtual, 6 figures, R2 1, largest residual 5 B",
 		"43.1 kB ±", "at 860", "86 kB", "50.1%", "extrapolated 2.15 times, from 400", "steady"} {
@@ -49,11 +49,11 @@
 }
 
 func TestValueWithinTheMeasuredSizesIsNotExtrapolated(t *testing.T) {
-	r, err := memoryRow().reckon(someQuantities, measured(100, 400, 900))
+	r, err := memoryRow().evaluate(someQuantities, measured(100, 400, 900))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := r.how(); got != "measured from 100 to 900" {
+	if got := r.basis(); got != "measured from 100 to 900" {
 		t.Errorf("how it was got: %s", got)
 	}
 }
@@ -63,12 +63,12 @@
 	for i := range tables["rest"].Rows {
 		tables["rest"].Rows[i].Value -= 50 * tables["rest"].Rows[i].Size
 	}
-	r, err := memoryRow().reckon(someQuantities, tables)
+	r, err := memoryRow().evaluate(someQuantities, tables)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if reach, known := r.reach(); !known || !math.IsInf(reach, 1) || r.itself() != "does not grow" {
-		t.Errorf("reaches %v (%v), %s", reach, known, r.itself())
+	if reach, known := r.sizeAtBudget(); !known || !math.IsInf(reach, 1) || r.linearity() != "does not grow" {
+		t.Errorf("reaches %v (%v), %s", reach, known, r.linearity())
 	}
 }
 
@@ -78,14 +78,14 @@
 	for i, y := range []float64{100, 40, 120, 30, 60, 50} {
 		tables["rest"].Rows[i].Value = y
 	}
-	r, err := memoryRow().reckon(someQuantities, tables)
+	r, err := memoryRow().evaluate(someQuantities, tables)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.flat() || r.slope >= 0 {
-		t.Fatalf("slope %v ± %v", r.slope, r.line.slopeError)
+	if !r.isFlat() || r.slope >= 0 {
+		t.Fatalf("slope %v ± %v", r.slope, r.line.slopeStandardError)
 	}
-	near(t, "value", r.value, 400.0/6, 1e-9)
+	checkNear(t, "value", r.value, 400.0/6, 1e-9)
 }
 
 func TestConstantCostIsWrittenWithoutAnErrorOfItsSlope(t *testing.T) {
@@ -93,7 +93,7 @@
 	for i := range tables["rest"].Rows {
 		tables["rest"].Rows[i].Value = 7
 	}
-	r, err := memoryRow().reckon(someQuantities, tables)
+	r, err := memoryRow().evaluate(someQuantities, tables)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,13 +104,13 @@
 
 func TestMeasuredAtTheSizeIsTheMedianThere(t *testing.T) {
 	row := memoryRow()
-	row.From.At = true
-	r, err := row.reckon(someQuantities, measured(430, 860))
+	row.From.MeasuredAtSize = true
+	r, err := row.evaluate(someQuantities, measured(430, 860))
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "value", r.value, 43100, 0)
-	if _, err := row.reckon(someQuantities, measured(430)); err == nil || !strings.Contains(err.Error(), "no figure at 860") {
+	checkNear(t, "value", r.value, 43100, 0)
+	if _, err := row.evaluate(someQuantities, measured(430)); err == nil || !strings.Contains(err.Error(), "no figure at 860") {
 		t.Errorf("without a figure at the size: %v", err)
 	}
 }
@@ -121,26 +121,26 @@
 	for _, c := range []struct{ sizeUnit, unit string }{{"1", "B"}, {"1/s", "B/s"}} {
 		row := memoryRow()
 		row.From.SlopeOnly, row.Budget = true, ""
-		r, err := row.reckon(map[string]quantity{"nodes": {860, c.sizeUnit, ""}}, measured(100, 200, 400))
+		r, err := row.evaluate(map[string]quantity{"nodes": {860, c.sizeUnit, ""}}, measured(100, 200, 400))
 		if err != nil {
 			t.Fatal(err)
 		}
-		near(t, "value", r.value, 43000, 1e-6)
-		if r.unit != c.unit || r.slopeUnit != "B" || r.how() != "slope measured from 100 to 400" {
-			t.Errorf("%s, %s, %s", r.unit, r.slopeUnit, r.how())
+		checkNear(t, "value", r.value, 43000, 1e-6)
+		if r.unit != c.unit || r.slopeUnit != "B" || r.basis() != "slope measured from 100 to 400" {
+			t.Errorf("%s, %s, %s", r.unit, r.slopeUnit, r.basis())
 		}
 	}
 }
 
 func TestReckonedRowIsCalledAssumed(t *testing.T) {
 	row := memoryRow()
-	row.From, row.Reckoned = nil, &Reckoned{Slope: 60, Unit: "B", Basis: "the page of another"}
-	r, err := row.reckon(someQuantities, nil)
+	row.From, row.AssumedSlope = nil, &AssumedSlope{Slope: 60, Unit: "B", Basis: "the page of another"}
+	r, err := row.evaluate(someQuantities, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "value", r.value, 51600, 0)
-	if got := r.how(); got != "assumed: the page of another" {
+	checkNear(t, "value", r.value, 51600, 0)
+	if got := r.basis(); got != "assumed: the page of another" {
 		t.Errorf("how it was got: %s", got)
 	}
 }
@@ -148,12 +148,12 @@
 func TestRowWithoutMechanismReachesNothing(t *testing.T) {
 	row := memoryRow()
 	row.From, row.Mechanism = nil, "none yet: a snapshot and deltas"
-	r, err := row.reckon(someQuantities, nil)
+	r, err := row.evaluate(someQuantities, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if reach, known := r.reach(); reach != 0 || !known || r.carried() {
-		t.Errorf("reaches %v (%v), carried %v", reach, known, r.carried())
+	if reach, known := r.sizeAtBudget(); reach != 0 || !known || r.hasMechanism() {
+		t.Errorf("reaches %v (%v), carried %v", reach, known, r.hasMechanism())
 	}
 }
 
@@ -169,12 +169,12 @@
 		"two units": {func(_ *Row, tables map[string]*figures.Table) { tables["rest"].Rows[0].Unit = "kB" },
 			"in kB and in B"},
 		"one size": {func(_ *Row, tables map[string]*figures.Table) { tables["rest"].Rows = tables["rest"].Rows[:2] },
-			errTooFew.Error()},
+			errTooFewPoints.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			row, tables := memoryRow(), measured(100, 200, 400)
 			c.change(&row, tables)
-			if _, err := row.reckon(someQuantities, tables); err == nil || !strings.Contains(err.Error(), c.want) ||
+			if _, err := row.evaluate(someQuantities, tables); err == nil || !strings.Contains(err.Error(), c.want) ||
 				!strings.Contains(err.Error(), "node_control, memory") {
 				t.Errorf("%v, want %q", err, c.want)
 			}
@@ -191,7 +191,7 @@
 		{999, "B", "999 B"}, {455000, "us/s", "45.5% of a core"}, {0.43, "s", "430 ms"}, {6, "s", "6 s"}, {39.94, "us", "39.9 us"},
 		{1234567, "us", "1.23 s"}, {1500, "us", "1.5 ms"}, {6.4e-5, "s", "64 us"}, {121.1, "1/s", "121 a second"}, {-1234.5, "periods", "-1,230 periods"}, {0, "1", "0"},
 		{100, "1", "100"}, {1000, "1", "1,000"}} {
-		if got := in(c.x, c.unit); got != c.want {
+		if got := formatIn(c.x, c.unit); got != c.want {
 			t.Errorf("%v %s: %q, want %q", c.x, c.unit, got, c.want)
 		}
 	}
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -16,7 +16,7 @@
 // tables gives the text of each table of the page by its name.
 func (e *evaluation) tables() map[string]string {
 	out := map[string]string{"plan": e.planTable(), "derived": e.derivedTable(), "assumed": e.assumedTable(),
-		"reach": e.reachTable(), "sources": e.sourcesTable(), "runs": runsTable(e.measured), "charts": e.chartsTable()}
+		"reach": e.limitTable(), "sources": e.sourcesTable(), "runs": runsTable(e.measured), "charts": e.chartsTable()}
 	for _, group := range groups {
 		out[group] = e.groupTable(group)
 	}
@@ -26,27 +26,27 @@
 func (e *evaluation) planTable() string {
 	var rows [][]string
 	for _, f := range e.plan.Size.figures() {
-		rows = append(rows, []string{f.text, in(f.value, f.unit)})
+		rows = append(rows, []string{f.text, formatIn(f.value, f.unit)})
 	}
-	return markdown([]string{"plan", "figure"}, rows)
+	return markdownTable([]string{"plan", "figure"}, rows)
 }
 
 func (e *evaluation) derivedTable() string {
 	var rows [][]string
 	for _, d := range e.plan.derived() {
-		if strings.Contains(d.how, "/") || strings.Contains(d.how, " x ") {
-			rows = append(rows, []string{d.text, d.how, in(d.value, d.unit)})
+		if strings.Contains(d.derivation, "/") || strings.Contains(d.derivation, " x ") {
+			rows = append(rows, []string{d.text, d.derivation, formatIn(d.value, d.unit)})
 		}
 	}
-	return markdown([]string{"by division", "how", "figure"}, rows)
+	return markdownTable([]string{"by division", "how", "figure"}, rows)
 }
 
 func (e *evaluation) assumedTable() string {
 	var rows [][]string
 	for _, a := range e.plan.Assumed {
-		rows = append(rows, []string{strings.ReplaceAll(a.Name, "_", " "), in(a.Value, a.Unit), a.Why})
+		rows = append(rows, []string{strings.ReplaceAll(a.Name, "_", " "), formatIn(a.Value, a.Unit), a.Why})
 	}
-	return markdown([]string{"assumed", "figure", "why"}, rows)
+	return markdownTable([]string{"assumed", "figure", "why"}, rows)
 }
 
 // groupTable gives the rows of one role.
@@ -57,7 +57,7 @@
 			rows = append(rows, r.cells())
 		}
 	}
-	return markdown([]string{"what", "carried by", "slope, ± its error", "run and fit", "at the planned size", "budget", "part used",
+	return markdownTable([]string{"what", "carried by", "slope, ± its error", "run and fit", "at the planned size", "budget", "part used",
 		"measured, extrapolated or assumed", "the slope itself"}, rows)
 }
 
@@ -65,19 +65,19 @@
 func (r result) cells() []string {
 	slope, fit, value, budget, part, how, itself := "-", "-", "-", "not stated", "-", "-", "-"
 	if r.budget.value > 0 {
-		budget = in(r.budget.value, r.budget.unit)
-		if r.budget.how == "assumed" {
+		budget = formatIn(r.budget.value, r.budget.unit)
+		if r.budget.derivation == "assumed" {
 			budget += " (assumed)"
 		}
 	}
-	if used, known := r.part(); known {
-		part = percent(used)
+	if used, known := r.budgetShare(); known {
+		part = formatPercent(used)
 	}
-	if r.figured {
-		value = fmt.Sprintf("%s at %s", in(r.value, r.unit), number(r.size.value))
-		how = r.how()
+	if r.hasValue {
+		value = fmt.Sprintf("%s at %s", formatIn(r.value, r.unit), formatNumber(r.size.value))
+		how = r.basis()
 	}
-	if r.Reckoned != nil {
+	if r.AssumedSlope != nil {
 		slope, fit = r.slopeText(), "none"
 	}
 	if r.From != nil {
@@ -86,12 +86,12 @@
 	if r.fitted {
 		slope = r.slopeText()
 		if r.slope != 0 {
-			slope += " ± " + percent(math.Abs(r.line.slopeError/r.slope))
+			slope += " ± " + formatPercent(math.Abs(r.line.slopeStandardError/r.slope))
 		}
-		value = fmt.Sprintf("%s ± %s at %s", in(r.value, r.unit), in(r.deviation, r.unit), number(r.size.value))
-		fit += fmt.Sprintf(", %d figures, R2 %s, largest residual %s", r.line.points, number(r.line.determination),
-			in(r.line.largest, r.measuredIn))
-		itself = r.itself()
+		value = fmt.Sprintf("%s ± %s at %s", formatIn(r.value, r.unit), formatIn(r.standardError, r.unit), formatNumber(r.size.value))
+		fit += fmt.Sprintf(", %d figures, R2 %s, largest residual %s", r.line.points, formatNumber(r.line.rSquared),
+			formatIn(r.line.largestResidual, r.measuredUnit))
+		itself = r.linearity()
 	}
 	name := r.Name
 	if r.Note != "" {
@@ -102,9 +102,9 @@
 
 // slopeText is the slope with what it is for.
 func (r result) slopeText() string {
-	text := in(r.slope, r.slopeUnit)
+	text := formatIn(r.slope, r.slopeUnit)
 	if r.slopeUnit == "us/s" {
-		text = number(r.slope) + " us/s" // a part of a core is too small a figure for one more of something
+		text = formatNumber(r.slope) + " us/s" // a part of a core is too small a figure for one more of something
 	}
 	if r.Per != "" {
 		text += " " + r.Per
@@ -112,37 +112,37 @@
 	return text
 }
 
-// how says whether the value was measured, extrapolated or assumed.
-func (r result) how() string {
+// basis says whether the value was measured, extrapolated or assumed.
+func (r result) basis() string {
 	switch {
-	case r.Reckoned != nil:
-		return "assumed: " + r.Reckoned.Basis
-	case r.From.At:
-		return fmt.Sprintf("measured at %s", number(math.Ceil(r.size.value)))
+	case r.AssumedSlope != nil:
+		return "assumed: " + r.AssumedSlope.Basis
+	case r.From.MeasuredAtSize:
+		return fmt.Sprintf("measured at %s", formatNumber(math.Ceil(r.size.value)))
 	case r.From.SlopeOnly:
-		return fmt.Sprintf("slope measured from %s to %s", number(r.line.from), number(r.line.to))
-	case r.size.value <= r.line.to*1.0001 && r.size.value >= r.line.from:
-		return fmt.Sprintf("measured from %s to %s", number(r.line.from), number(r.line.to))
-	case r.size.value < r.line.from:
-		return fmt.Sprintf("extrapolated down from %s", number(r.line.from))
+		return fmt.Sprintf("slope measured from %s to %s", formatNumber(r.line.smallestSize), formatNumber(r.line.largestSize))
+	case r.size.value <= r.line.largestSize*1.0001 && r.size.value >= r.line.smallestSize:
+		return fmt.Sprintf("measured from %s to %s", formatNumber(r.line.smallestSize), formatNumber(r.line.largestSize))
+	case r.size.value < r.line.smallestSize:
+		return fmt.Sprintf("extrapolated down from %s", formatNumber(r.line.smallestSize))
 	}
-	return fmt.Sprintf("extrapolated %s times, from %s", number(r.size.value/r.line.to), number(r.line.to))
+	return fmt.Sprintf("extrapolated %s times, from %s", formatNumber(r.size.value/r.line.largestSize), formatNumber(r.line.largestSize))
 }
 
-// itself says whether the slope changes with the size.
-func (r result) itself() string {
+// linearity says whether the slope changes with the size.
+func (r result) linearity() string {
 	change := r.line.slopeChange()
 	switch {
-	case r.flat():
+	case r.isFlat():
 		return "does not grow"
-	case !r.line.enoughForABend:
+	case !r.line.curvatureFitted:
 		return "too few sizes to tell"
-	case !r.line.bends():
+	case !r.line.isCurved():
 		return "steady"
 	case change > 0:
-		return fmt.Sprintf("rises by %s over the measured sizes", percent(change))
+		return fmt.Sprintf("rises by %s over the measured sizes", formatPercent(change))
 	}
-	return fmt.Sprintf("falls by %s over the measured sizes", percent(min(-change, 1)))
+	return fmt.Sprintf("falls by %s over the measured sizes", formatPercent(min(-change, 1)))
 }
 
 // sourcesTable sets real and hollow nodes beside each other where both were measured.
@@ -154,7 +154,7 @@
 	if len(rows) == 0 {
 		return "No cost was measured on real and hollow nodes at the same size yet.\n"
 	}
-	return markdown([]string{"run", "cost, phase", "size", "real", "hollow", "hollow / real"}, rows)
+	return markdownTable([]string{"run", "cost, phase", "size", "real", "hollow", "hollow / real"}, rows)
 }
 
 // compare gives a row for each size at which both kinds of node were measured by a cost.
@@ -176,9 +176,9 @@
 		real, hollow := median(found[figures.Real][size]), median(found[figures.Hollow][size])
 		ratio := "-"
 		if real != 0 {
-			ratio = number(hollow / real)
+			ratio = formatNumber(hollow / real)
 		}
-		rows = append(rows, []string{"`" + c.Table + "`", c.Cost + ", " + c.Phase, number(size) + " " + dimension, in(real, unit), in(hollow, unit), ratio})
+		rows = append(rows, []string{"`" + c.Table + "`", c.Cost + ", " + c.Phase, formatNumber(size) + " " + dimension, formatIn(real, unit), formatIn(hollow, unit), ratio})
 	}
 	return rows
 }
@@ -191,14 +191,14 @@
 		rows = append(rows, []string{"`" + name + "`", "`" + t.Command + "`", t.Revision, t.Date, fmt.Sprint(t.Cores), t.Machine,
 			fmt.Sprint(t.Repeats), fmt.Sprint(len(t.Rows))})
 	}
-	return markdown([]string{"run", "command", "revision", "date", "cores", "machine", "repeats", "figures"}, rows)
+	return markdownTable([]string{"run", "command", "revision", "date", "cores", "machine", "repeats", "figures"}, rows)
 }
 
 // chartsTable names the charts.
 func (e *evaluation) chartsTable() string {
 	var rows [][]string
-	for _, d := range e.drawings() {
-		rows = append(rows, []string{d.title(), fmt.Sprintf("[%s](charts/%s)", d.file(), d.file())})
+	for _, d := range e.costCharts() {
+		rows = append(rows, []string{d.title(), fmt.Sprintf("[%s](charts/%s)", d.fileName(), d.fileName())})
 	}
-	return markdown([]string{"cost against size, with its line and what is left of it", "chart"}, rows)
+	return markdownTable([]string{"cost against size, with its line and what is left of it", "chart"}, rows)
 }
