--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -5,84 +5,110 @@
 	"math"
 )
 
-// point is one figure against the size at which it was measured.
+// point is one figure (y) and the size at which it was measured (x).
 type point struct{ x, y float64 }
 
-// line is a straight line through points, by least squares, with what speaks for it and against it.
+// line is a straight line fitted to points by least squares, with the statistics that describe its quality.
 type line struct {
-	points                    int
-	slope                     float64
-	slopeStandardError        float64 // standard error
-	intercept                 float64
-	residualDeviation         float64 // standard deviation of the residuals
-	largestResidual           float64 // largest residual, without its sign
-	rSquared                  float64 // R2, the part of the variance that the line explains
-	smallestSize, largestSize float64 // smallest and largest size
-	curvature                 float64 // coefficient of the square of the size, if one is fitted as well
-	curvatureStandardError    float64 // standard error of it
-	meanSize, sizeSquares     float64 // of the sizes, and of their squared distances from it
-	meanValue                 float64 // the figures
-	curvatureFitted           bool
+	points                 int
+	slope                  float64
+	slopeStandardError     float64
+	intercept              float64
+	residualDeviation      float64 // standard deviation of the residuals
+	largestResidual        float64 // absolute value
+	rSquared               float64 // part of the variance that the line explains, from 0 to 1
+	smallestSize           float64
+	largestSize            float64
+	curvature              float64 // coefficient of the squared size; valid if curvatureFitted
+	curvatureStandardError float64
+	curvatureFitted        bool
+	meanSize               float64
+	sizeSquares            float64 // sum of the squared distances of the sizes from their mean
+	meanValue              float64
 }
 
 const (
-	minPoints             = 3     // two give a line without an error
-	minSizes              = 3     // of different value, to see a bend
-	curvatureSignificance = 3     // standard errors by which a bend has to differ from none
-	roundingTolerance     = 1e-12 // of the largest figure, under which a difference is one of rounding
-	minSlopeChange        = 0.01  // of the slope over the measured sizes, under which it is called steady
+	minPoints             = 3     // two points give a line without an error
+	minSizes              = 3     // distinct sizes that a curvature needs
+	curvatureSignificance = 3     // standard errors by which a curvature has to differ from zero
+	roundingTolerance     = 1e-12 // part of the largest value below which a difference is a rounding error
+	minSlopeChange        = 0.01  // relative change of the slope below which it counts as constant
+	lineParameters        = 2
+	curveParameters       = 3
 )
 
+// errTooFewPoints reports that the points do not determine a line and its error.
 var errTooFewPoints = errors.New("fewer than three figures, or all at one size")
 
-// fitLine fits a line through points.
-func fitLine(points []point) (l line, err error) {
-	if l.points = len(points); l.points < minPoints {
-		return l, errTooFewPoints
+// fitLine fits a line to points. It returns errTooFewPoints for fewer than minPoints, or if all have the same size.
+func fitLine(points []point) (line, error) {
+	if len(points) < minPoints {
+		return line{}, errTooFewPoints
 	}
+	l := line{points: len(points)}
 	l.measureSizes(points)
 	if l.smallestSize == l.largestSize {
-		return l, errTooFewPoints
+		return line{}, errTooFewPoints
 	}
-	alongXY, scale := 0.0, 0.0
-	for _, p := range points {
-		alongXY += (p.x - l.meanSize) * (p.y - l.meanValue)
-		scale = max(scale, math.Abs(p.y))
-	}
-	if l.slope = alongXY / l.sizeSquares; math.Abs(l.slope)*(l.largestSize-l.smallestSize) < roundingTolerance*scale {
-		l.slope = 0
-	}
-	l.intercept = l.meanValue - l.slope*l.meanSize
-	l.measureResiduals(points, roundingTolerance*scale)
+	tolerance := roundingTolerance * largestValue(points)
+	l.fitSlope(points, tolerance)
+	l.measureResiduals(points, tolerance)
 	l.fitCurvature(points)
 	return l, nil
 }
 
-// measureSizes takes where the points lie.
+// largestValue returns the largest absolute value of the points.
+func largestValue(points []point) float64 {
+	largest := 0.0
+	for _, p := range points {
+		largest = max(largest, math.Abs(p.y))
+	}
+	return largest
+}
+
+// measureSizes computes the means of the points and the spread of their sizes.
 func (l *line) measureSizes(points []point) {
-	n := float64(len(points))
-	l.smallestSize, l.largestSize = math.Inf(1), math.Inf(-1)
+	count := float64(len(points))
+	l.smallestSize = math.Inf(1)
+	l.largestSize = math.Inf(-1)
 	for _, p := range points {
-		l.meanSize += p.x / n
-		l.meanValue += p.y / n
-		l.smallestSize, l.largestSize = min(l.smallestSize, p.x), max(l.largestSize, p.x)
+		l.meanSize += p.x / count
+		l.meanValue += p.y / count
+		l.smallestSize = min(l.smallestSize, p.x)
+		l.largestSize = max(l.largestSize, p.x)
 	}
 	for _, p := range points {
 		l.sizeSquares += (p.x - l.meanSize) * (p.x - l.meanSize)
 	}
 }
 
-// measureResiduals takes what the line leaves over; what is under the least is rounding.
-func (l *line) measureResiduals(points []point, least float64) {
-	squares, total := 0.0, 0.0
+// fitSlope computes slope and intercept. A slope whose effect over the measured sizes is below the tolerance is zero.
+func (l *line) fitSlope(points []point, tolerance float64) {
+	products := 0.0
+	for _, p := range points {
+		products += (p.x - l.meanSize) * (p.y - l.meanValue)
+	}
+	l.slope = products / l.sizeSquares
+	if math.Abs(l.slope)*(l.largestSize-l.smallestSize) < tolerance {
+		l.slope = 0
+	}
+	l.intercept = l.meanValue - l.slope*l.meanSize
+}
+
+// measureResiduals computes the statistics of the residuals. Residuals below the tolerance count as zero.
+func (l *line) measureResiduals(points []point, tolerance float64) {
+	squares := 0.0
+	total := 0.0
 	for _, p := range points {
 		total += (p.y - l.meanValue) * (p.y - l.meanValue)
-		if residual := math.Abs(l.residual(p)); residual >= least {
-			squares += residual * residual
-			l.largestResidual = max(l.largestResidual, residual)
+		residual := math.Abs(l.residual(p))
+		if residual < tolerance {
+			continue
 		}
+		squares += residual * residual
+		l.largestResidual = max(l.largestResidual, residual)
 	}
-	l.residualDeviation = math.Sqrt(squares / float64(len(points)-2))
+	l.residualDeviation = math.Sqrt(squares / float64(len(points)-lineParameters))
 	l.slopeStandardError = l.residualDeviation / math.Sqrt(l.sizeSquares)
 	l.rSquared = 1
 	if squares > 0 {
@@ -90,55 +116,75 @@
 	}
 }
 
-// fitCurvature fits the residuals by the part of the squared size that no line explains.
+// fitCurvature fits the residuals by the component of the squared size that is orthogonal to every line. It leaves
+// curvatureFitted false if there are too few points or distinct sizes.
 func (l *line) fitCurvature(points []point) {
+	if distinctSizes(points) < minSizes || len(points) <= minPoints {
+		return
+	}
+	curve := l.orthogonalSquares(points)
+	products := 0.0
+	squares := 0.0
+	for i, p := range points {
+		products += curve[i] * l.residual(p)
+		squares += curve[i] * curve[i]
+	}
+	l.curvature = products / squares
+	remaining := 0.0
+	for i, p := range points {
+		residual := l.residual(p) - l.curvature*curve[i]
+		remaining += residual * residual
+	}
+	deviation := math.Sqrt(remaining / float64(len(points)-curveParameters))
+	l.curvatureStandardError = deviation / math.Sqrt(squares)
+	l.curvatureFitted = true
+}
+
+func distinctSizes(points []point) int {
 	sizes := map[float64]bool{}
 	for _, p := range points {
 		sizes[p.x] = true
 	}
-	if len(sizes) < minSizes || len(points) <= minPoints {
-		return
-	}
-	square := make([]point, len(points))
+	return len(sizes)
+}
+
+// orthogonalSquares returns, for each point, the squared distance of its size from the mean, less the line through these
+// squares.
+func (l *line) orthogonalSquares(points []point) []float64 {
+	squares := make([]float64, len(points))
 	for i, p := range points {
-		square[i] = point{p.x, (p.x - l.meanSize) * (p.x - l.meanSize)}
-	}
-	meanSquare, slopeOfSquare := 0.0, 0.0
-	for _, p := range square {
-		meanSquare += p.y / float64(len(square))
-		slopeOfSquare += p.y * (p.x - l.meanSize) / l.sizeSquares
+		squares[i] = (p.x - l.meanSize) * (p.x - l.meanSize)
 	}
-	curved := func(i int) float64 { return square[i].y - meanSquare - slopeOfSquare*(square[i].x-l.meanSize) }
-	along, sum := 0.0, 0.0
+	mean := 0.0
+	slope := 0.0
 	for i, p := range points {
-		along += curved(i) * l.residual(p)
-		sum += curved(i) * curved(i)
+		mean += squares[i] / float64(len(squares))
+		slope += squares[i] * (p.x - l.meanSize) / l.sizeSquares
 	}
-	l.curvature = along / sum
-	left := 0.0
 	for i, p := range points {
-		rest := l.residual(p) - l.curvature*curved(i)
-		left += rest * rest
+		squares[i] = squares[i] - mean - slope*(p.x-l.meanSize)
 	}
-	l.curvatureStandardError = math.Sqrt(left/float64(len(points)-3)) / math.Sqrt(sum)
-	l.curvatureFitted = true
+	return squares
 }
 
-// predict gives the line at a size, and the standard error of it.
-func (l line) predict(x float64) (y, err float64) {
-	away := x - l.meanSize
-	return l.intercept + l.slope*x, l.residualDeviation * math.Sqrt(1/float64(l.points)+away*away/l.sizeSquares)
+// predict returns the line's value at a size, and the standard error of that value.
+func (l line) predict(size float64) (value, standardError float64) {
+	distance := size - l.meanSize
+	value = l.intercept + l.slope*size
+	standardError = l.residualDeviation * math.Sqrt(1/float64(l.points)+distance*distance/l.sizeSquares)
+	return value, standardError
 }
 
-// residual is how far a figure lies above the line.
+// residual returns how far a point lies above the line; it is negative below it.
 func (l line) residual(p point) float64 { return p.y - l.intercept - l.slope*p.x }
 
-// isCurved tells whether the slope itself changes with the size, beyond chance and beyond what matters.
+// isCurved reports whether the slope changes with the size, both significantly and by more than minSlopeChange.
 func (l line) isCurved() bool {
-	return l.curvatureFitted && math.Abs(l.curvature) > curvatureSignificance*l.curvatureStandardError && math.Abs(l.slopeChange()) > minSlopeChange
+	significant := math.Abs(l.curvature) > curvatureSignificance*l.curvatureStandardError
+	return l.curvatureFitted && significant && math.Abs(l.slopeChange()) > minSlopeChange
 }
 
-// slopeChange is by which part of itself the slope changes from the smallest size to the largest.
+// slopeChange returns the change of the slope from the smallest to the largest size, relative to the slope.
 func (l line) slopeChange() float64 {
 	return 2 * l.curvature * (l.largestSize - l.smallestSize) / math.Abs(l.slope)
 }
