--- /dev/null
+++ b/internal/emulator/upgrade.go
@@ -0,0 +1,163 @@
+package emulator
+
+import (
+	"encoding/json"
+	"maps"
+
+	"gorseledge/internal/node"
+)
+
+const (
+	processDelay    = 2e-4 // seconds between two processes of one machine
+	shutdownTimeout = 4.0  // seconds from SIGTERM to SIGKILL
+	upgradeSlack    = 1.0  // seconds after the shutdown timeout in which an upgrade ends
+)
+
+// transferred returns what becomes of a value on its way between two processes, which is JSON.
+func transferred[T any](in T) T {
+	var out T
+	text, err := json.Marshal(in)
+	if err == nil {
+		err = json.Unmarshal(text, &out)
+	}
+	if err != nil {
+		panic(err) // both processes run the same program
+	}
+	return out
+}
+
+// upgrade starts a node's program again beside its process, which shuts down once the new one is ready. It has no effect
+// while another upgrade of the node is under way.
+func (s *simulation) upgrade(index int) {
+	old := s.nodes[index]
+	if !old.running || old.vanished || old.shuttingDown || old.predecessor != nil || old.successor != nil {
+		return
+	}
+	start := s.nodeStart(old.name+" anew", old.index)
+	successor := &nodeProcess{
+		machine:      newMachine(old.name, old.zone),
+		world:        s,
+		index:        old.index,
+		lastConn:     old.lastConn,
+		idleAt:       s.Now,
+		running:      true,
+		connections:  map[node.Conn]*connection{},
+		predecessor:  old,
+		watchState:   watchState{startedAt: s.Now, calledAt: s.Now, relocations: old.watchState.relocations},
+		unboundHosts: map[node.Conn]*connection{},
+	}
+	successor.cloneKnowledge(old)
+	start.NotListening = true
+	start.Handover = transferred(old.query(node.Query{Question: node.ClaimHandover}).Handover)
+	old.successor = successor
+	s.startCore(successor, start)
+	s.trace("%s: a new process", old.name)
+	successor.deliver(node.TimerFired{})
+	s.After(shutdownTimeout+upgradeSlack, func() { endUpgrade(old, successor) })
+}
+
+// endUpgrade kills the process that should have ended by now: the predecessor, or a successor that never got ready.
+func endUpgrade(old, successor *nodeProcess) {
+	late := successor
+	if successor.tookOver {
+		late = old
+	}
+	if late.running {
+		late.stop()
+		late.notifyPeersOfExit()
+	}
+}
+
+// takeOver has a successor that is ready take the listener. A process without a running predecessor has it already, or
+// gets it from the next one that is started.
+func (n *nodeProcess) takeOver() {
+	old := n.predecessor
+	if old == nil || !old.running {
+		return
+	}
+	n.world.After(processDelay, func() {
+		if !old.running || !n.running {
+			return
+		}
+		state := transferred(old.query(node.Query{Question: node.TakeOver}).Handover)
+		n.tookOver = true
+		n.world.nodes[n.index] = n
+		n.disabledAt = maps.Clone(old.disabledAt)
+		n.deliver(node.HandoverReceived{State: state})
+		n.deliver(node.ListenerOpened{})
+		n.world.After(processDelay, func() {
+			if old.running && n.running {
+				old.shuttingDown = true
+				old.deliver(node.Shutdown{})
+			}
+		})
+	})
+}
+
+// sendConnection transfers an open connection to the successor. Bytes under way arrive there.
+func (n *nodeProcess) sendConnection(e node.SendConnection) {
+	successor := n.successor
+	if successor == nil || !successor.running {
+		n.deliver(node.ConnectionSent{Conn: e.Conn})
+		return
+	}
+	client, host := n.connections[e.Conn], n.connections[e.Host]
+	transfer := transferred(e.Transfer)
+	successor.lastConn += 2
+	newClient := &connection{nodeProcess: successor, id: successor.lastConn}
+	newHost := &connection{nodeProcess: successor, host: host.host, flow: host.flow, counted: true}
+	host.flow = nil // the attempt goes along
+	client.moveSocket(newClient)
+	host.moveSocket(newHost)
+	successor.unboundHosts[newClient.id] = newHost
+	successor.connections[newClient.id] = newClient
+	successor.deliver(node.ConnectionReceived{Conn: newClient.id, Transfer: transfer})
+	n.deliver(node.ConnectionSent{Conn: e.Conn, OK: true})
+}
+
+// moveSocket moves the socket of a connection to a connection of another process.
+func (c *connection) moveSocket(to *connection) {
+	s := c.socket
+	delete(c.nodeProcess.sockets, s)
+	to.nodeProcess.sockets[s] = true
+	s.machine = to.nodeProcess.machine
+	s.onArrival = to.completeRead
+	to.socket = s
+	c.socket = nil
+	c.sent = true
+}
+
+// bindHostConnection gives the host's side of a transferred connection its number.
+func (n *nodeProcess) bindHostConnection(e node.BindHostConnection) {
+	c := n.unboundHosts[e.Client]
+	delete(n.unboundHosts, e.Client)
+	c.id = e.Conn
+	n.connections[e.Conn] = c
+}
+
+// updatePeers sends an update to the node's other processes.
+func (n *nodeProcess) updatePeers(update node.HandoverUpdate) {
+	update = transferred(update)
+	for _, peer := range []*nodeProcess{n.predecessor, n.successor} {
+		if peer == nil || !peer.running {
+			continue
+		}
+		n.world.After(processDelay, func() {
+			if peer.running {
+				peer.deliver(node.PeerProcessChanged{Update: update})
+			}
+		})
+	}
+}
+
+// notifyPeersOfExit notifies the node's other processes that this one has ended.
+func (n *nodeProcess) notifyPeersOfExit() {
+	if n.successor != nil && n.successor.running {
+		n.successor.deliver(node.PredecessorGone{})
+		n.successor.predecessor = nil
+	}
+	if n.predecessor != nil && n.predecessor.running {
+		n.predecessor.deliver(node.SuccessorGone{})
+		n.predecessor.successor = nil
+	}
+}
