--- a/internal/capacity/limit.go
+++ b/internal/capacity/limit.go
@@ -7,51 +7,56 @@
 	"strings"
 )
 
-// budgetLimit is the part of the planned size at which a row's budget is used up.
+// budgetLimit is the size at which a row's budget is used up.
 type budgetLimit struct {
 	result
-	size        float64 // infinite where no end is seen
-	shareOfPlan float64
+	limit       float64 // infinite if the cost does not grow
+	shareOfPlan float64 // limit relative to the planned size
 }
 
-// limitTable sorts the rows by the part of the planned size that they reach; what nothing carries stands first.
+// limitTable lists the rows with a known limit by ascending share of the planned size. Rows without a mechanism come
+// first.
 func (e *evaluation) limitTable() string {
-	var all []budgetLimit
+	var limits []budgetLimit
 	for _, r := range e.results {
-		if size, known := r.sizeAtBudget(); known {
-			all = append(all, budgetLimit{r, size, r.shareOfPlan(size)})
+		size, known := r.sizeAtBudget()
+		if !known {
+			continue
 		}
+		limits = append(limits, budgetLimit{result: r, limit: size, shareOfPlan: r.planShare(size)})
 	}
-	slices.SortStableFunc(all, func(a, b budgetLimit) int { return cmp.Compare(a.shareOfPlan, b.shareOfPlan) })
+	slices.SortStableFunc(limits, func(a, b budgetLimit) int { return cmp.Compare(a.shareOfPlan, b.shareOfPlan) })
 	var rows [][]string
-	for _, r := range all {
-		rows = append(rows, r.cells())
+	for _, limit := range limits {
+		rows = append(rows, limit.cells())
 	}
 	return markdownTable([]string{"line", "planned size", "budget is used up at", "part of the planned size", "budget"}, rows)
 }
 
-// shareOfPlan is which part of the planned size a size is; none where nothing carries the row.
-func (r result) shareOfPlan(size float64) float64 {
-	switch {
-	case !r.hasMechanism():
+// planShare returns a size relative to the planned size: zero for a row without a mechanism, infinite for an infinite size.
+func (r result) planShare(size float64) float64 {
+	if !r.hasMechanism() {
 		return 0
-	case math.IsInf(size, 1):
+	}
+	if math.IsInf(size, 1) {
 		return size
 	}
 	return size / r.size.value
 }
 
-// cells are a row's in the table of what breaks first.
-func (r budgetLimit) cells() []string {
-	planned, at, part, budget := "-", "no end seen", "-", formatIn(r.budget.value, r.budget.unit)
-	if r.result.size.value > 0 {
-		planned = formatNumber(r.result.size.value)
+// cells returns the columns of limitTable.
+func (b budgetLimit) cells() []string {
+	name := strings.ReplaceAll(b.Group, "_", " ") + ": " + b.Name
+	planned := "-"
+	if b.size.value > 0 {
+		planned = formatNumber(b.size.value)
+	}
+	if !b.hasMechanism() {
+		return []string{name, planned, "-", "none", "no mechanism"}
 	}
-	switch {
-	case !r.hasMechanism():
-		at, part, budget = "-", "none", "no mechanism"
-	case !math.IsInf(r.size, 1):
-		at, part = formatNumber(r.size), formatRatio(r.shareOfPlan)
+	budget := formatIn(b.budget.value, b.budget.unit)
+	if math.IsInf(b.limit, 1) {
+		return []string{name, planned, "no end seen", "-", budget}
 	}
-	return []string{strings.ReplaceAll(r.Group, "_", " ") + ": " + r.Name, planned, at, part, budget}
+	return []string{name, planned, formatNumber(b.limit), formatRatio(b.shareOfPlan), budget}
 }
--- a/internal/capacity/result.go
+++ b/internal/capacity/result.go
@@ -5,126 +5,175 @@
 	"fmt"
 	"math"
 	"slices"
+	"strings"
 
 	"gorseledge/internal/figures"
 )
 
-// result is what a row comes to.
+// flatSlopeErrors is the number of standard errors below which a slope cannot be told from zero.
+const flatSlopeErrors = 2
+
+// result is the evaluation of one row of the plan.
 type result struct {
 	Row
-	hasValue      bool // there is a slope or a measured figure
-	line          line // where figures were fitted
-	fitted        bool
-	points        []point
-	slope         float64
-	size          quantity
-	value         float64 // at the planned size
-	standardError float64 // standard error of it
-	unit          string  // of the value
-	measuredUnit  string  // unit of the figures
+	hasValue      bool     // whether value, slope and unit are known
+	fitted        bool     // whether line is valid
+	line          line     // the line through points
+	points        []point  // the selected figures
+	slope         float64  // in slopeUnit
+	size          quantity // the planned size
+	value         float64  // the cost at the planned size, in unit
+	standardError float64  // of value; zero unless fitted
+	unit          string
+	measuredUnit  string // of the points
 	slopeUnit     string
-	budget        quantity
+	budget        quantity // zero if the row has none
 }
 
-// evaluate gives what a row comes to by the figures.
+// evaluate computes a row's cost at the planned size. It returns an error if the tables lack its figures, if these do not
+// determine a line, or if cost and budget have different units.
 func (r Row) evaluate(quantities map[string]quantity, tables map[string]*figures.Table) (result, error) {
 	out := result{Row: r, size: quantities[r.Size], budget: quantities[r.Budget]}
-	var err error
-	switch {
-	case r.AssumedSlope != nil:
-		out.hasValue, out.slope, out.unit = true, r.AssumedSlope.Slope, r.AssumedSlope.Unit
-		out.value = out.slope * out.size.value
-	case r.From != nil && r.From.MeasuredAtSize:
-		err = out.useMedian(tables)
-	case r.From != nil:
-		err = out.fit(tables)
-	}
-	out.slopeUnit = cmp.Or(r.SlopeUnit, out.slopeUnit, out.unit)
-	if err == nil && out.hasValue && r.Budget != "" && out.budget.unit != out.unit {
-		err = fmt.Errorf("a budget in %s for a cost in %s", out.budget.unit, out.unit)
+	err := out.computeValue(tables)
+	if err == nil {
+		err = out.checkBudgetUnit()
 	}
 	if err != nil {
 		return out, fmt.Errorf("%s, %s: %w", r.Group, r.Name, err)
 	}
+	out.slopeUnit = cmp.Or(r.SlopeUnit, out.slopeUnit, out.unit)
 	return out, nil
 }
 
-// selectFigures gives the figures that a row names, and their unit.
+// computeValue sets the value by the row's method. A row without a method has no value.
+func (r *result) computeValue(tables map[string]*figures.Table) error {
+	if r.AssumedSlope != nil {
+		r.useAssumedSlope()
+		return nil
+	}
+	if r.From == nil {
+		return nil
+	}
+	if r.From.MeasuredAtSize {
+		return r.useMedian(tables)
+	}
+	return r.fit(tables)
+}
+
+// checkBudgetUnit returns an error if the row has a budget in another unit than its value.
+func (r *result) checkBudgetUnit() error {
+	if !r.hasValue || r.Budget == "" || r.budget.unit == r.unit {
+		return nil
+	}
+	return fmt.Errorf("a budget in %s for a cost in %s", r.budget.unit, r.unit)
+}
+
+// useAssumedSlope multiplies the assumed slope by the planned size.
+func (r *result) useAssumedSlope() {
+	r.hasValue = true
+	r.slope = r.AssumedSlope.Slope
+	r.unit = r.AssumedSlope.Unit
+	r.value = r.slope * r.size.value
+}
+
+// matches reports whether the selector selects a figure.
+func (s *FigureSelector) matches(row figures.Row) bool {
+	return string(row.Source) == s.Source &&
+		row.Dimension == s.Dimension &&
+		row.Phase == s.Phase &&
+		row.Cost == s.Cost
+}
+
+// selectFigures sets the points and their unit. It returns an error if there are none, or if their units differ.
 func (r *result) selectFigures(tables map[string]*figures.Table) error {
-	table := tables[r.From.Table]
+	selector := r.From
+	table := tables[selector.Table]
 	if table == nil {
-		return fmt.Errorf("no table %s.csv", r.From.Table)
+		return fmt.Errorf("no table %s.csv", selector.Table)
 	}
 	for _, row := range table.Rows {
-		if string(row.Source) != r.From.Source || row.Dimension != r.From.Dimension || row.Phase != r.From.Phase ||
-			row.Cost != r.From.Cost {
+		if !selector.matches(row) {
 			continue
 		}
 		if r.unit != "" && r.unit != row.Unit {
-			return fmt.Errorf("%s.csv has it in %s and in %s", r.From.Table, r.unit, row.Unit)
+			return fmt.Errorf("%s.csv has it in %s and in %s", selector.Table, r.unit, row.Unit)
 		}
-		r.unit, r.measuredUnit = row.Unit, row.Unit
+		r.unit = row.Unit
 		r.points = append(r.points, point{row.Size, row.Value})
 	}
 	if len(r.points) == 0 {
-		return fmt.Errorf("%s.csv has no figure of %s, %s, %s by %s", r.From.Table, r.From.Source, r.From.Phase, r.From.Cost,
-			r.From.Dimension)
+		return fmt.Errorf("%s.csv has no figure of %s, %s, %s by %s",
+			selector.Table, selector.Source, selector.Phase, selector.Cost, selector.Dimension)
 	}
+	r.measuredUnit = r.unit
 	r.hasValue = true
 	return nil
 }
 
-// fit reckons by a line through the figures.
-func (r *result) fit(tables map[string]*figures.Table) (err error) {
-	if err = r.selectFigures(tables); err != nil {
+// fit fits a line to the selected figures and computes the value from it.
+func (r *result) fit(tables map[string]*figures.Table) error {
+	err := r.selectFigures(tables)
+	if err != nil {
 		return err
 	}
-	if r.line, err = fitLine(r.points); err != nil {
-		return err
+	r.line, err = fitLine(r.points)
+	if err != nil {
+		return fmt.Errorf("fitting a line: %w", err)
 	}
-	r.fitted, r.slope = true, r.line.slope
+	r.fitted = true
+	r.slope = r.line.slope
 	if r.From.SlopeOnly {
-		if r.slopeUnit = r.unit; r.size.unit == "1/s" {
-			r.unit += "/s"
-		}
-		r.value, r.standardError = r.slope*r.size.value, r.line.slopeStandardError*r.size.value
+		r.useSlope()
 		return nil
 	}
 	r.value, r.standardError = r.line.predict(r.size.value)
 	if r.isFlat() {
-		r.value = max(r.value, r.line.meanValue) // a slope that may be none must not make a cost smaller than it was measured
+		// A slope that may be zero must not make the cost smaller than it was measured.
+		r.value = max(r.value, r.line.meanValue)
 	}
 	return nil
 }
 
-// useMedian takes the median of the figures at the planned size itself.
+// useSlope multiplies the fitted slope by the planned size. A size that is a rate gives a cost each second.
+func (r *result) useSlope() {
+	r.slopeUnit = r.unit
+	if r.size.unit == "1/s" {
+		r.unit += "/s"
+	}
+	r.value = r.slope * r.size.value
+	r.standardError = r.line.slopeStandardError * r.size.value
+}
+
+// useMedian sets the value to the median of the figures measured at the planned size, rounded up to a whole number.
 func (r *result) useMedian(tables map[string]*figures.Table) error {
 	if err := r.selectFigures(tables); err != nil {
 		return err
 	}
-	var there []float64
+	size := math.Ceil(r.size.value)
+	var values []float64
 	for _, p := range r.points {
-		if p.x == math.Ceil(r.size.value) {
-			there = append(there, p.y)
+		if p.x == size {
+			values = append(values, p.y)
 		}
 	}
-	if len(there) == 0 {
-		return fmt.Errorf("%s.csv has no figure at %v", r.From.Table, math.Ceil(r.size.value))
+	if len(values) == 0 {
+		return fmt.Errorf("%s.csv has no figure at %v", r.From.Table, size)
 	}
-	r.value = median(there)
+	r.value = median(values)
 	return nil
 }
 
-func median(of []float64) float64 {
-	of = slices.Sorted(slices.Values(of))
-	middle := len(of) / 2
-	if len(of)%2 == 1 {
-		return of[middle]
-	}
-	return (of[middle-1] + of[middle]) / 2
+// median returns the median of at least one value.
+func median(values []float64) float64 {
+	sorted := slices.Sorted(slices.Values(values))
+	middle := len(sorted) / 2
+	if len(sorted)%2 == 1 {
+		return sorted[middle]
+	}
+	return (sorted[middle-1] + sorted[middle]) / 2
 }
 
-// budgetShare is the part of the budget that is used, and false where there is none.
+// budgetShare returns the part of the budget that is used, and false if value or budget is unknown.
 func (r result) budgetShare() (float64, bool) {
 	if !r.hasValue || r.budget.value == 0 {
 		return 0, false
@@ -132,30 +181,30 @@
 	return r.value / r.budget.value, true
 }
 
-// sizeAtBudget is the size at which the budget is used up; infinite where the cost does not grow to it, and false where nothing
-// tells.
+// sizeAtBudget returns the size at which the budget is used up, and false if it is unknown. The size is infinite if the
+// cost does not grow, and zero if the row has no mechanism.
 func (r result) sizeAtBudget() (float64, bool) {
-	switch {
-	case !r.hasValue && r.hasMechanism():
-		return 0, false
-	case !r.hasMechanism():
+	if !r.hasMechanism() {
 		return 0, true
-	case r.budget.value == 0 || !r.fitted && r.AssumedSlope == nil:
+	}
+	hasSlope := r.fitted || r.AssumedSlope != nil
+	if !r.hasValue || r.budget.value == 0 || !hasSlope {
 		return 0, false
-	case r.slope <= 0 || r.isFlat():
+	}
+	if r.slope <= 0 || r.isFlat() {
 		return math.Inf(1), true
 	}
-	left := r.budget.value
+	available := r.budget.value
 	if r.fitted && !r.From.SlopeOnly {
-		left -= r.line.intercept
+		available -= r.line.intercept
 	}
-	return max(left/r.slope, 0), true
+	return max(available/r.slope, 0), true
 }
 
-// isFlat tells that a fitted cost does not grow with the size, as far as can be told.
-func (r result) isFlat() bool { return r.fitted && math.Abs(r.slope) < 2*r.line.slopeStandardError }
-
-// hasMechanism tells whether a mechanism carries the row.
-func (r result) hasMechanism() bool {
-	return len(r.Mechanism) < len(noMechanism) || r.Mechanism[:len(noMechanism)] != noMechanism
+// isFlat reports whether a fitted slope cannot be told from zero.
+func (r result) isFlat() bool {
+	return r.fitted && math.Abs(r.slope) < flatSlopeErrors*r.line.slopeStandardError
 }
+
+// hasMechanism reports whether the row names a mechanism that exists.
+func (r result) hasMechanism() bool { return !strings.HasPrefix(r.Mechanism, noMechanism) }
