--- a/internal/rig/control_check_test.go
+++ b/internal/rig/control_check_test.go
@@ -21,7 +21,7 @@
 	return Event{At: at, What: eventConfig, Node: node, Control: &ControlEvent{Version: version(revision), Digest: "d" + id}}
 }
 
-// faultOf gives the begin and end of a fault of control servers.
+// faultOf returns the begin and end of a fault of control servers.
 func faultOf(f ControlFault) (begin, over Event) {
 	return Event{At: f.At, What: eventControlFault, Control: &ControlEvent{Fault: &f}},
 		Event{At: f.At + f.For, What: eventControlOver, Control: &ControlEvent{Fault: &f}}
--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -41,24 +41,26 @@
 	}
 	out := make([]Cost, len(programs))
 	for i, of := range all {
-		median := func(get func(Cost) float64) float64 {
-			var xs []float64
-			for _, c := range of {
-				xs = append(xs, get(c))
-			}
-			slices.Sort(xs)
-			return xs[len(xs)/2]
-		}
 		out[i] = Cost{
-			Start: median(func(c Cost) float64 { return c.Start }),
-			Flow:  median(func(c Cost) float64 { return c.Flow }),
-			Line:  median(func(c Cost) float64 { return c.Line }),
-			Idle:  median(func(c Cost) float64 { return c.Idle }),
+			Start: median(of, func(c Cost) float64 { return c.Start }),
+			Flow:  median(of, func(c Cost) float64 { return c.Flow }),
+			Line:  median(of, func(c Cost) float64 { return c.Line }),
+			Idle:  median(of, func(c Cost) float64 { return c.Idle }),
 		}
 	}
 	return out, nil
 }
 
+// median returns the median of one figure of the costs; of an even number, the upper one of the two in the middle.
+func median(costs []Cost, figure func(Cost) float64) float64 {
+	var values []float64
+	for _, c := range costs {
+		values = append(values, figure(c))
+	}
+	slices.Sort(values)
+	return values[len(values)/2]
+}
+
 // measureOnce measures a program once.
 func measureOnce(ctx context.Context, program string, load Load) (c Cost, err error) {
 	if c.Start, err = processorTime(ctx, program, Load{}); err != nil {
--- a/internal/rig/excuses.go
+++ b/internal/rig/excuses.go
@@ -54,7 +54,11 @@
 		if e.What == eventFault {
 			open[key] = len(out)
 			out = append(out, episode{*e.Fault, interval{e.At, forever}})
-		} else if i, begun := open[key]; begun && !(e.Fault.For == 0 && faultKinds[e.Fault.Kind].staysDown) {
+			continue
+		}
+		i, begun := open[key]
+		staysDown := e.Fault.For == 0 && faultKinds[e.Fault.Kind].staysDown
+		if begun && !staysDown {
 			out[i].to = e.At
 			delete(open, key)
 		}
--- a/internal/rig/timeline.go
+++ b/internal/rig/timeline.go
@@ -32,24 +32,25 @@
 	}
 	p.NominalY(names...)
 	p.Y.Min, p.Y.Max = -0.6, float64(r.Nodes)
-	row := func(from, to float64, node int, lift float64, c color.Color, width vg.Length) error {
-		l, err := plotter.NewLine(plotter.XYs{{X: from, Y: float64(node) + lift}, {X: to, Y: float64(node) + lift}})
+	row := func(from, to float64, node int, offset float64, c color.Color, width vg.Length) error {
+		line, err := plotter.NewLine(plotter.XYs{{X: from, Y: float64(node) + offset}, {X: to, Y: float64(node) + offset}})
 		if err != nil {
 			return err
 		}
-		l.Color, l.Width = c, width
-		p.Add(l)
+		line.Color = c
+		line.Width = width
+		p.Add(line)
 		return nil
 	}
 	end := endOf(r.Events)
 	for _, e := range episodes(r.Events) {
 		e.to = min(e.to, end) // a fault that is not over lasts to the end
-		c, lift := color.Color(grey), 0.0
+		c, offset := color.Color(grey), 0.0
 		if faultKinds[e.Kind].onLink {
-			c, lift = blue, -0.15
+			c, offset = blue, -0.15
 		}
 		for _, n := range e.Nodes {
-			if err := row(e.from, max(e.to, e.from+end/500), n, lift, c, vg.Points(5)); err != nil {
+			if err := row(e.from, max(e.to, e.from+end/500), n, offset, c, vg.Points(5)); err != nil {
 				return nil, err
 			}
 		}
@@ -57,8 +58,8 @@
 	changes := map[string]plotter.XYs{}
 	for _, e := range r.Events {
 		if e.What == eventMember && nodeIndex(e.Member) >= 0 && nodeIndex(e.Member) < r.Nodes {
-			lift := 0.2 + 0.6*float64(e.Node)/float64(r.Nodes)
-			changes[e.State] = append(changes[e.State], plotter.XY{X: e.At, Y: float64(nodeIndex(e.Member)) + lift})
+			offset := 0.2 + 0.6*float64(e.Node)/float64(r.Nodes)
+			changes[e.State] = append(changes[e.State], plotter.XY{X: e.At, Y: float64(nodeIndex(e.Member)) + offset})
 		}
 	}
 	for state, c := range map[string]color.Color{
--- a/internal/rig/traffic.go
+++ b/internal/rig/traffic.go
@@ -15,7 +15,7 @@
 	flowLineGap     = 250 * time.Millisecond
 	budgetInterval  = time.Second
 
-	// ownBudgetShare is the part of a cold host's budget that the module gives out, over all nodes.
+	// ownBudgetShare is the part of a cold host's budget that the nodes grant, all together.
 	ownBudgetShare = 0.5
 )
 
