--- a/internal/capacity/chart.go
+++ b/internal/capacity/chart.go
@@ -14,83 +14,110 @@
 	"gorseledge/internal/chart"
 )
 
-const chartPrefix = "capacity-" // of the files that this package writes
+const (
+	// chartPrefix begins the name of each chart of this package, so that charts of others are left alone.
+	chartPrefix    = "capacity-"
+	chartExtension = ".svg"
 
-// costChart is one chart: a cost against the size, with its line.
+	panelWidth  = 7 * vg.Inch
+	panelHeight = 3 * vg.Inch
+	pointRadius = vg.Length(2) // in points
+)
+
+var (
+	pointColor = color.RGBA{R: 60, G: 100, B: 200, A: 255}
+	lineColor  = color.RGBA{R: 200, G: 30, B: 30, A: 255}
+)
+
+// costChart is a chart of a fitted cost against the size.
 type costChart struct{ result }
 
-// costCharts gives a chart for each fitted cost, once.
-func (e *evaluation) costCharts() (out []costChart) {
+// costCharts returns one chart for each distinct fitted cost, in the order of the rows.
+func (e *evaluation) costCharts() []costChart {
+	var charts []costChart
 	seen := map[string]bool{}
 	for _, r := range e.results {
-		d := costChart{r}
-		if r.fitted && !seen[d.fileName()] {
-			seen[d.fileName()] = true
-			out = append(out, d)
+		if !r.fitted {
+			continue
+		}
+		c := costChart{r}
+		if seen[c.fileName()] {
+			continue
 		}
+		seen[c.fileName()] = true
+		charts = append(charts, c)
 	}
-	return out
+	return charts
 }
 
-func (d costChart) fileName() string {
-	f := d.From
-	name := strings.Join([]string{f.Table, f.Source, f.Dimension, f.Phase, f.Cost}, "-")
-	return chartPrefix + strings.NewReplacer(".", "-", "_", "-").Replace(name) + ".svg"
+// fileName returns the chart's name, which identifies the selected figures.
+func (c costChart) fileName() string {
+	selector := c.From
+	parts := []string{selector.Table, selector.Source, selector.Dimension, selector.Phase, selector.Cost}
+	name := strings.NewReplacer(".", "-", "_", "-").Replace(strings.Join(parts, "-"))
+	return chartPrefix + name + chartExtension
 }
 
-func (d costChart) title() string {
-	return fmt.Sprintf("%s, %s, against %s (%s)", d.From.Cost, d.From.Phase, strings.ReplaceAll(d.From.Dimension, "_", " "),
-		d.From.Source)
+func (c costChart) title() string {
+	return fmt.Sprintf("%s, %s, against %s (%s)", c.From.Cost, c.From.Phase, c.dimension(), c.From.Source)
 }
 
-// render draws the figures with their line, and below it what the line leaves over.
-func (d costChart) render() ([]byte, error) {
+// dimension returns the varied dimension in words.
+func (c costChart) dimension() string { return strings.ReplaceAll(c.From.Dimension, "_", " ") }
+
+// render draws the figures with their line and, below, the residuals. The image ends with the hash of the figures.
+func (c costChart) render() ([]byte, error) {
 	var values, residuals plotter.XYs
-	for _, p := range d.points {
+	for _, p := range c.points {
 		values = append(values, plotter.XY{X: p.x, Y: p.y})
-		residuals = append(residuals, plotter.XY{X: p.x, Y: d.line.residual(p)})
+		residuals = append(residuals, plotter.XY{X: p.x, Y: c.line.residual(p)})
 	}
-	top, err := newPanel(d.title()+", simulated or on loopback", d.From.Cost+", "+d.unit, values, func(x float64) float64 {
-		return d.line.intercept + d.line.slope*x
-	})
+	fitted := func(size float64) float64 { return c.line.intercept + c.line.slope*size }
+	top, err := newPanel(c.title()+", simulated or on loopback", c.From.Cost+", "+c.unit, values, fitted)
 	if err != nil {
 		return nil, err
 	}
-	below, err := newPanel("", "figure less line, "+d.unit, residuals, func(float64) float64 { return 0 })
+	zero := func(float64) float64 { return 0 }
+	bottom, err := newPanel("", "figure less line, "+c.unit, residuals, zero)
 	if err != nil {
 		return nil, err
 	}
-	below.X.Label.Text = strings.ReplaceAll(d.From.Dimension, "_", " ")
-	text, err := chart.SVG(7*vg.Inch, 3*vg.Inch, top, below)
-	return append(bytes.TrimRight(text, "\n"), d.figureHash()...), err
+	bottom.X.Label.Text = c.dimension()
+	image, err := chart.SVG(panelWidth, panelHeight, top, bottom)
+	if err != nil {
+		return nil, err
+	}
+	return append(bytes.TrimRight(image, "\n"), c.figureHash()...), nil
 }
 
-// figureHash is a comment at the chart's end that tells what it was drawn from: text of a drawing may differ in its last digits
-// from machine to machine, figures do not.
-func (d costChart) figureHash() string {
-	sum := xxhash.New()
-	fmt.Fprintln(sum, d.title(), d.unit)
-	for _, p := range d.points {
-		fmt.Fprintf(sum, "%.6g %.6g\n", p.x, p.y)
+// figureHash returns a comment with a hash of the drawn figures. Charts are compared by it, because the rest of an image
+// may differ in its last digits between machines.
+func (c costChart) figureHash() string {
+	hash := xxhash.New()
+	fmt.Fprintln(hash, c.title(), c.unit)
+	for _, p := range c.points {
+		fmt.Fprintf(hash, "%.6g %.6g\n", p.x, p.y)
 	}
-	return fmt.Sprintf("\n<!-- figures %016x -->\n", sum.Sum64())
+	return fmt.Sprintf("\n<!-- figures %016x -->\n", hash.Sum64())
 }
 
-// newPanel draws points and a line over them.
-func newPanel(title, of string, points plotter.XYs, along func(float64) float64) (*plot.Plot, error) {
-	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = title, of
+// newPanel returns a plot of points and of a straight line, given as a function of the size, over their range.
+func newPanel(title, label string, points plotter.XYs, lineAt func(size float64) float64) (*plot.Plot, error) {
+	panel := plot.New()
+	panel.Title.Text = title
+	panel.Y.Label.Text = label
 	scatter, err := plotter.NewScatter(points)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("plotting points: %w", err)
 	}
-	scatter.Color, scatter.Radius = color.RGBA{60, 100, 200, 255}, vg.Points(2)
-	from, to := plotter.Range(plotter.XValues{XYer: points})
-	fitted, err := plotter.NewLine(plotter.XYs{{X: from, Y: along(from)}, {X: to, Y: along(to)}})
+	scatter.Color = pointColor
+	scatter.Radius = pointRadius
+	smallest, largest := plotter.Range(plotter.XValues{XYer: points})
+	segment, err := plotter.NewLine(plotter.XYs{{X: smallest, Y: lineAt(smallest)}, {X: largest, Y: lineAt(largest)}})
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("plotting line: %w", err)
 	}
-	fitted.Color = color.RGBA{200, 30, 30, 255}
-	p.Add(scatter, fitted)
-	return p, nil
+	segment.Color = lineColor
+	panel.Add(scatter, segment)
+	return panel, nil
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"io/fs"
 	"maps"
 	"os"
 	"path/filepath"
@@ -13,107 +15,140 @@
 	"gorseledge/internal/figures"
 )
 
+// Files and directories below the directory of the docs.
 const (
 	pageFile         = "CAPACITY.md"
 	planFile         = "capacity/plan.toml"
-	figuresDirectory = "capacity" // directory of the figures
+	figuresDirectory = "capacity"
 	chartsDirectory  = "charts"
 )
 
-// evaluation is a plan with what its rows come to.
+// evaluation is a plan with the results of its rows, in the plan's order.
 type evaluation struct {
 	plan     *Plan
-	measured map[string]*figures.Table
+	measured map[string]*figures.Table // by table name
 	results  []result
 }
 
-// Build gives the page with its tables, and the charts, by their path below the directory of the docs.
-func Build(docs string) (files map[string][]byte, err error) {
-	e := &evaluation{}
-	if e.plan, err = ReadPlan(filepath.Join(docs, planFile)); err != nil {
+// Build returns the contents of the page and of its charts, by their paths below the directory of the docs. It reads the
+// plan, the figures and the present page, whose text outside the tables it keeps. It writes no file.
+func Build(docs string) (map[string][]byte, error) {
+	e, err := readEvaluation(docs)
+	if err != nil {
 		return nil, err
 	}
-	if e.measured, err = figures.ReadDir(filepath.Join(docs, figuresDirectory)); err != nil {
-		return nil, err
+	page, err := os.ReadFile(filepath.Join(docs, pageFile))
+	if err != nil {
+		return nil, fmt.Errorf("reading the capacity page: %w", err)
+	}
+	page, err = fillTables(page, e.tables())
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", pageFile, err)
 	}
-	quantities := e.plan.quantities()
-	for _, row := range e.plan.Rows {
-		r, err := row.evaluate(quantities, e.measured)
+	files := map[string][]byte{pageFile: page}
+	for _, c := range e.costCharts() {
+		image, err := c.render()
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("drawing %s: %w", c.fileName(), err)
 		}
-		e.results = append(e.results, r)
+		files[filepath.Join(chartsDirectory, c.fileName())] = image
 	}
-	page, err := os.ReadFile(filepath.Join(docs, pageFile))
+	return files, nil
+}
+
+// readEvaluation reads the plan and the figures, and evaluates each row.
+func readEvaluation(docs string) (*evaluation, error) {
+	plan, err := ReadPlan(filepath.Join(docs, planFile))
 	if err != nil {
 		return nil, err
 	}
-	if page, err = fillTables(page, e.tables()); err != nil {
-		return nil, fmt.Errorf("%s: %w", pageFile, err)
+	measured, err := figures.ReadDir(filepath.Join(docs, figuresDirectory))
+	if err != nil {
+		return nil, err
 	}
-	files = map[string][]byte{pageFile: page}
-	for _, d := range e.costCharts() {
-		if files[filepath.Join(chartsDirectory, d.fileName())], err = d.render(); err != nil {
+	e := &evaluation{plan: plan, measured: measured}
+	quantities := plan.quantities()
+	for _, row := range plan.Rows {
+		r, err := row.evaluate(quantities, measured)
+		if err != nil {
 			return nil, err
 		}
+		e.results = append(e.results, r)
 	}
-	return files, nil
+	return e, nil
 }
 
+// tableMarker matches a table of the page with the comments around it. Its first group is the table's name.
 var tableMarker = regexp.MustCompile(`(?s)<!-- table: (\w+) -->\n(.*?)<!-- end of table -->`)
 
-// fillTables writes tables between their marks. Each has to have its mark once, and no mark another table.
+// fillTables replaces the text between the markers of each table. It returns an error unless each table has exactly one
+// pair of markers, and each pair a table.
 func fillTables(page []byte, tables map[string]string) ([]byte, error) {
 	seen := map[string]bool{}
-	var wrong error
+	var firstErr error
+	fail := func(err error) {
+		if firstErr == nil {
+			firstErr = err
+		}
+	}
 	page = tableMarker.ReplaceAllFunc(page, func(old []byte) []byte {
 		name := string(tableMarker.FindSubmatch(old)[1])
 		text, known := tables[name]
 		if !known || seen[name] {
-			wrong = fmt.Errorf("the mark of table %q stands for none, or twice", name)
+			fail(fmt.Errorf("the mark of table %q stands for none, or twice", name))
 		}
 		seen[name] = true
 		return fmt.Appendf(nil, "<!-- table: %s -->\n%s<!-- end of table -->", name, text)
 	})
 	for _, name := range slices.Sorted(maps.Keys(tables)) {
-		if !seen[name] && wrong == nil {
-			wrong = fmt.Errorf("no mark for table %q", name)
+		if !seen[name] {
+			fail(fmt.Errorf("no mark for table %q", name))
 		}
 	}
-	return page, wrong
+	return page, firstErr
 }
 
-// Differences tells which files are not as they should be: the page by its text, a chart by the figures that it was drawn
-// from. A chart that nothing draws any more is one as well.
-func Differences(docs string, files map[string][]byte) (out []string, err error) {
+// Differences returns the paths of the files that differ from what Build returned, and of charts that Build no longer
+// draws. Pages are compared by their text, charts by the hash of their figures. A missing file counts as different.
+func Differences(docs string, files map[string][]byte) ([]string, error) {
+	var different []string
 	for _, name := range slices.Sorted(maps.Keys(files)) {
-		there, err := os.ReadFile(filepath.Join(docs, name))
-		if err != nil && !os.IsNotExist(err) {
-			return nil, err
+		present, err := os.ReadFile(filepath.Join(docs, name))
+		if err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return nil, fmt.Errorf("comparing files: %w", err)
 		}
-		if !bytes.Equal(comparablePart(name, there), comparablePart(name, files[name])) {
-			out = append(out, name)
+		if !bytes.Equal(comparablePart(name, present), comparablePart(name, files[name])) {
+			different = append(different, name)
 		}
 	}
-	gone, err := staleCharts(docs, files)
-	return append(out, gone...), err
+	stale, err := staleCharts(docs, files)
+	if err != nil {
+		return nil, err
+	}
+	return append(different, stale...), nil
 }
 
-// staleCharts gives the charts that nothing draws any more.
-func staleCharts(docs string, files map[string][]byte) (out []string, err error) {
-	paths, err := filepath.Glob(filepath.Join(docs, chartsDirectory, chartPrefix+"*.svg"))
+// staleCharts returns the paths of this package's charts that are not among files.
+func staleCharts(docs string, files map[string][]byte) ([]string, error) {
+	pattern := filepath.Join(docs, chartsDirectory, chartPrefix+"*"+chartExtension)
+	paths, err := filepath.Glob(pattern)
+	if err != nil {
+		return nil, fmt.Errorf("listing charts %s: %w", pattern, err)
+	}
+	var stale []string
 	for _, path := range paths {
 		name := filepath.Join(chartsDirectory, filepath.Base(path))
 		if files[name] == nil {
-			out = append(out, name)
+			stale = append(stale, name)
 		}
 	}
-	return out, err
+	return stale, nil
 }
 
-// comparablePart is the part of a file that has to be the same: all of the page, a chart's last line.
+// comparablePart returns the part of a file that has to be equal: all of a page, and the last line of a chart, which has
+// the hash of its figures.
 func comparablePart(name string, text []byte) []byte {
-	if !strings.HasSuffix(name, ".svg") {
+	if !strings.HasSuffix(name, chartExtension) {
 		return text
 	}
 	text = bytes.TrimRight(text, "\n")
