--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -1,6 +1,6 @@
-// Package capacity reckons what each role of a fleet costs at the planned size: a line is fitted to measured figures, and
-// its value at that size stands beside its budget. It writes the tables of docs/CAPACITY.md and their charts, and tells
-// where they differ from the figures. docs/capacity/plan.toml says what is reckoned.
+// Package capacity computes what each role of a fleet costs at the planned size: it fits a line to measured figures and
+// compares the line's value at that size with a budget. It owns the tables of docs/CAPACITY.md and their charts, and finds
+// where they differ from the figures. docs/capacity/plan.toml configures it. The package measures nothing.
 package capacity
 
 import (
@@ -12,7 +12,7 @@
 	"gorseledge/internal/strict"
 )
 
-// Plan is what docs/capacity/plan.toml holds.
+// Plan is the content of docs/capacity/plan.toml.
 type Plan struct {
 	Size    Size         `toml:"size"`
 	Assumed []Assumption `toml:"assumed"`
@@ -20,14 +20,14 @@
 	Compare []Comparison `toml:"compare"`
 }
 
-// Comparison is a cost by which real and hollow nodes of one table are set beside each other.
+// Comparison selects a cost by which real and hollow nodes of one table are compared.
 type Comparison struct {
 	Table string `toml:"table"`
 	Phase string `toml:"phase"`
 	Cost  string `toml:"cost"`
 }
 
-// Size is the operators' plan, word for word in figures.
+// Size is the planned size of the fleet. Every field has to be greater than zero; times are in seconds, memory in bytes.
 type Size struct {
 	Nodes           float64 `toml:"nodes"`
 	Connections     float64 `toml:"connections"`
@@ -35,7 +35,7 @@
 	LargestTopic    float64 `toml:"largest_topic_listeners"`
 	Deliveries      float64 `toml:"deliveries_per_s"`
 	DeliveryWithin  float64 `toml:"delivery_within_s"`
-	DeliveryPart    float64 `toml:"delivery_part"`
+	DeliveryPart    float64 `toml:"delivery_part"` // part of the deliveries that DeliveryWithin holds for
 	Regions         float64 `toml:"regions"`
 	Zones           float64 `toml:"zones"`
 	ChangesPerDay   float64 `toml:"changes_a_day"`
@@ -49,7 +49,7 @@
 	RegionCutFor    float64 `toml:"region_cut_s"`
 }
 
-// Assumption is what the plan does not say and the page takes for granted.
+// Assumption is a quantity that the plan does not state. Name and Why are required.
 type Assumption struct {
 	Name  string  `toml:"name"`
 	Value float64 `toml:"value"`
@@ -57,94 +57,92 @@
 	Why   string  `toml:"why"`
 }
 
-// Row is one cost of one role.
+// Row is one cost of one role. At most one of From and AssumedSlope is set; with neither, the row has no value.
 type Row struct {
-	Group        string          `toml:"group"` // the table in which it stands
+	Group        string          `toml:"group"` // the table of the page that has the row
 	Name         string          `toml:"name"`
-	Mechanism    string          `toml:"mechanism"` // what carries it; "none yet" and what it would take, where nothing does
-	Size         string          `toml:"size"`      // the quantity that it is reckoned at
-	Per          string          `toml:"per"`       // one of what the slope is a cost of
+	Mechanism    string          `toml:"mechanism"` // begins with "none yet" if there is no mechanism
+	Size         string          `toml:"size"`      // name of the quantity that is the planned size
+	Per          string          `toml:"per"`       // what one unit of the size is, for example "a node"
 	SlopeUnit    string          `toml:"slope_unit"`
 	From         *FigureSelector `toml:"from"`
 	AssumedSlope *AssumedSlope   `toml:"reckoned"`
-	Budget       string          `toml:"budget"` // a quantity
+	Budget       string          `toml:"budget"` // name of the quantity that is the budget, or empty
 	Note         string          `toml:"note"`
 }
 
-// FigureSelector names the figures that a row's line is fitted to.
+// FigureSelector selects the figures that a row is evaluated by.
 type FigureSelector struct {
-	Table          string `toml:"table"`
-	Source         string `toml:"source"`
-	Dimension      string `toml:"dimension"`
-	Phase          string `toml:"phase"`
-	Cost           string `toml:"cost"`
-	MeasuredAtSize bool   `toml:"measured_at_size"` // the median of the figures at the size itself, without a line
-	SlopeOnly      bool   `toml:"slope_only"`       // what is added to something that is there: slope times size, without the line's value at none
+	Table     string `toml:"table"`
+	Source    string `toml:"source"`
+	Dimension string `toml:"dimension"`
+	Phase     string `toml:"phase"`
+	Cost      string `toml:"cost"`
+	// MeasuredAtSize uses the median of the figures at the planned size instead of a line.
+	MeasuredAtSize bool `toml:"measured_at_size"`
+	// SlopeOnly multiplies the slope by the size and leaves out the intercept, for a cost that adds to another.
+	SlopeOnly bool `toml:"slope_only"`
 }
 
-// AssumedSlope is a slope that no run of this page gave.
+// AssumedSlope is a cost for each unit of the size that was not measured.
 type AssumedSlope struct {
 	Slope float64 `toml:"slope"`
 	Unit  string  `toml:"unit"`
-	Basis string  `toml:"basis"`
+	Basis string  `toml:"basis"` // the reason for the assumption
 }
 
-// noMechanism begins the mechanism of a row that nothing carries yet.
+// noMechanism begins the mechanism of a row that has none yet.
 const noMechanism = "none yet"
 
-// quantity is a figure of the plan, or what follows from it by division.
-type quantity struct {
-	value      float64
-	unit       string
-	derivation string // it follows, where it is not of the plan itself
-}
-
-// ReadPlan reads and checks a plan.
+// ReadPlan reads and validates a plan. Errors state the file and line.
 func ReadPlan(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading the capacity plan: %w", err)
 	}
 	return parsePlan(path, text)
 }
 
+// parsePlan decodes and validates a plan; path is for error messages.
 func parsePlan(path string, text []byte) (*Plan, error) {
-	p := &Plan{}
-	if err := strict.Decode(path, text, p); err != nil {
+	plan := &Plan{}
+	if err := strict.Decode(path, text, plan); err != nil {
 		return nil, err
 	}
-	if key := p.Size.missing(); key != "" {
-		return nil, strict.Place{Table: "size", Key: key}.Wrap(path, text, fmt.Errorf("%s is missing or not over nothing", key))
+	if key := plan.Size.missing(); key != "" {
+		place := strict.Place{Table: "size", Key: key}
+		return nil, place.Wrap(path, text, fmt.Errorf("%s is missing or not over nothing", key))
 	}
-	quantities := p.quantities()
-	for i, a := range p.Assumed {
-		if a.Name == "" || a.Why == "" {
-			return nil, strict.Place{Table: "assumed", Index: i, Key: "name"}.Wrap(path, text,
-				errors.New("an assumption has a name, and why it is made"))
+	for i, assumption := range plan.Assumed {
+		if assumption.Name == "" || assumption.Why == "" {
+			place := strict.Place{Table: "assumed", Index: i, Key: "name"}
+			return nil, place.Wrap(path, text, errors.New("an assumption has a name, and why it is made"))
 		}
 	}
-	for i, row := range p.Rows {
+	quantities := plan.quantities()
+	for i, row := range plan.Rows {
 		if key, err := row.check(quantities); err != nil {
-			return nil, strict.Place{Table: "row", Index: i, Key: key}.Wrap(path, text, fmt.Errorf("%s: %w", row.Name, err))
+			place := strict.Place{Table: "row", Index: i, Key: key}
+			return nil, place.Wrap(path, text, fmt.Errorf("%s: %w", row.Name, err))
 		}
 	}
-	return p, nil
+	return plan, nil
 }
 
-// missing gives the key of the first figure of the plan that is not there.
+// missing returns the key of the first figure that is not greater than zero, or "".
 func (s Size) missing() string {
-	for _, f := range s.figures() {
-		if f.value <= 0 {
-			return f.key
+	for _, figure := range s.figures() {
+		if figure.value <= 0 {
+			return figure.key
 		}
 	}
 	return ""
 }
 
-// check tells what is wrong with a row, and at which key.
+// check returns the first fault of a row and the key that has it.
 func (r Row) check(quantities map[string]quantity) (key string, err error) {
-	_, size := quantities[r.Size]
-	_, budget := quantities[r.Budget]
+	_, sizeKnown := quantities[r.Size]
+	_, budgetKnown := quantities[r.Budget]
 	switch {
 	case !slices.Contains(groups, r.Group):
 		return "group", fmt.Errorf("no table %q", r.Group)
@@ -154,9 +152,9 @@
 		return "mechanism", errors.New("a row names what carries it, or says " + noMechanism)
 	case r.From != nil && r.AssumedSlope != nil:
 		return "reckoned", errors.New("a row is either fitted or reckoned")
-	case (r.From != nil || r.AssumedSlope != nil) && !size:
+	case (r.From != nil || r.AssumedSlope != nil) && !sizeKnown:
 		return "size", fmt.Errorf("no quantity %q", r.Size)
-	case r.Budget != "" && !budget:
+	case r.Budget != "" && !budgetKnown:
 		return "budget", fmt.Errorf("no quantity %q", r.Budget)
 	}
 	return "", nil
--- a/internal/capacity/quantities.go
+++ b/internal/capacity/quantities.go
@@ -2,17 +2,20 @@
 
 const (
 	secondsPerDay = 86400
-	changesAtOnce = 10 // in ten seconds, for which the plan's page says to plan
+	// changesAtOnce is the number of changes within ten seconds that the operators plan for.
+	changesAtOnce         = 10
+	microsecondsPerSecond = 1e6
 )
 
 // planFigure is one figure of the plan.
 type planFigure struct {
-	key, text string
-	value     float64
-	unit      string
+	key   string // in plan.toml
+	text  string // on the page
+	value float64
+	unit  string
 }
 
-// figures gives the plan in its own order.
+// figures returns the planned sizes in the order of the page.
 func (s Size) figures() []planFigure {
 	return []planFigure{
 		{"nodes", "nodes", s.Nodes, "1"},
@@ -36,30 +39,38 @@
 	}
 }
 
-// derivedQuantity is a quantity under the name that rows call it by.
+// quantity is a value that rows refer to by name.
+type quantity struct {
+	value      float64
+	unit       string
+	derivation string // how the value follows from the plan; empty if the plan states it
+}
+
+// derivedQuantity is a quantity that follows from the plan, with its name in plan.toml and its text on the page.
 type derivedQuantity struct {
-	name, text string
+	name string
+	text string
 	quantity
 }
 
-// nodesPerRackName is the assumption of how many nodes a rack has.
+// nodesPerRackName names the assumption of how many nodes a rack has.
 const nodesPerRackName = "nodes_a_rack"
 
-// assumedValue gives the figure of an assumption, 0 where it is not made.
+// assumedValue returns the value of an assumption, or 0 if the plan lacks it.
 func (p *Plan) assumedValue(name string) float64 {
-	for _, a := range p.Assumed {
-		if a.Name == name {
-			return a.Value
+	for _, assumption := range p.Assumed {
+		if assumption.Name == name {
+			return assumption.Value
 		}
 	}
 	return 0
 }
 
-// derived gives what follows from the plan by division.
+// derived returns the quantities that follow from the plan, in the order of the page.
 func (p *Plan) derived() []derivedQuantity {
 	s := p.Size
-	left := s.Nodes * (s.Zones - 1) / s.Zones
-	rack := p.assumedValue(nodesPerRackName)
+	remainingNodes := s.Nodes * (s.Zones - 1) / s.Zones
+	nodesPerRack := p.assumedValue(nodesPerRackName)
 	return []derivedQuantity{
 		{"connections_a_node", "connections a node", quantity{s.Connections / s.Nodes, "1", "connections / nodes"}},
 		{"deliveries_a_node", "deliveries a second and node", quantity{s.Deliveries / s.Nodes, "1/s", "deliveries / nodes"}},
@@ -74,17 +85,17 @@
 		{"clients_of_a_node_to_each_other", "clients of a lost node, to each node left",
 			quantity{s.Connections / s.Nodes / (s.Nodes - 1), "1", "connections a node / (nodes - 1)"}},
 		{"clients_of_a_rack_to_each_other", "clients of a lost rack, to each node left",
-			quantity{rack * s.Connections / s.Nodes / (s.Nodes - rack), "1", "nodes a rack (assumed) x connections a node / nodes left"}},
+			quantity{nodesPerRack * s.Connections / s.Nodes / (s.Nodes - nodesPerRack), "1", "nodes a rack (assumed) x connections a node / nodes left"}},
 		{"clients_of_a_zone", "clients of a zone", quantity{s.Connections / s.Zones, "1", "connections / zones"}},
 		{"clients_of_a_zone_to_each_other", "clients of a lost zone, to each node left",
-			quantity{s.Connections / s.Zones / left, "1", "clients of a zone / nodes left"}},
+			quantity{s.Connections / s.Zones / remainingNodes, "1", "clients of a zone / nodes left"}},
 		{"restarted_clients_a_second", "clients that come again by restarts, a second in the mean",
 			quantity{s.RestartsPerDay * s.Connections / s.Nodes / secondsPerDay, "1/s", "restarts x connections a node / 86,400 s"}},
 		{"restarted_clients_a_second_and_node", "the same, to each node",
 			quantity{s.RestartsPerDay * s.Connections / s.Nodes / secondsPerDay / s.Nodes, "1/s", "the same / nodes"}},
 		{"bytes_a_change", "bytes that a node's budget gives a change",
 			quantity{s.ControlBytes * s.ChangeWithin, "B", "control bytes a second x 6 s"}},
-		{"control_cpu", "processor time for control a node", quantity{1e6 * s.ControlCore, "us/s", "part of a core"}},
+		{"control_cpu", "processor time for control a node", quantity{microsecondsPerSecond * s.ControlCore, "us/s", "part of a core"}},
 		{"control_memory", "memory for control a node", quantity{s.ControlMemory, "B", ""}},
 		{"control_bytes", "bytes for control a node and second", quantity{s.ControlBytes, "B/s", ""}},
 		{"delivery_within", "a delivery within", quantity{s.DeliveryWithin, "s", ""}},
@@ -95,14 +106,18 @@
 	}
 }
 
-// quantities gives all that a row may name: what follows from the plan, and what is assumed.
+// quantities returns every quantity that a row may refer to, by name. An assumption replaces a derived quantity of the same
+// name.
 func (p *Plan) quantities() map[string]quantity {
-	out := map[string]quantity{}
-	for _, d := range p.derived() {
-		out[d.name] = d.quantity
+	quantities := map[string]quantity{}
+	for _, derived := range p.derived() {
+		quantities[derived.name] = derived.quantity
 	}
-	for _, a := range p.Assumed {
-		out[a.Name] = quantity{a.Value, a.Unit, "assumed"}
+	for _, assumption := range p.Assumed {
+		quantities[assumption.Name] = quantity{assumption.Value, assumption.Unit, assumedDerivation}
 	}
-	return out
+	return quantities
 }
+
+// assumedDerivation is the derivation of a quantity that is assumed.
+const assumedDerivation = "assumed"
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -66,7 +66,7 @@
 	slope, fit, value, budget, part, how, itself := "-", "-", "-", "not stated", "-", "-", "-"
 	if r.budget.value > 0 {
 		budget = formatIn(r.budget.value, r.budget.unit)
-		if r.budget.derivation == "assumed" {
+		if r.budget.derivation == assumedDerivation {
 			budget += " (assumed)"
 		}
 	}
