--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -7,9 +7,14 @@
 	"strings"
 )
 
-const significantDigits = 3 // digits of a figure on the page
+const (
+	// significantDigits is the number of digits of a figure on the page.
+	significantDigits = 3
+	// multipleThreshold is the ratio from which formatRatio writes a multiple.
+	multipleThreshold = 10
+)
 
-// formatNumber writes a figure with three significant digits, its thousands apart.
+// formatNumber writes a figure with three significant digits and a comma between thousands.
 func formatNumber(x float64) string {
 	if x == 0 || math.IsInf(x, 0) || math.IsNaN(x) {
 		return strconv.FormatFloat(x, 'g', -1, 64)
@@ -26,54 +31,37 @@
 	return groupThousands(text)
 }
 
-// groupThousands sets commas into the whole part of a number.
+// groupThousands inserts commas into the integer part of a decimal number.
 func groupThousands(text string) string {
-	whole, rest, found := strings.Cut(text, ".")
+	whole, fraction, hasFraction := strings.Cut(text, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
-		sign, whole = "-", whole[1:]
+		sign = "-"
+		whole = whole[1:]
 	}
-	var parts []string
+	var groups []string
 	for len(whole) > 3 {
-		parts = append([]string{whole[len(whole)-3:]}, parts...)
+		groups = append([]string{whole[len(whole)-3:]}, groups...)
 		whole = whole[:len(whole)-3]
 	}
-	whole = strings.Join(append([]string{whole}, parts...), ",")
-	if found {
-		return sign + whole + "." + rest
+	whole = sign + strings.Join(append([]string{whole}, groups...), ",")
+	if hasFraction {
+		return whole + "." + fraction
 	}
-	return sign + whole
+	return whole
 }
 
-// formatIn writes a figure in its unit, or a larger one.
+// formatIn writes a figure with its unit, scaled to a larger or smaller unit where that is easier to read.
 func formatIn(x float64, unit string) string {
-	size := math.Abs(x)
 	switch unit {
 	case "B", "B/s":
-		for _, step := range []struct {
-			from   float64
-			prefix string
-		}{{1e9, "G"}, {1e6, "M"}, {1e3, "k"}} {
-			if size >= step.from {
-				return formatNumber(x/step.from) + " " + step.prefix + unit
-			}
-		}
+		return formatBytes(x, unit)
 	case "us/s":
 		return formatNumber(x/1e4) + "% of a core"
 	case "us":
-		if size >= 1e6 {
-			return formatNumber(x/1e6) + " s"
-		}
-		if size >= 1e3 {
-			return formatNumber(x/1e3) + " ms"
-		}
+		return formatMicroseconds(x)
 	case "s":
-		if size < 1e-3 && size > 0 {
-			return formatNumber(x*1e6) + " us"
-		}
-		if size < 1 {
-			return formatNumber(x*1e3) + " ms"
-		}
+		return formatSeconds(x)
 	case "1":
 		return formatNumber(x)
 	case "1/s":
@@ -82,26 +70,64 @@
 	return formatNumber(x) + " " + unit
 }
 
-// formatPercent writes a part.
-func formatPercent(part float64) string { return formatNumber(100*part) + "%" }
+// bytePrefixes are the decimal prefixes of formatBytes, the largest first.
+var bytePrefixes = []struct {
+	factor float64
+	prefix string
+}{{1e9, "G"}, {1e6, "M"}, {1e3, "k"}}
+
+func formatBytes(x float64, unit string) string {
+	for _, step := range bytePrefixes {
+		if math.Abs(x) >= step.factor {
+			return formatNumber(x/step.factor) + " " + step.prefix + unit
+		}
+	}
+	return formatNumber(x) + " " + unit
+}
+
+func formatMicroseconds(x float64) string {
+	size := math.Abs(x)
+	if size >= 1e6 {
+		return formatNumber(x/1e6) + " s"
+	}
+	if size >= 1e3 {
+		return formatNumber(x/1e3) + " ms"
+	}
+	return formatNumber(x) + " us"
+}
+
+func formatSeconds(x float64) string {
+	size := math.Abs(x)
+	if size < 1e-3 && size > 0 {
+		return formatNumber(x*1e6) + " us"
+	}
+	if size < 1 {
+		return formatNumber(x*1e3) + " ms"
+	}
+	return formatNumber(x) + " s"
+}
+
+// formatPercent writes a ratio as a percentage.
+func formatPercent(ratio float64) string { return formatNumber(100*ratio) + "%" }
 
-// formatRatio writes a part, or how many times as much it is where that is much.
-func formatRatio(part float64) string {
-	if part >= 10 {
-		return formatNumber(part) + " times"
+// formatRatio writes a ratio as a percentage, or as a multiple from multipleThreshold on.
+func formatRatio(ratio float64) string {
+	if ratio >= multipleThreshold {
+		return formatNumber(ratio) + " times"
 	}
-	return formatPercent(part)
+	return formatPercent(ratio)
 }
 
-// markdownTable writes a table.
-func markdownTable(head []string, rows [][]string) string {
-	var out strings.Builder
-	fmt.Fprintf(&out, "| %s |\n|%s\n", strings.Join(head, " | "), strings.Repeat("---|", len(head)))
+// markdownTable returns a table and escapes the column separator in its cells.
+func markdownTable(header []string, rows [][]string) string {
+	var table strings.Builder
+	fmt.Fprintf(&table, "| %s |\n|%s\n", strings.Join(header, " | "), strings.Repeat("---|", len(header)))
 	for _, row := range rows {
+		cells := make([]string, len(row))
 		for i, cell := range row {
-			row[i] = strings.ReplaceAll(cell, "|", "\\|")
+			cells[i] = strings.ReplaceAll(cell, "|", "\\|")
 		}
-		fmt.Fprintf(&out, "| %s |\n", strings.Join(row, " | "))
+		fmt.Fprintf(&table, "| %s |\n", strings.Join(cells, " | "))
 	}
-	return out.String()
+	return table.String()
 }
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -10,10 +10,13 @@
 	"gorseledge/internal/figures"
 )
 
-// groups are the tables of rows, in the page's order.
+// extrapolationTolerance is the factor over the largest measured size up to which a value counts as measured.
+const extrapolationTolerance = 1.0001
+
+// groups names the tables of rows, in the order of the page.
 var groups = []string{"serving", "node_control", "control_machines", "discovery", "clients_and_hosts", "failures"}
 
-// tables gives the text of each table of the page by its name.
+// tables returns the text of each table of the page by its name.
 func (e *evaluation) tables() map[string]string {
 	out := map[string]string{"plan": e.planTable(), "derived": e.derivedTable(), "assumed": e.assumedTable(),
 		"reach": e.limitTable(), "sources": e.sourcesTable(), "runs": runsTable(e.measured), "charts": e.chartsTable()}
@@ -49,7 +52,7 @@
 	return markdownTable([]string{"assumed", "figure", "why"}, rows)
 }
 
-// groupTable gives the rows of one role.
+// groupTable returns the rows of one role.
 func (e *evaluation) groupTable(group string) string {
 	var rows [][]string
 	for _, r := range e.results {
@@ -61,50 +64,92 @@
 		"measured, extrapolated or assumed", "the slope itself"}, rows)
 }
 
-// cells are a row's on the page.
+// cells returns the columns of groupTable.
 func (r result) cells() []string {
-	slope, fit, value, budget, part, how, itself := "-", "-", "-", "not stated", "-", "-", "-"
-	if r.budget.value > 0 {
-		budget = formatIn(r.budget.value, r.budget.unit)
-		if r.budget.derivation == assumedDerivation {
-			budget += " (assumed)"
-		}
-	}
+	share := "-"
 	if used, known := r.budgetShare(); known {
-		part = formatPercent(used)
+		share = formatPercent(used)
 	}
-	if r.hasValue {
-		value = fmt.Sprintf("%s at %s", formatIn(r.value, r.unit), formatNumber(r.size.value))
-		how = r.basis()
+	return []string{r.label(), r.Mechanism, r.slopeCell(), r.fitCell(), r.valueCell(), r.budgetCell(), share, r.basisCell(),
+		r.linearityCell()}
+}
+
+// label is the row's name with its note.
+func (r result) label() string {
+	if r.Note == "" {
+		return r.Name
 	}
-	if r.AssumedSlope != nil {
-		slope, fit = r.slopeText(), "none"
+	return r.Name + " (" + r.Note + ")"
+}
+
+func (r result) slopeCell() string {
+	if !r.fitted && r.AssumedSlope == nil {
+		return "-"
 	}
-	if r.From != nil {
-		fit = fmt.Sprintf("`%s`, %s", r.From.Table, r.From.Source)
+	text := r.slopeText()
+	if r.fitted && r.slope != 0 {
+		text += " ± " + formatPercent(math.Abs(r.line.slopeStandardError/r.slope))
 	}
-	if r.fitted {
-		slope = r.slopeText()
-		if r.slope != 0 {
-			slope += " ± " + formatPercent(math.Abs(r.line.slopeStandardError/r.slope))
+	return text
+}
+
+func (r result) fitCell() string {
+	if r.From == nil {
+		if r.AssumedSlope != nil {
+			return "none"
 		}
-		value = fmt.Sprintf("%s ± %s at %s", formatIn(r.value, r.unit), formatIn(r.standardError, r.unit), formatNumber(r.size.value))
-		fit += fmt.Sprintf(", %d figures, R2 %s, largest residual %s", r.line.points, formatNumber(r.line.rSquared),
-			formatIn(r.line.largestResidual, r.measuredUnit))
-		itself = r.linearity()
+		return "-"
 	}
-	name := r.Name
-	if r.Note != "" {
-		name += " (" + r.Note + ")"
+	text := fmt.Sprintf("`%s`, %s", r.From.Table, r.From.Source)
+	if !r.fitted {
+		return text
+	}
+	return text + fmt.Sprintf(", %d figures, R2 %s, largest residual %s", r.line.points, formatNumber(r.line.rSquared),
+		formatIn(r.line.largestResidual, r.measuredUnit))
+}
+
+func (r result) valueCell() string {
+	if !r.hasValue {
+		return "-"
+	}
+	text := formatIn(r.value, r.unit)
+	if r.fitted {
+		text += " ± " + formatIn(r.standardError, r.unit)
+	}
+	return text + " at " + formatNumber(r.size.value)
+}
+
+func (r result) budgetCell() string {
+	if r.budget.value <= 0 {
+		return "not stated"
+	}
+	text := formatIn(r.budget.value, r.budget.unit)
+	if r.budget.derivation == assumedDerivation {
+		text += " (assumed)"
+	}
+	return text
+}
+
+func (r result) basisCell() string {
+	if !r.hasValue {
+		return "-"
+	}
+	return r.basis()
+}
+
+func (r result) linearityCell() string {
+	if !r.fitted {
+		return "-"
 	}
-	return []string{name, r.Mechanism, slope, fit, value, budget, part, how, itself}
+	return r.linearity()
 }
 
-// slopeText is the slope with what it is for.
+// slopeText returns the slope with its unit and what one unit of the size is.
 func (r result) slopeText() string {
 	text := formatIn(r.slope, r.slopeUnit)
 	if r.slopeUnit == "us/s" {
-		text = formatNumber(r.slope) + " us/s" // a part of a core is too small a figure for one more of something
+		// One unit of the size uses too small a part of a core to be read as a percentage.
+		text = formatNumber(r.slope) + " us/s"
 	}
 	if r.Per != "" {
 		text += " " + r.Per
@@ -112,7 +157,7 @@
 	return text
 }
 
-// basis says whether the value was measured, extrapolated or assumed.
+// basis states whether the value was measured, extrapolated or assumed. The result has to have a value.
 func (r result) basis() string {
 	switch {
 	case r.AssumedSlope != nil:
@@ -121,7 +166,7 @@
 		return fmt.Sprintf("measured at %s", formatNumber(math.Ceil(r.size.value)))
 	case r.From.SlopeOnly:
 		return fmt.Sprintf("slope measured from %s to %s", formatNumber(r.line.smallestSize), formatNumber(r.line.largestSize))
-	case r.size.value <= r.line.largestSize*1.0001 && r.size.value >= r.line.smallestSize:
+	case r.size.value <= r.line.largestSize*extrapolationTolerance && r.size.value >= r.line.smallestSize:
 		return fmt.Sprintf("measured from %s to %s", formatNumber(r.line.smallestSize), formatNumber(r.line.largestSize))
 	case r.size.value < r.line.smallestSize:
 		return fmt.Sprintf("extrapolated down from %s", formatNumber(r.line.smallestSize))
@@ -129,7 +174,7 @@
 	return fmt.Sprintf("extrapolated %s times, from %s", formatNumber(r.size.value/r.line.largestSize), formatNumber(r.line.largestSize))
 }
 
-// linearity says whether the slope changes with the size.
+// linearity states whether the slope changes with the size. The result has to be fitted.
 func (r result) linearity() string {
 	change := r.line.slopeChange()
 	switch {
@@ -145,7 +190,7 @@
 	return fmt.Sprintf("falls by %s over the measured sizes", formatPercent(min(-change, 1)))
 }
 
-// sourcesTable sets real and hollow nodes beside each other where both were measured.
+// sourcesTable compares real and hollow nodes where both were measured.
 func (e *evaluation) sourcesTable() string {
 	var rows [][]string
 	for _, c := range e.plan.Compare {
@@ -157,7 +202,7 @@
 	return markdownTable([]string{"run", "cost, phase", "size", "real", "hollow", "hollow / real"}, rows)
 }
 
-// compare gives a row for each size at which both kinds of node were measured by a cost.
+// compare returns a row for each size at which both kinds of node were measured.
 func (e *evaluation) compare(c Comparison) (rows [][]string) {
 	found := map[figures.Source]map[float64][]float64{figures.Real: {}, figures.Hollow: {}}
 	unit, dimension := "", ""
@@ -183,7 +228,7 @@
 	return rows
 }
 
-// runsTable says where the figures come from.
+// runsTable lists the provenance of the figures.
 func runsTable(measured map[string]*figures.Table) string {
 	var rows [][]string
 	for _, name := range slices.Sorted(maps.Keys(measured)) {
@@ -194,7 +239,7 @@
 	return markdownTable([]string{"run", "command", "revision", "date", "cores", "machine", "repeats", "figures"}, rows)
 }
 
-// chartsTable names the charts.
+// chartsTable links the charts.
 func (e *evaluation) chartsTable() string {
 	var rows [][]string
 	for _, d := range e.costCharts() {
