--- a/cmd/gorseledge-lab/serving.go
+++ b/cmd/gorseledge-lab/serving.go
@@ -24,7 +24,7 @@
 			if out == "" {
 				return errors.New("--out is missing: the directory for serving.csv")
 			}
-			if err := o.Check(); err != nil {
+			if err := o.Validate(); err != nil {
 				return err
 			}
 			scratch, err := os.MkdirTemp("", "gorseledge-lab")
--- a/internal/serving/clients.go
+++ b/internal/serving/clients.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"net"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -18,14 +17,34 @@
 )
 
 const (
-	openWithin  = 30 * time.Second // for one client, with all its retries
-	atOnce      = 32               // clients that are opened side by side
-	perAddress  = 1000             // clients of one source address
-	connectTime = 2000             // milliseconds that a client gives the node
-	beginning   = "M "             // of a line whose next word is the time at which it was written
-	longestLine = 512
+	openTimeout       = 30 * time.Second      // for one client, with all its retries
+	retryInterval     = 10 * time.Millisecond // between two attempts of a client
+	maxConcurrentOpen = 32                    // clients that are opened at the same time
+	clientsPerAddress = 1000                  // that share a source address
+	connectTimeoutMs  = 2000                  // that a client gives the node, in milliseconds
 )
 
+// errNoFlow is the error of an attempt that the node accepted without a host that has the flow.
+var errNoFlow = errors.New("no host has the flow")
+
+// observer takes a delivery: when its host wrote it and when its client had read it, both since the clients began.
+// Several goroutines call it at once.
+type observer func(written, read time.Duration)
+
+// clients are all clients of a node. Each has a goroutine that reads its deliveries and passes them to the observer;
+// close ends these goroutines.
+type clients struct {
+	node     string // the address that clients connect to
+	hosts    *standin.Hosts
+	began    time.Time
+	all      []*client
+	readers  sync.WaitGroup
+	attempts atomic.Int64
+	retries  atomic.Int64
+	observer atomic.Pointer[observer]
+	lost     atomic.Int64 // connections that ended before the clients closed them
+}
+
 // client is one client of the node and the host's end of its flow.
 type client struct {
 	socket net.Conn
@@ -33,130 +52,135 @@
 	closed atomic.Bool // by the client itself
 }
 
-// clients are all clients of a node. Each reads what is delivered to it and tells the recorder.
-type clients struct {
-	node    string
-	hosts   *standin.Hosts
-	began   time.Time
-	all     []*client
-	readers sync.WaitGroup
-	opened  atomic.Int64
-	retries atomic.Int64
-	record  atomic.Pointer[recorder]
-	lost    atomic.Int64 // connections that ended before the clients closed them
+// close closes a client's connection, which makes the node close the host's end.
+func (c *client) close() {
+	c.closed.Store(true)
+	c.socket.Close()
 }
 
-// recorder is told of each delivery: when it was written at the host and when the client had read it, both since the
-// clients began. Several clients call it at once.
-type recorder func(written, read time.Duration)
-
-// line gives the text of a delivery that is written now.
-func (c *clients) line(size int) []byte { return c.lineAt(time.Since(c.began), size) }
+// observe replaces the observer; nil ends the observation.
+func (c *clients) observe(o observer) {
+	if o == nil {
+		c.observer.Store(nil)
+		return
+	}
+	c.observer.Store(&o)
+}
 
-// lineAt gives a delivery's text of so many bytes, with the time at which it is written.
-func (c *clients) lineAt(written time.Duration, size int) []byte {
-	text := beginning + strconv.FormatInt(int64(written), 10) + " "
-	return []byte(text + strings.Repeat("x", max(size-len(text)-2, 0)) + "\r\n")
+// delivery returns the text of a delivery that is written now.
+func (c *clients) delivery(size int) []byte {
+	return deliveryAt(time.Since(c.began), size)
 }
 
-// grow opens clients until there are so many.
-func (c *clients) grow(ctx context.Context, until int) error {
-	more := make([]*client, max(until-len(c.all), 0))
+// grow opens clients until there are so many. After an error, the clients that were opened stay.
+func (c *clients) grow(ctx context.Context, total int) error {
+	added := make([]*client, max(total-len(c.all), 0))
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(atOnce)
-	for i := range more {
+	group.SetLimit(maxConcurrentOpen)
+	for i := range added {
 		group.Go(func() (err error) {
-			more[i], err = c.open(ctx, len(c.all)+i)
+			added[i], err = c.open(ctx, len(c.all)+i)
 			return err
 		})
 	}
 	err := group.Wait()
-	for _, one := range more {
-		if one == nil {
-			continue
+	for _, opened := range added {
+		if opened != nil {
+			c.all = append(c.all, opened)
 		}
-		c.all = append(c.all, one)
 	}
 	return err
 }
 
-// open opens one client; a node that turns it away is asked again.
+// open opens one client and retries for openTimeout while the node rejects it.
 func (c *clients) open(ctx context.Context, number int) (*client, error) {
-	ctx, cancel := context.WithTimeout(ctx, openWithin)
+	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	for {
-		one, answer, err := c.attempt(ctx, number)
-		if one != nil {
-			return one, nil
+		opened, err := c.attempt(ctx, number)
+		if err == nil {
+			return opened, nil
 		}
 		if ctx.Err() != nil {
-			return nil, fmt.Errorf("client %d is not established: %s: %w", number, answer, errors.Join(ctx.Err(), err))
+			return nil, fmt.Errorf("opening client %d: %w: %w", number, ctx.Err(), err)
 		}
 		c.retries.Add(1)
 		select {
-		case <-time.After(10 * time.Millisecond):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// attempt connects once. Without a client, the answer or the error says why.
-func (c *clients) attempt(ctx context.Context, number int) (_ *client, answer string, err error) {
-	from := number / perAddress
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 100, byte(from>>8), byte(1+from&0xff))}}
+// attempt makes one attempt to open a client.
+func (c *clients) attempt(ctx context.Context, number int) (*client, error) {
+	dialer := net.Dialer{LocalAddr: sourceAddress(number)}
 	socket, err := dialer.DialContext(ctx, "tcp", c.node)
 	if err != nil {
-		return nil, "no connection", err
+		return nil, fmt.Errorf("connecting to the node: %w", err)
 	}
-	id := fmt.Sprintf("%08x", c.opened.Add(1)) // new with each attempt
-	in := bufio.NewReaderSize(socket, longestLine)
-	socket.SetDeadline(time.Now().Add(openWithin))
-	fmt.Fprintf(socket, "OPEN %s %x c=chat,d=%d\r\n", id, number, connectTime)
-	answer, err = in.ReadString('\n')
+	id := fmt.Sprintf("%08x", c.attempts.Add(1))
+	in := bufio.NewReaderSize(socket, maxLineBytes)
+	socket.SetDeadline(time.Now().Add(openTimeout))
+	fmt.Fprintf(socket, "OPEN %s %x c=chat,d=%d\r\n", id, number, connectTimeoutMs)
+	answer, err := in.ReadString('\n')
 	host := c.hosts.Flow(id)
-	if err != nil || !strings.HasPrefix(answer, "UP") || host == nil {
+	if err := openError(answer, err, host); err != nil {
 		socket.Close()
-		return nil, strings.TrimSpace(answer), err
+		return nil, err
 	}
 	socket.SetDeadline(time.Time{})
-	one := &client{socket: socket, host: host}
-	c.readers.Go(func() { c.read(one, in) })
-	return one, "", nil
+	opened := &client{socket: socket, host: host}
+	c.readers.Go(func() { c.read(opened, in) })
+	return opened, nil
+}
+
+// openError returns why an attempt failed, or nil if it succeeded.
+func openError(answer string, readErr error, host net.Conn) error {
+	switch {
+	case readErr != nil:
+		return fmt.Errorf("reading the node's answer: %w", readErr)
+	case !strings.HasPrefix(answer, "UP"):
+		return fmt.Errorf("the node answered %q", strings.TrimSpace(answer))
+	case host == nil:
+		return errNoFlow
+	}
+	return nil
 }
 
-// read reads deliveries to a client until its connection ends.
-func (c *clients) read(one *client, in *bufio.Reader) {
+// sourceAddress returns the loopback address that a client connects from. The system has too few ports for all clients at
+// one address.
+func sourceAddress(number int) *net.TCPAddr {
+	index := number / clientsPerAddress
+	return &net.TCPAddr{IP: net.IPv4(127, 100, byte(index>>8), byte(1+index&0xff))}
+}
+
+// read passes a client's deliveries to the observer until its connection ends. A line over maxLineBytes, which no host
+// sends, counts as an end.
+func (c *clients) read(from *client, in *bufio.Reader) {
 	for {
-		text, err := in.ReadSlice('\n')
+		line, err := in.ReadSlice('\n')
 		read := time.Since(c.began)
-		if err != nil { // also a line that does not fit, which nobody sends
-			if !one.closed.Load() {
+		if err != nil {
+			if !from.closed.Load() {
 				c.lost.Add(1)
 			}
 			return
 		}
-		rest, ours := strings.CutPrefix(string(text[:min(len(text), 32)]), beginning)
-		if !ours {
+		written, valid := parseDelivery(line)
+		if !valid {
 			continue
 		}
-		word, _, _ := strings.Cut(rest, " ")
-		written, err := strconv.ParseInt(strings.TrimSpace(word), 10, 64)
-		if record := c.record.Load(); err == nil && record != nil {
-			(*record)(time.Duration(written), read)
+		if observe := c.observer.Load(); observe != nil {
+			(*observe)(written, read)
 		}
 	}
 }
 
-// end closes a client's connection; its host's follows.
-func (one *client) end() {
-	one.closed.Store(true)
-	one.socket.Close()
-}
-
-// close ends all clients and waits until none reads any more.
+// close closes all clients and waits until none reads any more.
 func (c *clients) close() {
-	for _, one := range c.all {
-		one.end()
+	for _, opened := range c.all {
+		opened.close()
 	}
 	c.readers.Wait()
 }
--- /dev/null
+++ b/internal/serving/measurement.go
@@ -0,0 +1,54 @@
+package serving
+
+import "gorseledge/internal/figures"
+
+// dimension is what a measurement varies, as the table names it.
+type dimension string
+
+// phase is what goes on during a measurement, as the table names it.
+type phase string
+
+// unit is a unit of the table.
+type unit string
+
+const (
+	byConnections dimension = "connections"
+	byFlows       dimension = "flows"
+	byRate        dimension = "lines_per_second"
+	byListeners   dimension = "listeners"
+
+	idlePhase        phase = "held"
+	flowsPhase       phase = "flows"
+	deliveryPhase    phase = "deliver"
+	burstPhase       phase = "burst"
+	loadedBurstPhase phase = "burst_with_load"
+
+	count                 unit = "1"
+	bytes                 unit = "B"
+	seconds               unit = "s"
+	microseconds          unit = "us"
+	microsecondsPerSecond unit = "us/s"
+	perSecond             unit = "1/s"
+)
+
+// measurement identifies the rows that one measure adds to the table.
+type measurement struct {
+	repeat    int
+	dimension dimension
+	size      int // of the dimension
+	phase     phase
+}
+
+// record adds a figure of a measurement to the table.
+func (r *run) record(m measurement, cost string, in unit, value float64) {
+	r.table.Add(figures.Row{
+		Run:       m.repeat,
+		Source:    figures.Real,
+		Dimension: string(m.dimension),
+		Size:      float64(m.size),
+		Phase:     string(m.phase),
+		Cost:      cost,
+		Unit:      string(in),
+		Value:     value,
+	})
+}
--- /dev/null
+++ b/internal/serving/usage_test.go
@@ -0,0 +1,29 @@
+package serving
+
+import (
+	"os"
+	"testing"
+)
+
+func TestUsageCountsThisProcess(t *testing.T) {
+	before, err := usageOf(os.Getpid())
+	if err != nil {
+		t.Fatal(err)
+	}
+	opened, err := os.Open(os.DevNull)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer opened.Close()
+	after, err := usageOf(os.Getpid())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if before.memory <= 0 || before.processorTime <= 0 || after.processorTime < before.processorTime ||
+		after.descriptors != before.descriptors+1 {
+		t.Errorf("before %+v, after one more descriptor %+v", before, after)
+	}
+	if _, err := usageOf(1 << 30); err == nil {
+		t.Error("a process that does not exist has a usage")
+	}
+}
--- /dev/null
+++ b/internal/serving/wait.go
@@ -0,0 +1,35 @@
+package serving
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+const (
+	settleTime      = time.Second // that the node is left alone after connections were opened
+	deliveryTimeout = 10 * time.Second
+	pollInterval    = time.Millisecond
+)
+
+// pause waits for a time, or returns the context's error when that ends first.
+func pause(ctx context.Context, span time.Duration) error {
+	select {
+	case <-time.After(span):
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// await polls a condition until it holds. It returns an error after deliveryTimeout.
+func await(ctx context.Context, condition func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
+	defer cancel()
+	for !condition() {
+		if err := pause(ctx, pollInterval); err != nil {
+			return fmt.Errorf("waiting for all connections or deliveries: %w", err)
+		}
+	}
+	return nil
+}
