--- a/internal/serving/clients.go
+++ b/internal/serving/clients.go
@@ -124,7 +124,7 @@
 	socket.SetDeadline(time.Now().Add(openTimeout))
 	fmt.Fprintf(socket, "OPEN %s %x c=chat,d=%d\r\n", id, number, connectTimeoutMs)
 	answer, err := in.ReadString('\n')
-	host := c.hosts.Flow(id)
+	host := c.hosts.FlowConnection(id)
 	if err := openError(answer, err, host); err != nil {
 		socket.Close()
 		return nil, err
--- a/internal/serving/flows.go
+++ b/internal/serving/flows.go
@@ -23,5 +23,5 @@
 		}
 		c.close()
 	}
-	return await(ctx, func() bool { return b.hosts.Flows() == len(b.clients.all) })
+	return await(ctx, func() bool { return b.hosts.FlowCount() == len(b.clients.all) })
 }
