--- a/internal/serving/bursts.go
+++ b/internal/serving/bursts.go
@@ -12,7 +12,9 @@
 // burstInterval is the pause between two bursts.
 const burstInterval = 15 * time.Millisecond
 
-// burstLatencies are the latencies of a series of bursts.
+// burstLatencies are the latencies of a series of bursts. A burst's last delivery is the one that is counted last. Clients
+// take the time of reading before they count, so that another client may have read slightly later, and a percentile of
+// last may be slightly below the one of each.
 type burstLatencies struct {
 	each *latencies // of every delivery
 	last *latencies // of the last delivery of each burst
