--- a/internal/serving/bursts.go
+++ b/internal/serving/bursts.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"sync/atomic"
+	"sync"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -12,12 +12,34 @@
 // burstInterval is the pause between two bursts.
 const burstInterval = 15 * time.Millisecond
 
-// burstLatencies are the latencies of a series of bursts. A burst's last delivery is the one that is counted last. Clients
-// take the time of reading before they count, so that another client may have read slightly later, and a percentile of
-// last may be slightly below the one of each.
+// burstLatencies are the latencies of a series of bursts.
 type burstLatencies struct {
 	each *latencies // of every delivery
-	last *latencies // of the last delivery of each burst
+	last *latencies // of the last delivery of each burst, its longest latency
+}
+
+// burstProgress counts the clients that have read the line of one burst. It is safe for concurrent use.
+type burstProgress struct {
+	mu      sync.Mutex
+	readers int
+	longest time.Duration
+}
+
+// add counts one more client with the latency of its delivery and returns the number of clients and their longest
+// latency. Clients may be counted in another order than the one in which they read.
+func (p *burstProgress) add(latency time.Duration) (readers int, longest time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.readers++
+	p.longest = max(p.longest, latency)
+	return p.readers, p.longest
+}
+
+// count returns the number of clients that have read the line so far.
+func (p *burstProgress) count() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.readers
 }
 
 // measureLoadedBursts measures bursts while the other connections carry deliveries at a rate.
@@ -64,14 +86,16 @@
 func (r *run) burst(ctx context.Context, c *clients, to []*client, taken burstLatencies) error {
 	began := time.Since(c.began)
 	done := make(chan time.Duration, 1)
-	var readers atomic.Int64
+	var progress burstProgress
 	c.observe(func(written, read time.Duration) {
 		if written != began {
 			return // a delivery of the load
 		}
-		taken.each.add(read - written)
-		if readers.Add(1) == int64(len(to)) {
-			done <- read - written
+		latency := read - written
+		taken.each.add(latency)
+		readers, longest := progress.add(latency)
+		if readers == len(to) {
+			done <- longest
 		}
 	})
 	defer c.observe(nil)
@@ -83,7 +107,7 @@
 		taken.last.add(latency)
 		return nil
 	case <-time.After(deliveryTimeout):
-		return fmt.Errorf("%d of %d clients have read a line within %v", readers.Load(), len(to), deliveryTimeout)
+		return fmt.Errorf("%d of %d clients have read a line within %v", progress.count(), len(to), deliveryTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
