--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -14,7 +14,7 @@
 }
 
 // Anscombe's first set: the line is known to be 3.00 + 0.500 x, with R2 0.667 and an error of the slope of 0.118.
-func TestLineThroughAnscombesFirstSet(t *testing.T) {
+func TestFitMatchesAnscombesFirstSet(t *testing.T) {
 	x := []float64{10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5}
 	y := []float64{8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68}
 	l, err := fitLine(pointsOf(x, y))
@@ -32,7 +32,7 @@
 }
 
 // Anscombe's second set has the same line, and is a parabola.
-func TestBendOfAnscombesSecondSet(t *testing.T) {
+func TestParabolaIsCurved(t *testing.T) {
 	x := []float64{10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5}
 	y := []float64{9.14, 8.14, 8.74, 8.77, 9.26, 8.10, 6.13, 3.10, 9.13, 7.26, 4.74}
 	l, err := fitLine(pointsOf(x, y))
@@ -77,7 +77,7 @@
 }
 
 // A cost that grows with the square of the size is found out, also where R2 is close to 1.
-func TestSquareGrowsInItsSlope(t *testing.T) {
+func TestQuadraticCostIsCurved(t *testing.T) {
 	var points []point
 	for _, x := range []float64{50, 100, 215, 430, 860} {
 		for _, noise := range []float64{-1, 1} {
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestTooFewFiguresGiveNoLine(t *testing.T) {
+func TestTooFewPointsAreRejected(t *testing.T) {
 	for _, points := range [][]point{nil, {{1, 1}, {2, 2}}, {{3, 1}, {3, 2}, {3, 3}}} {
 		if _, err := fitLine(points); !errors.Is(err, errTooFewPoints) {
 			t.Errorf("%v: %v", points, err)
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -10,7 +10,7 @@
 )
 
 // The committed page and charts are what the committed figures give.
-func TestPageIsAsTheFiguresGiveIt(t *testing.T) {
+func TestCommittedPageMatchesFigures(t *testing.T) {
 	const docs = "../../docs"
 	files, err := Build(docs)
 	if err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-// pageText has a mark for each table.
+// pageText returns a page with empty markers for each table.
 func pageText() string {
 	page := "# Capacity\n\nWritten by hand.\n"
 	for _, name := range slices.Sorted(maps.Keys((&evaluation{plan: &Plan{}}).tables())) {
@@ -31,7 +31,7 @@
 	return page + "\nAnd the end.\n"
 }
 
-// newDocs lays a directory of a plan, figures and a page, and writes what is to stand in it.
+// newDocs returns a directory with a plan, figures, and the page and charts that Build writes for them.
 func newDocs(t *testing.T) string {
 	t.Helper()
 	docs := t.TempDir()
@@ -59,7 +59,7 @@
 	}
 }
 
-// editFile changes a file.
+// editFile replaces the first occurrence of a text in a file.
 func editFile(t *testing.T, path, from, to string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -73,7 +73,7 @@
 	writeFile(t, path, changed)
 }
 
-func TestPageIsFilledAndKeepsWhatWasWrittenByHand(t *testing.T) {
+func TestBuildFillsTablesAndKeepsText(t *testing.T) {
 	docs := newDocs(t)
 	text, err := os.ReadFile(filepath.Join(docs, pageFile))
 	if err != nil {
@@ -92,7 +92,7 @@
 
 const testChart = "charts/capacity-rest-virtual-nodes-rest-node-memory.svg"
 
-func TestDifferencesAreFound(t *testing.T) {
+func TestDifferencesListsChangedFiles(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(t *testing.T, docs string)
 		want   []string
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestMarksAndTablesHaveToMatch(t *testing.T) {
+func TestFillTablesRejectsUnmatchedMarkers(t *testing.T) {
 	for name, c := range map[string]struct{ page, want string }{
 		"unknown":  {"<!-- table: a -->\n<!-- end of table -->\n<!-- table: b -->\n<!-- end of table -->", `"b" stands for none`},
 		"twice":    {strings.Repeat("<!-- table: a -->\n<!-- end of table -->\n", 2), "twice"},
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -62,7 +62,7 @@
 size = "shards_a_node"
 `
 
-func TestPlanIsReadStrictly(t *testing.T) {
+func TestInvalidPlanIsRejected(t *testing.T) {
 	if _, err := parsePlan("plan.toml", []byte(planText)); err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 }
 
 // The figures that the operators' page gets by division, as it rounds them.
-func TestDivisionGivesWhatThePlansPageSays(t *testing.T) {
+func TestDerivedQuantitiesMatchOperatorsPage(t *testing.T) {
 	p, err := parsePlan("plan.toml", []byte(planText))
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestRowsNameOnlyWhatQuantitiesThereAre(t *testing.T) {
+func TestDerivedQuantitiesAreUniqueAndHaveUnits(t *testing.T) {
 	p := &Plan{}
 	names := map[string]bool{}
 	for _, d := range p.derived() {
--- a/internal/capacity/result_test.go
+++ b/internal/capacity/result_test.go
@@ -8,7 +8,7 @@
 	"gorseledge/internal/figures"
 )
 
-// measured gives a table of one cost: 100 bytes and 50 more a node, with a little scatter that no line explains.
+// measured returns a table of one cost: 100 bytes and 50 for each node, with scatter that no line explains.
 func measured(sizes ...float64) map[string]*figures.Table {
 	t := &figures.Table{Name: "rest", Provenance: figures.Provenance{Command: "c", Revision: "r", Date: "d", Cores: 1, Machine: "m",
 		Repeats: 2}}
@@ -28,7 +28,7 @@
 
 var someQuantities = map[string]quantity{"nodes": {860, "1", ""}, "memory": {86e3, "B", ""}, "seconds": {6, "s", ""}}
 
-func TestFittedRowAtThePlannedSize(t *testing.T) {
+func TestFittedRowIsEvaluatedAtPlannedSize(t *testing.T) {
 	r, err := memoryRow().evaluate(someQuantities, measured(100, 200, 400))
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestCostThatDoesNotGrowHasNoEnd(t *testing.T) {
+func TestFlatCostHasNoLimit(t *testing.T) {
 	tables := measured(100, 200, 400)
 	for i := range tables["rest"].Rows {
 		tables["rest"].Rows[i].Value -= 50 * tables["rest"].Rows[i].Size
@@ -73,7 +73,7 @@
 }
 
 // A slope that cannot be told from none does not make a cost at the planned size smaller than what was measured.
-func TestFallingCostThatMayBeFlatIsTheMean(t *testing.T) {
+func TestFlatFallingCostIsAtLeastItsMean(t *testing.T) {
 	tables := measured(100, 200, 400)
 	for i, y := range []float64{100, 40, 120, 30, 60, 50} {
 		tables["rest"].Rows[i].Value = y
@@ -88,7 +88,7 @@
 	checkNear(t, "value", r.value, 400.0/6, 1e-9)
 }
 
-func TestConstantCostIsWrittenWithoutAnErrorOfItsSlope(t *testing.T) {
+func TestConstantCostShowsNoSlopeError(t *testing.T) {
 	tables := measured(100, 200, 400)
 	for i := range tables["rest"].Rows {
 		tables["rest"].Rows[i].Value = 7
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestMeasuredAtTheSizeIsTheMedianThere(t *testing.T) {
+func TestMeasuredAtSizeUsesMedian(t *testing.T) {
 	row := memoryRow()
 	row.From.MeasuredAtSize = true
 	r, err := row.evaluate(someQuantities, measured(430, 860))
@@ -117,7 +117,7 @@
 
 // What is added to something that is there costs the slope each; what there is without any of it is not in it. What comes
 // so many times a second costs that each second.
-func TestWhatIsAddedIsSlopeTimesSize(t *testing.T) {
+func TestSlopeOnlyMultipliesSlopeBySize(t *testing.T) {
 	for _, c := range []struct{ sizeUnit, unit string }{{"1", "B"}, {"1/s", "B/s"}} {
 		row := memoryRow()
 		row.From.SlopeOnly, row.Budget = true, ""
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestReckonedRowIsCalledAssumed(t *testing.T) {
+func TestAssumedSlopeIsShownAsAssumed(t *testing.T) {
 	row := memoryRow()
 	row.From, row.AssumedSlope = nil, &AssumedSlope{Slope: 60, Unit: "B", Basis: "the page of another"}
 	r, err := row.evaluate(someQuantities, nil)
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestRowWithoutMechanismReachesNothing(t *testing.T) {
+func TestRowWithoutMechanismHasZeroLimit(t *testing.T) {
 	row := memoryRow()
 	row.From, row.Mechanism = nil, "none yet: a snapshot and deltas"
 	r, err := row.evaluate(someQuantities, nil)
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestRowsWithoutFiguresAreRefused(t *testing.T) {
+func TestRowsWithoutFiguresAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Row, map[string]*figures.Table)
 		want   string
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestFiguresAreWrittenWithThreeDigits(t *testing.T) {
+func TestFormatInUsesThreeDigits(t *testing.T) {
 	for _, c := range []struct {
 		x    float64
 		unit string
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestRealAndHollowNodesStandBesideEachOther(t *testing.T) {
+func TestSourcesTableComparesRealAndHollowNodes(t *testing.T) {
 	tables := measured(100, 200)
 	for i, source := range []figures.Source{figures.Real, figures.Hollow, figures.Real, figures.Virtual} {
 		tables["rest"].Rows[i].Source = source
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -203,27 +203,36 @@
 }
 
 // compare returns a row for each size at which both kinds of node were measured.
-func (e *evaluation) compare(c Comparison) (rows [][]string) {
-	found := map[figures.Source]map[float64][]float64{figures.Real: {}, figures.Hollow: {}}
-	unit, dimension := "", ""
-	if table := e.measured[c.Table]; table != nil {
-		for _, row := range table.Rows {
-			if row.Phase == c.Phase && row.Cost == c.Cost && found[row.Source] != nil {
-				found[row.Source][row.Size] = append(found[row.Source][row.Size], row.Value)
-				unit, dimension = row.Unit, row.Dimension
-			}
+func (e *evaluation) compare(c Comparison) [][]string {
+	table := e.measured[c.Table]
+	if table == nil {
+		return nil
+	}
+	values := map[figures.Source]map[float64][]float64{figures.Real: {}, figures.Hollow: {}}
+	unit := ""
+	dimension := ""
+	for _, row := range table.Rows {
+		bySize := values[row.Source]
+		if bySize == nil || row.Phase != c.Phase || row.Cost != c.Cost {
+			continue
 		}
+		bySize[row.Size] = append(bySize[row.Size], row.Value)
+		unit = row.Unit
+		dimension = row.Dimension
 	}
-	for _, size := range slices.Sorted(maps.Keys(found[figures.Real])) {
-		if len(found[figures.Hollow][size]) == 0 {
+	var rows [][]string
+	for _, size := range slices.Sorted(maps.Keys(values[figures.Real])) {
+		if len(values[figures.Hollow][size]) == 0 {
 			continue
 		}
-		real, hollow := median(found[figures.Real][size]), median(found[figures.Hollow][size])
+		realNode := median(values[figures.Real][size])
+		hollowNode := median(values[figures.Hollow][size])
 		ratio := "-"
-		if real != 0 {
-			ratio = formatNumber(hollow / real)
+		if realNode != 0 {
+			ratio = formatNumber(hollowNode / realNode)
 		}
-		rows = append(rows, []string{"`" + c.Table + "`", c.Cost + ", " + c.Phase, formatNumber(size) + " " + dimension, formatIn(real, unit), formatIn(hollow, unit), ratio})
+		rows = append(rows, []string{"`" + c.Table + "`", c.Cost + ", " + c.Phase, formatNumber(size) + " " + dimension,
+			formatIn(realNode, unit), formatIn(hollowNode, unit), ratio})
 	}
 	return rows
 }
