--- a/internal/rig/control_check_test.go
+++ b/internal/rig/control_check_test.go
@@ -21,7 +21,7 @@
 	return Event{At: at, What: eventConfig, Node: node, Control: &ControlEvent{Version: version(revision), Digest: "d" + id}}
 }
 
-// faultOf gives the begin and end of a fault of control servers.
+// faultOf returns the begin and end of a fault of control servers.
 func faultOf(f ControlFault) (begin, over Event) {
 	return Event{At: f.At, What: eventControlFault, Control: &ControlEvent{Fault: &f}},
 		Event{At: f.At + f.For, What: eventControlOver, Control: &ControlEvent{Fault: &f}}
@@ -31,17 +31,57 @@
 	return Event{At: at, What: eventMarks, Control: &ControlEvent{Marks: ids}}
 }
 
-// controlChecker is one of the checkers; a case is judged by the one of its rule alone.
+// controlChecker is one of the checkers; each case uses only the one of its rule.
 type controlChecker func(*Script, []Event) []Violation
 
 func eventsOnly(check func([]Event) []Violation) controlChecker {
 	return func(_ *Script, events []Event) []Violation { return check(events) }
 }
 
-// TestControlCheckersFire gives each checker a history that breaks its rule, and one beside it that does not.
-func TestControlCheckersFire(t *testing.T) {
+// controlCase is a history and the rule that a checker finds violated in it.
+type controlCase struct {
+	name   string
+	check  controlChecker
+	events []Event
+	rule   string // that is violated; none where empty
+}
+
+// runControlCases checks that each case violates its rule once, or none.
+func runControlCases(t *testing.T, s *Script, cases []controlCase) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			violations := c.check(s, c.events)
+			if c.rule == "" && len(violations) > 0 {
+				t.Errorf("violated: %v", violations)
+			}
+			if c.rule != "" && (len(violations) != 1 || violations[0].Rule != c.rule) {
+				t.Errorf("want %q violated, got %v", c.rule, violations)
+			}
+		})
+	}
+}
+
+func TestControlCheckersReportViolationsOfVersions(t *testing.T) {
 	s := &Script{Nodes: 1, Control: 5, InForce: 6}
 	start, exit := Event{What: eventStart}, Event{What: eventExit}
+	lost := Event{At: 3, What: eventApply, Control: &ControlEvent{ID: "x", Outcome: outcomeUnknown, Digest: "dx"}}
+	noReturn, complete := eventsOnly(checkNoReturn), eventsOnly(checkComplete)
+	runControlCases(t, s, []controlCase{
+		{"version goes up", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 1), seen(4, 0, "b", 2)}, ""},
+		{"version goes back", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), seen(4, 0, "a", 1)}, RuleNoReturn},
+		{"version goes back in an upgrade", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), start, exit,
+			seen(4, 0, "a", 1)}, RuleNoReturn},
+		{"older version after a restart", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), exit, start,
+			seen(4, 0, "a", 1)}, ""},
+		{"entries of no change", complete, []Event{start, accepted(1, "a", 1), seen(2, 0, "z", 1)}, RuleComplete},
+		{"another change's entries", complete, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 2)}, RuleComplete},
+		{"a change whose answer was lost", complete, []Event{start, lost, seen(3, 0, "x", 1)}, ""},
+	})
+}
+
+func TestControlCheckersReportLostChanges(t *testing.T) {
+	s := &Script{Nodes: 1, Control: 5, InForce: 6}
 	wipe := ControlFault{At: 20, Kind: faultWipe, Servers: []int{0}, For: 1}
 	stop := ControlFault{At: 15, Kind: faultStop, Servers: []int{2}, For: 8}
 	other := ControlFault{At: 0, Kind: faultWipe, Servers: []int{1}, For: 3}
@@ -49,29 +89,9 @@
 	stopped, continued := faultOf(stop)
 	otherWiped, otherStarted := faultOf(other)
 	allWiped, allStarted := faultOf(ControlFault{At: 20, Kind: faultWipe, Servers: []int{0, 1, 2}, For: 1})
-	late := ControlFault{At: 11, Kind: faultStop, Servers: []int{2}, For: 4}
-	lateStopped, lateContinued := faultOf(late)
-	regionCut, regionBack := faultOf(ControlFault{At: 11, Kind: faultRegion, Region: "south", For: 4})
-	lost := Event{At: 3, What: eventApply, Control: &ControlEvent{ID: "x", Outcome: outcomeUnknown, Digest: "dx"}}
-	noReturn, whole := eventsOnly(checkNoReturn), eventsOnly(checkComplete)
-	accept := eventsOnly(checkAccept)
-	cases := []struct {
-		name   string
-		check  controlChecker
-		events []Event
-		rule   string // that is broken; none where empty
-	}{
-		{"forwards", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 1), seen(4, 0, "b", 2)}, ""},
-		{"back", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), seen(4, 0, "a", 1)}, RuleNoReturn},
-		{"back in an upgrade", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), start, exit,
-			seen(4, 0, "a", 1)}, RuleNoReturn},
-		{"anew after a restart", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "b", 2), exit, start,
-			seen(4, 0, "a", 1)}, ""},
-		{"half a change", whole, []Event{start, accepted(1, "a", 1), seen(2, 0, "z", 1)}, RuleComplete},
-		{"another change's entries", whole, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 2)}, RuleComplete},
-		{"a change whose answer was lost", whole, []Event{start, lost, seen(3, 0, "x", 1)}, ""},
-		{"all held", checkDurable, []Event{accepted(1, "a", 1), marks(30, "a")}, ""},
-		{"one lost", checkDurable, []Event{accepted(1, "a", 1), accepted(2, "b", 2), marks(30, "b")}, RuleDurable},
+	runControlCases(t, s, []controlCase{
+		{"all changes held", checkDurable, []Event{accepted(1, "a", 1), marks(30, "a")}, ""},
+		{"one change lost", checkDurable, []Event{accepted(1, "a", 1), accepted(2, "b", 2), marks(30, "b")}, RuleDurable},
 		{"lost though another's disk was wiped", checkDurable, []Event{otherWiped, accepted(1, "a", 1), otherStarted, marks(30)}, RuleDurable},
 		{"lost though all others had it", checkDurable, []Event{accepted(1, "a", 1), wiped, started, marks(30)}, RuleDurable},
 		{"lost with the disk at once", checkDurable, []Event{accepted(19, "a", 1), wiped, started, marks(30)}, ""},
@@ -79,28 +99,28 @@
 			marks(30)}, ""},
 		{"lost with several disks at once", checkDurable, []Event{accepted(1, "a", 1), allWiped, allStarted, marks(30)}, ""},
 		{"lost after the disk was wiped", checkDurable, []Event{wiped, started, accepted(27, "a", 1), marks(30)}, RuleDurable},
-		{"in time", checkInForce, []Event{start, accepted(10, "a", 1), seen(15, 0, "a", 1), marks(30, "a")}, ""},
-		{"late", checkInForce, []Event{start, accepted(10, "a", 1), seen(17, 0, "a", 1), marks(30, "a")}, RuleInForce},
+	})
+}
+
+func TestControlCheckersReportLateChangesAndEndedServers(t *testing.T) {
+	s := &Script{Nodes: 1, Control: 5, InForce: 6}
+	start := Event{What: eventStart}
+	late := ControlFault{At: 11, Kind: faultStop, Servers: []int{2}, For: 4}
+	lateStopped, lateContinued := faultOf(late)
+	regionCut, regionBack := faultOf(ControlFault{At: 11, Kind: faultRegion, Region: "south", For: 4})
+	accept := eventsOnly(checkAccept)
+	runControlCases(t, s, []controlCase{
+		{"in force in time", checkInForce, []Event{start, accepted(10, "a", 1), seen(15, 0, "a", 1), marks(30, "a")}, ""},
+		{"in force late", checkInForce, []Event{start, accepted(10, "a", 1), seen(17, 0, "a", 1), marks(30, "a")}, RuleInForce},
 		{"late with a server stopped", checkInForce, []Event{start, accepted(10, "a", 1), lateStopped, lateContinued, seen(17, 0, "a", 1),
 			marks(30, "a")}, RuleInForce},
 		{"late with a region cut off", checkInForce, []Event{start, accepted(10, "a", 1), regionCut, regionBack, seen(17, 0, "a", 1),
 			marks(30, "a")}, ""},
-		{"never", checkInForce, []Event{start, accepted(10, "a", 1), marks(30, "a")}, RuleInForce},
+		{"never in force", checkInForce, []Event{start, accepted(10, "a", 1), marks(30, "a")}, RuleInForce},
 		{"late after all faults", checkInForce, []Event{{What: eventLate, Note: "n0"}}, RuleInForce},
-		{"refused after all faults", accept, []Event{{What: eventApply, Control: &ControlEvent{Outcome: string(configfeed.NotReady)}}},
+		{"rejected after all faults", accept, []Event{{What: eventApply, Control: &ControlEvent{Outcome: string(configfeed.NotReady)}}},
 			RuleAccept},
 		{"a server that ended", checkControl, []Event{{What: eventServerDied, Control: &ControlEvent{Server: 1}}}, RuleServer},
 		{"a server that was ended", checkControl, []Event{{What: eventServerExit, Control: &ControlEvent{Server: 1}}}, ""},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			broken := c.check(s, c.events)
-			if c.rule == "" && len(broken) > 0 {
-				t.Errorf("broken: %v", broken)
-			}
-			if c.rule != "" && (len(broken) != 1 || broken[0].Rule != c.rule) {
-				t.Errorf("want %q broken, got %v", c.rule, broken)
-			}
-		})
-	}
+	})
 }
