--- a/cmd/gorseledge-lab/scale.go
+++ b/cmd/gorseledge-lab/scale.go
@@ -47,13 +47,13 @@
 	return c
 }
 
-// runScale plays all sizes and keeps what they showed.
+// runScale measures every chosen size and writes the results. It returns brokenRules if a bound was broken.
 func runScale(cmd *cobra.Command, path string, f scaleFlags) error {
-	s, err := scale.ReadFile(path)
+	script, err := scale.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	sizes, err := chosenSizes(s, f.only)
+	sizes, err := chosenSizes(script, f.only)
 	if err != nil {
 		return err
 	}
@@ -62,59 +62,97 @@
 		return err
 	}
 	defer os.RemoveAll(scratch)
-	if f.program == "" {
-		if f.program, err = build(cmd, scratch, "gorseledge"); err != nil {
+	options, err := scaleOptions(cmd, script, f, scratch)
+	if err != nil {
+		return err
+	}
+	run := scaleRun{script: script, options: options, out: f.out, provenance: provenance(script, f)}
+	for _, size := range sizes {
+		if err := run.measure(cmd, size); err != nil {
 			return err
 		}
 	}
+	return run.report(cmd)
+}
+
+// scaleOptions returns the options of a run and builds the programs that the flags do not name.
+func scaleOptions(cmd *cobra.Command, script *scale.Script, f scaleFlags, scratch string) (scale.Options, error) {
+	program := f.program
+	var err error
+	if program == "" {
+		program, err = build(cmd, scratch, "gorseledge")
+		if err != nil {
+			return scale.Options{}, err
+		}
+	}
 	self, err := os.Executable()
 	if err != nil {
-		return err
+		return scale.Options{}, err
 	}
-	if f.control == "" && len(s.Control) > 0 {
-		if f.control, err = build(cmd, scratch, "gorseledge-config"); err != nil {
-			return err
+	control := f.control
+	if control == "" && len(script.Control) > 0 {
+		control, err = build(cmd, scratch, "gorseledge-config")
+		if err != nil {
+			return scale.Options{}, err
 		}
 	}
-	o := scale.Options{Program: f.program, Control: f.control, Hollow: []string{self, "hollow"}, Seed: f.seed, Dir: scratch}
+	options := scale.Options{Program: program, Control: control, Hollow: []string{self, "hollow"}, Seed: f.seed, Dir: scratch}
 	if !f.quiet {
-		o.Progress = func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
+		options.Progress = func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
 	}
 	if f.out != "" {
 		if err := os.MkdirAll(f.out, 0o755); err != nil {
-			return err
+			return scale.Options{}, err
 		}
-		o.Dir = filepath.Join(f.out, "nodes")
+		options.Dir = filepath.Join(f.out, "nodes")
 	}
-	began := provenance(s, f)
-	var rows []scale.Row
-	var last scale.Result
-	broken, events := 0, 0
-	for _, size := range sizes {
-		r, err := scale.Play(cmd.Context(), s, size, o)
-		if r == nil {
-			return err
-		}
-		last = *r
-		rows, events, broken = append(rows, r.Rows...), events+r.Events, broken+len(r.Breaks)
-		from := comments(began)
-		if err != nil {
-			from = append(from, fmt.Sprintf("unfinished: %d nodes: %v", size, err))
-		}
-		if err := errors.Join(err, keepScale(f.out, from, rows)); err != nil {
-			return err
-		}
-		for _, b := range r.Breaks {
-			fmt.Fprintf(cmd.OutOrStdout(), "broken: %d nodes: %s\n", r.Size, b)
-		}
+	return options, nil
+}
+
+// scaleRun accumulates the results of a run over its sizes.
+type scaleRun struct {
+	script     *scale.Script
+	options    scale.Options
+	out        string // directory of the table and the charts; empty if they are not kept
+	provenance figures.Provenance
+	rows       []scale.Row
+	last       scale.Result // the result of the latest size
+	broken     int          // bounds that were broken
+	events     int
+}
+
+// measure runs one size and writes the table so far, also if the size was left unfinished.
+func (r *scaleRun) measure(cmd *cobra.Command, size int) error {
+	result, err := scale.Play(cmd.Context(), r.script, size, r.options)
+	if result == nil {
+		return err
 	}
-	if err := scale.WriteTable(cmd.OutOrStdout(), rows); err != nil {
+	r.last = *result
+	r.rows = append(r.rows, result.Rows...)
+	r.events += result.Events
+	r.broken += len(result.Breaks)
+	header := comments(r.provenance)
+	if err != nil {
+		header = append(header, fmt.Sprintf("unfinished: %d nodes: %v", size, err))
+	}
+	if err := errors.Join(err, keepScale(r.out, header, r.rows)); err != nil {
+		return err
+	}
+	for _, broken := range result.Breaks {
+		fmt.Fprintf(cmd.OutOrStdout(), "broken: %d nodes: %s\n", result.Size, broken)
+	}
+	return nil
+}
+
+// report prints the table and the summary. It returns brokenRules if a bound was broken.
+func (r *scaleRun) report(cmd *cobra.Command) error {
+	if err := scale.WriteTable(cmd.OutOrStdout(), r.rows); err != nil {
 		return err
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "SCALE: %d nodes (%d real, %d hollow), %d events, broken %d\n", last.Size, last.Real,
-		last.Size-last.Real, events, broken)
-	if broken > 0 {
-		return brokenRules(broken)
+	fmt.Fprintf(cmd.OutOrStdout(), "SCALE: %d nodes (%d real, %d hollow), %d events, broken %d\n", r.last.Size, r.last.Real,
+		r.last.Size-r.last.Real, r.events, r.broken)
+	if r.broken > 0 {
+		return brokenRules(r.broken)
 	}
 	return nil
 }
