--- a/internal/configfeed/feedhttp/exchanges_golden_test.go
+++ b/internal/configfeed/feedhttp/exchanges_golden_test.go
@@ -12,6 +12,7 @@
 	"net/http"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -83,22 +84,13 @@
 }
 
 func exchanges() []exchange {
+	return slices.Concat(pollExchanges(), applyExchanges(), epochExchanges(), readExchanges(), rejectedExchanges(), pageExchanges())
+}
+
+// pollExchanges are polls of followers and of other servers.
+func pollExchanges() []exchange {
 	_, state := goldenHistory()
 	newest := state.Version
-	propose := func(entries ...configfeed.Entry) configfeed.Proposal {
-		return configfeed.Proposal{ID: "proposal-5", IfVersion: newest, Entries: entries, Author: "ana@control-1",
-			Note: "for the evening"}
-	}
-	accepted := propose(configfeed.Entry{Key: "nodes", Value: "861"})
-	conflicting := accepted
-	conflicting.IfVersion = goldenVersion(2, 1)
-	epoch := EpochRequest{IfVersion: newest, Epoch: 7, Author: "ana@control-1", Note: "a backup was restored"}
-	conflictingEpoch, usedEpoch := epoch, epoch
-	conflictingEpoch.IfVersion = goldenVersion(1, 2)
-	usedEpoch.Epoch = 2
-	header := func(name, value string) func(*http.Request) {
-		return func(r *http.Request) { r.Header.Set(name, value) }
-	}
 	return []exchange{
 		{name: "poll_unchanged", method: "POST", target: "/v1/poll", body: poll(newest, nil)},
 		{name: "poll_changes_deltas", method: "POST", target: "/v1/poll", body: poll(goldenVersion(2, 1), nil)},
@@ -117,7 +109,21 @@
 		{name: "poll_negative_wait", method: "POST", target: "/v1/poll", body: configfeed.Poll{Follower: "n", Wait: -1}},
 		{name: "poll_not_json", method: "POST", target: "/v1/poll", body: "{"},
 		{name: "poll_wrong_method", method: "GET", target: "/v1/poll"},
+	}
+}
 
+// applyExchanges are proposals of changes.
+func applyExchanges() []exchange {
+	_, state := goldenHistory()
+	newest := state.Version
+	propose := func(entries ...configfeed.Entry) configfeed.Proposal {
+		return configfeed.Proposal{ID: "proposal-5", IfVersion: newest, Entries: entries, Author: "ana@control-1",
+			Note: "for the evening"}
+	}
+	accepted := propose(configfeed.Entry{Key: "nodes", Value: "861"})
+	conflicting := accepted
+	conflicting.IfVersion = goldenVersion(2, 1)
+	return []exchange{
 		{name: "apply_accepted", method: "POST", target: "/v1/apply", body: accepted},
 		{name: "apply_repeated", method: "POST", target: "/v1/apply", body: configfeed.Proposal{ID: "proposal-2"}},
 		{name: "apply_conflict", method: "POST", target: "/v1/apply", body: conflicting},
@@ -134,11 +140,27 @@
 				s.applySlots <- struct{}{}
 			}
 		}},
+	}
+}
 
+// epochExchanges are requests for a new epoch.
+func epochExchanges() []exchange {
+	_, state := goldenHistory()
+	epoch := EpochRequest{IfVersion: state.Version, Epoch: 7, Author: "ana@control-1", Note: "a backup was restored"}
+	conflicting := epoch
+	conflicting.IfVersion = goldenVersion(1, 2)
+	used := epoch
+	used.Epoch = 2
+	return []exchange{
 		{name: "epoch_accepted", method: "POST", target: "/v1/epoch", body: epoch},
-		{name: "epoch_conflict", method: "POST", target: "/v1/epoch", body: conflictingEpoch},
-		{name: "epoch_invalid", method: "POST", target: "/v1/epoch", body: usedEpoch},
+		{name: "epoch_conflict", method: "POST", target: "/v1/epoch", body: conflicting},
+		{name: "epoch_invalid", method: "POST", target: "/v1/epoch", body: used},
+	}
+}
 
+// readExchanges are calls that change nothing.
+func readExchanges() []exchange {
+	return []exchange{
 		{name: "status", method: "GET", target: "/v1/status"},
 		{name: "status_with_body", method: "GET", target: "/v1/status", body: "x"},
 		{name: "history", method: "GET", target: "/v1/history?limit=200"},
@@ -148,14 +170,27 @@
 		{name: "state_of_revision", method: "GET", target: "/v1/state?revision=1"},
 		{name: "state_out_of_reach", method: "GET", target: "/v1/state?revision=9"},
 		{name: "state_not_readable", method: "GET", target: "/v1/state?revision=9", readError: errors.New("a page\nis damaged")},
+	}
+}
 
+// rejectedExchanges are calls that are not authentic, and what else is refused or accepted because of its key.
+func rejectedExchanges() []exchange {
+	header := func(name, value string) func(*http.Request) {
+		return func(r *http.Request) { r.Header.Set(name, value) }
+	}
+	return []exchange{
 		{name: "rejected_fleet", method: "GET", target: "/v1/status", sign: header("Gorse-Fleet", "lima-sur")},
 		{name: "rejected_nonce", method: "GET", target: "/v1/status", sign: header("Gorse-Nonce", "00")},
 		{name: "rejected_mac", method: "GET", target: "/v1/status", sign: header("Gorse-Mac", strings.Repeat("00", 32))},
 		{name: "rejected_unsigned", method: "GET", target: "/v1/status", unsigned: true},
 		{name: "old_key", method: "GET", target: "/v1/status", sign: func(r *http.Request) { signWith(r, goldenKeys()[1], nil) }},
 		{name: "unknown_path", method: "GET", target: "/v1/none"},
+	}
+}
 
+// pageExchanges are the pages that need no authentication.
+func pageExchanges() []exchange {
+	return []exchange{
 		{name: "ready", method: "GET", target: "/-/ready", unsigned: true},
 		{name: "not_ready", method: "GET", target: "/-/ready", unsigned: true, servers: 3},
 		{name: "metrics", method: "GET", target: "/-/metrics", unsigned: true},
--- a/internal/membership/membership_golden_test.go
+++ b/internal/membership/membership_golden_test.go
@@ -78,12 +78,15 @@
 	checkGolden(t, "update.bin", text)
 }
 
-// The messages that a node sends of each kind, as answers and by itself.
-func TestGoldenMessagesOfANode(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		send func(m *Members) []Effect
-	}{
+// goldenSend makes a node that knows its fleet send messages.
+type goldenSend struct {
+	name string
+	send func(m *Members) []Effect
+}
+
+// goldenSends returns a case for each kind of message that a node sends.
+func goldenSends() []goldenSend {
+	return []goldenSend{
 		{"ping", func(m *Members) []Effect { return m.Tick(m.NextTick()) }},
 		{"ping-req", func(m *Members) []Effect {
 			m.Tick(m.NextTick())
@@ -117,7 +120,12 @@
 				{Name: "node-a", Start: 1700000000000001, State: uint32(Suspect), Address: "127.0.0.1:7000", By: "node-d"}}})
 			return m.Tick(m.NextTick())
 		}},
-	} {
+	}
+}
+
+// The messages that a node sends of each kind, as answers and by itself.
+func TestGoldenMessagesOfANode(t *testing.T) {
+	for _, c := range goldenSends() {
 		t.Run(c.name, func(t *testing.T) {
 			m := New(100, goldenConfig())
 			m.Receive(100, &wire.Message{Kind: wire.Message_STATE, From: "node-c", Start: 1700000000000003, Updates: []*wire.Update{
