--- a/internal/emulator/checker_test.go
+++ b/internal/emulator/checker_test.go
@@ -13,7 +13,7 @@
 	const departures = "[[fault]]\nat = 5\nkind = \"leave\"\nby = 1\nfor = 15\n" +
 		"[[fault]]\nat = 5\nkind = \"errs\"\nhost = 1\nby = 1\nfor = 15\n[[fault]]\nat = 5\nkind = \"stall\"\nhost = 2\nfor = 15\n"
 	dialTwice := func(c Core) Core {
-		return &dialingTwice{c, map[node.Conn]string{}, map[node.Conn][]byte{}}
+		return &dialingTwice{c, map[node.ConnID]string{}, map[node.ConnID][]byte{}}
 	}
 	noSlowStart := func(r *placement.Settings) { r.SlowStartTime = 0 }
 	for _, c := range []struct {
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -10,7 +10,7 @@
 // connection is one connection of a core.
 type connection struct {
 	*nodeProcess
-	id         node.Conn
+	id         node.ConnID
 	socket     *socket // nil before the connection is established and after it was sent to another process
 	readBuffer []byte  // of the read in flight; nil for none
 	host       *host   // at its far end; nil for a client
--- a/internal/emulator/faulty_cores_test.go
+++ b/internal/emulator/faulty_cores_test.go
@@ -34,7 +34,7 @@
 // correctedWriteCount gives the core the count of the write that it asked for, before one was added to it.
 type correctedWriteCount struct {
 	Core
-	conn  node.Conn
+	conn  node.ConnID
 	count int
 }
 
@@ -53,12 +53,12 @@
 // dialingTwice is a node that sends some first lines over a second connection as well.
 type dialingTwice struct {
 	Core
-	addresses map[node.Conn]string // that were dialed
-	openings  map[node.Conn][]byte // first lines of second connections
+	addresses map[node.ConnID]string // that were dialed
+	openings  map[node.ConnID][]byte // first lines of second connections
 }
 
 // secondConn is the distance of the number of a second connection from the first.
-const secondConn = node.Conn(1) << 40
+const secondConn = node.ConnID(1) << 40
 
 func (c *dialingTwice) Apply(now float64, in node.Input) []node.Effect {
 	switch in := in.(type) {
--- a/internal/emulator/faulty_watches_test.go
+++ b/internal/emulator/faulty_watches_test.go
@@ -62,7 +62,7 @@
 // dialingBeforeLists is a node that takes no list while it dials.
 type dialingBeforeLists struct {
 	Core
-	dials map[node.Conn]bool
+	dials map[node.ConnID]bool
 	lists []node.ListReceived
 }
 
--- a/internal/emulator/node_process.go
+++ b/internal/emulator/node_process.go
@@ -22,9 +22,9 @@
 	index           int // of its node
 	core            Core
 	running         bool
-	connections     map[node.Conn]*connection
-	lastConn        node.Conn // the last number given to a client's connection
-	idleAt          float64   // when its processor is done with all inputs so far
+	connections     map[node.ConnID]*connection
+	lastConn        node.ConnID // the last number given to a client's connection
+	idleAt          float64     // when its processor is done with all inputs so far
 	listCalls       listCalls
 	timerGeneration int                // of the timer that is set; older ones have no effect
 	notifiedAt      map[string]float64 // when it learned that a host drains or is removed, by the host's name
@@ -36,7 +36,7 @@
 	shuttingDown    bool               // it was asked to shut down
 	tookOver        bool               // it has taken the listener from its predecessor
 	// unboundHosts are the host connections, by client connection, of transfers that the core is about to restore.
-	unboundHosts map[node.Conn]*connection
+	unboundHosts map[node.ConnID]*connection
 	cpuSeconds   float64
 }
 
@@ -48,7 +48,7 @@
 	}
 	n.running = true
 	n.vanished = false
-	n.connections = map[node.Conn]*connection{}
+	n.connections = map[node.ConnID]*connection{}
 	n.notifiedAt = map[string]float64{}
 	n.knownStarts = map[string]float64{}
 	n.shuttingDown = false
@@ -245,7 +245,7 @@
 	for _, c := range n.connections {
 		c.endAttempt()
 	}
-	n.connections = map[node.Conn]*connection{}
+	n.connections = map[node.ConnID]*connection{}
 	n.machine.resetAll()
 }
 
--- a/internal/emulator/notification_test.go
+++ b/internal/emulator/notification_test.go
@@ -25,7 +25,7 @@
 	neverPoll := func(c Core) Core { return &neverPolling{c} }
 	pollLate := func(c Core) Core { return &pollingLate{Core: c} }
 	ignoreRelocation := func(c Core) Core { return &ignoringRelocation{c} }
-	dialBeforeLists := func(c Core) Core { return &dialingBeforeLists{Core: c, dials: map[node.Conn]bool{}} }
+	dialBeforeLists := func(c Core) Core { return &dialingBeforeLists{Core: c, dials: map[node.ConnID]bool{}} }
 	for _, c := range []struct {
 		name, rules, faults string
 		wrap                func(Core) Core
--- a/internal/emulator/upgrade.go
+++ b/internal/emulator/upgrade.go
@@ -41,10 +41,10 @@
 		lastConn:     old.lastConn,
 		idleAt:       s.Now,
 		running:      true,
-		connections:  map[node.Conn]*connection{},
+		connections:  map[node.ConnID]*connection{},
 		predecessor:  old,
 		watchState:   watchState{startedAt: s.Now, calledAt: s.Now, relocations: old.watchState.relocations},
-		unboundHosts: map[node.Conn]*connection{},
+		unboundHosts: map[node.ConnID]*connection{},
 	}
 	successor.cloneKnowledge(old)
 	start.NotListening = true
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -8,16 +8,16 @@
 )
 
 // hostAnswers returns an event in which the host takes the opening line, sends text and then does what end says.
-func hostAnswers(text string, end End) func(*testHarness, Conn) {
-	return func(harness *testHarness, host Conn) {
+func hostAnswers(text string, end End) func(*testHarness, ConnID) {
+	return func(harness *testHarness, host ConnID) {
 		harness.completeLastDial()
 		harness.receive(host, text, end)
 	}
 }
 
 // hostStaysSilent returns an event in which the host takes the opening line and sends nothing for some seconds.
-func hostStaysSilent(seconds float64) func(*testHarness, Conn) {
-	return func(harness *testHarness, _ Conn) {
+func hostStaysSilent(seconds float64) func(*testHarness, ConnID) {
+	return func(harness *testHarness, _ ConnID) {
 		harness.completeLastDial()
 		harness.advance(seconds)
 	}
@@ -26,7 +26,7 @@
 // attemptOutcomes are the ways in which an attempt of a non-idempotent flow can end.
 var attemptOutcomes = []struct {
 	name    string
-	event   func(harness *testHarness, host Conn)
+	event   func(harness *testHarness, host ConnID)
 	retried bool   // it never ran, so another host is tried
 	reply   string // what the client is sent; "BUSY " stands for any text that begins so
 }{
@@ -40,19 +40,19 @@
 	{"binary", hostAnswers("\x00\xff\r\n", Open), false, "ERR\r\n"},
 	{"line too long", hostAnswers(strings.Repeat("x", 5000), Open), false, "ERR\r\n"},
 	{"refused", failDial, true, ""},
-	{"the node itself lacks a descriptor", func(harness *testHarness, host Conn) {
+	{"the node itself lacks a descriptor", func(harness *testHarness, host ConnID) {
 		harness.connectionState[host] = "failed"
 		harness.apply(Dialed{host, errors.New("too many"), true})
 		if harness.node.balancer.Release(0) {
 			harness.Fatal("the flow is over")
 		}
 	}, true, ""},
-	{"never comes up", func(harness *testHarness, host Conn) {
+	{"never comes up", func(harness *testHarness, host ConnID) {
 		harness.advance(0.3)
 		harness.apply(TimerFired{})
 		failDial(harness, host)
 	}, true, ""},
-	{"broken before the last byte", func(harness *testHarness, host Conn) {
+	{"broken before the last byte", func(harness *testHarness, host ConnID) {
 		harness.blocked[host] = true
 		harness.completeLastDial()
 		harness.apply(WriteDone{host, 7, true})
@@ -62,7 +62,7 @@
 	{"ended after the last byte", hostAnswers("", Ended), false, "ERR\r\n"},
 	{"half an answer", hostAnswers("UP 9", Ended), false, "ERR\r\n"},
 	{"nothing", hostStaysSilent(2), false, "ERR\r\n"},
-	{"a byte at a time that never ends", func(harness *testHarness, host Conn) {
+	{"a byte at a time that never ends", func(harness *testHarness, host ConnID) {
 		harness.completeLastDial()
 		for range 25 {
 			harness.advance(0.1)
@@ -71,7 +71,7 @@
 			}
 		}
 	}, false, "ERR\r\n"},
-	{"nothing, and not even the line was taken", func(harness *testHarness, host Conn) {
+	{"nothing, and not even the line was taken", func(harness *testHarness, host ConnID) {
 		harness.blocked[host] = true
 		harness.completeLastDial()
 		harness.advance(1.995)
@@ -145,7 +145,7 @@
 func TestRestoredFlowStaysAtItsHost(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		event  func(harness *testHarness, host Conn)
+		event  func(harness *testHarness, host ConnID)
 		reply  string
 		reason Reason // none for a flow that is restored
 	}{
@@ -181,10 +181,10 @@
 func TestClientGoneEndsItsAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		before func(harness *testHarness, host Conn)
+		before func(harness *testHarness, host ConnID)
 	}{
-		{"while it is dialed", func(*testHarness, Conn) {}},
-		{"while the host is silent", func(harness *testHarness, host Conn) { harness.completeDial(host) }},
+		{"while it is dialed", func(*testHarness, ConnID) {}},
+		{"while the host is silent", func(harness *testHarness, host ConnID) { harness.completeDial(host) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 100)
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -23,7 +23,7 @@
 
 // connection is one connection with the buffer of what was read from it.
 type connection struct {
-	id        Conn
+	id        ConnID
 	role      role
 	flow      *flow // nil for a health check and for a client before its opening line
 	hostIndex int   // the host that it was dialed to
@@ -100,7 +100,7 @@
 }
 
 // accepted takes a client's new connection.
-func (n *Node) accepted(id Conn) {
+func (n *Node) accepted(id ConnID) {
 	c := n.connections.add(id, clientRole, n.now)
 	c.connected = true
 	n.admit(c)
@@ -113,7 +113,7 @@
 
 // dial opens a connection to a host that is to be sent output first. client is the client's connection that it is for,
 // 0 for none. The deadline of timeout seconds holds for the first answer, while the dial itself may have less.
-func (n *Node) dial(as role, host int, output []byte, timeout float64, client Conn) *connection {
+func (n *Node) dial(as role, host int, output []byte, timeout float64, client ConnID) *connection {
 	c := n.connections.addDialed(as, n.now)
 	c.hostIndex = host
 	c.ownOutput = output
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -9,7 +9,7 @@
 // connectionEnd is a way in which an established connection ends.
 type connectionEnd struct {
 	name        string
-	event       func(harness *testHarness, client, host Conn)
+	event       func(harness *testHarness, client, host ConnID)
 	toClient    string // what the client gets after the receipt
 	toHost      string // what the host gets after the opening line
 	clientState string // how each side's connection ends
@@ -20,31 +20,31 @@
 var longLine = strings.Repeat("z", 4000) + "\r\n"
 
 var hostEnds = []connectionEnd{
-	{"served", func(harness *testHarness, client, host Conn) {
+	{"served", func(harness *testHarness, client, host ConnID) {
 		harness.receive(client, "M 1\r\n", Open)
 		harness.receive(host, "M 1\r\nBYE\r\n", Ended)
 	}, "M 1\r\nBYE\r\n", "M 1\r\n", "write closed", "closed", Served},
-	{"migrated by its host", func(harness *testHarness, _, host Conn) {
+	{"migrated by its host", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, "MOVE\r\n", Ended)
 	}, "MOVE\r\n", "", "write closed", "closed", MigratedByHost},
-	{"host resets", func(harness *testHarness, _, host Conn) {
+	{"host resets", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, "M 2\r\nM", Broken)
 	}, "M 2\r\n", "", "reset", "closed", HostReset},
-	{"host ends without announcing it", func(harness *testHarness, _, host Conn) {
+	{"host ends without announcing it", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, "", Ended)
 	}, "", "", "write closed", "closed", HostEnded},
-	{"host announces its end but stays", func(harness *testHarness, _, host Conn) {
+	{"host announces its end but stays", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, "BYE\r\n", Open)
 		harness.advance(1.01)
 	}, "BYE\r\n", "", "write closed", "closed", Served},
-	{"line too long from the host", func(harness *testHarness, _, host Conn) {
+	{"line too long from the host", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, strings.Repeat("q", 4097), Open)
 	}, "", "", "write closed", "reset", HostProtocolError},
-	{"host is silent while a line waits", func(harness *testHarness, client, _ Conn) {
+	{"host is silent while a line waits", func(harness *testHarness, client, _ ConnID) {
 		harness.receive(client, "M 1\r\n", Open)
 		harness.advance(suspectAfter + confirmTimeout + 0.1)
 	}, "MOVE\r\n", "M 1\r\n", "write closed", "closed", HostSilent},
-	{"host is silent in the midst of a line", func(harness *testHarness, client, host Conn) {
+	{"host is silent in the midst of a line", func(harness *testHarness, client, host ConnID) {
 		harness.receive(client, "M 1\r\n", Open)
 		harness.advance(0.1)
 		harness.receive(host, "M", Open)
@@ -53,7 +53,7 @@
 }
 
 var clientEnds = []connectionEnd{
-	{"client ends, host answers", func(harness *testHarness, client, host Conn) {
+	{"client ends, host answers", func(harness *testHarness, client, host ConnID) {
 		harness.receive(client, "M 1\r\n", Ended)
 		if harness.connectionState[host] != "write closed" {
 			harness.Fatalf("the host's side is %q", harness.connectionState[host])
@@ -61,17 +61,17 @@
 		harness.receive(host, "M 1\r\n", Open)
 		harness.receive(host, "BYE\r\n", Ended)
 	}, "M 1\r\nBYE\r\n", "M 1\r\n", "closed", "closed", ClientEnded},
-	{"client ends, host does not", func(harness *testHarness, client, _ Conn) {
+	{"client ends, host does not", func(harness *testHarness, client, _ ConnID) {
 		harness.receive(client, "", Ended)
 		harness.advance(hostEndTimeout + 0.1)
 	}, "", "", "closed", "closed", ClientEnded},
-	{"client resets", func(harness *testHarness, client, _ Conn) {
+	{"client resets", func(harness *testHarness, client, _ ConnID) {
 		harness.receive(client, "", Broken)
 	}, "", "", "closed", "reset", ClientReset},
-	{"line too long from the client", func(harness *testHarness, client, _ Conn) {
+	{"line too long from the client", func(harness *testHarness, client, _ ConnID) {
 		harness.receive(client, strings.Repeat("q", 4097), Open)
 	}, "", "", "write closed", "reset", ClientProtocolError},
-	{"writes to the client fail", func(harness *testHarness, client, host Conn) {
+	{"writes to the client fail", func(harness *testHarness, client, host ConnID) {
 		harness.blocked[client] = true
 		harness.receive(host, "M 1\r\n", Open)
 		harness.apply(WriteDone{client, 0, true})
@@ -80,13 +80,13 @@
 }
 
 var forwardedBeforeEnd = []connectionEnd{
-	{"joined and partial lines", func(harness *testHarness, client, host Conn) {
+	{"joined and partial lines", func(harness *testHarness, client, host ConnID) {
 		harness.receive(client, "A\r\nB\r\nC", Open)
 		harness.receive(client, "D\r\n", Open)
 		harness.receive(host, "LOAD 5\r\nX", Open)
 		harness.receive(host, "Y\r\nBYE\r\n", Ended)
 	}, "LOAD 5\r\nXY\r\nBYE\r\n", "A\r\nB\r\nCD\r\n", "write closed", "closed", Served},
-	{"more than a buffer holds", func(harness *testHarness, client, host Conn) {
+	{"more than a buffer holds", func(harness *testHarness, client, host ConnID) {
 		for range 5 {
 			harness.receive(client, longLine, Open)
 			harness.receive(host, longLine, Open)
--- a/internal/node/connection_io_test.go
+++ b/internal/node/connection_io_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // readAll answers the reads of a connection with lines until the node reads no more, and returns how many bytes it got.
-func readAll(harness *testHarness, conn Conn) int {
+func readAll(harness *testHarness, conn ConnID) int {
 	harness.Helper()
 	taken := 0
 	for harness.pendingReads[conn] != nil && taken <= 1<<20 {
--- a/internal/node/connection_table.go
+++ b/internal/node/connection_table.go
@@ -8,10 +8,10 @@
 // A descriptor is taken from the time when a connection is accepted or dialed until Closed confirms its close, so
 // closing <= descriptors always, and a connection that is being closed no longer stands in byID.
 type connectionTable struct {
-	byID        map[Conn]*connection
-	lastDialed  Conn // the highest number of a dialed connection; these are even
-	descriptors int  // taken by connections
-	closing     int  // of these, how many are being closed
+	byID        map[ConnID]*connection
+	lastDialed  ConnID // the highest number of a dialed connection; these are even
+	descriptors int    // taken by connections
+	closing     int    // of these, how many are being closed
 
 	limit           int // descriptors that may be used now
 	configuredLimit int // the limit while no successor has the clients
@@ -20,11 +20,11 @@
 
 // newConnectionTable returns an empty table with a limit of descriptors.
 func newConnectionTable(limit int) connectionTable {
-	return connectionTable{byID: map[Conn]*connection{}, limit: limit, configuredLimit: limit}
+	return connectionTable{byID: map[ConnID]*connection{}, limit: limit, configuredLimit: limit}
 }
 
 // add takes a descriptor for a new connection.
-func (t *connectionTable) add(id Conn, as role, now float64) *connection {
+func (t *connectionTable) add(id ConnID, as role, now float64) *connection {
 	c := &connection{id: id, role: as, startedAt: now}
 	t.byID[id] = c
 	t.descriptors++
@@ -56,7 +56,7 @@
 }
 
 // with calls handle with the connection of that number, if it is open.
-func (t *connectionTable) with(id Conn, handle func(*connection)) {
+func (t *connectionTable) with(id ConnID, handle func(*connection)) {
 	if c := t.byID[id]; c != nil {
 		handle(c)
 	}
--- a/internal/node/deadlines.go
+++ b/internal/node/deadlines.go
@@ -14,7 +14,7 @@
 // moved on.
 type deadline struct {
 	time       float64
-	connection Conn
+	connection ConnID
 	version    uint64
 }
 
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -11,28 +11,28 @@
 	// Dial opens a connection within Timeout seconds, answered by Dialed. For is the client's connection that it is for,
 	// 0 for none: where that client is seen to have gone, nothing is dialed, and ClientGone says so.
 	Dial struct {
-		Conn    Conn
+		Conn    ConnID
 		Address string
 		Timeout float64
-		For     Conn
+		For     ConnID
 	}
 	// Read fills some of Into, answered by ReadDone.
 	Read struct {
-		Conn Conn
+		Conn ConnID
 		Into []byte
 	}
 	// StopReading ends the Read under way with what it has, if anything; ReadDone answers it.
-	StopReading struct{ Conn Conn }
+	StopReading struct{ Conn ConnID }
 	// Write sends all of Data, answered by WriteDone.
 	Write struct {
-		Conn Conn
+		Conn ConnID
 		Data []byte
 	}
 	// CloseWrite ends the sending on a connection.
-	CloseWrite struct{ Conn Conn }
+	CloseWrite struct{ Conn ConnID }
 	// Close closes a connection, answered by Closed; Reset breaks it off.
 	Close struct {
-		Conn  Conn
+		Conn  ConnID
 		Reset bool
 	}
 )
@@ -89,11 +89,11 @@
 	UpdatePeerProcess struct{ Update HandoverUpdate }
 	// SendConnection sends a client's connection and its host's to the successor, answered by ConnectionSent.
 	SendConnection struct {
-		Conn, Host Conn
+		Conn, Host ConnID
 		Transfer   *ConnectionTransfer
 	}
 	// BindHostConnection gives the host's connection that was received with a client's its number.
-	BindHostConnection struct{ Conn, Client Conn }
+	BindHostConnection struct{ Conn, Client ConnID }
 )
 
 func (Dial) effect()               {}
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -135,7 +135,7 @@
 }
 
 // openFlowTo opens flows until one is dialed to an address, and returns its client and the dial. The others are ended.
-func openFlowTo(harness *testHarness, address, serviceType string) (client, dial Conn) {
+func openFlowTo(harness *testHarness, address, serviceType string) (client, dial ConnID) {
 	harness.Helper()
 	for key := 1; ; key++ {
 		client = harness.openFlow(fmt.Sprintf("%x c=%s,t=acme,d=2000", key, serviceType))
--- a/internal/node/flow_ids_test.go
+++ b/internal/node/flow_ids_test.go
@@ -10,7 +10,7 @@
 // The id of a flow goes to no host under another client key, whether the flow is open or has ended.
 func TestDuplicateFlowIDIsRejected(t *testing.T) {
 	harness := newHarness(t, "pass", 3, 100)
-	send := func(text string) Conn {
+	send := func(text string) ConnID {
 		client := harness.accept()
 		harness.receive(client, text+"\r\n", Open)
 		return client
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 // isReadFrom reports whether a connection is open and its far side may send something.
-func (harness *testHarness) isReadFrom(conn Conn) bool {
+func (harness *testHarness) isReadFrom(conn ConnID) bool {
 	return harness.pendingReads[conn] != nil && harness.node.connections.byID[conn] != nil
 }
 
 // receiveInHalves has a host send text in ever smaller parts, each half of the rest, and do what end says after each.
-func receiveInHalves(harness *testHarness, host Conn, text string, end End) {
+func receiveInHalves(harness *testHarness, host ConnID, text string, end End) {
 	harness.Helper()
 	for rest := text; harness.isReadFrom(host); {
 		half := len(rest)/2 + len(rest)%2
--- a/internal/node/handover_harness_test.go
+++ b/internal/node/handover_harness_test.go
@@ -55,9 +55,9 @@
 
 // deliverTransfers brings the transfers and updates that a process has sent to the other, or has the transfers fail
 // where they are lost. It returns the number that each connection has at the other process.
-func (harness *testHarness) deliverTransfers(other *testHarness, lost bool) map[Conn]Conn {
+func (harness *testHarness) deliverTransfers(other *testHarness, lost bool) map[ConnID]ConnID {
 	harness.Helper()
-	numbers := map[Conn]Conn{}
+	numbers := map[ConnID]ConnID{}
 	for ; len(harness.transfers) > 0; harness.transfers = harness.transfers[1:] {
 		sent := harness.transfers[0]
 		if harness.pendingReads[sent.Conn] != nil || harness.pendingReads[sent.Host] != nil {
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -12,7 +12,7 @@
 
 // handOverWithBlockedClient starts a predecessor and a successor that has taken its clients. The connection of client is
 // blocked, so it stays at the predecessor. One of three hosts is disabled.
-func handOverWithBlockedClient(t *testing.T) (predecessor, successor *testHarness, client Conn) {
+func handOverWithBlockedClient(t *testing.T) (predecessor, successor *testHarness, client ConnID) {
 	t.Helper()
 	predecessor = newHarness(t, "pass", 3, 100)
 	client, host := predecessor.establish("a1 c=chat,t=acme,d=2000")
@@ -26,12 +26,12 @@
 }
 
 // openingOf returns the beginning of an opening line with the id of a client's flow.
-func openingOf(client Conn) string { return fmt.Sprintf("OPEN %x ", 0x1000+client) }
+func openingOf(client ConnID) string { return fmt.Sprintf("OPEN %x ", 0x1000+client) }
 
 // oneNodeCases are what two processes that are one node know of each other.
 var oneNodeCases = []struct {
 	name  string
-	check func(t *testing.T, predecessor, successor *testHarness, client Conn)
+	check func(t *testing.T, predecessor, successor *testHarness, client ConnID)
 }{
 	{"ready at once, from the predecessor's list", checkReadyFromPredecessorsList},
 	{"disabled hosts stay disabled", checkDisabledHostsStayDisabled},
@@ -46,7 +46,7 @@
 	{"a successor that is gone gives the clients back", checkSuccessorGone},
 }
 
-func checkReadyFromPredecessorsList(t *testing.T, _, successor *testHarness, _ Conn) {
+func checkReadyFromPredecessorsList(t *testing.T, _, successor *testHarness, _ ConnID) {
 	ready := successor.query(IsReady, "").OK
 	watches := successor.watchIndices
 	if !ready || successor.listenerRequests != 1 || len(watches) > 1 || len(watches) == 1 && watches[0] != 6 {
@@ -54,13 +54,13 @@
 	}
 }
 
-func checkDisabledHostsStayDisabled(t *testing.T, _, successor *testHarness, _ Conn) {
+func checkDisabledHostsStayDisabled(t *testing.T, _, successor *testHarness, _ ConnID) {
 	if f := successor.query(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 1 {
 		t.Errorf("%d listed, %d unavailable", f.Listed, f.Unavailable)
 	}
 }
 
-func checkQueryReachesPredecessor(t *testing.T, predecessor, successor *testHarness, _ Conn) {
+func checkQueryReachesPredecessor(t *testing.T, predecessor, successor *testHarness, _ ConnID) {
 	successor.query(EnableHost, "s-00000066")
 	successor.query(DisableHost, "s-00000065")
 	successor.deliverTransfers(predecessor, false)
@@ -69,7 +69,7 @@
 	}
 }
 
-func checkQueryReachesSuccessor(t *testing.T, predecessor, successor *testHarness, _ Conn) {
+func checkQueryReachesSuccessor(t *testing.T, predecessor, successor *testHarness, _ ConnID) {
 	predecessor.query(DisableHost, "s-00000065")
 	predecessor.deliverTransfers(successor, false)
 	successor.deliverTransfers(predecessor, false)
@@ -81,7 +81,7 @@
 	}
 }
 
-func checkInheritedIDIsRefused(t *testing.T, _, successor *testHarness, client Conn) {
+func checkInheritedIDIsRefused(t *testing.T, _, successor *testHarness, client ConnID) {
 	other := successor.accept()
 	successor.receive(other, openingOf(client)+"b2 c=chat,d=900\r\n", Open)
 	if successor.written[other] != "BUSY\r\n" {
@@ -89,7 +89,7 @@
 	}
 }
 
-func checkPacketsFindTheirHost(t *testing.T, predecessor, successor *testHarness, client Conn) {
+func checkPacketsFindTheirHost(t *testing.T, predecessor, successor *testHarness, client ConnID) {
 	want := predecessor.dialedAddress[predecessor.flowDials[0]]
 	for attempt := range 2 {
 		successor.receive(successor.accept(), openingOf(client)+"a1 c=chat,t=acme,d=900,mid=1\r\n", Open)
@@ -102,7 +102,7 @@
 	}
 }
 
-func checkReservedDescriptors(t *testing.T, predecessor, successor *testHarness, _ Conn) {
+func checkReservedDescriptors(t *testing.T, predecessor, successor *testHarness, _ ConnID) {
 	used := predecessor.node.connections.used()
 	if successor.node.connections.reserved != used+20+inFlightReserve || used < 2 {
 		t.Errorf("%d reserved, %d used", successor.node.connections.reserved, used)
@@ -113,7 +113,7 @@
 	}
 }
 
-func checkInheritedExpires(t *testing.T, _, successor *testHarness, _ Conn) {
+func checkInheritedExpires(t *testing.T, _, successor *testHarness, _ ConnID) {
 	successor.apply(PredecessorGone{})
 	successor.advance(inheritedTimeout / 2)
 	if len(successor.node.flows.ids.inherited) != 1 {
@@ -125,7 +125,7 @@
 	}
 }
 
-func checkEndAtPredecessor(t *testing.T, predecessor, successor *testHarness, client Conn) {
+func checkEndAtPredecessor(t *testing.T, predecessor, successor *testHarness, client ConnID) {
 	predecessor.advance(1) // a blocked connection is not waited for
 	predecessor.receive(client, "", Broken)
 	predecessor.deliverTransfers(successor, false)
@@ -139,7 +139,7 @@
 	}
 }
 
-func checkThirdProcess(t *testing.T, _, successor *testHarness, client Conn) {
+func checkThirdProcess(t *testing.T, _, successor *testHarness, client ConnID) {
 	successor.query(DisableHost, "s-00000064")
 	third := successor.startSuccessor("pass")
 	successor.handOverTo(third)
@@ -150,7 +150,7 @@
 	}
 }
 
-func checkSuccessorGone(t *testing.T, predecessor, _ *testHarness, _ Conn) {
+func checkSuccessorGone(t *testing.T, predecessor, _ *testHarness, _ ConnID) {
 	predecessor.apply(SuccessorGone{})
 	if predecessor.node.connections.limit != 100 || predecessor.node.upgrade.clientsHandedOver {
 		t.Errorf("limit %d, clients handed over %v", predecessor.node.connections.limit,
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -30,15 +30,15 @@
 	node *Node
 	now  float64
 
-	lastAccepted    Conn
-	connectionState map[Conn]string // dialed, failed, write closed, closed or reset; empty for open
-	pendingReads    map[Conn][]byte
-	written         map[Conn]string // all that was written
-	blocked         map[Conn]bool   // writes to these are not taken
-	blockedWrites   []WriteDone     // what such a write would have been answered with
-	flowDials       []Conn
-	healthChecks    []Conn
-	dialedAddress   map[Conn]string
+	lastAccepted    ConnID
+	connectionState map[ConnID]string // dialed, failed, write closed, closed or reset; empty for open
+	pendingReads    map[ConnID][]byte
+	written         map[ConnID]string // all that was written
+	blocked         map[ConnID]bool   // writes to these are not taken
+	blockedWrites   []WriteDone       // what such a write would have been answered with
+	flowDials       []ConnID
+	healthChecks    []ConnID
+	dialedAddress   map[ConnID]string
 	records         []Record
 
 	watchSilent     bool    // advance does not have the watch send anything
@@ -74,11 +74,11 @@
 		T:               t,
 		now:             1e9,
 		lastAccepted:    1,
-		connectionState: map[Conn]string{},
-		pendingReads:    map[Conn][]byte{},
-		written:         map[Conn]string{},
-		blocked:         map[Conn]bool{},
-		dialedAddress:   map[Conn]string{},
+		connectionState: map[ConnID]string{},
+		pendingReads:    map[ConnID][]byte{},
+		written:         map[ConnID]string{},
+		blocked:         map[ConnID]bool{},
+		dialedAddress:   map[ConnID]string{},
 	}
 	harness.node = New(harness.now, Start{
 		Settings:       balancer,
@@ -229,7 +229,7 @@
 
 // receive has the far side of a connection send text, in as many reads as the buffer needs, and then do what end says.
 // A connection that the node ends meanwhile gets no more of it.
-func (harness *testHarness) receive(conn Conn, text string, end End) {
+func (harness *testHarness) receive(conn ConnID, text string, end End) {
 	harness.Helper()
 	for first := true; first || text != ""; first = false {
 		into := harness.pendingReads[conn]
@@ -252,7 +252,7 @@
 }
 
 // accept has a client connect.
-func (harness *testHarness) accept() Conn {
+func (harness *testHarness) accept() ConnID {
 	harness.Helper()
 	harness.lastAccepted += 2
 	harness.apply(Accepted{harness.lastAccepted})
@@ -260,7 +260,7 @@
 }
 
 // openFlow has a client connect and send its opening line.
-func (harness *testHarness) openFlow(request string) Conn {
+func (harness *testHarness) openFlow(request string) ConnID {
 	harness.Helper()
 	client := harness.accept()
 	harness.receive(client, fmt.Sprintf("OPEN %x %s\r\n", 0x1000+client, request), Open)
@@ -268,7 +268,7 @@
 }
 
 // establish has a client open a flow and its host confirm it.
-func (harness *testHarness) establish(request string) (client, host Conn) {
+func (harness *testHarness) establish(request string) (client, host ConnID) {
 	harness.Helper()
 	client = harness.openFlow(request)
 	host = harness.completeLastDial()
@@ -280,7 +280,7 @@
 }
 
 // completeLastDial has the last dial for a flow succeed and returns its connection.
-func (harness *testHarness) completeLastDial() Conn {
+func (harness *testHarness) completeLastDial() ConnID {
 	harness.Helper()
 	if len(harness.flowDials) == 0 {
 		harness.Fatal("nothing was dialed")
@@ -289,7 +289,7 @@
 }
 
 // completeDial has a dial succeed.
-func (harness *testHarness) completeDial(conn Conn) Conn {
+func (harness *testHarness) completeDial(conn ConnID) ConnID {
 	harness.Helper()
 	harness.connectionState[conn] = ""
 	harness.apply(Dialed{conn, nil, false})
@@ -297,7 +297,7 @@
 }
 
 // failDial has a dial fail.
-func failDial(harness *testHarness, conn Conn) {
+func failDial(harness *testHarness, conn ConnID) {
 	harness.Helper()
 	harness.connectionState[conn] = "failed"
 	harness.apply(Dialed{conn, errors.New("refused"), false})
--- a/internal/node/host_lines_test.go
+++ b/internal/node/host_lines_test.go
@@ -43,7 +43,7 @@
 // The balancer migrates some flows off a slow host, and their clients are notified between two whole lines.
 func TestSlowHostLosesSomeFlows(t *testing.T) {
 	harness := newHarness(t, "proxy", 1, 1000)
-	var clients, hosts []Conn
+	var clients, hosts []ConnID
 	for key := range 6 {
 		client, host := harness.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", key+1))
 		clients = append(clients, client)
--- a/internal/node/host_overrides_test.go
+++ b/internal/node/host_overrides_test.go
@@ -13,8 +13,8 @@
 type disabledHost struct {
 	*testHarness
 	address string
-	client  Conn    // of the established flow
-	dial    Conn    // that is still under way
+	client  ConnID  // of the established flow
+	dial    ConnID  // that is still under way
 	until   float64 // Unix time
 }
 
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -11,8 +11,8 @@
 
 // idleQueue holds the clients' connections that ask for nothing: before their opening line, or after their end.
 type idleQueue struct {
-	queue []Conn // oldest first, with some that are no longer idle
-	count int    // of those that are
+	queue []ConnID // oldest first, with some that are no longer idle
+	count int      // of those that are
 }
 
 // add counts a client's connection among the idle ones, once.
--- a/internal/node/idle_test.go
+++ b/internal/node/idle_test.go
@@ -10,7 +10,7 @@
 // An idle client that has to make room is rejected, so that what it asks for in just that moment is not lost.
 func TestIdleClientIsRejectedBeforeItMakesRoom(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 60)
-	var idle []Conn
+	var idle []ConnID
 	for range 60 {
 		harness.now += 0.11
 		idle = append(idle, harness.accept())
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -6,9 +6,9 @@
 	"gorseledge/internal/peers"
 )
 
-// Conn names a connection. Its owner numbers accepted connections with odd numbers, the node those it dials with even
-// ones. Zero names none.
-type Conn uint64
+// ConnID identifies a connection. The owner of the core numbers accepted connections with odd numbers, and the core numbers
+// the connections that it dials with even ones. Zero stands for no connection.
+type ConnID uint64
 
 // End says what the far side of a connection did to its sending.
 type End uint8
@@ -26,30 +26,30 @@
 // Inputs about connections. ReadDone, WriteDone and Dialed for a connection that the node has closed are ignored.
 type (
 	// Accepted is a client's new connection.
-	Accepted struct{ Conn Conn }
+	Accepted struct{ Conn ConnID }
 	// Dialed is the result of a Dial. LocalFailure says that the node itself lacked something, which is no sign against
 	// the host.
 	Dialed struct {
-		Conn         Conn
+		Conn         ConnID
 		Err          error
 		LocalFailure bool
 	}
 	// ReadDone is the result of a Read: Count bytes stand in its buffer, and End came after them.
 	ReadDone struct {
-		Conn  Conn
+		Conn  ConnID
 		Count int
 		End   End
 	}
 	// WriteDone is the result of a Write: Count bytes were taken by the system.
 	WriteDone struct {
-		Conn   Conn
+		Conn   ConnID
 		Count  int
 		Failed bool
 	}
 	// ClientGone says that a client has ended its sending, or broke its connection, behind what is read of it so far.
-	ClientGone struct{ Conn Conn }
+	ClientGone struct{ Conn ConnID }
 	// Closed confirms a Close: the connection's descriptor is free again.
-	Closed struct{ Conn Conn }
+	Closed struct{ Conn ConnID }
 )
 
 // Inputs from discovery.
@@ -96,12 +96,12 @@
 	// ConnectionReceived is an open connection of the predecessor's, under the number of an accepted one. The number of
 	// its host's connection follows by BindHostConnection.
 	ConnectionReceived struct {
-		Conn     Conn
+		Conn     ConnID
 		Transfer *ConnectionTransfer
 	}
 	// ConnectionSent is the result of a SendConnection.
 	ConnectionSent struct {
-		Conn Conn
+		Conn ConnID
 		OK   bool
 	}
 	// SuccessorGone says that the successor has ended.
--- a/internal/node/live_settings_test.go
+++ b/internal/node/live_settings_test.go
@@ -214,7 +214,7 @@
 // A limit of descriptors below those in use ends no connection that is established.
 func TestFewerDescriptorsEndNoConnection(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 200)
-	var clients, hosts []Conn
+	var clients, hosts []ConnID
 	for range 30 {
 		client, host := harness.establish(chatRequest)
 		clients = append(clients, client)
--- a/internal/node/random_inputs_test.go
+++ b/internal/node/random_inputs_test.go
@@ -9,7 +9,7 @@
 type randomInputs struct {
 	*testHarness
 	chance         *rand.Rand
-	clients, hosts []Conn
+	clients, hosts []ConnID
 }
 
 // applyRandomInputs applies a random sequence of inputs and checks the figures after each.
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -9,9 +9,9 @@
 // shuttingDown is a node that was asked to shut down while one flow was established and another waited for its answer.
 type shuttingDown struct {
 	*testHarness
-	established Conn
-	waiting     Conn // its answer came after the shutdown began
-	late        Conn // it came after the shutdown began
+	established ConnID
+	waiting     ConnID // its answer came after the shutdown began
+	late        ConnID // it came after the shutdown began
 }
 
 func beginShutdown(t *testing.T, mode string) shuttingDown {
--- a/internal/node/silent_host_test.go
+++ b/internal/node/silent_host_test.go
@@ -11,12 +11,12 @@
 // host has sent nothing.
 type silenceCase struct {
 	name    string
-	event   func(harness *testHarness, host, otherClient, otherHost Conn)
+	event   func(harness *testHarness, host, otherClient, otherHost ConnID)
 	reasons []Reason // of the clients that are migrated, the one that waits first
 }
 
 var silenceCases = []silenceCase{
-	{"the host answers a health check", func(harness *testHarness, _, _, _ Conn) {
+	{"the host answers a health check", func(harness *testHarness, _, _, _ ConnID) {
 		for end := harness.now + 1; harness.now < end; harness.advance(0.01) {
 			for _, check := range harness.healthChecks {
 				if harness.connectionState[check] == "dialed" {
@@ -25,16 +25,16 @@
 			}
 		}
 	}, nil},
-	{"the host is gone", func(harness *testHarness, _, _, _ Conn) {
+	{"the host is gone", func(harness *testHarness, _, _, _ ConnID) {
 		harness.advance(1)
 	}, []Reason{HostSilent, HostSilent}},
-	{"the node was held up", func(harness *testHarness, host, _, _ Conn) {
+	{"the node was held up", func(harness *testHarness, host, _, _ ConnID) {
 		harness.now += 2
 		harness.apply(TimerFired{})
 		harness.receive(host, "LOAD 9\r\n", Open)
 		harness.advance(0.2)
 	}, nil},
-	{"one line waits", func(harness *testHarness, _, otherClient, otherHost Conn) {
+	{"one line waits", func(harness *testHarness, _, otherClient, otherHost ConnID) {
 		for end := harness.now + connectionSilentAfter; harness.now < end; harness.advance(suspectAfter - 0.1) {
 			if len(harness.records) > 0 {
 				harness.Fatalf("ended too soon: %v", harness.endReasons())
@@ -57,7 +57,7 @@
 			harness.advance(0.1)
 			harness.receive(client, "M\r\n", Open)
 			c.event(harness, host, otherClient, otherHost)
-			for i, conn := range []Conn{client, otherClient} {
+			for i, conn := range []ConnID{client, otherClient} {
 				migrated := strings.HasSuffix(harness.written[conn], "MOVE\r\n")
 				if migrated != (i < len(c.reasons)) {
 					t.Errorf("sent %q", harness.written[conn])
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -133,7 +133,7 @@
 
 // adoptConnection goes on with an open connection of the predecessor's. One that the settings of this version do not
 // allow is closed.
-func (n *Node) adoptConnection(id Conn, transfer *ConnectionTransfer) {
+func (n *Node) adoptConnection(id ConnID, transfer *ConnectionTransfer) {
 	client := n.connections.add(id, clientRole, n.now)
 	client.connected = true
 	client.receivedInput = true
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -59,22 +59,22 @@
 func TestConnectionThatCannotGoOverStays(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		event func(predecessor *testHarness, client, host Conn)
+		event func(predecessor *testHarness, client, host ConnID)
 		lost  bool
 		stays bool
 	}{
-		{"not sent", func(*testHarness, Conn, Conn) {}, true, true},
-		{"its client has ended", func(predecessor *testHarness, client, _ Conn) {
+		{"not sent", func(*testHarness, ConnID, ConnID) {}, true, true},
+		{"its client has ended", func(predecessor *testHarness, client, _ ConnID) {
 			predecessor.receive(client, "", Ended)
 		}, false, true},
-		{"its host has announced its end", func(predecessor *testHarness, _, host Conn) {
+		{"its host has announced its end", func(predecessor *testHarness, _, host ConnID) {
 			predecessor.receive(host, "BYE\r\n", Open)
 		}, false, true},
-		{"its client is blocked", func(predecessor *testHarness, client, host Conn) {
+		{"its client is blocked", func(predecessor *testHarness, client, host ConnID) {
 			predecessor.blocked[client] = true
 			predecessor.receive(host, "M 1\r\n", Open)
 		}, false, true},
-		{"nothing in the way", func(*testHarness, Conn, Conn) {}, false, false},
+		{"nothing in the way", func(*testHarness, ConnID, ConnID) {}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			predecessor := newHarness(t, "pass", 1, 100)
@@ -96,7 +96,7 @@
 
 // checkGoesOnAtPredecessor checks that a predecessor whose successor is gone places flows again and forwards what
 // comes on a connection that stayed.
-func checkGoesOnAtPredecessor(t *testing.T, predecessor *testHarness, client, host Conn) {
+func checkGoesOnAtPredecessor(t *testing.T, predecessor *testHarness, client, host ConnID) {
 	t.Helper()
 	predecessor.apply(SuccessorGone{})
 	before := len(predecessor.flowDials)
@@ -105,7 +105,7 @@
 		t.Errorf("the predecessor places no flow")
 	}
 	predecessor.receive(predecessor.completeLastDial(), "UP 2\r\n", Open)
-	predecessor.blocked = map[Conn]bool{}
+	predecessor.blocked = map[ConnID]bool{}
 	for _, done := range predecessor.blockedWrites {
 		predecessor.written[done.Conn] += "M 1\r\n"
 		predecessor.apply(done)
--- a/internal/sockets/connection.go
+++ b/internal/sockets/connection.go
@@ -43,7 +43,7 @@
 }
 
 // addConnection starts the goroutines of a connection that is up. Its descriptor is free once both are done.
-func (s *server) addConnection(conn node.Conn, socket *net.TCPConn) {
+func (s *server) addConnection(conn node.ConnID, socket *net.TCPConn) {
 	c := &connection{socket: socket, reads: make(chan []byte, 1), writes: make(chan partialWrite, 1)}
 	c.raw, _ = socket.SyscallConn() // fails only for no socket at all
 	s.connections[conn] = c
@@ -178,7 +178,7 @@
 }
 
 // dialed takes the result of a dial; socket is nil if err is not.
-func (s *server) dialed(conn node.Conn, socket *net.TCPConn, err error) node.Input {
+func (s *server) dialed(conn node.ConnID, socket *net.TCPConn, err error) node.Input {
 	if s.connections[conn] == nil { // closed meanwhile
 		if socket != nil {
 			socket.Close()
--- a/internal/sockets/effects.go
+++ b/internal/sockets/effects.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func (s *server) closeWrite(conn node.Conn) {
+func (s *server) closeWrite(conn node.ConnID) {
 	if err := s.connections[conn].socket.CloseWrite(); err != nil {
 		s.log.Debug().Err(err).Msg("close for writing")
 	}
--- a/internal/sockets/peer_process.go
+++ b/internal/sockets/peer_process.go
@@ -21,7 +21,7 @@
 type outgoingMessage struct {
 	handover.Message
 	listener     *net.TCPListener // nil for none
-	conn         node.Conn        // of a transfer
+	conn         node.ConnID      // of a transfer
 	client, host *net.TCPConn     // of a transfer
 }
 
--- a/internal/sockets/run.go
+++ b/internal/sockets/run.go
@@ -98,7 +98,7 @@
 		events:      make(chan event, maxWaitingEvents),
 		queries:     make(chan query, config.adminConnections()),
 		listener:    newClientListener(),
-		connections: map[node.Conn]*connection{},
+		connections: map[node.ConnID]*connection{},
 		lastConn:    firstConn,
 		discovery:   discoveryWatch{client: discovery.New(config.Discovery)},
 	}
--- a/internal/sockets/server.go
+++ b/internal/sockets/server.go
@@ -42,8 +42,8 @@
 	settingsReply chan<- node.SettingsApplied // of the revision that the core has now
 
 	listener    clientListener
-	connections map[node.Conn]*connection
-	lastConn    node.Conn // number of the last connection accepted or inherited
+	connections map[node.ConnID]*connection
+	lastConn    node.ConnID // number of the last connection accepted or inherited
 	upgrade     upgrade
 	discovery   discoveryWatch
 	gossip      chan []peers.HostLoad // to the other nodes; nil where nodes send none
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -17,7 +17,7 @@
 	inherited   *node.HandoverState // from the predecessor at the start; nil for none
 	handedOver  bool                // the successor has the clients
 	hostSocket  *net.TCPConn        // of the connection that the core restores now
-	unsent      []node.Conn         // connections that could not even be posted to the successor
+	unsent      []node.ConnID       // connections that could not even be posted to the successor
 }
 
 // inheritsRevision tells whether the predecessor has handed over a revision of the live settings. One that has none may
@@ -162,7 +162,7 @@
 }
 
 // bindHostConnection gives the host's side of the connection that the core restores now its number.
-func (s *server) bindHostConnection(conn node.Conn) {
+func (s *server) bindHostConnection(conn node.ConnID) {
 	s.addConnection(conn, s.upgrade.hostSocket)
 	s.upgrade.hostSocket = nil
 }
--- a/internal/sockets/upgrade_test.go
+++ b/internal/sockets/upgrade_test.go
@@ -41,7 +41,7 @@
 	}
 	for name, successor := range map[string]*peerProcess{"no successor": nil, "too many messages wait": full} {
 		t.Run(name, func(t *testing.T) {
-			s := &server{connections: map[node.Conn]*connection{1: {}, 2: {}}}
+			s := &server{connections: map[node.ConnID]*connection{1: {}, 2: {}}}
 			s.upgrade.successor = successor
 			s.sendConnection(node.SendConnection{Conn: 1, Host: 2})
 			if len(s.upgrade.unsent) != 1 || s.upgrade.unsent[0] != 1 {
