--- a/cmd/gorseledge-lab/scale.go
+++ b/cmd/gorseledge-lab/scale.go
@@ -123,14 +123,14 @@
 
 // measure runs one size and writes the table so far, also if the size was left unfinished.
 func (r *scaleRun) measure(cmd *cobra.Command, size int) error {
-	result, err := scale.Play(cmd.Context(), r.script, size, r.options)
+	result, err := scale.Run(cmd.Context(), r.script, size, r.options)
 	if result == nil {
 		return err
 	}
 	r.last = *result
 	r.rows = append(r.rows, result.Rows...)
 	r.events += result.Events
-	r.broken += len(result.Breaks)
+	r.broken += len(result.Violations)
 	header := comments(r.provenance)
 	if err != nil {
 		header = append(header, fmt.Sprintf("unfinished: %d nodes: %v", size, err))
@@ -138,7 +138,7 @@
 	if err := errors.Join(err, keepScale(r.out, header, r.rows)); err != nil {
 		return err
 	}
-	for _, broken := range result.Breaks {
+	for _, broken := range result.Violations {
 		fmt.Fprintf(cmd.OutOrStdout(), "broken: %d nodes: %s\n", result.Size, broken)
 	}
 	return nil
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -33,7 +33,7 @@
 }
 
 // Run runs a script once and checks it. An error means that the run itself failed, not that a rule was broken. When
-// Play returns, nothing that it started is running, whatever happened.
+// Run returns, nothing that it started is running, whatever happened.
 func Run(ctx context.Context, s *Script, o Options) (res *Result, err error) {
 	h, err := newHistory(o.History)
 	if err != nil {
--- a/internal/scale/judge_test.go
+++ b/internal/scale/judge_test.go
@@ -15,7 +15,7 @@
 	r := &run{script: s, result: &Result{Size: 100}}
 	r.judgeRest(hollow, real)
 	out := map[string]int{}
-	for _, b := range r.result.Breaks {
+	for _, b := range r.result.Violations {
 		out[b.Rule]++
 	}
 	return out
--- a/internal/scale/play_test.go
+++ b/internal/scale/play_test.go
@@ -90,11 +90,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Play(t.Context(), s, s.Sizes[0], options(t, rightHollow, func(line string) { t.Log(line) }))
+	r, err := Run(t.Context(), s, s.Sizes[0], options(t, rightHollow, func(line string) { t.Log(line) }))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	for _, c := range []struct {
@@ -123,16 +123,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Play(t.Context(), s, 20, options(t, hastyHollow, nil))
+	r, err := Run(t.Context(), s, 20, options(t, hastyHollow, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		if b.Rule == RuleTruth {
 			return
 		}
 	}
-	t.Errorf("nothing was caught: %v", r.Breaks)
+	t.Errorf("nothing was caught: %v", r.Violations)
 }
 
 // A node that does not put a change in force is caught, and nothing else is.
@@ -146,12 +146,12 @@
 		role   string
 		breaks int
 	}{{rightHollow, 0}, {adriftHollow, 1}} {
-		r, err := Play(t.Context(), s, 20, options(t, c.role, nil))
+		r, err := Run(t.Context(), s, 20, options(t, c.role, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(r.Breaks) != c.breaks || c.breaks > 0 && r.Breaks[0].Rule != RuleForce {
-			t.Errorf("%s: %v", c.role, r.Breaks)
+		if len(r.Violations) != c.breaks || c.breaks > 0 && r.Violations[0].Rule != RuleForce {
+			t.Errorf("%s: %v", c.role, r.Violations)
 		}
 		if left := children(t); len(left) > 0 {
 			t.Errorf("left running: %v", left)
@@ -168,7 +168,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	began := time.Now()
-	_, err = Play(ctx, s, 20, options(t, rightHollow, func(line string) {
+	_, err = Run(ctx, s, 20, options(t, rightHollow, func(line string) {
 		if strings.Contains(line, "all know all") {
 			if len(children(t)) < 6 {
 				t.Error("the processes that should end do not run")
@@ -194,7 +194,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := Play(t.Context(), s, 20, options(t, rightHollow, nil))
+		r, err := Run(t.Context(), s, 20, options(t, rightHollow, nil))
 		if err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v", c.bound, err)
 		}
@@ -215,7 +215,7 @@
 	}
 	o := options(t, rightHollow, nil)
 	o.Hollow = []string{"/bin/true"}
-	if _, err := Play(t.Context(), s, 20, o); err == nil || !strings.Contains(err.Error(), "hollow process") {
+	if _, err := Run(t.Context(), s, 20, o); err == nil || !strings.Contains(err.Error(), "hollow process") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -11,23 +11,24 @@
 	"gorseledge/internal/configfeed"
 )
 
-// Options are how a script is played.
+// Options say how a script is run.
 type Options struct {
 	Program  string   // the built node
 	Control  string   // the built control server; needed where the script asks for some
 	Hollow   []string // command that runs ServeHollow on its standard input and output
 	Seed     uint64
 	Dir      string            // for the real nodes' directories
-	Progress func(line string) // told as it goes; may be nil
+	Progress func(line string) // receives progress lines; may be nil
 }
 
-// Break is a bound that did not hold.
-type Break struct {
+// Violation is a rule of a run that did not hold, with what was measured.
+type Violation struct {
 	Rule string
 	Text string
 }
 
-func (b Break) String() string { return b.Rule + ": " + b.Text }
+// String returns the violation on one line.
+func (v Violation) String() string { return v.Rule + ": " + v.Text }
 
 // The rules of a run.
 const (
@@ -45,11 +46,11 @@
 
 // Result is what a fleet of one size showed.
 type Result struct {
-	Size   int
-	Real   int
-	Events int
-	Rows   []Row
-	Breaks []Break
+	Size       int
+	Real       int
+	Events     int
+	Rows       []Row
+	Violations []Violation
 }
 
 // run is a fleet under way.
@@ -70,9 +71,9 @@
 	began    time.Time
 }
 
-// Play plays a script with a fleet of one size. Whatever happens, nothing that it started is left when it returns. With
-// an error it gives what was measured before, or nil.
-func Play(ctx context.Context, s *Script, size int, o Options) (*Result, error) {
+// Run runs a script with a fleet of one size. When it returns, nothing that it started is running, also after an error.
+// With an error it returns the result of what was measured before, or nil.
+func Run(ctx context.Context, s *Script, size int, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	p, err := newPlan(s, size, o.Seed)
@@ -224,9 +225,9 @@
 }
 
 func (r *run) broken(rule, format string, args ...any) {
-	b := Break{rule, fmt.Sprintf(format, args...)}
-	r.result.Breaks = append(r.result.Breaks, b)
-	r.say("broken: %s", b)
+	v := Violation{rule, fmt.Sprintf(format, args...)}
+	r.result.Violations = append(r.result.Violations, v)
+	r.say("broken: %s", v)
 }
 
 func (r *run) say(format string, args ...any) {
