--- a/cmd/gorseledge-lab/fleet.go
+++ b/cmd/gorseledge-lab/fleet.go
@@ -230,7 +230,7 @@
 	writeCounts(t, "flows answered", r.Answers)
 	states := map[string]int{}
 	for _, e := range r.Events {
-		if e.What == "member" {
+		if e.Kind == "member" {
 			states[e.State]++
 		}
 	}
--- a/internal/rig/check_rules.go
+++ b/internal/rig/check_rules.go
@@ -10,7 +10,7 @@
 func checkDeaths(s *Script, events []Event) (out []Violation) {
 	intervals := excusedIntervals(s, events)
 	for _, e := range events {
-		if e.What != eventMember || e.State != memberDead {
+		if e.Kind != eventMember || e.State != memberDead {
 			continue
 		}
 		excused := slices.ContainsFunc(intervals[nodeIndex(e.Member)], func(w interval) bool {
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, e := range events {
-		if e.What != eventFlow {
+		if e.Kind != eventFlow {
 			continue
 		}
 		excused := slices.ContainsFunc(disturbed[e.Node], func(w interval) bool {
@@ -56,11 +56,11 @@
 // checkExits checks that a process ends only because of a fault that ends it.
 func checkExits(events []Event) (out []Violation) {
 	for i, e := range events {
-		if e.What != eventExit {
+		if e.Kind != eventExit {
 			continue
 		}
 		endedByFault := slices.ContainsFunc(events[:i], func(f Event) bool {
-			return f.What == eventFault && f.Fault != nil && faultKinds[f.Fault.Kind].endsProcess &&
+			return f.Kind == eventFault && f.Fault != nil && faultKinds[f.Fault.Kind].endsProcess &&
 				slices.Contains(f.Fault.Nodes, e.Node)
 		})
 		if !endedByFault {
@@ -87,7 +87,7 @@
 // endsForLong reports whether an event is the begin of a fault that leaves a process down for long enough that all
 // nodes have to declare it dead.
 func endsForLong(s *Script, e Event) bool {
-	if e.What != eventFault || !faultKinds[e.Fault.Kind].staysDown {
+	if e.Kind != eventFault || !faultKinds[e.Fault.Kind].staysDown {
 		return false
 	}
 	return e.Fault.For >= s.Liveness+excusePeriods*s.Period || e.Fault.For <= 0
@@ -111,7 +111,7 @@
 // declaredDead reports whether a node declared another one dead within a time.
 func declaredDead(events []Event, node, dead int, within interval) bool {
 	return slices.ContainsFunc(events, func(e Event) bool {
-		return e.What == eventMember && e.Node == node && nodeIndex(e.Member) == dead && e.State == memberDead &&
+		return e.Kind == eventMember && e.Node == node && nodeIndex(e.Member) == dead && e.State == memberDead &&
 			e.At >= within.from && e.At <= within.to
 	})
 }
@@ -119,7 +119,7 @@
 // checkBudgets checks that all nodes together never granted more than a cold host's budget.
 func checkBudgets(events []Event) (out []Violation) {
 	for _, e := range events {
-		if e.What == eventBudget && e.Part > 1 {
+		if e.Kind == eventBudget && e.Part > 1 {
 			out = append(out, Violation{RuleBudget, e.At, fmt.Sprintf("%.2f of it", e.Part)})
 		}
 	}
--- a/internal/rig/check_test.go
+++ b/internal/rig/check_test.go
@@ -8,18 +8,18 @@
 
 // during returns the events of a run with a fault that begins at 1 s and, where over is not 0, ends at that time.
 func during(f *Fault, over float64, more ...Event) []Event {
-	all := append([]Event{{At: 1, What: "fault", Fault: f}}, more...)
+	all := append([]Event{{At: 1, Kind: "fault", Fault: f}}, more...)
 	if over > 0 {
-		all = append(all, Event{At: over, What: "over", Fault: f})
+		all = append(all, Event{At: over, Kind: "over", Fault: f})
 	}
-	return append(all, Event{At: 30, What: "agree"})
+	return append(all, Event{At: 30, Kind: "agree"})
 }
 
 // declaredByAllBut returns the events by which the nodes declare n1 dead, without n1 and one other node.
 func declaredByAllBut(but int) (out []Event) {
 	for n := range 5 {
 		if n != 1 && n != but {
-			out = append(out, Event{At: 5, What: "member", Node: n, Member: "n1", State: "dead"})
+			out = append(out, Event{At: 5, Kind: "member", Node: n, Member: "n1", State: "dead"})
 		}
 	}
 	return out
@@ -33,7 +33,7 @@
 	oneWay := &Fault{At: 1, Kind: "cut", Nodes: []int{0}, To: []int{1}, For: 5}
 	loss := &Fault{At: 1, Kind: "loss", Nodes: []int{0, 1, 2, 3, 4}, For: 5, By: 0.2}
 	heavy := &Fault{At: 1, Kind: "loss", Nodes: []int{0, 1, 2, 3, 4}, For: 5, By: 0.4}
-	dead := Event{At: 7, What: "member", Node: 2, Member: "n1", State: "dead"}
+	dead := Event{At: 7, Kind: "member", Node: 2, Member: "n1", State: "dead"}
 	for _, c := range []struct {
 		name         string
 		events       []Event
@@ -46,20 +46,20 @@
 		{"death in a cut that leaves a path", during(oneWay, 6, dead), "", RuleDeath},
 		{"death at a loss of 0.2", during(loss, 6, dead), "", RuleDeath},
 		{"death at a loss of 0.4", during(heavy, 6, dead), "", ""},
-		{"death of a node that was not stopped", during(stop, 6, Event{At: 7, What: "member", Node: 1, Member: "n3", State: "dead"}), "",
+		{"death of a node that was not stopped", during(stop, 6, Event{At: 7, Kind: "member", Node: 1, Member: "n3", State: "dead"}), "",
 			RuleDeath},
 		{"death known by all", during(kill, 0, declaredByAllBut(-1)...), "", ""},
 		{"death not known by one node", during(kill, 0, declaredByAllBut(3)...), "", RuleKnown},
-		{"flow without an answer", []Event{{At: 3, What: "flow", Node: 2, Answer: "silent"}}, "", RuleAnswer},
-		{"flow with two answers", []Event{{At: 3, What: "flow", Node: 2, Answer: "up", Count: 2, Ended: "client"}}, "", RuleAnswer},
-		{"flow broken without a fault", []Event{{At: 3, What: "flow", Node: 2, Answer: "up", Count: 1, Ended: "cut"}}, "", RuleAnswer},
-		{"flow moved", []Event{{At: 3, What: "flow", Node: 2, Answer: "up", Count: 1, Ended: "move"}}, "", ""},
-		{"flow broken by a kill", during(kill, 0, append(declaredByAllBut(-1), Event{At: 3, Began: 0.5, What: "flow", Node: 1, Answer: "cut"})...),
+		{"flow without an answer", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "silent"}}, "", RuleAnswer},
+		{"flow with two answers", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "up", Count: 2, Ended: "client"}}, "", RuleAnswer},
+		{"flow broken without a fault", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "up", Count: 1, Ended: "cut"}}, "", RuleAnswer},
+		{"flow moved", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "up", Count: 1, Ended: "move"}}, "", ""},
+		{"flow broken by a kill", during(kill, 0, append(declaredByAllBut(-1), Event{At: 3, Began: 0.5, Kind: "flow", Node: 1, Answer: "cut"})...),
 			"", ""},
-		{"process ended without a fault", []Event{{At: 3, What: "exit", Node: 2, Note: "exit status 2"}}, "", RuleExit},
-		{"process ended by a kill", during(kill, 0, append(declaredByAllBut(-1), Event{At: 3, What: "exit", Node: 1})...), "", ""},
-		{"half of the budget", []Event{{At: 3, What: "budget", Part: 0.5}}, "", ""},
-		{"more than the budget", []Event{{At: 3, What: "budget", Part: 1.2}}, "", RuleBudget},
+		{"process ended without a fault", []Event{{At: 3, Kind: "exit", Node: 2, Note: "exit status 2"}}, "", RuleExit},
+		{"process ended by a kill", during(kill, 0, append(declaredByAllBut(-1), Event{At: 3, Kind: "exit", Node: 1})...), "", ""},
+		{"half of the budget", []Event{{At: 3, Kind: "budget", Part: 0.5}}, "", ""},
+		{"more than the budget", []Event{{At: 3, Kind: "budget", Part: 1.2}}, "", RuleBudget},
 		{"no agreement", nil, "n1 holds n2 for dead", RuleAgree},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,16 +78,16 @@
 func TestDeathsReportsDetectionTimes(t *testing.T) {
 	s := &Script{Nodes: 4, Period: 0.25, Lasts: 20}
 	killed := &Fault{At: 1, Kind: "kill", Nodes: []int{1}}
-	events := []Event{{At: 1, What: "fault", Fault: killed}, {At: 1, What: "over", Fault: killed}} // for good
+	events := []Event{{At: 1, Kind: "fault", Fault: killed}, {At: 1, Kind: "over", Fault: killed}} // for good
 	for n, at := range map[int]float64{0: 4, 2: 5, 3: 7} {
-		events = append(events, Event{At: at, What: "member", Node: n, Member: "n1", State: "dead"})
+		events = append(events, Event{At: at, Kind: "member", Node: n, Member: "n1", State: "dead"})
 	}
 	slices.SortFunc(events, func(a, b Event) int { return int(a.At - b.At) })
 	if got := Deaths(s, events); !slices.Equal(got, []Death{{1, 3, 6, 3}}) {
 		t.Errorf("%v", got)
 	}
 	killed.For = 1
-	if got := Deaths(s, append(events, Event{At: 2, What: "over", Fault: killed})); len(got) != 0 {
+	if got := Deaths(s, append(events, Event{At: 2, Kind: "over", Fault: killed})); len(got) != 0 {
 		t.Errorf("after a second: %v", got)
 	}
 }
--- a/internal/rig/control_check.go
+++ b/internal/rig/control_check.go
@@ -34,7 +34,7 @@
 	out = append(out, checkInForce(s, events)...)
 	out = append(out, checkAccept(events)...)
 	for _, e := range events {
-		if e.What == eventServerDied {
+		if e.Kind == eventServerDied {
 			out = append(out, Violation{RuleServer, e.At, fmt.Sprintf("c%d: %s", e.Control.Server, e.Note)})
 		}
 	}
@@ -44,7 +44,7 @@
 // checkAccept checks the last proposal, which is made after all faults and without a concurrent one.
 func checkAccept(events []Event) (out []Violation) {
 	for _, e := range slices.Backward(events) {
-		if e.What != eventApply {
+		if e.Kind != eventApply {
 			continue
 		}
 		if e.Control.Outcome != string(configfeed.Accepted) {
@@ -61,7 +61,7 @@
 	processes := map[int]int{}
 	versions := map[int]configfeed.Version{}
 	for _, e := range events {
-		switch e.What {
+		switch e.Kind {
 		case eventStart:
 			processes[e.Node]++
 			if processes[e.Node] == 1 {
@@ -88,14 +88,14 @@
 	unknown := map[string]bool{}
 	for _, e := range events {
 		switch {
-		case e.What == eventApply && e.Control.Outcome == string(configfeed.Accepted), e.What == eventEpoch:
+		case e.Kind == eventApply && e.Control.Outcome == string(configfeed.Accepted), e.Kind == eventEpoch:
 			accepted[e.Control.Version] = append(accepted[e.Control.Version], e.Control.Digest)
-		case e.What == eventApply && (e.Control.Outcome == outcomeUnknown || e.Control.Outcome == string(configfeed.Failed)):
+		case e.Kind == eventApply && (e.Control.Outcome == outcomeUnknown || e.Control.Outcome == string(configfeed.Failed)):
 			unknown[e.Control.Digest] = true
 		}
 	}
 	for _, e := range events {
-		if e.What != eventConfig || e.Control.Version == (configfeed.Version{}) {
+		if e.Kind != eventConfig || e.Control.Version == (configfeed.Version{}) {
 			continue
 		}
 		c := e.Control
@@ -118,7 +118,7 @@
 func controlEpisodes(events []Event) (out []controlEpisode) {
 	open := map[string]int{}
 	for _, e := range events {
-		switch e.What {
+		switch e.Kind {
 		case eventControlFault:
 			open[fmt.Sprint(*e.Control.Fault)] = len(out)
 			out = append(out, controlEpisode{*e.Control.Fault, interval{e.At, forever}})
@@ -132,13 +132,13 @@
 // checkDurable checks that the writer holds every accepted change at the end, unless its disk was taken away after the
 // change and other faults may have kept the change from the others.
 func checkDurable(s *Script, events []Event) (out []Violation) {
-	at := slices.IndexFunc(events, func(e Event) bool { return e.What == eventMarks })
+	at := slices.IndexFunc(events, func(e Event) bool { return e.Kind == eventMarks })
 	if at < 0 {
 		return nil
 	}
 	faults := controlEpisodes(events)
 	for _, e := range events {
-		if e.What != eventApply || e.Control.Outcome != string(configfeed.Accepted) ||
+		if e.Kind != eventApply || e.Control.Outcome != string(configfeed.Accepted) ||
 			slices.Contains(events[at].Control.Marks, e.Control.ID) || mayBeLost(e.At, faults) {
 			continue
 		}
@@ -170,7 +170,7 @@
 // nodes in time.
 func checkInForce(s *Script, events []Event) (out []Violation) {
 	for _, e := range events {
-		if e.What == eventLate {
+		if e.Kind == eventLate {
 			out = append(out, Violation{RuleInForce, e.At, fmt.Sprintf("not within %g s: %s", s.InForce, e.Note)})
 		}
 	}
@@ -206,7 +206,7 @@
 	nodeFaults := episodes(events)
 	end := endOf(events)
 	for _, e := range events {
-		if e.What != eventApply || e.Control.Outcome != string(configfeed.Accepted) {
+		if e.Kind != eventApply || e.Control.Outcome != string(configfeed.Accepted) {
 			continue
 		}
 		window := interval{e.At - s.InForce, e.At + s.InForce}
@@ -256,7 +256,7 @@
 // firstInForce returns when a node was first seen with a version or a newer one, or infinity.
 func firstInForce(events []Event, node int, v configfeed.Version) float64 {
 	for _, e := range events {
-		if e.What == eventConfig && e.Node == node && e.Control.Version.Compare(v) >= 0 {
+		if e.Kind == eventConfig && e.Node == node && e.Control.Version.Compare(v) >= 0 {
 			return e.At
 		}
 	}
--- a/internal/rig/control_check_test.go
+++ b/internal/rig/control_check_test.go
@@ -12,23 +12,23 @@
 
 // accepted is a change that was accepted at a time.
 func accepted(at float64, id string, revision uint64) Event {
-	return Event{At: at, What: eventApply, Control: &ControlEvent{ID: id, Outcome: string(configfeed.Accepted),
+	return Event{At: at, Kind: eventApply, Control: &ControlEvent{ID: id, Outcome: string(configfeed.Accepted),
 		Version: version(revision), Digest: "d" + id}}
 }
 
 // seen is a version that a node was seen with.
 func seen(at float64, node int, id string, revision uint64) Event {
-	return Event{At: at, What: eventConfig, Node: node, Control: &ControlEvent{Version: version(revision), Digest: "d" + id}}
+	return Event{At: at, Kind: eventConfig, Node: node, Control: &ControlEvent{Version: version(revision), Digest: "d" + id}}
 }
 
 // faultOf returns the begin and end of a fault of control servers.
 func faultOf(f ControlFault) (begin, over Event) {
-	return Event{At: f.At, What: eventControlFault, Control: &ControlEvent{Fault: &f}},
-		Event{At: f.At + f.For, What: eventControlOver, Control: &ControlEvent{Fault: &f}}
+	return Event{At: f.At, Kind: eventControlFault, Control: &ControlEvent{Fault: &f}},
+		Event{At: f.At + f.For, Kind: eventControlOver, Control: &ControlEvent{Fault: &f}}
 }
 
 func marks(at float64, ids ...string) Event {
-	return Event{At: at, What: eventMarks, Control: &ControlEvent{Marks: ids}}
+	return Event{At: at, Kind: eventMarks, Control: &ControlEvent{Marks: ids}}
 }
 
 // controlChecker is one of the checkers; each case uses only the one of its rule.
@@ -64,8 +64,8 @@
 
 func TestControlCheckersReportViolationsOfVersions(t *testing.T) {
 	s := &Script{Nodes: 1, Control: 5, InForce: 6}
-	start, exit := Event{What: eventStart}, Event{What: eventExit}
-	lost := Event{At: 3, What: eventApply, Control: &ControlEvent{ID: "x", Outcome: outcomeUnknown, Digest: "dx"}}
+	start, exit := Event{Kind: eventStart}, Event{Kind: eventExit}
+	lost := Event{At: 3, Kind: eventApply, Control: &ControlEvent{ID: "x", Outcome: outcomeUnknown, Digest: "dx"}}
 	noReturn, complete := eventsOnly(checkNoReturn), eventsOnly(checkComplete)
 	runControlCases(t, s, []controlCase{
 		{"version goes up", noReturn, []Event{start, accepted(1, "a", 1), accepted(2, "b", 2), seen(3, 0, "a", 1), seen(4, 0, "b", 2)}, ""},
@@ -104,7 +104,7 @@
 
 func TestControlCheckersReportLateChangesAndEndedServers(t *testing.T) {
 	s := &Script{Nodes: 1, Control: 5, InForce: 6}
-	start := Event{What: eventStart}
+	start := Event{Kind: eventStart}
 	late := ControlFault{At: 11, Kind: faultStop, Servers: []int{2}, For: 4}
 	lateStopped, lateContinued := faultOf(late)
 	regionCut, regionBack := faultOf(ControlFault{At: 11, Kind: faultRegion, Region: "south", For: 4})
@@ -117,10 +117,10 @@
 		{"late with a region cut off", checkInForce, []Event{start, accepted(10, "a", 1), regionCut, regionBack, seen(17, 0, "a", 1),
 			marks(30, "a")}, ""},
 		{"never in force", checkInForce, []Event{start, accepted(10, "a", 1), marks(30, "a")}, RuleInForce},
-		{"late after all faults", checkInForce, []Event{{What: eventLate, Note: "n0"}}, RuleInForce},
-		{"rejected after all faults", accept, []Event{{What: eventApply, Control: &ControlEvent{Outcome: string(configfeed.NotReady)}}},
+		{"late after all faults", checkInForce, []Event{{Kind: eventLate, Note: "n0"}}, RuleInForce},
+		{"rejected after all faults", accept, []Event{{Kind: eventApply, Control: &ControlEvent{Outcome: string(configfeed.NotReady)}}},
 			RuleAccept},
-		{"a server that ended", checkControl, []Event{{What: eventServerDied, Control: &ControlEvent{Server: 1}}}, RuleServer},
-		{"a server that was ended", checkControl, []Event{{What: eventServerExit, Control: &ControlEvent{Server: 1}}}, ""},
+		{"a server that ended", checkControl, []Event{{Kind: eventServerDied, Control: &ControlEvent{Server: 1}}}, RuleServer},
+		{"a server that was ended", checkControl, []Event{{Kind: eventServerExit, Control: &ControlEvent{Server: 1}}}, ""},
 	})
 }
--- a/internal/rig/control_history.go
+++ b/internal/rig/control_history.go
@@ -2,7 +2,7 @@
 
 import "gorseledge/internal/configfeed"
 
-// The values of Event.What that concern control servers and the configuration.
+// The values of Event.Kind that concern control servers and the configuration.
 const (
 	eventServerStart  = "server start"  // a control server was started
 	eventServerExit   = "server exit"   // the rig ended a control server
--- a/internal/rig/control_run.go
+++ b/internal/rig/control_run.go
@@ -76,7 +76,7 @@
 func (c *control) writer() *controlServer { return c.servers[0] }
 
 func (c *control) record(what string, e ControlEvent) {
-	c.rig.history.add(Event{What: what, Control: &e})
+	c.rig.history.add(Event{Kind: what, Control: &e})
 }
 
 // runWithFaults proposes changes of configuration while the faults of nodes and control servers are injected, and waits
@@ -163,7 +163,7 @@
 	if err != nil {
 		e.Outcome, e.Version, note = outcomeUnknown, configfeed.Version{}, err.Error()
 	}
-	c.rig.history.add(Event{What: eventApply, Began: began, Note: note, Control: &e})
+	c.rig.history.add(Event{Kind: eventApply, Began: began, Note: note, Control: &e})
 	return e.Outcome
 }
 
@@ -223,7 +223,7 @@
 		}
 		now := ControlEvent{Version: configfeed.Version{Epoch: v.Epoch, Revision: v.Revision}, Digest: v.Digest}
 		if now.Version != last.Version || now.Digest != last.Digest {
-			c.rig.history.add(Event{What: eventConfig, Node: n.index, Control: &now})
+			c.rig.history.add(Event{Kind: eventConfig, Node: n.index, Control: &now})
 		}
 		last = now
 	}
--- a/internal/rig/control_run_test.go
+++ b/internal/rig/control_run_test.go
@@ -81,7 +81,7 @@
 	}
 	accepted, conflicts := 0, 0
 	for _, e := range r.Events {
-		if e.What != eventApply {
+		if e.Kind != eventApply {
 			continue
 		}
 		switch configfeed.OutcomeKind(e.Control.Outcome) {
--- a/internal/rig/control_server.go
+++ b/internal/rig/control_server.go
@@ -123,7 +123,7 @@
 	rig := s.control.rig
 	command := exec.Command(rig.Control, "serve", s.path())
 	p, err := rig.launch(command, filepath.Join(s.dir, "log"), processObserver{started: func(int) {
-		rig.history.add(Event{What: eventServerStart, Control: &ControlEvent{Server: s.index}})
+		rig.history.add(Event{Kind: eventServerStart, Control: &ControlEvent{Server: s.index}})
 	}, logged: func(*process, logLine) {}, exited: s.exited})
 	s.current = p
 	return err
@@ -138,7 +138,7 @@
 	if !ending {
 		what = eventServerDied
 	}
-	s.control.rig.history.add(Event{What: what, Note: note, Control: &ControlEvent{Server: s.index}})
+	s.control.rig.history.add(Event{Kind: what, Note: note, Control: &ControlEvent{Server: s.index}})
 }
 
 // end ends the server's process by a function and waits for it.
--- a/internal/rig/control_settle.go
+++ b/internal/rig/control_settle.go
@@ -84,7 +84,7 @@
 			return err
 		}
 	}
-	c.rig.history.add(Event{What: eventLate, Note: behind})
+	c.rig.history.add(Event{Kind: eventLate, Note: behind})
 	return nil
 }
 
--- a/internal/rig/detection.go
+++ b/internal/rig/detection.go
@@ -19,7 +19,7 @@
 			d := Death{Node: node}
 			informed := map[int]bool{}
 			for _, e := range events {
-				if e.What != eventMember || e.State != memberDead || nodeIndex(e.Member) != node || e.At < f.from || e.At > f.to ||
+				if e.Kind != eventMember || e.State != memberDead || nodeIndex(e.Member) != node || e.At < f.from || e.At > f.to ||
 					informed[e.Node] {
 					continue
 				}
--- a/internal/rig/excuses.go
+++ b/internal/rig/excuses.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		key := fmt.Sprintf("%v", *e.Fault)
-		if e.What == eventFault {
+		if e.Kind == eventFault {
 			open[key] = len(out)
 			out = append(out, episode{*e.Fault, interval{e.At, forever}})
 			continue
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -32,7 +32,7 @@
 		if !waitUntil(f.At) {
 			break
 		}
-		r.history.add(Event{What: eventFault, Fault: &f})
+		r.history.add(Event{Kind: eventFault, Fault: &f})
 		r.progressf("%5.1f s  %s", f.At, f)
 		group.Go(func() error {
 			if err := r.changeFault(f, false); err != nil {
@@ -42,7 +42,7 @@
 				return nil
 			}
 			err := r.changeFault(f, true)
-			r.history.add(Event{What: eventOver, Fault: &f})
+			r.history.add(Event{Kind: eventOver, Fault: &f})
 			return err
 		})
 	}
--- a/internal/rig/history.go
+++ b/internal/rig/history.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The values of Event.What.
+// The values of Event.Kind.
 const (
 	eventStart  = "start"  // a process was started
 	eventExit   = "exit"   // a process ended
@@ -31,7 +31,7 @@
 // Event is something that the rig did or observed. At and Began are seconds from the start of the rig.
 type Event struct {
 	At     float64 `json:"at"`
-	What   string  `json:"what"` // one of the constants above
+	Kind   string  `json:"what"` // kind of the event: one of the constants above
 	Node   int     `json:"node"`
 	Fault  *Fault  `json:"fault,omitempty"`
 	Member string  `json:"member,omitempty"` // the member whose state changed
@@ -105,7 +105,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.events {
-		if e.What == eventFlow {
+		if e.Kind == eventFlow {
 			n++
 		}
 	}
--- a/internal/rig/history_test.go
+++ b/internal/rig/history_test.go
@@ -12,7 +12,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.add(Event{What: "flow"})
+		h.add(Event{Kind: "flow"})
 		if err := h.close(complete); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rig/nodes.go
+++ b/internal/rig/nodes.go
@@ -89,7 +89,7 @@
 func (n *Nodes) Flows() map[string]int {
 	out := map[string]int{}
 	for _, e := range n.rig.history.all() {
-		if e.What == eventFlow {
+		if e.Kind == eventFlow {
 			out[e.Answer]++
 		}
 	}
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -114,16 +114,16 @@
 	command := exec.Command(n.rig.Program)
 	command.Env = append(os.Environ(), "LB_CONFIG="+filepath.Join(n.dir, "config.json"), "TMPDIR="+n.dir)
 	return n.rig.launch(command, filepath.Join(n.dir, "log"), processObserver{started: func(pid int) {
-		n.rig.history.add(Event{What: eventStart, Node: n.index, Note: fmt.Sprint(pid)})
+		n.rig.history.add(Event{Kind: eventStart, Node: n.index, Note: fmt.Sprint(pid)})
 	}, logged: func(p *process, l logLine) {
 		switch l.Message {
 		case logMemberChanged:
-			n.rig.history.add(Event{What: eventMember, Node: n.index, Member: l.Member, State: l.State})
+			n.rig.history.add(Event{Kind: eventMember, Node: n.index, Member: l.Member, State: l.State})
 		case logJoinedFleet:
 			p.once.Do(func() { close(p.ready) })
 		}
 	}, exited: func(note string) {
-		n.rig.history.add(Event{What: eventExit, Node: n.index, Note: note})
+		n.rig.history.add(Event{Kind: eventExit, Node: n.index, Note: note})
 	}})
 }
 
--- a/internal/rig/rig_golden_test.go
+++ b/internal/rig/rig_golden_test.go
@@ -164,7 +164,7 @@
 
 // goldenEvent has every field; no run writes such an event.
 func goldenEvent() Event {
-	return Event{At: 1.5, What: eventFlow, Node: 2, Fault: &Fault{At: 3.5, Kind: faultCut, Nodes: []int{4}, To: []int{5}, Both: true, For: 6.5,
+	return Event{At: 1.5, Kind: eventFlow, Node: 2, Fault: &Fault{At: 3.5, Kind: faultCut, Nodes: []int{4}, To: []int{5}, Both: true, For: 6.5,
 		By: 0.25}, Member: "n1", State: memberSuspect, Answer: "up", Count: 7, Ended: "cut", Began: 8.5, Part: 0.125, Note: "a note",
 		Control: &ControlEvent{Server: 9, ID: "p1", Outcome: "accepted", Version: configfeed.Version{Epoch: 2, Revision: 41},
 			Digest: "00000000000000ff", Marks: []string{"p1", "p2"}, Fault: &ControlFault{At: 10.5, Kind: faultRegion, Servers: []int{1},
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -89,7 +89,7 @@
 		return "", err
 	}
 	if disagreement == "" {
-		r.history.add(Event{What: eventAgree, Note: fmt.Sprintf("%.2f s after the last fault", res.Agreed)})
+		r.history.add(Event{Kind: eventAgree, Note: fmt.Sprintf("%.2f s after the last fault", res.Agreed)})
 	}
 	stopFlows()
 	r.flows.Wait()
@@ -125,7 +125,7 @@
 func (r *Result) countCalls() {
 	r.Changes = map[string]int{}
 	for _, e := range r.Events {
-		switch e.What {
+		switch e.Kind {
 		case eventFlow:
 			r.Calls++
 			r.Answers[e.Answer]++
--- a/internal/rig/timeline.go
+++ b/internal/rig/timeline.go
@@ -57,7 +57,7 @@
 	}
 	changes := map[string]plotter.XYs{}
 	for _, e := range r.Events {
-		if e.What == eventMember && nodeIndex(e.Member) >= 0 && nodeIndex(e.Member) < r.Nodes {
+		if e.Kind == eventMember && nodeIndex(e.Member) >= 0 && nodeIndex(e.Member) < r.Nodes {
 			offset := 0.2 + 0.6*float64(e.Node)/float64(r.Nodes)
 			changes[e.State] = append(changes[e.State], plotter.XY{X: e.At, Y: float64(nodeIndex(e.Member)) + offset})
 		}
--- a/internal/rig/timeline_test.go
+++ b/internal/rig/timeline_test.go
@@ -6,9 +6,9 @@
 )
 
 func TestTimelineShowsStatesOfMembers(t *testing.T) {
-	r := &Result{Nodes: 3, Events: []Event{{At: 1, What: "fault", Fault: &Fault{Kind: "stop", Nodes: []int{1}}},
-		{At: 2, What: "over", Fault: &Fault{Kind: "stop", Nodes: []int{1}}},
-		{At: 3, What: "member", Node: 0, Member: "n1", State: "suspect"}}}
+	r := &Result{Nodes: 3, Events: []Event{{At: 1, Kind: "fault", Fault: &Fault{Kind: "stop", Nodes: []int{1}}},
+		{At: 2, Kind: "over", Fault: &Fault{Kind: "stop", Nodes: []int{1}}},
+		{At: 3, Kind: "member", Node: 0, Member: "n1", State: "suspect"}}}
 	text, err := Timeline(r)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rig/traffic.go
+++ b/internal/rig/traffic.go
@@ -53,7 +53,7 @@
 			if runContext.Err() != nil { // the run was interrupted
 				return
 			}
-			r.history.add(Event{What: eventFlow, Node: n.index, Answer: string(f.Answer), Count: f.Answers, Ended: string(f.Ended),
+			r.history.add(Event{Kind: eventFlow, Node: n.index, Answer: string(f.Answer), Count: f.Answers, Ended: string(f.Ended),
 				Began: began})
 		})
 	}
@@ -75,7 +75,7 @@
 			}
 		}
 		if sum > 0 && ctx.Err() == nil {
-			r.history.add(Event{What: eventBudget, Part: sum})
+			r.history.add(Event{Kind: eventBudget, Part: sum})
 		}
 	}
 }
--- a/internal/scale/reals.go
+++ b/internal/scale/reals.go
@@ -92,7 +92,7 @@
 
 // see takes what a node's log or end tells.
 func (r *reals) see(e rig.Event) {
-	switch e.What {
+	switch e.Kind {
 	case "member":
 		for _, state := range []membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left} {
 			if e.State == state.String() {
