--- a/cmd/gorseledge-lab/fleet.go
+++ b/cmd/gorseledge-lab/fleet.go
@@ -165,13 +165,13 @@
 	changes := map[string]int{}
 	var met, agreed, first, last, inForce []float64
 	for _, r := range played {
-		calls, faults, broken = calls+r.Calls, faults+r.FaultCount(), broken+len(r.Violations)
+		calls, faults, broken = calls+r.Requests, faults+r.FaultCount(), broken+len(r.Violations)
 		for outcome, count := range r.Changes {
 			changes[outcome] += count
 		}
 		met, inForce = append(met, r.JoinTime), append(inForce, r.InForce...)
-		if r.Agreed >= 0 {
-			agreed = append(agreed, r.Agreed)
+		if r.AgreementTime >= 0 {
+			agreed = append(agreed, r.AgreementTime)
 		}
 		for _, d := range r.Deaths {
 			if d.Known > 0 {
@@ -219,8 +219,8 @@
 func reportTable(w io.Writer, r *rig.Result) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "nodes\t%d\nmet after\t%.1f s\n", r.Nodes, r.JoinTime)
-	if r.Agreed >= 0 {
-		fmt.Fprintf(t, "agreed after the last fault\t%.1f s\n", r.Agreed)
+	if r.AgreementTime >= 0 {
+		fmt.Fprintf(t, "agreed after the last fault\t%.1f s\n", r.AgreementTime)
 	}
 	if len(r.InForce) > 0 {
 		fmt.Fprintf(t, "a change in force at the last node, median and longest\t%.2f s\t%.2f s\t(%d)\n",
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -17,10 +17,10 @@
 	ControlFaults []ControlFault
 	Events        []Event
 	Violations    []Violation    `json:"Breaks"`
-	Calls         int            // flows and proposed changes
+	Requests      int            `json:"Calls"` // flows and proposed changes
 	Answers       map[string]int // flows by their answer
-	JoinTime      float64        `json:"Met"` // until all nodes had found each other
-	Agreed        float64        // from the end of the last fault until all agreed, -1 where they did not
+	JoinTime      float64        `json:"Met"`    // until all nodes had found each other
+	AgreementTime float64        `json:"Agreed"` // from the end of the last fault until all agreed, -1 where they did not
 	Changes       map[string]int // proposed changes of configuration by their outcome
 	InForce       []float64      // from each accepted change without cuts until it was in force at the last node
 	Deaths        []Death        // of processes that were down for long enough that all had time to know
@@ -29,7 +29,7 @@
 
 // Summary returns the last line of the report of a run.
 func (r *Result) Summary() string {
-	return fmt.Sprintf("SEED %d: %d calls, %d faults, broken %d", r.Seed, r.Calls, r.FaultCount(), len(r.Violations))
+	return fmt.Sprintf("SEED %d: %d calls, %d faults, broken %d", r.Seed, r.Requests, r.FaultCount(), len(r.Violations))
 }
 
 // Run runs a script once and checks it. An error means that the run itself failed, not that a rule was broken. When
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	res.Events = h.all()
-	res.countCalls()
+	res.countRequests()
 	res.Violations = Check(s, res, disagreement)
 	res.Deaths = Deaths(s, res.Events)
 	res.InForce = inForceTimes(s, res.Events)
@@ -85,11 +85,11 @@
 	if err := r.injectFaults(ctx, res.Faults); err != nil {
 		return "", err
 	}
-	if res.Agreed, disagreement, err = r.awaitAgreement(ctx, r.script.Settle); err != nil {
+	if res.AgreementTime, disagreement, err = r.awaitAgreement(ctx, r.script.Settle); err != nil {
 		return "", err
 	}
 	if disagreement == "" {
-		r.history.add(Event{Kind: eventAgree, Note: fmt.Sprintf("%.2f s after the last fault", res.Agreed)})
+		r.history.add(Event{Kind: eventAgree, Note: fmt.Sprintf("%.2f s after the last fault", res.AgreementTime)})
 	}
 	stopFlows()
 	r.flows.Wait()
@@ -121,16 +121,16 @@
 // FaultCount returns the number of faults, of nodes and of control servers.
 func (r *Result) FaultCount() int { return len(r.Faults) + len(r.ControlFaults) }
 
-// countCalls counts the flows and the proposed changes among the events, in all and by answer.
-func (r *Result) countCalls() {
+// countRequests counts the flows and the proposed changes among the events, in all and by answer.
+func (r *Result) countRequests() {
 	r.Changes = map[string]int{}
 	for _, e := range r.Events {
 		switch e.Kind {
 		case eventFlow:
-			r.Calls++
+			r.Requests++
 			r.Answers[e.Answer]++
 		case eventApply:
-			r.Calls++
+			r.Requests++
 			r.Changes[e.Control.Outcome]++
 		}
 	}
--- a/internal/rig/run_test.go
+++ b/internal/rig/run_test.go
@@ -123,11 +123,11 @@
 	for _, b := range r.Violations {
 		t.Error(b)
 	}
-	if r.Calls < 100 || r.Answers["up"] < r.Calls/2 {
-		t.Errorf("%d flows, %v", r.Calls, r.Answers)
+	if r.Requests < 100 || r.Answers["up"] < r.Requests/2 {
+		t.Errorf("%d flows, %v", r.Requests, r.Answers)
 	}
-	if len(r.Faults) != 7 || r.Agreed < 0 {
-		t.Errorf("%d faults, agreed after %g s", len(r.Faults), r.Agreed)
+	if len(r.Faults) != 7 || r.AgreementTime < 0 {
+		t.Errorf("%d faults, agreed after %g s", len(r.Faults), r.AgreementTime)
 	}
 }
 
