--- a/cmd/gorseledge-lab/cost.go
+++ b/cmd/gorseledge-lab/cost.go
@@ -21,7 +21,7 @@
 			if rounds < 1 || load.Flows < 1 || load.Lines < 1 || load.Idle < time.Second {
 				return errors.New("--rounds, --flows and --lines from 1 on, --idle from 1s on")
 			}
-			costs, err := rig.Costs(cmd.Context(), programs, rounds, load)
+			costs, err := rig.MeasureCosts(cmd.Context(), programs, rounds, load)
 			if err != nil {
 				return err
 			}
--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -13,8 +13,8 @@
 // costClientKey is the client key of all flows of a measurement.
 const costClientKey = 7
 
-// Cost is the processor time that a node's process uses, user and system, in microseconds.
-type Cost struct {
+// CPUCost is the processor time that a node's process uses, user and system, in microseconds.
+type CPUCost struct {
 	Start float64 // of a process from its start to its end, with one flow
 	Flow  float64 // of a flow without lines
 	Line  float64 // of a line to the host and back, one at a time
@@ -27,9 +27,9 @@
 	Idle         time.Duration
 }
 
-// Costs measures the programs in turn, as many times as rounds says, and returns the medians of each program.
-func Costs(ctx context.Context, programs []string, rounds int, load Load) ([]Cost, error) {
-	all := make([][]Cost, len(programs))
+// MeasureCosts measures the programs in turn, rounds times each, and returns the medians of each program.
+func MeasureCosts(ctx context.Context, programs []string, rounds int, load Load) ([]CPUCost, error) {
+	all := make([][]CPUCost, len(programs))
 	for range rounds {
 		for i, p := range programs {
 			c, err := measureOnce(ctx, p, load)
@@ -39,20 +39,20 @@
 			all[i] = append(all[i], c)
 		}
 	}
-	out := make([]Cost, len(programs))
+	out := make([]CPUCost, len(programs))
 	for i, of := range all {
-		out[i] = Cost{
-			Start: median(of, func(c Cost) float64 { return c.Start }),
-			Flow:  median(of, func(c Cost) float64 { return c.Flow }),
-			Line:  median(of, func(c Cost) float64 { return c.Line }),
-			Idle:  median(of, func(c Cost) float64 { return c.Idle }),
+		out[i] = CPUCost{
+			Start: median(of, func(c CPUCost) float64 { return c.Start }),
+			Flow:  median(of, func(c CPUCost) float64 { return c.Flow }),
+			Line:  median(of, func(c CPUCost) float64 { return c.Line }),
+			Idle:  median(of, func(c CPUCost) float64 { return c.Idle }),
 		}
 	}
 	return out, nil
 }
 
 // median returns the median of one figure of the costs; of an even number, the upper one of the two in the middle.
-func median(costs []Cost, figure func(Cost) float64) float64 {
+func median(costs []CPUCost, figure func(CPUCost) float64) float64 {
 	var values []float64
 	for _, c := range costs {
 		values = append(values, figure(c))
@@ -62,7 +62,7 @@
 }
 
 // measureOnce measures a program once.
-func measureOnce(ctx context.Context, program string, load Load) (c Cost, err error) {
+func measureOnce(ctx context.Context, program string, load Load) (c CPUCost, err error) {
 	if c.Start, err = processorTime(ctx, program, Load{}); err != nil {
 		return c, err
 	}
