--- a/internal/rig/single.go
+++ b/internal/rig/single.go
@@ -11,22 +11,22 @@
 	"gorseledge/internal/rig/standin"
 )
 
-// Single is one node's process without a fleet, alone with the hosts that it is given.
-type Single struct {
+// StandaloneNode is the process of a node without a fleet, with the hosts that it is given.
+type StandaloneNode struct {
 	Client    string // the address that clients connect to
 	cmd       *exec.Cmd
 	discovery *standin.Discovery
 }
 
-// StartSingle starts the built program; it knows the hosts from its start, so none of them is new. The directory has to
-// be there and takes its config. An end of the context ends the process.
-func StartSingle(ctx context.Context, program, dir string, hosts *standin.Hosts, limits NodeLimits) (*Single, error) {
+// StartStandaloneNode starts the built program with the hosts in its initial list, so that none of them counts as new. The
+// directory must exist; the node's config is written to it. When the context ends, the process is killed.
+func StartStandaloneNode(ctx context.Context, program, dir string, hosts *standin.Hosts, limits NodeLimits) (*StandaloneNode, error) {
 	n := &node{}
 	var err error
 	if n.client, err = freeAddress(0); err != nil {
 		return nil, err
 	}
-	s := &Single{Client: n.client, discovery: standin.StartDiscovery()}
+	s := &StandaloneNode{Client: n.client, discovery: standin.StartDiscovery()}
 	s.discovery.Publish(hosts.EndpointList(1))
 	c := config(n, s.discovery.Address(), "", 1, 1)
 	known := hosts.EndpointList(1)
@@ -49,11 +49,11 @@
 }
 
 // Pid returns the process id.
-func (s *Single) Pid() int { return s.cmd.Process.Pid }
+func (s *StandaloneNode) Pid() int { return s.cmd.Process.Pid }
 
 // Leave asks the node to shut down gracefully, waits for its end and returns the processor time that it used, user and
 // system, in microseconds.
-func (s *Single) Leave() (us float64, err error) {
+func (s *StandaloneNode) Leave() (us float64, err error) {
 	defer s.discovery.Close()
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	if err := s.cmd.Wait(); err != nil {
@@ -64,7 +64,7 @@
 }
 
 // Kill ends the node at once and waits for it. It does nothing after Leave.
-func (s *Single) Kill() {
+func (s *StandaloneNode) Kill() {
 	if s.cmd.ProcessState != nil {
 		return
 	}
--- a/internal/serving/bench.go
+++ b/internal/serving/bench.go
@@ -18,7 +18,7 @@
 
 // bench is one node with its stand-ins. Its owner calls close.
 type bench struct {
-	node    *rig.Single
+	node    *rig.StandaloneNode
 	hosts   *standin.Hosts
 	clients *clients
 }
@@ -34,7 +34,7 @@
 		MemoryMB: memoryLimitMB,
 		Sockets:  descriptorsPerFlow*connections + spareDescriptors,
 	}
-	node, err := rig.StartSingle(ctx, o.Program, dir, hosts, limits)
+	node, err := rig.StartStandaloneNode(ctx, o.Program, dir, hosts, limits)
 	if err != nil {
 		hosts.Close()
 		return nil, fmt.Errorf("starting the node: %w", err)
