--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -139,7 +139,7 @@
 			Grace:   lateAnswerGrace,
 			Lines:   lines,
 		})
-		if flow.Answer == standin.Up {
+		if flow.Answer == standin.Established {
 			return flow, nil
 		}
 		if time.Since(from) > shutdownTimeout || ctx.Err() != nil {
--- a/internal/rig/standin/client.go
+++ b/internal/rig/standin/client.go
@@ -14,14 +14,14 @@
 // Answer is the outcome of a client's request to open a flow. The values are stored in histories.
 type Answer string
 
-// The answers. NotListening, Cut and Silent mean that the node gave none.
+// The answers. After ConnectFailed, Disconnected and TimedOut the client had no answer of the node.
 const (
-	Up           Answer = "up"      // the flow is established
-	Busy         Answer = "busy"    // the node rejected the flow
-	Failed       Answer = "failed"  // the node reported an error
-	Cut          Answer = "cut"     // the connection ended without an answer
-	Silent       Answer = "silent"  // no answer came in time
-	NotListening Answer = "no door" // the connection to the node failed
+	Established   Answer = "up"      // the flow is established
+	Busy          Answer = "busy"    // the node rejected the flow
+	Failed        Answer = "failed"  // the node reported an error
+	Disconnected  Answer = "cut"     // the connection ended without an answer
+	TimedOut      Answer = "silent"  // no answer came in time
+	ConnectFailed Answer = "no door" // the connection to the node failed
 )
 
 // Ending is how an established flow ended. The values are stored in histories.
@@ -61,7 +61,7 @@
 	dialer := net.Dialer{Timeout: request.Timeout}
 	connection, err := dialer.DialContext(ctx, "tcp", request.Address)
 	if err != nil {
-		return Flow{Answer: NotListening}
+		return Flow{Answer: ConnectFailed}
 	}
 	defer connection.Close()
 	stop := context.AfterFunc(ctx, func() { connection.Close() })
@@ -72,9 +72,9 @@
 	in := bufio.NewReader(connection)
 	answer := readAnswer(in)
 	switch answer {
-	case Cut, Silent:
+	case Disconnected, TimedOut:
 		return Flow{Answer: answer}
-	case Up:
+	case Established:
 		return exchangeLines(ctx, connection, in, request)
 	default:
 		return Flow{Answer: answer, Answers: 1}
@@ -85,15 +85,15 @@
 func readAnswer(in *bufio.Reader) Answer {
 	line, err := in.ReadString('\n')
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return Silent
+		return TimedOut
 	}
 	if err != nil {
-		return Cut
+		return Disconnected
 	}
 	word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 	switch word {
 	case "UP":
-		return Up
+		return Established
 	case "BUSY":
 		return Busy
 	default:
@@ -103,7 +103,7 @@
 
 // exchangeLines sends the lines of an established flow and reads one line back for each.
 func exchangeLines(ctx context.Context, connection net.Conn, in *bufio.Reader, request FlowRequest) Flow {
-	flow := Flow{Answer: Up, Answers: 1}
+	flow := Flow{Answer: Established, Answers: 1}
 	for number := range request.Lines {
 		connection.SetDeadline(time.Now().Add(request.Grace + echoTimeout))
 		if _, err := fmt.Fprintf(connection, "M %d\r\n", number); err != nil {
--- a/internal/rig/standin/client_test.go
+++ b/internal/rig/standin/client_test.go
@@ -38,10 +38,10 @@
 	}{
 		{"rejected", "BUSY 5\r\n", Flow{Answer: Busy, Answers: 1}},
 		{"error", "ERR\r\n", Flow{Answer: Failed, Answers: 1}},
-		{"closed without an answer", "", Flow{Answer: Cut}},
-		{"established and broken", "UP h0\r\n", Flow{Answer: Up, Answers: 1, Ended: EndedByCut}},
-		{"established and moved", "UP h0\r\nMOVE\r\n", Flow{Answer: Up, Answers: 1, Ended: EndedByMove}},
-		{"answered twice", "UP h0\r\nERR\r\nBYE\r\n", Flow{Answer: Up, Answers: 2, Ended: EndedByMove}},
+		{"closed without an answer", "", Flow{Answer: Disconnected}},
+		{"established and broken", "UP h0\r\n", Flow{Answer: Established, Answers: 1, Ended: EndedByCut}},
+		{"established and moved", "UP h0\r\nMOVE\r\n", Flow{Answer: Established, Answers: 1, Ended: EndedByMove}},
+		{"answered twice", "UP h0\r\nERR\r\nBYE\r\n", Flow{Answer: Established, Answers: 2, Ended: EndedByMove}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			request := FlowRequest{Address: startNode(t, c.answer), ID: "1", Timeout: 5 * time.Second, Lines: 4}
@@ -59,8 +59,8 @@
 	}
 	listener.Close()
 	request := FlowRequest{Address: listener.Addr().String(), Timeout: time.Second}
-	if got := RunFlow(t.Context(), request); got.Answer != NotListening {
-		t.Errorf("got %+v, want %q", got, NotListening)
+	if got := RunFlow(t.Context(), request); got.Answer != ConnectFailed {
+		t.Errorf("got %+v, want %q", got, ConnectFailed)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	t.Cleanup(hosts.Close)
 	request := FlowRequest{Address: hosts.EndpointList(1).Hosts[0].Address, ID: "1", Timeout: 5 * time.Second, Lines: 3}
-	want := Flow{Answer: Up, Answers: 1, Ended: EndedByClient}
+	want := Flow{Answer: Established, Answers: 1, Ended: EndedByClient}
 	if got := RunFlow(t.Context(), request); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
