--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -122,7 +122,7 @@
 		Returning: f.opening.Returning,
 	}
 	if inherited := n.flows.ids.inherited[f.opening.ID]; inherited != nil {
-		arrival.HeldBy = 1 + inherited.hostIndex
+		arrival.MidFlowServer = 1 + inherited.hostIndex
 		n.removeInherited(inherited.ID)
 	}
 	return arrival
--- a/placement/flow.go
+++ b/placement/flow.go
@@ -14,15 +14,15 @@
 
 // Arrival is a flow as it reaches this node.
 type Arrival struct {
-	Type      int     // index of the service type
-	Tenant    int     // index of the tenant's quota
-	ClientKey uint64  // identifies the client; 0 for none
-	GroupKey  uint64  // identifies the group of flows; 0 for none
-	Timeout   float64 // seconds until the client gives up the setup
-	Load      float64 // expected load; 0 where it is not known
-	MidFlow   bool    // an established connection whose packets now come to this node
-	HeldBy    int     // 1 + the server that has the mid-flow connection, where the predecessor said so; 0 else
-	Returning bool    // the client comes again after its connection broke or was migrated
+	Type          int     // index of the service type
+	Tenant        int     // index of the tenant's quota
+	ClientKey     uint64  // identifies the client; 0 for none
+	GroupKey      uint64  // identifies the group of flows; 0 for none
+	Timeout       float64 // seconds until the client gives up the setup
+	Load          float64 // expected load; 0 where it is not known
+	MidFlow       bool    // an established connection whose packets now come to this node
+	MidFlowServer int     // 1 + the server of the mid-flow connection if the predecessor named it, otherwise 0
+	Returning     bool    // the client comes again after its connection broke or was migrated
 }
 
 // flow is one flow, from its arrival until it is released.
@@ -83,7 +83,7 @@
 		serviceType: min(max(arrival.Type, 0), len(b.ServiceTypes)-1),
 		tenant:      min(max(arrival.Tenant, 0), len(b.Quotas)),
 		clientHash:  hash64(key),
-		holder:      arrival.HeldBy - 1,
+		holder:      arrival.MidFlowServer - 1,
 		load:        max(arrival.Load, 0),
 		server:      none,
 		tried:       f.tried[:0],
