--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -26,12 +26,12 @@
 	maxCallBytes  = 2 << 10                // of its head, of which net/http takes 4 KiB more, and of its body
 )
 
-// Ask puts a query to the node; it gives false if the context ended before the reply.
-type Ask func(ctx context.Context, q node.Query) (node.Reply, bool)
+// QueryFunc sends a query to the node and returns its reply; it returns false if the context ended before the reply.
+type QueryFunc func(ctx context.Context, q node.Query) (node.Reply, bool)
 
 // Serve answers calls that come to a listener, over at most that many connections at once, until the context ends,
 // which is no error. fleetView gives what is known of the fleet; nil for a node on its own.
-func Serve(ctx context.Context, listener net.Listener, maxConnections int, ask Ask, fleetView func() view.View) error {
+func Serve(ctx context.Context, listener net.Listener, maxConnections int, ask QueryFunc, fleetView func() view.View) error {
 	limited := limit(listener, maxConnections)
 	server := &http.Server{
 		Handler:                      Handler(ask, fleetView),
@@ -53,7 +53,7 @@
 }
 
 // Handler answers the calls. fleetView gives what is known of the fleet; nil for a node on its own.
-func Handler(ask Ask, fleetView func() view.View) http.Handler {
+func Handler(ask QueryFunc, fleetView func() view.View) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /-/ready", queryHandler(ask, node.IsReady, confirm(http.StatusServiceUnavailable, "not ready")))
 	mux.Handle("GET /-/metrics", queryHandler(ask, node.GetFigures, func(w http.ResponseWriter, reply node.Reply) {
@@ -96,7 +96,7 @@
 }
 
 // queryHandler puts a question to the node, about the host that the path names if any, and writes the reply.
-func queryHandler(ask Ask, question node.Question, write func(w http.ResponseWriter, reply node.Reply)) http.HandlerFunc {
+func queryHandler(ask QueryFunc, question node.Question, write func(w http.ResponseWriter, reply node.Reply)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 		defer cancel()
--- a/internal/admin/serve_test.go
+++ b/internal/admin/serve_test.go
@@ -18,7 +18,7 @@
 const callTimeout = 20 * time.Second
 
 // serve serves a node that answers by ask until the end of the test, and gives its address.
-func serve(t *testing.T, maxConnections int, ask Ask) string {
+func serve(t *testing.T, maxConnections int, ask QueryFunc) string {
 	t.Helper()
 	leaks := goleak.IgnoreCurrent()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
