--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -108,8 +108,8 @@
 	return group.Wait()
 }
 
-// Ready announces to the other members whether this node accepts clients.
-func (f *Fleet) Ready(ready bool) {
+// SetReady announces to the other members whether this node accepts clients.
+func (f *Fleet) SetReady(ready bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.core.SetReady(f.now(), ready)
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -14,8 +14,8 @@
 type Part interface {
 	// Run is a member of the fleet until the context ends or the node has left the fleet.
 	Run(ctx context.Context) error
-	// Ready announces whether the node accepts clients.
-	Ready(ready bool)
+	// SetReady announces whether the node accepts clients.
+	SetReady(ready bool)
 	// SetHandedOver hands the membership over to another process of the node, or takes it back.
 	SetHandedOver(handedOver bool)
 	// Leave announces that the node leaves, unless another process of it is the member.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -184,7 +184,7 @@
 		region, known := p.regions[at]
 		return known && p.cut.Load().drops(n.Region, region)
 	})
-	part.Ready(true)
+	part.SetReady(true)
 	ctx, stop := context.WithCancel(p.ctx)
 	h := &hollow{plan: n, part: part, stop: stop, done: make(chan struct{})}
 	p.mu.Lock()
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -128,7 +128,7 @@
 func (s *server) startAccepting() {
 	s.listener.opened = true
 	if s.fleet != nil {
-		s.fleet.Ready(true)
+		s.fleet.SetReady(true)
 		s.fleet.Follow()
 	}
 	socket := s.listener.socket
