--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -56,8 +56,8 @@
 func Handler(ask QueryFunc, fleetView func() view.View) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /-/ready", queryHandler(ask, node.IsReady, confirm(http.StatusServiceUnavailable, "not ready")))
-	mux.Handle("GET /-/metrics", queryHandler(ask, node.GetFigures, func(w http.ResponseWriter, reply node.Reply) {
-		writeMetrics(w, reply.Figures, fleetView)
+	mux.Handle("GET /-/metrics", queryHandler(ask, node.GetStatistics, func(w http.ResponseWriter, reply node.Reply) {
+		writeMetrics(w, reply.Statistics, fleetView)
 	}))
 	mux.Handle("PUT /-/hosts/{id}/disable", queryHandler(ask, node.DisableHost, confirm(http.StatusNotFound, "no such host")))
 	mux.Handle("PUT /-/hosts/{id}/enable", queryHandler(ask, node.EnableHost, confirm(http.StatusNotFound, "no such host")))
--- a/internal/admin/admin_golden_test.go
+++ b/internal/admin/admin_golden_test.go
@@ -28,8 +28,8 @@
 	return string(text)
 }
 
-func goldenFigures() node.Figures {
-	return node.Figures{
+func goldenFigures() node.Statistics {
+	return node.Statistics{
 		Types: []node.FlowCounts{
 			{Type: "chat", Established: 812, Rejected: 3, Aborted: 1, ClientLeft: 9},
 			{Type: "a:b|c\r\nd", Established: 14, Rejected: 5, Aborted: 2, ClientLeft: 4},
@@ -97,7 +97,7 @@
 }
 
 func TestGoldenPagesShowEveryField(t *testing.T) {
-	checkNonZero(t, "Figures", reflect.ValueOf(goldenFigures()))
+	checkNonZero(t, "Statistics", reflect.ValueOf(goldenFigures()))
 	checkNonZero(t, "View", reflect.ValueOf(goldenView()))
 }
 
@@ -129,7 +129,7 @@
 		{"/-/config", "config.json", "application/json", goldenView},
 	} {
 		t.Run(c.golden, func(t *testing.T) {
-			got, _ := respond(t, http.MethodGet, c.path, &node.Reply{OK: true, Figures: goldenFigures()}, c.members)
+			got, _ := respond(t, http.MethodGet, c.path, &node.Reply{OK: true, Statistics: goldenFigures()}, c.members)
 			if got.Code != 200 || got.Header().Get("Content-Type") != c.contentType {
 				t.Errorf("status %d, type %q; want 200 and %q", got.Code, got.Header().Get("Content-Type"), c.contentType)
 			}
@@ -189,7 +189,7 @@
 			node.Query{Question: node.EnableHost, Host: "s-1"}, 200, "yes, and the live settings still disable it\n"},
 		{"unknown host put back", "PUT", "/-/hosts/s-2/enable", no, node.Query{Question: node.EnableHost, Host: "s-2"}, 404,
 			"no such host\n"},
-		{"figures without an answer in time", "GET", "/-/metrics", nil, node.Query{Question: node.GetFigures}, 503,
+		{"figures without an answer in time", "GET", "/-/metrics", nil, node.Query{Question: node.GetStatistics}, 503,
 			"the node has not answered in time\n"},
 		{"no members of a node on its own", "GET", "/-/members", yes, node.Query{}, 404, "404 page not found\n"},
 		{"no configuration of a node on its own", "GET", "/-/config", yes, node.Query{}, 404, "404 page not found\n"},
--- a/internal/admin/calls_test.go
+++ b/internal/admin/calls_test.go
@@ -16,7 +16,7 @@
 	var asked []node.Query
 	address := serve(t, 8, func(_ context.Context, q node.Query) (node.Reply, bool) {
 		asked = append(asked, q)
-		return node.Reply{OK: q.Host != "s-2", Figures: node.Figures{
+		return node.Reply{OK: q.Host != "s-2", Statistics: node.Statistics{
 			Types:    []node.FlowCounts{{Type: "chat", Established: 812, Rejected: 3, Aborted: 1, ClientLeft: 9}, {Type: "a:b|c\nd"}},
 			Accepted: 900, Dispatched: 830, Open: 14, Listed: 11, Unavailable: 2}}, true
 	})
@@ -30,7 +30,7 @@
 		body       string
 	}{
 		{"ready", "GET /-/ready" + host + "\r\n", 200, []node.Query{{Question: node.IsReady}}, "yes\n"},
-		{"figures", "GET /-/metrics" + host + "\r\n", 200, []node.Query{{Question: node.GetFigures}}, figures},
+		{"figures", "GET /-/metrics" + host + "\r\n", 200, []node.Query{{Question: node.GetStatistics}}, figures},
 		{"disable", "PUT /-/hosts/s-1/disable" + host + "\r\n", 200, []node.Query{{Question: node.DisableHost, Host: "s-1"}}, ""},
 		{"disable, with a small body", "PUT /-/hosts/s-1/disable" + host + "Content-Length: 2\r\n\r\n{}", 200,
 			[]node.Query{{Question: node.DisableHost, Host: "s-1"}}, ""},
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -14,7 +14,7 @@
 
 // writeMetrics writes all figures, one a line: counts since the start of the process and, of what is now, gauges.
 // Their names are fixed: operators' tools read them.
-func writeMetrics(w io.Writer, figures node.Figures, fleetView func() view.View) {
+func writeMetrics(w io.Writer, figures node.Statistics, fleetView func() view.View) {
 	writeFigures(w, figures)
 	if fleetView == nil {
 		return
@@ -31,7 +31,7 @@
 func writeCount(w io.Writer, name string, value int) { fmt.Fprintf(w, "lb.%s:%d|c\n", name, value) }
 
 // writeFigures writes the core's figures.
-func writeFigures(w io.Writer, figures node.Figures) {
+func writeFigures(w io.Writer, figures node.Statistics) {
 	var text strings.Builder
 	for _, t := range figures.Types {
 		name := nameReplacer.Replace(t.Type)
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -72,7 +72,7 @@
 	Reply struct {
 		OK            bool
 		StillDisabled bool           // to EnableHost: the live settings disable the host
-		Figures       Figures        // to GetFigures
+		Statistics    Statistics     // to GetStatistics
 		Handover      *HandoverState // to ClaimHandover and TakeOver
 	}
 	// SettingsApplied answers SettingsReceived: the revision is in force, or Err says why nothing of it is. Ignored
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -229,7 +229,7 @@
 			for _, list := range c.lists {
 				harness.apply(ListReceived{list})
 			}
-			if listed := harness.query(GetFigures, "").Figures.Listed; listed != c.known {
+			if listed := harness.query(GetStatistics, "").Statistics.Listed; listed != c.known {
 				t.Errorf("%d hosts listed, wanted %d", listed, c.known)
 			}
 			if got := placeFlow(harness); !strings.HasPrefix(got, c.to) {
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -15,8 +15,8 @@
 	ClientLeft  int // the client did not wait for its answer
 }
 
-// Figures are what the node reports of itself: counts since the start of the process, and numbers of now.
-type Figures struct {
+// Statistics are what the node reports of itself: counts since the start of the process, and current numbers.
+type Statistics struct {
 	Types       []FlowCounts // in the order of the settings
 	Accepted    int          // flows, from their opening line on
 	Dispatched  int          // opening lines written to hosts, to the last byte
@@ -26,9 +26,9 @@
 	Unavailable int          // hosts on the list that take no new flows now
 }
 
-// newFigures returns figures of zero for the service types.
-func newFigures(serviceTypes []string) Figures {
-	var figures Figures
+// newFigures returns statistics of zero for the service types.
+func newFigures(serviceTypes []string) Statistics {
+	var figures Statistics
 	for _, name := range serviceTypes {
 		figures.Types = append(figures.Types, FlowCounts{Type: name})
 	}
@@ -83,7 +83,7 @@
 }
 
 // currentFigures returns a copy of the figures as they stand.
-func (n *Node) currentFigures() Figures {
+func (n *Node) currentFigures() Statistics {
 	figures := n.figures
 	figures.Types = slices.Clone(figures.Types)
 	figures.Listed, figures.Unavailable = n.balancer.Unavailable(n.now)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -55,7 +55,7 @@
 }
 
 func checkDisabledHostsStayDisabled(t *testing.T, _, successor *testHarness, _ ConnID) {
-	if f := successor.query(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 1 {
+	if f := successor.query(GetStatistics, "").Statistics; f.Listed != 3 || f.Unavailable != 1 {
 		t.Errorf("%d listed, %d unavailable", f.Listed, f.Unavailable)
 	}
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -319,9 +319,9 @@
 // query asks the node a question and returns its reply.
 func (harness *testHarness) query(question Question, host string) Reply {
 	harness.Helper()
-	harness.reply = Reply{Figures: Figures{Accepted: -1}}
+	harness.reply = Reply{Statistics: Statistics{Accepted: -1}}
 	harness.apply(Query{question, host})
-	if harness.reply.Figures.Accepted < 0 {
+	if harness.reply.Statistics.Accepted < 0 {
 		harness.Fatal("no reply")
 	}
 	return harness.reply
@@ -352,7 +352,7 @@
 }
 
 // checkedFigures returns the figures after it has checked what must hold of them after any input.
-func (harness *testHarness) checkedFigures() Figures {
+func (harness *testHarness) checkedFigures() Statistics {
 	harness.Helper()
 	figures := harness.node.currentFigures()
 	sum := figures.Waiting
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -140,7 +140,7 @@
 // The questions.
 const (
 	IsReady       Question = iota // may clients be sent here?
-	GetFigures                    // the figures
+	GetStatistics                 // the statistics of the node
 	DisableHost                   // the host takes no new flows from now on
 	EnableHost                    // it takes them again, if the list and the balancer allow it
 	ClaimHandover                 // the state for a successor, which is notified of changes from then on
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,7 +65,7 @@
 	upgrade     upgrade
 	shutdown    shutdown
 	live        liveSettings
-	figures     Figures
+	figures     Statistics
 
 	serviceTypes map[string]int // the balancer's index of each service type
 	tenants      map[string]int // the balancer's index of each tenant
--- a/internal/node/query.go
+++ b/internal/node/query.go
@@ -8,8 +8,8 @@
 	switch query.Question {
 	case IsReady:
 		reply.OK = n.isReady()
-	case GetFigures:
-		reply.Figures = n.currentFigures()
+	case GetStatistics:
+		reply.Statistics = n.currentFigures()
 	case DisableHost, EnableHost:
 		reply.OK = n.handleDisableQuery(query)
 		reply.StillDisabled = query.Question == EnableHost && n.isDisabledBySettings(query.Host)
--- a/internal/node/query_test.go
+++ b/internal/node/query_test.go
@@ -19,7 +19,7 @@
 		}
 		harness.receive(client, "", Ended)
 	}
-	if f := harness.query(GetFigures, "").Figures; f.Listed != 2 || f.Unavailable != 1 {
+	if f := harness.query(GetStatistics, "").Statistics; f.Listed != 2 || f.Unavailable != 1 {
 		t.Errorf("%d listed, %d unavailable", f.Listed, f.Unavailable)
 	}
 	harness.apply(ListReceived{hostList(1)}) // a host that has left the list is known all the same
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -117,7 +117,7 @@
 			if harness.stoppedWatches != c.stoppedWatches {
 				t.Errorf("%d watches stopped, wanted %d", harness.stoppedWatches, c.stoppedWatches)
 			}
-			if f := harness.query(GetFigures, "").Figures; f.Listed != 3 || f.Unavailable != 0 {
+			if f := harness.query(GetStatistics, "").Statistics; f.Listed != 3 || f.Unavailable != 0 {
 				t.Errorf("%d hosts listed, %d unavailable", f.Listed, f.Unavailable)
 			}
 		})
@@ -202,7 +202,7 @@
 	harness.advance(60)
 	harness.timeUntilWatch(10)
 	harness.apply(hostChange("DRAINING"))
-	if f := harness.query(GetFigures, "").Figures; f.Unavailable != 1 {
+	if f := harness.query(GetStatistics, "").Statistics; f.Unavailable != 1 {
 		t.Error("a late list was ignored")
 	}
 }
--- a/internal/sockets/listwatch_test.go
+++ b/internal/sockets/listwatch_test.go
@@ -114,8 +114,8 @@
 						t.Errorf("seed %d: never notified", seed)
 					}
 					synctest.Wait()
-					if a, _ := s.ask(t.Context(), node.Query{Question: node.GetFigures}); a.Figures.Unavailable != 1 {
-						t.Errorf("seed %d: notified, and %d hosts avoided", seed, a.Figures.Unavailable)
+					if a, _ := s.ask(t.Context(), node.Query{Question: node.GetStatistics}); a.Statistics.Unavailable != 1 {
+						t.Errorf("seed %d: notified, and %d hosts avoided", seed, a.Statistics.Unavailable)
 					}
 				})
 			}
@@ -188,8 +188,8 @@
 					t.Error("never notified")
 				}
 				synctest.Wait()
-				if a, _ := s.ask(t.Context(), node.Query{Question: node.GetFigures}); a.Figures.Unavailable != 1 {
-					t.Errorf("notified, and %d hosts avoided", a.Figures.Unavailable)
+				if a, _ := s.ask(t.Context(), node.Query{Question: node.GetStatistics}); a.Statistics.Unavailable != 1 {
+					t.Errorf("notified, and %d hosts avoided", a.Statistics.Unavailable)
 				}
 				if got := calls.Load(); got != c.calls {
 					t.Errorf("%d calls, want %d", got, c.calls)
