--- a/internal/admin/admin_golden_test.go
+++ b/internal/admin/admin_golden_test.go
@@ -51,7 +51,7 @@
 
 func goldenView() view.View {
 	return view.View{
-		Fleet: "lima", Self: "n1", Living: 3, HealthScore: 6, Nodes: 4,
+		Fleet: "lima", Self: "n1", LiveCount: 3, HealthScore: 6, Nodes: 4,
 		Members: []view.Member{
 			{Name: "n1", State: "alive", Since: 1700000001.5, Start: 1700000000123456, Incarnation: 5,
 				Address: "10.1.0.1:7000", Zone: "a", Build: "5fa7498", Ready: true, BadLinks: []string{"n2", "n3"}},
--- a/internal/emulator/members/budget_test.go
+++ b/internal/emulator/members/budget_test.go
@@ -26,7 +26,7 @@
 		b.simulation.Run(b.simulation.Now + 1)
 		sum, sumLive := 0.0, 0.0
 		for i := range nodes {
-			live := b.simulation.Node(i).Living()
+			live := b.simulation.Node(i).LiveCount()
 			sum += budgetShare / float64(b.divisors[i].Update(b.simulation.Now, live, nodes))
 			sumLive += budgetShare / float64(live)
 		}
@@ -64,7 +64,7 @@
 				t.Errorf("divided by the live members: %g of a budget: the partition shows nothing", b.mostLive)
 			}
 			for i := range nodes {
-				if got := b.divisors[i].Update(s.Now, s.Node(i).Living(), nodes); got != nodes {
+				if got := b.divisors[i].Update(s.Now, s.Node(i).LiveCount(), nodes); got != nodes {
 					t.Errorf("node %d divides by %d after the partition has healed, want %d", i, got, nodes)
 				}
 			}
--- a/internal/emulator/members/identity_test.go
+++ b/internal/emulator/members/identity_test.go
@@ -32,8 +32,8 @@
 	if !s.Replaced(6) || s.Replaced(restarted) || s.Replaced(successor) {
 		t.Errorf("replaced: predecessor %v, successor %v, restarted %v", s.Replaced(6), s.Replaced(successor), s.Replaced(restarted))
 	}
-	if s.Node(0).Living() != 8 {
-		t.Errorf("%d live members, want 8", s.Node(0).Living())
+	if s.Node(0).LiveCount() != 8 {
+		t.Errorf("%d live members, want 8", s.Node(0).LiveCount())
 	}
 }
 
--- a/internal/emulator/members/network_test.go
+++ b/internal/emulator/members/network_test.go
@@ -105,7 +105,7 @@
 			s := settled(t, Options{Nodes: nodes, Seed: seed})
 			cutBetween(s, nodes, true, separated)
 			s.Run(s.Now + 150)
-			if live := s.Node(0).Living(); live != nodes/2 {
+			if live := s.Node(0).LiveCount(); live != nodes/2 {
 				t.Errorf("%d live members in one half, want %d", live, nodes/2)
 			}
 			cutBetween(s, nodes, false, separated)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -137,7 +137,7 @@
 // updateNodeCount reports the number of nodes that share a budget, where it has changed.
 func (f *Fleet) updateNodeCount() {
 	f.mu.Lock()
-	nodes := f.divisor.Update(f.now(), f.core.Living(), f.configuredNodes)
+	nodes := f.divisor.Update(f.now(), f.core.LiveCount(), f.configuredNodes)
 	changed := nodes != f.reportedNodes
 	f.reportedNodes = nodes
 	f.mu.Unlock()
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -23,7 +23,7 @@
 	})
 	eventually(t, "both are alive", func() bool {
 		seenBySecond, _ := second.Member(first.Self().Name)
-		return seenBySecond.State == membership.Alive && first.Living() == 2
+		return seenBySecond.State == membership.Alive && first.LiveCount() == 2
 	})
 }
 
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -65,7 +65,7 @@
 func startPair(t *testing.T, prepare func(i int, f *Fleet)) (first, second *Fleet) {
 	t.Helper()
 	nodes := startFleet(t, 2, prepare)
-	eventually(t, "both know each other", func() bool { return nodes[0].Living() == 2 && nodes[1].Living() == 2 })
+	eventually(t, "both know each other", func() bool { return nodes[0].LiveCount() == 2 && nodes[1].LiveCount() == 2 })
 	return nodes[0], nodes[1]
 }
 
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -78,7 +78,7 @@
 		f.observe(c)
 	}
 	f.log.Info().Str("member", c.Name).Str("state", c.State.String()).Str("was", c.Previous.String()).Bool("new", c.New).
-		Str("by", c.SuspectedBy).Uint64("start", c.Start).Uint32("incarnation", c.Incarnation).Int("living", f.core.Living()).
+		Str("by", c.SuspectedBy).Uint64("start", c.Start).Uint32("incarnation", c.Incarnation).Int("living", f.core.LiveCount()).
 		Msg("member")
 }
 
--- a/internal/fleet/queries.go
+++ b/internal/fleet/queries.go
@@ -5,11 +5,11 @@
 	"gorseledge/internal/membership"
 )
 
-// Living returns the number of members that are alive or suspect at this node, including itself.
-func (f *Fleet) Living() int {
+// LiveCount returns the number of members that are alive or suspect at this node, including itself.
+func (f *Fleet) LiveCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.core.Living()
+	return f.core.LiveCount()
 }
 
 // Digest returns a hash of the membership state, which is the same at two nodes that know the same about the same members.
@@ -68,7 +68,7 @@
 	v := view.View{
 		Fleet:       f.config.Fleet,
 		Self:        f.core.Self().Name,
-		Living:      f.core.Living(),
+		LiveCount:   f.core.LiveCount(),
 		HealthScore: f.core.HealthScore(),
 		Nodes:       f.reportedNodes,
 		Traffic:     f.traffic.nonZero(),
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -34,7 +34,7 @@
 type View struct {
 	Fleet       string         `json:"fleet"`             // id of the fleet
 	Self        string         `json:"self"`              // name of the node
-	Living      int            `json:"living"`            // members that are alive or suspect, including the node
+	LiveCount   int            `json:"living"`            // members that are alive or suspect, including the node
 	HealthScore int            `json:"doubt"`             // local health score (Lifeguard); 0 is healthy
 	Nodes       int            `json:"nodes"`             // that share the hosts' budgets; 0 before the first count
 	Members     []Member       `json:"members"`           // in the order of their names, including the node and members that are gone
--- a/internal/fleet/view/view_golden_test.go
+++ b/internal/fleet/view/view_golden_test.go
@@ -85,7 +85,7 @@
 }
 
 func TestGoldenMembersPage(t *testing.T) {
-	checkPage(t, "members.json", View{Fleet: "lima", Self: "node-a", Living: 2, HealthScore: 3, Nodes: 4,
+	checkPage(t, "members.json", View{Fleet: "lima", Self: "node-a", LiveCount: 2, HealthScore: 3, Nodes: 4,
 		Members: []Member{
 			{Name: "node-a", State: "alive", Since: 1700000000.5, Start: 1700000000000001, Incarnation: 5, Address: "127.0.0.1:7000",
 				Zone: "zone-a", Build: "5fa7498", Ready: true, BadLinks: []string{"node-b", "node-c"}},
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -28,8 +28,8 @@
 	for i := range others {
 		m.Receive(testStart, stateOf("node-1", peerUpdate(i+1, 0, Alive)))
 	}
-	if m.Living() != others+1 {
-		t.Fatalf("%d live members, want %d", m.Living(), others+1)
+	if m.LiveCount() != others+1 {
+		t.Fatalf("%d live members, want %d", m.LiveCount(), others+1)
 	}
 	return m
 }
@@ -125,8 +125,8 @@
 			if found := changes(effects, "node-2"); len(found) != 1 || found[0].Previous != Alive {
 				t.Errorf("changes %+v, want one from alive", found)
 			}
-			if m.Living() != 4 {
-				t.Errorf("%d live members, want 4: a suspect still counts", m.Living())
+			if m.LiveCount() != 4 {
+				t.Errorf("%d live members, want 4: a suspect still counts", m.LiveCount())
 			}
 		})
 	}
@@ -278,8 +278,8 @@
 	if diedAt < testStart+earliest {
 		t.Errorf("declared dead after %g s, the shortest suspicion is %g s", diedAt-testStart, earliest)
 	}
-	if m.Living() != 3 {
-		t.Errorf("%d live members, want 3", m.Living())
+	if m.LiveCount() != 3 {
+		t.Errorf("%d live members, want 3", m.LiveCount())
 	}
 	m.Receive(diedAt, stateOf("node-1", peerUpdate(2, 0, Alive)))
 	checkState(t, m, "node-2", Dead)
@@ -299,8 +299,8 @@
 	m := newTestMembers(t, 3)
 	m.Receive(testStart, stateOf("node-2", peerUpdate(2, 1, Left)))
 	checkState(t, m, "node-2", Left)
-	if m.Living() != 3 {
-		t.Errorf("%d live members, want 3", m.Living())
+	if m.LiveCount() != 3 {
+		t.Errorf("%d live members, want 3", m.LiveCount())
 	}
 }
 
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -23,8 +23,8 @@
 // the factor of the score plus one.
 func (m *Members) HealthScore() int { return m.healthScore }
 
-// Living returns the number of members that are alive or suspect, including this node.
-func (m *Members) Living() int { return m.liveCount }
+// LiveCount returns the number of members that are alive or suspect, including this node.
+func (m *Members) LiveCount() int { return m.liveCount }
 
 // All returns all known members in the order of their names, including this node and those that are gone.
 func (m *Members) All() []Member {
--- a/internal/scale/agree.go
+++ b/internal/scale/agree.go
@@ -139,7 +139,7 @@
 	}
 	views := r.reals.views(ctx)
 	for _, v := range views {
-		if v.Living != size {
+		if v.LiveCount != size {
 			return false, nil
 		}
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -243,7 +243,7 @@
 		if digests {
 			r.Digests[h.part.Digest()]++
 		}
-		r.Living[h.plan.Region] = r.Living[h.plan.Region].with(h.part.Living())
+		r.Living[h.plan.Region] = r.Living[h.plan.Region].with(h.part.LiveCount())
 	}
 	r.Seen, r.InForce = p.watch.seen(), p.inForce.times()
 	return r
