--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -66,7 +66,7 @@
 
 // logConnection writes the log line of a client's connection that ended.
 func (n *Node) logConnection(c *connection) {
-	record := Record{Reason: c.endReason, Duration: n.now - c.startedAt, BytesToClient: c.bytesWritten}
+	record := ConnectionRecord{Reason: c.endReason, Duration: n.now - c.startedAt, BytesToClient: c.bytesWritten}
 	if f := c.flow; f != nil {
 		record.Type = n.listener.ServiceTypes[f.serviceType]
 		record.Attempts = f.attempt + 1
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -59,7 +59,7 @@
 	// WriteLog is a line of the log.
 	WriteLog struct{ Line string }
 	// LogConnection is the log line of a client's connection that ended.
-	LogConnection struct{ Record Record }
+	LogConnection struct{ Record ConnectionRecord }
 	// OpenListener says, once, that clients can be served if the listener is opened.
 	OpenListener struct{}
 	// CloseListener ends the accepting of clients, once those that wait are accepted.
@@ -118,8 +118,8 @@
 func (SettingsApplied) effect()    {}
 func (MoveDiscovery) effect()      {}
 
-// Record is what the log keeps of a client's connection.
-type Record struct {
+// ConnectionRecord is what the log line of a client connection contains.
+type ConnectionRecord struct {
 	Reason          Reason
 	Type            string  // service type; empty without a flow
 	Host            string  // of the last attempt; empty for none
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -39,7 +39,7 @@
 	flowDials       []ConnID
 	healthChecks    []ConnID
 	dialedAddress   map[ConnID]string
-	records         []Record
+	records         []ConnectionRecord
 
 	watchSilent     bool    // advance does not have the watch send anything
 	watchIndices    []int64 // of the watches asked for
--- a/internal/sockets/effects.go
+++ b/internal/sockets/effects.go
@@ -78,7 +78,7 @@
 }
 
 // logConnection writes the log line of a client's connection that ended.
-func (s *server) logConnection(r node.Record) {
+func (s *server) logConnection(r node.ConnectionRecord) {
 	s.log.Info().Str("reason", string(r.Reason)).Str("type", r.Type).Str("host", r.Host).
 		Int("connects", r.Attempts).Float64("setup_s", milliseconds(r.Setup)).Float64("lasted_s", milliseconds(r.Duration)).
 		Uint64("up", r.BytesFromClient).Uint64("down", r.BytesToClient).Msg("ended")
