--- a/internal/emulator/node_process.go
+++ b/internal/emulator/node_process.go
@@ -171,7 +171,7 @@
 	case node.Close:
 		n.closeConnection(e)
 	case node.Watch:
-		n.listCalls.begin(e.Beside)
+		n.listCalls.begin(e.KeepPrevious)
 		n.world.discovery.handleCall(n, n.listCalls.newest(), e.Index)
 	case node.StopWatch:
 		n.listCalls.end()
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -39,11 +39,11 @@
 
 // Effects on discovery.
 type (
-	// Watch asks discovery for what changed after Index, and on from there, in place of any watch before. Beside keeps
-	// the oldest call that waits for its answer, until one of the two is answered.
+	// Watch asks discovery for the changes after Index, and for those that follow, and replaces any earlier watch. With
+	// KeepPrevious, the oldest call that still waits for its answer is kept until one of the two calls is answered.
 	Watch struct {
-		Index  int64
-		Beside bool
+		Index        int64
+		KeepPrevious bool
 	}
 	// StopWatch ends the watch.
 	StopWatch struct{}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -147,7 +147,7 @@
 	switch effect := effect.(type) {
 	case Watch:
 		harness.watchIndices = append(harness.watchIndices, effect.Index)
-		if effect.Beside {
+		if effect.KeepPrevious {
 			harness.parallelWatches++
 		}
 	case StopWatch:
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -110,7 +110,7 @@
 	if n.watch.state == watchRequested && !n.listener.ListPushed {
 		n.endpoints.failedCalls++
 		n.watch.lastActivity = n.now
-		n.emit(Watch{Index: n.endpoints.listIndex, Beside: true})
+		n.emit(Watch{Index: n.endpoints.listIndex, KeepPrevious: true})
 		n.emit(WriteLog{fmt.Sprintf("discovery: no answer for %.0f s, asked once more beside, the list is %.1f s old",
 			watchAnswerTimeout, n.watch.age(n.now))})
 		return
--- a/internal/sockets/listwatch.go
+++ b/internal/sockets/listwatch.go
@@ -94,7 +94,7 @@
 
 // watchList begins a call for the list.
 func (s *server) watchList(e node.Watch) {
-	call := s.discovery.begin(s.ctx, e.Beside)
+	call := s.discovery.begin(s.ctx, e.KeepPrevious)
 	client := s.discovery.client
 	ctx := call.ctx
 	alive := func(midLine bool) {
