--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -115,8 +115,8 @@
 	f.core.SetReady(f.now(), ready)
 }
 
-// InForce records that a revision of the live settings is in force at the node.
-func (f *Fleet) InForce(r live.Revision) {
+// SetInForce records that a revision of the live settings is in force at the node.
+func (f *Fleet) SetInForce(r live.Revision) {
 	if f.follower == nil {
 		return
 	}
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -24,8 +24,8 @@
 	SendGossip(loads []peers.HostLoad)
 	// Follow follows the control servers from now on: no predecessor of this process does any more.
 	Follow()
-	// InForce records that a revision of the live settings is in force at the node.
-	InForce(r live.Revision)
+	// SetInForce records that a revision of the live settings is in force at the node.
+	SetInForce(r live.Revision)
 	// View returns what the node knows about the fleet now.
 	View() View
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -205,7 +205,7 @@
 	if h == nil { // it has been ended meanwhile
 		return
 	}
-	h.part.InForce(r)
+	h.part.SetInForce(r)
 	p.inForce.installed(name, configfeed.Version{Epoch: r.Epoch, Revision: r.Number}, time.Now())
 }
 
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -141,7 +141,7 @@
 // postUpdate sends a change of the core's state to the node's other processes.
 func (s *server) postUpdate(update *node.HandoverUpdate) {
 	if update.Revision != nil && s.fleet != nil {
-		s.fleet.InForce(*update.Revision)
+		s.fleet.SetInForce(*update.Revision)
 	}
 	m := outgoingMessage{Message: handover.Message{Update: update}}
 	s.upgrade.predecessor.post(m)
