--- a/internal/rig/single.go
+++ b/internal/rig/single.go
@@ -20,7 +20,9 @@
 
 // StartStandaloneNode starts the built program with the hosts in its initial list, so that none of them counts as new. The
 // directory must exist; the node's config is written to it. When the context ends, the process is killed.
-func StartStandaloneNode(ctx context.Context, program, dir string, hosts *standin.Hosts, limits NodeLimits) (*StandaloneNode, error) {
+func StartStandaloneNode(
+	ctx context.Context, program, dir string, hosts *standin.Hosts, limits NodeLimits,
+) (*StandaloneNode, error) {
 	n := &node{}
 	var err error
 	if n.client, err = freeAddress(0); err != nil {
--- a/internal/sockets/sockets_golden_test.go
+++ b/internal/sockets/sockets_golden_test.go
@@ -34,8 +34,8 @@
 	}{
 		{"ended", node.LogConnection{Record: node.ConnectionRecord{Reason: node.Served, Type: "chat", Host: "s-5be2a07c", Attempts: 2,
 			Duration: 61.25, Setup: 0.125, BytesFromClient: 4097, BytesToClient: 18446744073709551615}}},
-		{"ended, times rounded to milliseconds", node.LogConnection{Record: node.ConnectionRecord{Reason: node.ClientReset, Type: "feed",
-			Host: "s-77d10e42", Attempts: 1, Duration: 7.0006, Setup: 0.0625, BytesFromClient: 1, BytesToClient: 2}}},
+		{"ended, times rounded to milliseconds", node.LogConnection{Record: node.ConnectionRecord{Reason: node.ClientReset,
+			Type: "feed", Host: "s-77d10e42", Attempts: 1, Duration: 7.0006, Setup: 0.0625, BytesFromClient: 1, BytesToClient: 2}}},
 		{"ended before its first line", node.LogConnection{Record: node.ConnectionRecord{Reason: node.NoLine, Duration: 2}}},
 		{"note", node.WriteLog{Line: "base list of 6 servers, was 0"}},
 	}
