--- a/internal/handover/handover_golden_test.go
+++ b/internal/handover/handover_golden_test.go
@@ -133,8 +133,8 @@
 func goldenMessages() []goldenMessage {
 	sitting := goldenInheritedConnection()
 	return []goldenMessage{
-		{"claim", Message{Version: 1, Ask: RequestState}},
-		{"take", Message{Version: 1, Ask: RequestClients}},
+		{"claim", Message{Version: 1, Request: RequestState}},
+		{"take", Message{Version: 1, Request: RequestClients}},
 		{"refusal", Message{Version: 1, Refusal: RefusalBusy}},
 		{"state", Message{Version: 1, State: goldenState()}},
 		{"news of a host taken out by hand", Message{Version: 1, Update: &node.HandoverUpdate{DisabledHost: "s-5be2a07c"}}},
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -103,10 +103,10 @@
 				t.Fatal(err)
 			}
 			predecessor, successor := newLinkPair(t, path)
-			if err := successor.Send(Message{Ask: RequestState}); err != nil {
+			if err := successor.Send(Message{Request: RequestState}); err != nil {
 				t.Fatal(err)
 			}
-			if m, err := predecessor.Receive(); err != nil || m.Ask != RequestState {
+			if m, err := predecessor.Receive(); err != nil || m.Request != RequestState {
 				t.Fatalf("%+v, %v", m, err)
 			}
 			checkHandsOver(t, predecessor, successor)
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -39,7 +39,7 @@
 // between versions.
 type Message struct {
 	Version  int                      `json:"version"`
-	Ask      Request                  `json:"ask,omitempty"`
+	Request  Request                  `json:"ask,omitempty"`
 	Refusal  Refusal                  `json:"no,omitempty"`
 	State    *node.HandoverState      `json:"legacy,omitempty"`
 	Update   *node.HandoverUpdate     `json:"news,omitempty"`
--- a/internal/sockets/origin.go
+++ b/internal/sockets/origin.go
@@ -106,7 +106,7 @@
 // requestState asks the predecessor at the far side of a link for its state.
 func requestState(link *handover.Link) (*claim, error) {
 	link.SetReadTimeout(claimTimeout)
-	if err := link.Send(handover.Message{Ask: handover.RequestState}); err != nil {
+	if err := link.Send(handover.Message{Request: handover.RequestState}); err != nil {
 		return nil, err
 	}
 	answer, err := link.Receive()
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -42,7 +42,7 @@
 
 // requestClients asks the predecessor for the clients. One that does not answer in time keeps nobody out.
 func (s *server) requestClients() {
-	s.upgrade.predecessor.post(outgoingMessage{Message: handover.Message{Ask: handover.RequestClients}})
+	s.upgrade.predecessor.post(outgoingMessage{Message: handover.Message{Request: handover.RequestClients}})
 	s.group.Go(func() error {
 		if pause(s.ctx, claimTimeout) {
 			s.do(s.openWithoutPredecessor)
@@ -97,13 +97,13 @@
 		return node.HandoverReceived{State: m.State}
 	case m.Transfer != nil:
 		return s.inheritConnection(p, m)
-	case m.Ask == handover.RequestState && (u.successor != nil || !s.listener.opened):
+	case m.Request == handover.RequestState && (u.successor != nil || !s.listener.opened):
 		p.post(outgoingMessage{Message: handover.Message{Refusal: handover.RefusalBusy}})
-	case m.Ask == handover.RequestState:
+	case m.Request == handover.RequestState:
 		u.successor = p
 		limitMemory(s.config.Limits.MemoryMB, true)
 		return node.Query{Question: node.ClaimHandover}
-	case m.Ask == handover.RequestClients && p == u.successor:
+	case m.Request == handover.RequestClients && p == u.successor:
 		s.handOverClients()
 		return node.Query{Question: node.TakeOver}
 	}
--- a/internal/sockets/upgrade_test.go
+++ b/internal/sockets/upgrade_test.go
@@ -21,7 +21,7 @@
 			s.listener.opened = c.opened
 			s.upgrade.successor = c.successor
 			caller := newPeerProcess(nil)
-			request := incomingMessage{Message: handover.Message{Ask: handover.RequestState}}
+			request := incomingMessage{Message: handover.Message{Request: handover.RequestState}}
 			if input := s.peerProcessSaid(caller, request); input != nil {
 				t.Errorf("the core was given %v", input)
 			}
