--- a/cmd/gorseledge-config/epoch.go
+++ b/cmd/gorseledge-config/epoch.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	request := feedhttp.EpochRequest{IfVersion: newest, Author: author(), Note: note}
-	outcome, err := s.client.NewEpoch(cmd.Context(), s.writer().Address, request)
+	outcome, err := s.client.BeginEpoch(cmd.Context(), s.writer().Address, request)
 	if err != nil {
 		return callError(s.writer().Name, err)
 	}
--- a/cmd/gorseledge/control_server_test.go
+++ b/cmd/gorseledge/control_server_test.go
@@ -69,7 +69,7 @@
 	t.Cleanup(c.client.Close)
 	c.serve()
 	t.Cleanup(func() { c.stop() })
-	outcome, err := c.client.NewEpoch(t.Context(), c.address, feedhttp.EpochRequest{Author: "test"})
+	outcome, err := c.client.BeginEpoch(t.Context(), c.address, feedhttp.EpochRequest{Author: "test"})
 	if err != nil || outcome.Kind != configfeed.Accepted {
 		t.Fatalf("%+v, %v", outcome, err)
 	}
--- a/internal/configfeed/changes.go
+++ b/internal/configfeed/changes.go
@@ -38,9 +38,9 @@
 	return s.takeEffects()
 }
 
-// NewEpoch begins an epoch with the entries that the writer has, as an operator asks for after a backup was restored.
+// BeginEpoch begins an epoch with the entries that the writer has, as an operator asks for after a backup was restored.
 // The epoch has to be higher than any that was reported; zero stands for the next one. An AnswerProposal answers it.
-func (s *Server) NewEpoch(now float64, request uint64, epoch uint64, author, note string) []ServerEffect {
+func (s *Server) BeginEpoch(now float64, request uint64, epoch uint64, author, note string) []ServerEffect {
 	asked := epochRequest{number: epoch, author: author, note: note}
 	s.enqueue(now, &change{requests: []uint64{request}, epoch: asked})
 	return s.takeEffects()
--- a/internal/configfeed/feedhttp/calls.go
+++ b/internal/configfeed/feedhttp/calls.go
@@ -146,7 +146,7 @@
 			conflict := configfeed.Outcome{Kind: configfeed.Conflict, Version: newest}
 			return []configfeed.ServerEffect{configfeed.AnswerProposal{Request: request, Outcome: conflict}}
 		}
-		return s.core.NewEpoch(now, request, e.Epoch, e.Author, e.Note)
+		return s.core.BeginEpoch(now, request, e.Epoch, e.Author, e.Note)
 	})
 }
 
--- a/internal/configfeed/feedhttp/client.go
+++ b/internal/configfeed/feedhttp/client.go
@@ -75,8 +75,8 @@
 	return get[configfeed.State](ctx, c, address, fmt.Sprintf("%s?revision=%d", pathState, revision))
 }
 
-// NewEpoch asks the writer to begin an epoch. It does not retry.
-func (c *Client) NewEpoch(ctx context.Context, address string, e EpochRequest) (configfeed.Outcome, error) {
+// BeginEpoch asks the writer to begin an epoch. It does not retry.
+func (c *Client) BeginEpoch(ctx context.Context, address string, e EpochRequest) (configfeed.Outcome, error) {
 	return post[configfeed.Outcome](ctx, c, address, pathEpoch, e)
 }
 
--- a/internal/configfeed/feedhttp/client_golden_test.go
+++ b/internal/configfeed/feedhttp/client_golden_test.go
@@ -73,7 +73,7 @@
 			return c.Apply(ctx, address, proposal)
 		},
 		"epoch_accepted": func(ctx context.Context, c *Client, address string) (any, error) {
-			return c.NewEpoch(ctx, address, epoch)
+			return c.BeginEpoch(ctx, address, epoch)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/configfeed/feedhttp/proposals_test.go
+++ b/internal/configfeed/feedhttp/proposals_test.go
@@ -56,7 +56,7 @@
 	client := f.client()
 	f.apply(client, "p", version(0, 0), 1)
 	for i, want := range []configfeed.Outcome{{Kind: configfeed.Accepted, Version: version(2, 1)}, {Kind: configfeed.Conflict, Version: version(2, 1)}} {
-		outcome, err := client.NewEpoch(t.Context(), f.writer(), EpochRequest{IfVersion: version(1, 1), Author: "test"})
+		outcome, err := client.BeginEpoch(t.Context(), f.writer(), EpochRequest{IfVersion: version(1, 1), Author: "test"})
 		if err != nil || outcome.Kind != want.Kind || outcome.Version != want.Version {
 			t.Errorf("request %d: %+v, %v", i+1, outcome, err)
 		}
--- a/internal/configfeed/proposals_test.go
+++ b/internal/configfeed/proposals_test.go
@@ -112,8 +112,8 @@
 func TestNewEpochIsAboveAnySeen(t *testing.T) {
 	s := readyServer(t)
 	s.Polled(1, 2, Poll{Follower: "n", Have: Version{Epoch: 5, Revision: 3}})
-	assertEqual(t, outcomes(s.NewEpoch(2, 3, 5, "operator", "")), map[uint64]OutcomeKind{3: Invalid})
-	save := saveOf(t, s.NewEpoch(2, 4, 0, "operator", "restored"))
+	assertEqual(t, outcomes(s.BeginEpoch(2, 3, 5, "operator", "")), map[uint64]OutcomeKind{3: Invalid})
+	save := saveOf(t, s.BeginEpoch(2, 4, 0, "operator", "restored"))
 	assertEqual(t, save.State.Version, Version{Epoch: 6, Revision: 1})
 	assertEqual(t, save.State.Entries, []Entry{{"a", "1"}})
 	assertEqual(t, outcomes(s.Saved(2, save.ID, nil)), map[uint64]OutcomeKind{4: Accepted})
--- a/internal/configfeed/sim_server_test.go
+++ b/internal/configfeed/sim_server_test.go
@@ -207,7 +207,7 @@
 	n := s.writer()
 	n.requests++
 	n.callers[n.requests] = func(Outcome) {}
-	n.carryOut(n.core.NewEpoch(s.clock.Now, n.requests, 0, "operator", "after faults"))
+	n.carryOut(n.core.BeginEpoch(s.clock.Now, n.requests, 0, "operator", "after faults"))
 }
 
 // newProposal returns a proposal that adds a key of its own to the writer's entries, and sets a key that all proposals
--- a/internal/rig/control_settle.go
+++ b/internal/rig/control_settle.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return configfeed.Outcome{}, err
 	}
-	outcome, err := c.client.NewEpoch(ctx, c.writer().address, feedhttp.EpochRequest{IfVersion: from.Version, Author: "rig"})
+	outcome, err := c.client.BeginEpoch(ctx, c.writer().address, feedhttp.EpochRequest{IfVersion: from.Version, Author: "rig"})
 	c.record(eventEpoch, ControlEvent{Outcome: string(outcome.Kind), Version: outcome.Version, Digest: digestText(from.Digest)})
 	return outcome, err
 }
