--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -29,7 +29,7 @@
 	}
 	done := node.ReadDone{Conn: c.id, Count: c.socket.read(c.readBuffer)}
 	if len(c.socket.received) == 0 {
-		done.End = c.socket.farEnd.nodeEnd()
+		done.State = c.socket.farEnd.nodeEnd()
 	}
 	c.readBuffer = nil
 	c.nodeProcess.deliver(done)
@@ -43,14 +43,14 @@
 }
 
 // nodeEnd returns the state in the form that a core gets.
-func (s streamState) nodeEnd() node.End {
+func (s streamState) nodeEnd() node.StreamState {
 	switch s {
 	case streamEnded:
-		return node.Ended
+		return node.StreamEnded
 	case streamReset:
-		return node.Broken
+		return node.StreamBroken
 	default:
-		return node.Open
+		return node.StreamOpen
 	}
 }
 
--- a/internal/emulator/faulty_cores_test.go
+++ b/internal/emulator/faulty_cores_test.go
@@ -94,7 +94,7 @@
 type ignoringClientEnd struct{ Core }
 
 func (c *ignoringClientEnd) Apply(now float64, in node.Input) []node.Effect {
-	if done, ok := in.(node.ReadDone); ok && done.Conn%2 == 1 && done.End != node.Open {
+	if done, ok := in.(node.ReadDone); ok && done.Conn%2 == 1 && done.State != node.StreamOpen {
 		return nil
 	}
 	return c.Core.Apply(now, in)
--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -9,7 +9,7 @@
 func (n *Node) answer(c *connection, reply []byte, reason Reason) {
 	c.endReason = reason
 	c.ownOutput = append(c.ownOutput, reply...)
-	c.closeAs = Ended
+	c.closeAs = StreamEnded
 	if f := c.flow; f != nil {
 		n.countFinalAnswer(f.serviceType, reply)
 		n.markOver(f)
@@ -34,7 +34,7 @@
 	}
 	n.closeConnection(f.host, false)
 	f.client.ownOutput = append(f.client.ownOutput, line.MoveLine...)
-	n.finish(f, Ended, reason, outcome)
+	n.finish(f, StreamEnded, reason, outcome)
 }
 
 // clientLeft ends a flow whose client does not wait for its answer.
@@ -59,7 +59,7 @@
 
 // clientGone handles a client that has gone although not all that it sent is read. Its flow gets no further attempt.
 func (n *Node) clientGone(c *connection) {
-	if c.flow != nil && !c.flow.established && c.closeAs == Open {
+	if c.flow != nil && !c.flow.established && c.closeAs == StreamOpen {
 		n.clientLeft(c.flow)
 	}
 }
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -8,7 +8,7 @@
 )
 
 // hostAnswers returns an event in which the host takes the opening line, sends text and then does what end says.
-func hostAnswers(text string, end End) func(*testHarness, ConnID) {
+func hostAnswers(text string, end StreamState) func(*testHarness, ConnID) {
 	return func(harness *testHarness, host ConnID) {
 		harness.completeLastDial()
 		harness.receive(host, text, end)
@@ -30,15 +30,15 @@
 	retried bool   // it never ran, so another host is tried
 	reply   string // what the client is sent; "BUSY " stands for any text that begins so
 }{
-	{"up", hostAnswers("UP 9\r\n", Open), false, "UP 9\r\n"},
-	{"served to its end before it was up", hostAnswers("BYE\r\n", Ended), false, "ERR\r\n"},
-	{"migrated by a draining host", hostAnswers("MOVE\r\n", Ended), false, "ERR\r\n"},
-	{"error", hostAnswers("ERR\r\n", Open), false, "ERR\r\n"},
-	{"rejected", hostAnswers("BUSY\r\n", Open), true, ""},
-	{"rejected with a Retry-After", hostAnswers("BUSY 50\r\n", Ended), true, ""},
-	{"unknown word", hostAnswers("SYNTAX\r\n", Ended), false, "ERR\r\n"},
-	{"binary", hostAnswers("\x00\xff\r\n", Open), false, "ERR\r\n"},
-	{"line too long", hostAnswers(strings.Repeat("x", 5000), Open), false, "ERR\r\n"},
+	{"up", hostAnswers("UP 9\r\n", StreamOpen), false, "UP 9\r\n"},
+	{"served to its end before it was up", hostAnswers("BYE\r\n", StreamEnded), false, "ERR\r\n"},
+	{"migrated by a draining host", hostAnswers("MOVE\r\n", StreamEnded), false, "ERR\r\n"},
+	{"error", hostAnswers("ERR\r\n", StreamOpen), false, "ERR\r\n"},
+	{"rejected", hostAnswers("BUSY\r\n", StreamOpen), true, ""},
+	{"rejected with a Retry-After", hostAnswers("BUSY 50\r\n", StreamEnded), true, ""},
+	{"unknown word", hostAnswers("SYNTAX\r\n", StreamEnded), false, "ERR\r\n"},
+	{"binary", hostAnswers("\x00\xff\r\n", StreamOpen), false, "ERR\r\n"},
+	{"line too long", hostAnswers(strings.Repeat("x", 5000), StreamOpen), false, "ERR\r\n"},
 	{"refused", failDial, true, ""},
 	{"the node itself lacks a descriptor", func(harness *testHarness, host ConnID) {
 		harness.connectionState[host] = "failed"
@@ -56,18 +56,18 @@
 		harness.blocked[host] = true
 		harness.completeLastDial()
 		harness.apply(WriteDone{host, 7, true})
-		harness.receive(host, "", Broken)
+		harness.receive(host, "", StreamBroken)
 	}, true, ""},
-	{"broken after the last byte", hostAnswers("", Broken), false, "ERR\r\n"},
-	{"ended after the last byte", hostAnswers("", Ended), false, "ERR\r\n"},
-	{"half an answer", hostAnswers("UP 9", Ended), false, "ERR\r\n"},
+	{"broken after the last byte", hostAnswers("", StreamBroken), false, "ERR\r\n"},
+	{"ended after the last byte", hostAnswers("", StreamEnded), false, "ERR\r\n"},
+	{"half an answer", hostAnswers("UP 9", StreamEnded), false, "ERR\r\n"},
 	{"nothing", hostStaysSilent(2), false, "ERR\r\n"},
 	{"a byte at a time that never ends", func(harness *testHarness, host ConnID) {
 		harness.completeLastDial()
 		for range 25 {
 			harness.advance(0.1)
 			if harness.pendingReads[host] != nil {
-				harness.receive(host, "x", Open)
+				harness.receive(host, "x", StreamOpen)
 			}
 		}
 	}, false, "ERR\r\n"},
@@ -122,7 +122,7 @@
 
 // A client that leaves before its answer gets no further attempt, and its descriptors are freed.
 func TestClientThatLeavesCancelsItsAttempt(t *testing.T) {
-	for _, end := range []End{Ended, Broken} {
+	for _, end := range []StreamState{StreamEnded, StreamBroken} {
 		t.Run(fmt.Sprintf("end %d", end), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 100)
 			client := harness.openFlow(orderRequest)
@@ -149,9 +149,9 @@
 		reply  string
 		reason Reason // none for a flow that is restored
 	}{
-		{"taken up", hostAnswers("UP 5\r\n", Open), "UP 5\r\n", ""},
+		{"taken up", hostAnswers("UP 5\r\n", StreamOpen), "UP 5\r\n", ""},
 		{"refused", failDial, "BUSY\r\n", NotRestored},
-		{"error", hostAnswers("ERR\r\n", Open), "ERR\r\n", NotRestored},
+		{"error", hostAnswers("ERR\r\n", StreamOpen), "ERR\r\n", NotRestored},
 		{"nothing", hostStaysSilent(2.1), "ERR\r\n", NotRestored},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -165,7 +165,7 @@
 				t.Fatalf("sent %q after %d dials, wanted %q", harness.written[client], len(harness.flowDials), c.reply)
 			}
 			if c.reason == "" {
-				harness.receive(harness.flowDials[0], "BYE\r\n", Ended)
+				harness.receive(harness.flowDials[0], "BYE\r\n", StreamEnded)
 				c.reason = Served
 			}
 			harness.checkReleased()
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -34,17 +34,17 @@
 	scanned       int // bytes of buffer that were searched for a line's end
 	forwardable   int // bytes of buffer, whole lines, that may go to the other side
 	readPending   bool
-	receivedInput bool // something was read, or a line was taken
-	farEnd        End  // what the far side did to its sending
-	discarding    bool // what is read is dropped
-	discarded     int  // bytes dropped so far
+	receivedInput bool        // something was read, or a line was taken
+	farEnd        StreamState // what the far side did to its sending
+	discarding    bool        // what is read is dropped
+	discarded     int         // bytes dropped so far
 
 	// Output.
 	ownOutput        []byte // the node's own lines, sent once nothing is left to be forwarded
 	writePending     int    // bytes of the write under way, 0 for none
 	writingForwarded bool   // the write under way is of forwarded lines
 	bytesWritten     uint64
-	closeAs          End // how to end once all is written; Open for not yet
+	closeAs          StreamState // how to end once all is written; Open for not yet
 	writeClosed      bool
 
 	connected        bool // accepted, or the dial succeeded
@@ -85,7 +85,7 @@
 
 // clientHalfClosed reports whether c's client has ended its sending while the host may still send.
 func (c *connection) clientHalfClosed() bool {
-	return c.role == hostRole && c.closeAs == Ended && !c.flow.over
+	return c.role == hostRole && c.closeAs == StreamEnded && !c.flow.over
 }
 
 // endBeforeOpening sets the reason for a connection that ends before its opening line, unless one is set.
--- a/internal/node/connection_end.go
+++ b/internal/node/connection_end.go
@@ -19,7 +19,7 @@
 		n.clientLeft(f)
 	case c.role == clientRole:
 		c.endReason = ClientEnded
-		f.host.closeAs = Ended
+		f.host.closeAs = StreamEnded
 		n.setDeadline(f.host, hostEndTimeout)
 		n.flush(f.host)
 	case !f.established:
@@ -32,8 +32,8 @@
 // unservedClientEnded handles the end of a client's sending that has no flow, or none any more.
 func (n *Node) unservedClientEnded(c *connection) {
 	c.endBeforeOpening(NoLine)
-	if c.closeAs == Open {
-		c.closeAs = Ended
+	if c.closeAs == StreamOpen {
+		c.closeAs = StreamEnded
 	}
 	n.flush(c)
 	if c.writeClosed { // all was sent before
@@ -47,20 +47,20 @@
 	n.closeConnection(f.host, false)
 	switch {
 	case f.finalWord == line.Bye:
-		n.finish(f, Ended, Served, placement.Served)
+		n.finish(f, StreamEnded, Served, placement.Served)
 	case f.finalWord == line.Move:
-		n.finish(f, Ended, MigratedByHost, placement.Canceled)
+		n.finish(f, StreamEnded, MigratedByHost, placement.Canceled)
 	case f.client.endReason == ClientEnded:
-		n.finish(f, Ended, ClientEnded, placement.Canceled)
+		n.finish(f, StreamEnded, ClientEnded, placement.Canceled)
 	default:
-		n.finish(f, Ended, HostEnded, placement.Canceled)
+		n.finish(f, StreamEnded, HostEnded, placement.Canceled)
 	}
 }
 
 // connectionBroke handles a connection that broke, or whose dial failed.
 func (n *Node) connectionBroke(c *connection) {
 	f := c.flow
-	c.farEnd = Broken
+	c.farEnd = StreamBroken
 	switch {
 	case c.role == healthCheckRole:
 		n.healthCheckInterrupted(c, false)
@@ -73,11 +73,11 @@
 		c.endReason = ClientReset
 		n.closeConnection(f.host, true)
 		n.closeConnection(c, false)
-		n.finish(f, Broken, ClientReset, placement.Canceled)
+		n.finish(f, StreamBroken, ClientReset, placement.Canceled)
 	case !f.established:
 		n.attemptFailed(f, interruptedOutcome(f.lineSent, false))
 	default:
 		n.closeConnection(c, false)
-		n.finish(f, Broken, HostReset, placement.ConnectionLost)
+		n.finish(f, StreamBroken, HostReset, placement.ConnectionLost)
 	}
 }
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -21,59 +21,59 @@
 
 var hostEnds = []connectionEnd{
 	{"served", func(harness *testHarness, client, host ConnID) {
-		harness.receive(client, "M 1\r\n", Open)
-		harness.receive(host, "M 1\r\nBYE\r\n", Ended)
+		harness.receive(client, "M 1\r\n", StreamOpen)
+		harness.receive(host, "M 1\r\nBYE\r\n", StreamEnded)
 	}, "M 1\r\nBYE\r\n", "M 1\r\n", "write closed", "closed", Served},
 	{"migrated by its host", func(harness *testHarness, _, host ConnID) {
-		harness.receive(host, "MOVE\r\n", Ended)
+		harness.receive(host, "MOVE\r\n", StreamEnded)
 	}, "MOVE\r\n", "", "write closed", "closed", MigratedByHost},
 	{"host resets", func(harness *testHarness, _, host ConnID) {
-		harness.receive(host, "M 2\r\nM", Broken)
+		harness.receive(host, "M 2\r\nM", StreamBroken)
 	}, "M 2\r\n", "", "reset", "closed", HostReset},
 	{"host ends without announcing it", func(harness *testHarness, _, host ConnID) {
-		harness.receive(host, "", Ended)
+		harness.receive(host, "", StreamEnded)
 	}, "", "", "write closed", "closed", HostEnded},
 	{"host announces its end but stays", func(harness *testHarness, _, host ConnID) {
-		harness.receive(host, "BYE\r\n", Open)
+		harness.receive(host, "BYE\r\n", StreamOpen)
 		harness.advance(1.01)
 	}, "BYE\r\n", "", "write closed", "closed", Served},
 	{"line too long from the host", func(harness *testHarness, _, host ConnID) {
-		harness.receive(host, strings.Repeat("q", 4097), Open)
+		harness.receive(host, strings.Repeat("q", 4097), StreamOpen)
 	}, "", "", "write closed", "reset", HostProtocolError},
 	{"host is silent while a line waits", func(harness *testHarness, client, _ ConnID) {
-		harness.receive(client, "M 1\r\n", Open)
+		harness.receive(client, "M 1\r\n", StreamOpen)
 		harness.advance(suspectAfter + confirmTimeout + 0.1)
 	}, "MOVE\r\n", "M 1\r\n", "write closed", "closed", HostSilent},
 	{"host is silent in the midst of a line", func(harness *testHarness, client, host ConnID) {
-		harness.receive(client, "M 1\r\n", Open)
+		harness.receive(client, "M 1\r\n", StreamOpen)
 		harness.advance(0.1)
-		harness.receive(host, "M", Open)
+		harness.receive(host, "M", StreamOpen)
 		harness.advance(connectionSilentAfter + confirmTimeout + 0.1)
 	}, "MOVE\r\n", "M 1\r\n", "write closed", "closed", HostSilent},
 }
 
 var clientEnds = []connectionEnd{
 	{"client ends, host answers", func(harness *testHarness, client, host ConnID) {
-		harness.receive(client, "M 1\r\n", Ended)
+		harness.receive(client, "M 1\r\n", StreamEnded)
 		if harness.connectionState[host] != "write closed" {
 			harness.Fatalf("the host's side is %q", harness.connectionState[host])
 		}
-		harness.receive(host, "M 1\r\n", Open)
-		harness.receive(host, "BYE\r\n", Ended)
+		harness.receive(host, "M 1\r\n", StreamOpen)
+		harness.receive(host, "BYE\r\n", StreamEnded)
 	}, "M 1\r\nBYE\r\n", "M 1\r\n", "closed", "closed", ClientEnded},
 	{"client ends, host does not", func(harness *testHarness, client, _ ConnID) {
-		harness.receive(client, "", Ended)
+		harness.receive(client, "", StreamEnded)
 		harness.advance(hostEndTimeout + 0.1)
 	}, "", "", "closed", "closed", ClientEnded},
 	{"client resets", func(harness *testHarness, client, _ ConnID) {
-		harness.receive(client, "", Broken)
+		harness.receive(client, "", StreamBroken)
 	}, "", "", "closed", "reset", ClientReset},
 	{"line too long from the client", func(harness *testHarness, client, _ ConnID) {
-		harness.receive(client, strings.Repeat("q", 4097), Open)
+		harness.receive(client, strings.Repeat("q", 4097), StreamOpen)
 	}, "", "", "write closed", "reset", ClientProtocolError},
 	{"writes to the client fail", func(harness *testHarness, client, host ConnID) {
 		harness.blocked[client] = true
-		harness.receive(host, "M 1\r\n", Open)
+		harness.receive(host, "M 1\r\n", StreamOpen)
 		harness.apply(WriteDone{client, 0, true})
 		harness.advance(failedWriteGrace + 0.05)
 	}, "", "", "closed", "reset", ClientReset},
@@ -81,17 +81,17 @@
 
 var forwardedBeforeEnd = []connectionEnd{
 	{"joined and partial lines", func(harness *testHarness, client, host ConnID) {
-		harness.receive(client, "A\r\nB\r\nC", Open)
-		harness.receive(client, "D\r\n", Open)
-		harness.receive(host, "LOAD 5\r\nX", Open)
-		harness.receive(host, "Y\r\nBYE\r\n", Ended)
+		harness.receive(client, "A\r\nB\r\nC", StreamOpen)
+		harness.receive(client, "D\r\n", StreamOpen)
+		harness.receive(host, "LOAD 5\r\nX", StreamOpen)
+		harness.receive(host, "Y\r\nBYE\r\n", StreamEnded)
 	}, "LOAD 5\r\nXY\r\nBYE\r\n", "A\r\nB\r\nCD\r\n", "write closed", "closed", Served},
 	{"more than a buffer holds", func(harness *testHarness, client, host ConnID) {
 		for range 5 {
-			harness.receive(client, longLine, Open)
-			harness.receive(host, longLine, Open)
+			harness.receive(client, longLine, StreamOpen)
+			harness.receive(host, longLine, StreamOpen)
 		}
-		harness.receive(host, "BYE\r\n", Ended)
+		harness.receive(host, "BYE\r\n", StreamEnded)
 	}, strings.Repeat(longLine, 5) + "BYE\r\n", strings.Repeat(longLine, 5), "write closed", "closed", Served},
 }
 
@@ -128,7 +128,7 @@
 
 // A flow that its host ends in good order is no sign of an overload there; one that breaks is.
 func TestOrderlyEndIsNoSignOfOverload(t *testing.T) {
-	for end, again := range map[End]bool{Ended: true, Broken: false} {
+	for end, again := range map[StreamState]bool{StreamEnded: true, StreamBroken: false} {
 		t.Run(fmt.Sprintf("end %d", end), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 1, 100)
 			_, host := harness.establish(chatRequest)
--- a/internal/node/connection_io.go
+++ b/internal/node/connection_io.go
@@ -10,7 +10,7 @@
 
 // requestRead asks for more input of c if there is space for it and none has been asked for.
 func (n *Node) requestRead(c *connection) {
-	if !c.connected || c.readPending || c.closed || c.farEnd != Open {
+	if !c.connected || c.readPending || c.closed || c.farEnd != StreamOpen {
 		return
 	}
 	if c.flow != nil && c.flow.transferring {
@@ -28,7 +28,7 @@
 }
 
 // readDone handles the result of a read: count bytes stand in the buffer, and end came after them.
-func (n *Node) readDone(c *connection, count int, end End) {
+func (n *Node) readDone(c *connection, count int, end StreamState) {
 	c.readPending = false
 	c.buffer.Fill(count)
 	if count > 0 && c.role != clientRole {
@@ -39,7 +39,7 @@
 		n.markLineSent(c.flow) // the answer came before the result of the write
 	}
 	c.farEnd = end
-	if c.closeAs != Open && !c.clientHalfClosed() {
+	if c.closeAs != StreamOpen && !c.clientHalfClosed() {
 		n.discardInput(c, count)
 	} else {
 		n.scanLines(c)
@@ -48,11 +48,11 @@
 		return
 	}
 	switch end {
-	case Open:
+	case StreamOpen:
 		n.requestRead(c)
-	case Ended:
+	case StreamEnded:
 		n.farSideEnded(c)
-	case Broken:
+	case StreamBroken:
 		n.connectionBroke(c)
 	}
 }
@@ -96,9 +96,9 @@
 		return
 	}
 	switch c.closeAs {
-	case Broken:
+	case StreamBroken:
 		n.closeConnection(c, true)
-	case Ended:
+	case StreamEnded:
 		n.endSending(c)
 	}
 }
@@ -113,7 +113,7 @@
 // endSending ends the sending on a connection to which all is written. Where few descriptors are left, a connection
 // whose input was read does not linger.
 func (n *Node) endSending(c *connection) {
-	if c.farEnd != Open || c.receivedInput && n.connections.short() {
+	if c.farEnd != StreamOpen || c.receivedInput && n.connections.short() {
 		n.closeConnection(c, false)
 		return
 	}
--- a/internal/node/connection_io_test.go
+++ b/internal/node/connection_io_test.go
@@ -16,7 +16,7 @@
 			}
 		}
 		taken += len(into)
-		harness.apply(ReadDone{conn, len(into), Open})
+		harness.apply(ReadDone{conn, len(into), StreamOpen})
 	}
 	return taken
 }
--- a/internal/node/deadlines.go
+++ b/internal/node/deadlines.go
@@ -101,7 +101,7 @@
 	switch {
 	case f != nil && f.established && !f.over:
 		n.connectionBroke(c) // what was written to it failed
-	case f == nil && c.closeAs == Open && !c.writeClosed:
+	case f == nil && c.closeAs == StreamOpen && !c.writeClosed:
 		n.dismiss(c, NoLine)
 	default:
 		c.endBeforeOpening(NoLine)
@@ -115,7 +115,7 @@
 	switch {
 	case !f.established:
 		n.attemptFailed(f, interruptedOutcome(f.lineSent, true))
-	case f.finalWord != line.Other || c.closeAs != Open:
+	case f.finalWord != line.Other || c.closeAs != StreamOpen:
 		n.hostEnded(f) // the host announced its end, or its client ended: the end itself is late
 	case c.writeClosed:
 		n.connectionBroke(c)
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -44,7 +44,7 @@
 	case Dialed:
 		n.connections.with(input.Conn, func(c *connection) { n.dialDone(c, input.Err, input.LocalFailure) })
 	case ReadDone:
-		n.connections.with(input.Conn, func(c *connection) { n.readDone(c, input.Count, input.End) })
+		n.connections.with(input.Conn, func(c *connection) { n.readDone(c, input.Count, input.State) })
 	case WriteDone:
 		n.connections.with(input.Conn, func(c *connection) { n.writeDone(c, input.Count, input.Failed) })
 	case ClientGone:
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -46,7 +46,7 @@
 // isReadyByPing asks the node as the front does whether clients may be sent to it.
 func isReadyByPing(harness *testHarness) bool {
 	client := harness.accept()
-	harness.receive(client, "PING\r\n", Ended)
+	harness.receive(client, "PING\r\n", StreamEnded)
 	return harness.written[client] == "PONG\r\n"
 }
 
@@ -143,7 +143,7 @@
 		if harness.dialedAddress[dial] == address {
 			return client, dial
 		}
-		harness.receive(client, "", Ended)
+		harness.receive(client, "", StreamEnded)
 	}
 }
 
@@ -186,7 +186,7 @@
 			if len(harness.flowDials) != dials+1 || harness.dialedAddress[harness.flowDials[dials]] != "h1" {
 				t.Fatalf("not sent to the other host")
 			}
-			harness.receive(harness.completeLastDial(), "UP 7\r\n", Open)
+			harness.receive(harness.completeLastDial(), "UP 7\r\n", StreamOpen)
 			if harness.written[client] != "UP 7\r\n" {
 				t.Errorf("the client was sent %q", harness.written[client])
 			}
--- a/internal/node/figures_test.go
+++ b/internal/node/figures_test.go
@@ -24,18 +24,18 @@
 	{"established", func(harness *testHarness) { harness.establish(chatRequest) }, oneEstablished, 1, 1},
 	{"established and ended", func(harness *testHarness) {
 		client, host := harness.establish(chatRequest)
-		harness.receive(client, "", Ended)
-		harness.receive(host, "", Ended)
+		harness.receive(client, "", StreamEnded)
+		harness.receive(host, "", StreamEnded)
 	}, oneEstablished, 1, 0},
 	{"rejected after an attempt that never ran", func(harness *testHarness) {
 		harness.openFlow(orderRequest)
 		for range 3 {
-			harness.receive(harness.completeLastDial(), "BUSY\r\n", Open)
+			harness.receive(harness.completeLastDial(), "BUSY\r\n", StreamOpen)
 		}
 	}, "0 1 0 0", 3, 0},
 	{"aborted", func(harness *testHarness) {
 		harness.openFlow(orderRequest)
-		harness.receive(harness.completeLastDial(), "ERR\r\n", Open)
+		harness.receive(harness.completeLastDial(), "ERR\r\n", StreamOpen)
 	}, "0 0 1 0", 1, 0},
 	{"nothing was reached", func(harness *testHarness) {
 		harness.openFlow(chatRequest)
@@ -49,20 +49,20 @@
 		harness.blocked[host] = true
 		harness.completeDial(host)
 		harness.apply(WriteDone{host, 5, true})
-		harness.receive(host, "", Broken)
+		harness.receive(host, "", StreamBroken)
 	}, noFlow, 0, 1},
 	{"the answer comes before the result of the write", func(harness *testHarness) {
 		harness.openFlow(orderRequest)
 		host := harness.flowDials[0]
 		harness.blocked[host] = true
 		harness.completeDial(host)
-		harness.receive(host, "ERR\r\n", Open)
+		harness.receive(host, "ERR\r\n", StreamOpen)
 	}, "0 0 1 0", 1, 0},
 	{"the client does not wait", func(harness *testHarness) {
-		harness.receive(harness.openFlow(chatRequest), "", Ended)
+		harness.receive(harness.openFlow(chatRequest), "", StreamEnded)
 	}, "0 0 0 1", 0, 0},
 	{"the client sends more than a buffer holds", func(harness *testHarness) {
-		harness.receive(harness.openFlow(chatRequest), fmt.Sprintf("%5000d%5000d", 1, 2), Open)
+		harness.receive(harness.openFlow(chatRequest), fmt.Sprintf("%5000d%5000d", 1, 2), StreamOpen)
 	}, "0 0 1 0", 0, 0},
 	{"junk", func(harness *testHarness) {
 		for _, text := range []string{
@@ -71,19 +71,19 @@
 			"OPEN 1 a1 c=none,d=5\r\n",
 			"OPEN 1 a1 c=chat,d=5\r\nM\r\n",
 		} {
-			harness.receive(harness.accept(), text, Open)
+			harness.receive(harness.accept(), text, StreamOpen)
 		}
-		harness.receive(harness.accept(), "PING\r\n", Open)
+		harness.receive(harness.accept(), "PING\r\n", StreamOpen)
 	}, noFlow, 0, 0},
 	{"the id of another client's flow", func(harness *testHarness) {
 		harness.establish(chatRequest)
 		client := harness.accept()
-		harness.receive(client, fmt.Sprintf("OPEN %x b2 c=chat,d=900\r\n", 0x1000+harness.lastAccepted-2), Open)
+		harness.receive(client, fmt.Sprintf("OPEN %x b2 c=chat,d=900\r\n", 0x1000+harness.lastAccepted-2), StreamOpen)
 	}, oneEstablished, 1, 1},
 	{"no descriptor for its host", func(harness *testHarness) {
 		client := harness.accept()
 		harness.node.connections.limit = descriptorReserve
-		harness.receive(client, "OPEN 1 "+chatRequest+"\r\n", Open)
+		harness.receive(client, "OPEN 1 "+chatRequest+"\r\n", StreamOpen)
 	}, "0 1 0 0", 0, 0},
 	{"restored at a host that is not listed", func(harness *testHarness) {
 		harness.openFlow(chatRequest + ",at=s-77")
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -129,7 +129,7 @@
 }
 
 // finish reports to the balancer that an established connection is over, and ends the client's side as end says.
-func (n *Node) finish(f *flow, end End, reason Reason, outcome placement.Outcome) {
+func (n *Node) finish(f *flow, end StreamState, reason Reason, outcome placement.Outcome) {
 	n.markOver(f)
 	n.endAttempt(f, outcome)
 	c := f.client
--- a/internal/node/flow_ids_test.go
+++ b/internal/node/flow_ids_test.go
@@ -12,7 +12,7 @@
 	harness := newHarness(t, "pass", 3, 100)
 	send := func(text string) ConnID {
 		client := harness.accept()
-		harness.receive(client, text+"\r\n", Open)
+		harness.receive(client, text+"\r\n", StreamOpen)
 		return client
 	}
 	checkRejected := func(when, text string, dials int) {
@@ -31,14 +31,14 @@
 	}
 	first := send("OPEN 7 a1 c=chat,t=acme,d=2000")
 	checkRejected("while it is set up", "OPEN 7 b2 c=chat,t=acme,d=2000", 1)
-	harness.receive(harness.completeLastDial(), "UP 77\r\n", Open)
+	harness.receive(harness.completeLastDial(), "UP 77\r\n", StreamOpen)
 	checkRejected("while it is open", "OPEN 7 b2 c=chat,t=acme,d=2000,mid=1", 1)
 	checkPlaced("its own packets by another way", "OPEN 7 a1 c=chat,t=acme,d=2000,mid=1", 2)
-	harness.receive(harness.completeLastDial(), "BYE\r\n", Ended)
-	harness.receive(first, "", Broken)
+	harness.receive(harness.completeLastDial(), "BYE\r\n", StreamEnded)
+	harness.receive(first, "", StreamBroken)
 	checkRejected("after its end", "OPEN 7 b2 c=chat,t=acme,d=2000", 2)
 	checkPlaced("the client itself again", "OPEN 7 a1 c=chat,t=acme,d=2000", 3)
-	harness.receive(harness.completeLastDial(), "BYE\r\n", Ended)
+	harness.receive(harness.completeLastDial(), "BYE\r\n", StreamEnded)
 	harness.checkReleased()
 	if len(harness.node.flows.ids.open) != 0 || harness.node.idle.count != 0 {
 		t.Fatalf("left: ids %v, %d idle", harness.node.flows.ids.open, harness.node.idle.count)
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -8,12 +8,12 @@
 }
 
 // receiveInHalves has a host send text in ever smaller parts, each half of the rest, and do what end says after each.
-func receiveInHalves(harness *testHarness, host ConnID, text string, end End) {
+func receiveInHalves(harness *testHarness, host ConnID, text string, end StreamState) {
 	harness.Helper()
 	for rest := text; harness.isReadFrom(host); {
 		half := len(rest)/2 + len(rest)%2
 		harness.receive(host, rest[:half], end)
-		if rest == "" || end != Open {
+		if rest == "" || end != StreamOpen {
 			return
 		}
 		rest = rest[half:]
@@ -28,18 +28,18 @@
 	f.Fuzz(func(t *testing.T, fromClient, fromHost []byte, ends uint8) {
 		harness := newHarness(t, "proxy", 3, 100)
 		client := harness.accept()
-		harness.receive(client, string(fromClient), Open)
+		harness.receive(client, string(fromClient), StreamOpen)
 		for i := 0; i < len(harness.flowDials); i++ {
 			host := harness.flowDials[i]
 			if harness.node.connections.byID[host] == nil || harness.connectionState[host] != "dialed" {
 				continue
 			}
 			harness.completeDial(host)
-			receiveInHalves(harness, host, string(fromHost), End(ends%3))
+			receiveInHalves(harness, host, string(fromHost), StreamState(ends%3))
 		}
 		harness.advance(2.5)
 		if harness.isReadFrom(client) {
-			harness.receive(client, "", Ended)
+			harness.receive(client, "", StreamEnded)
 		}
 		harness.advance(firstLineTimeout + hostEndTimeout + connectionSilentAfter)
 		for _, left := range harness.node.connections.byID {
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -33,7 +33,7 @@
 	loads := map[string]string{"h0": "0.9", "h1": "0.2"}
 	for _, check := range sender.healthChecks {
 		sender.completeDial(check)
-		sender.receive(check, "PONG waiting=3 x0="+loads[sender.dialedAddress[check]]+"\r\n", Open)
+		sender.receive(check, "PONG waiting=3 x0="+loads[sender.dialedAddress[check]]+"\r\n", StreamOpen)
 	}
 	sender.advance(0.25)
 	if len(sender.gossip) != 1 || sender.gossip[0].Host != 100 || sender.gossip[0].Load != 0.9 {
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -17,7 +17,7 @@
 	predecessor = newHarness(t, "pass", 3, 100)
 	client, host := predecessor.establish("a1 c=chat,t=acme,d=2000")
 	predecessor.blocked[client] = true
-	predecessor.receive(host, "M 1\r\n", Open)
+	predecessor.receive(host, "M 1\r\n", StreamOpen)
 	predecessor.query(DisableHost, "s-00000066")
 	successor = predecessor.startSuccessor("pass")
 	predecessor.handOverTo(successor)
@@ -83,7 +83,7 @@
 
 func checkInheritedIDIsRefused(t *testing.T, _, successor *testHarness, client ConnID) {
 	other := successor.accept()
-	successor.receive(other, openingOf(client)+"b2 c=chat,d=900\r\n", Open)
+	successor.receive(other, openingOf(client)+"b2 c=chat,d=900\r\n", StreamOpen)
 	if successor.written[other] != "BUSY\r\n" {
 		t.Errorf("sent %q", successor.written[other])
 	}
@@ -92,7 +92,7 @@
 func checkPacketsFindTheirHost(t *testing.T, predecessor, successor *testHarness, client ConnID) {
 	want := predecessor.dialedAddress[predecessor.flowDials[0]]
 	for attempt := range 2 {
-		successor.receive(successor.accept(), openingOf(client)+"a1 c=chat,t=acme,d=900,mid=1\r\n", Open)
+		successor.receive(successor.accept(), openingOf(client)+"a1 c=chat,t=acme,d=900,mid=1\r\n", StreamOpen)
 		if got := successor.dialedAddress[successor.flowDials[attempt]]; got != want {
 			t.Errorf("sent to %s, its host is %s", got, want)
 		}
@@ -127,13 +127,13 @@
 
 func checkEndAtPredecessor(t *testing.T, predecessor, successor *testHarness, client ConnID) {
 	predecessor.advance(1) // a blocked connection is not waited for
-	predecessor.receive(client, "", Broken)
+	predecessor.receive(client, "", StreamBroken)
 	predecessor.deliverTransfers(successor, false)
 	if len(successor.node.flows.ids.inherited) != 0 {
 		t.Error("it still counts as open")
 	}
 	other := successor.accept()
-	successor.receive(other, openingOf(client)+"b2 c=chat,d=900\r\n", Open)
+	successor.receive(other, openingOf(client)+"b2 c=chat,d=900\r\n", StreamOpen)
 	if successor.written[other] != "BUSY\r\n" {
 		t.Errorf("its id is free for others: %q", successor.written[other])
 	}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -197,7 +197,7 @@
 		harness.Fatal("stopped reading a connection that is not read")
 	}
 	delete(harness.pendingReads, stop.Conn)
-	return ReadDone{stop.Conn, 0, Open}
+	return ReadDone{stop.Conn, 0, StreamOpen}
 }
 
 func (harness *testHarness) write(write Write) Input {
@@ -229,7 +229,7 @@
 
 // receive has the far side of a connection send text, in as many reads as the buffer needs, and then do what end says.
 // A connection that the node ends meanwhile gets no more of it.
-func (harness *testHarness) receive(conn ConnID, text string, end End) {
+func (harness *testHarness) receive(conn ConnID, text string, end StreamState) {
 	harness.Helper()
 	for first := true; first || text != ""; first = false {
 		into := harness.pendingReads[conn]
@@ -244,7 +244,7 @@
 		count := copy(into, text)
 		text = text[count:]
 		if text != "" {
-			harness.apply(ReadDone{conn, count, Open})
+			harness.apply(ReadDone{conn, count, StreamOpen})
 		} else {
 			harness.apply(ReadDone{conn, count, end})
 		}
@@ -263,7 +263,7 @@
 func (harness *testHarness) openFlow(request string) ConnID {
 	harness.Helper()
 	client := harness.accept()
-	harness.receive(client, fmt.Sprintf("OPEN %x %s\r\n", 0x1000+client, request), Open)
+	harness.receive(client, fmt.Sprintf("OPEN %x %s\r\n", 0x1000+client, request), StreamOpen)
 	return client
 }
 
@@ -272,7 +272,7 @@
 	harness.Helper()
 	client = harness.openFlow(request)
 	host = harness.completeLastDial()
-	harness.receive(host, "UP 77\r\n", Open)
+	harness.receive(host, "UP 77\r\n", StreamOpen)
 	if harness.written[client] != "UP 77\r\n" {
 		harness.Fatalf("the client was sent %q", harness.written[client])
 	}
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -14,9 +14,9 @@
 		client := harness.openFlow(fmt.Sprintf("%x c=chat,t=acme,d=2000", key+1))
 		address := harness.dialedAddress[harness.flowDials[len(harness.flowDials)-1]]
 		if address == "h0" && failing {
-			harness.receive(harness.completeLastDial(), "ERR\r\n", Open)
+			harness.receive(harness.completeLastDial(), "ERR\r\n", StreamOpen)
 		}
-		harness.receive(client, "", Ended)
+		harness.receive(client, "", StreamEnded)
 		if address == "h0" {
 			return false
 		}
@@ -25,7 +25,7 @@
 }
 
 // answerHealthChecks has h0 answer its health checks for twelve seconds, and returns how many there were.
-func answerHealthChecks(harness *testHarness, answer string, end End) int {
+func answerHealthChecks(harness *testHarness, answer string, end StreamState) int {
 	harness.Helper()
 	answered := 0
 	for range 1200 {
@@ -52,15 +52,15 @@
 	for _, c := range []struct {
 		name   string
 		answer string
-		end    End
+		end    StreamState
 		back   bool
 	}{
-		{"answered", "PONG\r\n", Open, true},
-		{"answered with an error", "ERR\r\n", Open, false},
-		{"not allowed", "NO\r\n", Open, false},
-		{"ended", "", Ended, false},
-		{"broken", "", Broken, false},
-		{"line too long", strings.Repeat("x", 5000), Open, false},
+		{"answered", "PONG\r\n", StreamOpen, true},
+		{"answered with an error", "ERR\r\n", StreamOpen, false},
+		{"not allowed", "NO\r\n", StreamOpen, false},
+		{"ended", "", StreamEnded, false},
+		{"broken", "", StreamBroken, false},
+		{"line too long", strings.Repeat("x", 5000), StreamOpen, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "pass", 2, 1000)
--- a/internal/node/host_lines.go
+++ b/internal/node/host_lines.go
@@ -82,7 +82,7 @@
 		n.balancer.ReportDelay(n.now, f.index, delay)
 	}
 	f.unansweredSince = append(f.unansweredSince[:0], f.unansweredSince[1:]...)
-	if f.finalWord != line.Other || f.host.closeAs != Open {
+	if f.finalWord != line.Other || f.host.closeAs != StreamOpen {
 		return
 	}
 	f.host.clearDeadline()
--- a/internal/node/host_lines_test.go
+++ b/internal/node/host_lines_test.go
@@ -30,7 +30,7 @@
 			harness.node.listener.ReportsDelay = c.reportsDelay
 			harness.node.listener.ReportsLoad = c.reportsLoad
 			_, host := harness.establish(chatRequest)
-			harness.receive(host, c.lines, Open)
+			harness.receive(host, c.lines, StreamOpen)
 			harness.advance(0.1)
 			harness.openFlow(chatRequest)
 			if (len(harness.flowDials) == 1) != c.hostIsAvoided {
@@ -50,11 +50,11 @@
 		hosts = append(hosts, host)
 	}
 	for _, host := range hosts {
-		harness.receive(host, "LOAD 100000\r\nhalf a li", Open)
+		harness.receive(host, "LOAD 100000\r\nhalf a li", StreamOpen)
 	}
-	harness.receive(clients[0], "M\r\n", Open)
+	harness.receive(clients[0], "M\r\n", StreamOpen)
 	harness.advance(0.2)
-	harness.receive(hosts[0], "ne\r\n", Open) // four times the latency objective
+	harness.receive(hosts[0], "ne\r\n", StreamOpen) // four times the latency objective
 	harness.advance(0.6)
 	migrated := 0
 	for _, client := range clients {
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -91,7 +91,7 @@
 
 // closeIdle closes an idle connection to make room. Its client is rejected, as by dismiss, but the node does not wait for its end.
 func (n *Node) closeIdle(c *connection) {
-	if c.closeAs == Open && !c.writeClosed && c.writePending == 0 {
+	if c.closeAs == StreamOpen && !c.writeClosed && c.writePending == 0 {
 		n.emit(Write{c.id, line.BusyLine(0)})
 	}
 	c.endBeforeOpening(NoDescriptors)
--- a/internal/node/idle_test.go
+++ b/internal/node/idle_test.go
@@ -50,7 +50,7 @@
 			harness := newHarness(t, "proxy", 3, 60)
 			client := harness.accept()
 			harness.blocked[client] = true
-			harness.receive(client, "PING\r\n", Open)
+			harness.receive(client, "PING\r\n", StreamOpen)
 			if failed {
 				harness.advance(1.95)
 				harness.apply(WriteDone{client, 0, true})
@@ -94,7 +94,7 @@
 		dials := len(harness.flowDials)
 		client := harness.openFlow(fmt.Sprintf("%x c=chat,t=acme,d=2000", key+1))
 		if len(harness.flowDials) > dials {
-			harness.receive(harness.completeLastDial(), "UP 77\r\n", Open)
+			harness.receive(harness.completeLastDial(), "UP 77\r\n", StreamOpen)
 			established++
 			continue
 		}
@@ -103,7 +103,7 @@
 			t.Fatalf("sent %q", harness.written[client])
 		}
 		if harness.node.connections.byID[client] != nil {
-			harness.receive(client, "", Ended)
+			harness.receive(client, "", StreamEnded)
 		}
 		checkLimit()
 	}
@@ -117,7 +117,7 @@
 	}
 	for conn := range harness.node.connections.byID {
 		if harness.pendingReads[conn] != nil && harness.node.connections.byID[conn] != nil {
-			harness.receive(conn, "", Broken)
+			harness.receive(conn, "", StreamBroken)
 		}
 	}
 	harness.checkReleased()
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -10,14 +10,14 @@
 // the connections that it dials with even ones. Zero stands for no connection.
 type ConnID uint64
 
-// End says what the far side of a connection did to its sending.
-type End uint8
+// StreamState is the state of the direction of a connection in which the far side sends.
+type StreamState uint8
 
-// The states of a far side's sending.
+// The states of that direction.
 const (
-	Open   End = iota // it goes on
-	Ended             // it ended in good order
-	Broken            // it was cut off by a reset or any other failure
+	StreamOpen   StreamState = iota // the far side may send more
+	StreamEnded                     // the far side ended it without an error (EOF)
+	StreamBroken                    // a reset or another failure ended it
 )
 
 // Input is one thing that happened outside the node.
@@ -34,11 +34,11 @@
 		Err          error
 		LocalFailure bool
 	}
-	// ReadDone is the result of a Read: Count bytes stand in its buffer, and End came after them.
+	// ReadDone is the result of a Read: Count bytes are in its buffer. State is the state of the stream after them.
 	ReadDone struct {
 		Conn  ConnID
 		Count int
-		End   End
+		State StreamState
 	}
 	// WriteDone is the result of a Write: Count bytes were taken by the system.
 	WriteDone struct {
--- a/internal/node/lines.go
+++ b/internal/node/lines.go
@@ -8,7 +8,7 @@
 // scanLines handles each whole line in c's buffer. A line that is too long ends the connection; one that is not whole
 // yet waits for the rest.
 func (n *Node) scanLines(c *connection) {
-	for !c.closed && (c.closeAs == Open || c.clientHalfClosed()) {
+	for !c.closed && (c.closeAs == StreamOpen || c.clientHalfClosed()) {
 		if c.role == clientRole && c.flow != nil && !c.flow.established {
 			n.limitEarlyInput(c)
 			return // what follows an opening line waits until the flow is established
@@ -82,9 +82,9 @@
 		n.attemptFailed(f, placement.Failed)
 	case c.role == hostRole:
 		n.closeConnection(c, true)
-		n.finish(f, Ended, HostProtocolError, placement.ConnectionLost)
+		n.finish(f, StreamEnded, HostProtocolError, placement.ConnectionLost)
 	default:
 		n.closeConnection(f.host, true)
-		n.finish(f, Ended, ClientProtocolError, placement.Canceled)
+		n.finish(f, StreamEnded, ClientProtocolError, placement.Canceled)
 	}
 }
--- a/internal/node/live_settings_test.go
+++ b/internal/node/live_settings_test.go
@@ -228,7 +228,7 @@
 	}
 	harness.advance(3)
 	for i := range clients {
-		harness.receive(clients[i], "M 1\r\n", Open)
+		harness.receive(clients[i], "M 1\r\n", StreamOpen)
 		if !strings.HasSuffix(harness.written[hosts[i]], "M 1\r\n") {
 			t.Fatalf("connection %d: its host was sent %q", i, harness.written[hosts[i]])
 		}
--- a/internal/node/opening_test.go
+++ b/internal/node/opening_test.go
@@ -11,26 +11,26 @@
 	for _, c := range []struct {
 		name   string
 		text   string
-		end    End
+		end    StreamState
 		reply  string
 		reason Reason
 	}{
-		{"another word", "HELLO\r\n", Open, "ERR\r\n", BadLine},
-		{"binary", "\x00\x01\xfe\n", Open, "ERR\r\n", BadLine},
-		{"line too long", strings.Repeat("x", 9000), Open, "ERR\r\n", ClientProtocolError},
-		{"line too long with an end", tooLong, Open, "ERR\r\n", ClientProtocolError},
-		{"no timeout", "OPEN 1 a1 c=chat,t=acme\r\n", Open, "ERR\r\n", NoTimeout},
-		{"unknown service type", "OPEN 1 a1 c=else,t=acme,d=5\r\n", Open, "ERR\r\n", UnknownType},
-		{"open at an unknown host", "OPEN 1 a1 c=chat,t=acme,d=5,at=s-1\r\n", Open, "BUSY\r\n", UnknownHost},
-		{"many opening lines at once", strings.Repeat("OPEN 1 a1 c=chat,t=acme,d=5\r\n", 200), Open, "ERR\r\n",
+		{"another word", "HELLO\r\n", StreamOpen, "ERR\r\n", BadLine},
+		{"binary", "\x00\x01\xfe\n", StreamOpen, "ERR\r\n", BadLine},
+		{"line too long", strings.Repeat("x", 9000), StreamOpen, "ERR\r\n", ClientProtocolError},
+		{"line too long with an end", tooLong, StreamOpen, "ERR\r\n", ClientProtocolError},
+		{"no timeout", "OPEN 1 a1 c=chat,t=acme\r\n", StreamOpen, "ERR\r\n", NoTimeout},
+		{"unknown service type", "OPEN 1 a1 c=else,t=acme,d=5\r\n", StreamOpen, "ERR\r\n", UnknownType},
+		{"open at an unknown host", "OPEN 1 a1 c=chat,t=acme,d=5,at=s-1\r\n", StreamOpen, "BUSY\r\n", UnknownHost},
+		{"many opening lines at once", strings.Repeat("OPEN 1 a1 c=chat,t=acme,d=5\r\n", 200), StreamOpen, "ERR\r\n",
 			ClientProtocolError},
-		{"many readiness checks at once", strings.Repeat("PING\r\n", 400), Open,
+		{"many readiness checks at once", strings.Repeat("PING\r\n", 400), StreamOpen,
 			strings.Repeat("PONG\r\n", 11) + "ERR\r\n", ClientProtocolError},
-		{"ready", "PING\r\nPING\r\n", Ended, "PONG\r\nPONG\r\n", ReadinessChecked},
-		{"reset after the check", "PING\r\n", Broken, "PONG\r\n", ReadinessChecked},
-		{"ended with nothing sent", "", Ended, "", NoLine},
-		{"half a line", "OPEN 1", Ended, "", NoLine},
-		{"reset with nothing sent", "", Broken, "", ClientReset},
+		{"ready", "PING\r\nPING\r\n", StreamEnded, "PONG\r\nPONG\r\n", ReadinessChecked},
+		{"reset after the check", "PING\r\n", StreamBroken, "PONG\r\n", ReadinessChecked},
+		{"ended with nothing sent", "", StreamEnded, "", NoLine},
+		{"half a line", "OPEN 1", StreamEnded, "", NoLine},
+		{"reset with nothing sent", "", StreamBroken, "", ClientReset},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 2, 100)
@@ -53,7 +53,7 @@
 		t.Run("no line in time after "+text, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 2, 100)
 			client := harness.accept()
-			harness.receive(client, text, Open)
+			harness.receive(client, text, StreamOpen)
 			harness.advance(1)
 			if len(harness.records) != 0 || harness.connectionState[client] != "" {
 				t.Fatal("ended too soon")
@@ -63,7 +63,7 @@
 			if !strings.HasSuffix(harness.written[client], "BUSY\r\n") || state != "write closed" {
 				t.Fatalf("sent %q, and the client's side is %q", harness.written[client], state)
 			}
-			harness.receive(client, "OPEN 2 a1 c=chat,t=acme,d=500\r\n", Open) // before it has seen the end
+			harness.receive(client, "OPEN 2 a1 c=chat,t=acme,d=500\r\n", StreamOpen) // before it has seen the end
 			if len(harness.flowDials) > 0 || len(harness.node.flows.byIndex) > 0 {
 				t.Fatal("what came after the end was taken for a flow")
 			}
@@ -80,8 +80,8 @@
 	t.Run("after the final answer", func(t *testing.T) {
 		harness := newHarness(t, "proxy", 2, 100)
 		client := harness.accept()
-		harness.receive(client, "HELLO\r\n", Open)
-		harness.receive(client, strings.Repeat("x", 60000), Open)
+		harness.receive(client, "HELLO\r\n", StreamOpen)
+		harness.receive(client, strings.Repeat("x", 60000), StreamOpen)
 		if harness.connectionState[client] != "reset" {
 			t.Fatalf("the client's side is %q", harness.connectionState[client])
 		}
@@ -91,7 +91,7 @@
 		harness := newHarness(t, "proxy", 2, 100)
 		client := harness.openFlow(chatRequest)
 		host := harness.completeLastDial()
-		harness.receive(client, strings.Repeat("x", bufferSize), Open)
+		harness.receive(client, strings.Repeat("x", bufferSize), StreamOpen)
 		if harness.connectionState[host] != "closed" || harness.written[client] != "ERR\r\n" {
 			t.Fatalf("the host's side is %q, the client was sent %q", harness.connectionState[host],
 				harness.written[client])
--- a/internal/node/query_test.go
+++ b/internal/node/query_test.go
@@ -17,7 +17,7 @@
 		if harness.dialedAddress[dial] != "h0" {
 			t.Fatalf("sent to %s", harness.dialedAddress[dial])
 		}
-		harness.receive(client, "", Ended)
+		harness.receive(client, "", StreamEnded)
 	}
 	if f := harness.query(GetStatistics, "").Statistics; f.Listed != 2 || f.Unavailable != 1 {
 		t.Errorf("%d listed, %d unavailable", f.Listed, f.Unavailable)
--- a/internal/node/random_inputs_test.go
+++ b/internal/node/random_inputs_test.go
@@ -69,7 +69,7 @@
 	}
 	texts := []string{"UP 1\r\n", "UP 2\r\n", "BUSY\r\n", "ERR\r\n", "MOVE\r\n", "BYE\r\n", "U"}
 	text := texts[inputs.chance.IntN(len(texts))]
-	inputs.receive(host, text, End(max(0, inputs.chance.IntN(5)-2)))
+	inputs.receive(host, text, StreamState(max(0, inputs.chance.IntN(5)-2)))
 }
 
 func (inputs *randomInputs) receiveFromClient() {
@@ -82,7 +82,7 @@
 		return
 	}
 	text := []string{"", "M 1\r\n"}[inputs.chance.IntN(2)]
-	inputs.receive(client, text, End(inputs.chance.IntN(3)))
+	inputs.receive(client, text, StreamState(inputs.chance.IntN(3)))
 }
 
 func (inputs *randomInputs) completeBlockedWrites() {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -87,7 +87,7 @@
 func (n *Node) dismissIdle() {
 	for _, id := range n.idle.queue {
 		c := n.connections.byID[id]
-		if c != nil && c.idle && c.closeAs == Open && n.tooLateForNewFlow() {
+		if c != nil && c.idle && c.closeAs == StreamOpen && n.tooLateForNewFlow() {
 			n.dismiss(c, ShuttingDown)
 		}
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -23,7 +23,7 @@
 	harness.apply(Shutdown{})
 	harness.advance(0.1)
 	late := harness.openFlow(chatRequest)
-	harness.receive(host, "UP 8\r\n", Open)
+	harness.receive(host, "UP 8\r\n", StreamOpen)
 	harness.advance(0.3)
 	return shuttingDown{harness, established, waiting, late}
 }
@@ -37,7 +37,7 @@
 			s.exited)
 	}
 	ping := s.accept()
-	s.receive(ping, "PING\r\n", Ended)
+	s.receive(ping, "PING\r\n", StreamEnded)
 	if s.written[ping] != "ERR\r\n" {
 		s.Fatalf("ready although it shuts down: %q", s.written[ping])
 	}
@@ -78,8 +78,8 @@
 		if state := node.connectionState[node.established]; node.exited || state != "" {
 			t.Fatalf("exited %v, a connection in flight is %q", node.exited, state)
 		}
-		node.receive(node.established, "", Broken)
-		node.receive(node.waiting, "", Broken)
+		node.receive(node.established, "", StreamBroken)
+		node.receive(node.waiting, "", StreamBroken)
 		node.advance(0.1)
 		if !node.exited {
 			t.Fatal("nothing is in flight, and it does not exit")
@@ -95,7 +95,7 @@
 			client := harness.openFlow(chatRequest)
 			harness.apply(WatchFailed{Reason: "the end"})
 			harness.apply(input)
-			harness.receive(harness.completeLastDial(), "UP 5\r\n", Open)
+			harness.receive(harness.completeLastDial(), "UP 5\r\n", StreamOpen)
 			if want := "UP 5\r\n"; !strings.HasPrefix(harness.written[client], want) {
 				t.Errorf("sent %q", harness.written[client])
 			}
--- a/internal/node/silent_host_test.go
+++ b/internal/node/silent_host_test.go
@@ -20,7 +20,7 @@
 		for end := harness.now + 1; harness.now < end; harness.advance(0.01) {
 			for _, check := range harness.healthChecks {
 				if harness.connectionState[check] == "dialed" {
-					harness.receive(harness.completeDial(check), "PONG\r\n", Open)
+					harness.receive(harness.completeDial(check), "PONG\r\n", StreamOpen)
 				}
 			}
 		}
@@ -31,7 +31,7 @@
 	{"the node was held up", func(harness *testHarness, host, _, _ ConnID) {
 		harness.now += 2
 		harness.apply(TimerFired{})
-		harness.receive(host, "LOAD 9\r\n", Open)
+		harness.receive(host, "LOAD 9\r\n", StreamOpen)
 		harness.advance(0.2)
 	}, nil},
 	{"one line waits", func(harness *testHarness, _, otherClient, otherHost ConnID) {
@@ -39,8 +39,8 @@
 			if len(harness.records) > 0 {
 				harness.Fatalf("ended too soon: %v", harness.endReasons())
 			}
-			harness.receive(otherClient, "M\r\n", Open)
-			harness.receive(otherHost, "M\r\n", Open)
+			harness.receive(otherClient, "M\r\n", StreamOpen)
+			harness.receive(otherHost, "M\r\n", StreamOpen)
 		}
 		harness.advance(suspectAfter)
 	}, []Reason{HostSilent}},
@@ -55,7 +55,7 @@
 			client, host := harness.establish(chatRequest)
 			otherClient, otherHost := harness.establish("a2 c=chat,t=acme,d=2000")
 			harness.advance(0.1)
-			harness.receive(client, "M\r\n", Open)
+			harness.receive(client, "M\r\n", StreamOpen)
 			c.event(harness, host, otherClient, otherHost)
 			for i, conn := range []ConnID{client, otherClient} {
 				migrated := strings.HasSuffix(harness.written[conn], "MOVE\r\n")
@@ -77,13 +77,13 @@
 		t.Run(fmt.Sprintf("node held up %v", heldUp), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 1, 100)
 			client, host := harness.establish(chatRequest)
-			harness.receive(client, "M\r\n", Open)
+			harness.receive(client, "M\r\n", StreamOpen)
 			if heldUp {
 				harness.now += 0.5
 			} else {
 				harness.advance(0.5)
 			}
-			harness.receive(host, "M\r\n", Open)
+			harness.receive(host, "M\r\n", StreamOpen)
 			harness.advance(0.1)
 			harness.openFlow(chatRequest)
 			takesNoNewFlow := len(harness.flowDials) == 1
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -44,8 +44,8 @@
 
 // ending reports whether a flow has begun to end on either side, so that it ends here.
 func (f *flow) ending() bool {
-	farSidesOpen := f.client.farEnd == Open && f.host.farEnd == Open
-	staysOpen := f.client.closeAs == Open && f.host.closeAs == Open
+	farSidesOpen := f.client.farEnd == StreamOpen && f.host.farEnd == StreamOpen
+	staysOpen := f.client.closeAs == StreamOpen && f.host.closeAs == StreamOpen
 	return f.over || !farSidesOpen || !staysOpen || f.finalWord != line.Other
 }
 
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -21,8 +21,8 @@
 			predecessor := newHarness(t, "pass", 2, 100)
 			client, host := predecessor.establish(chatRequest)
 			openingBytes := len(predecessor.written[host])
-			predecessor.receive(client, c.fromClient, Open)
-			predecessor.receive(host, c.fromHost, Open)
+			predecessor.receive(client, c.fromClient, StreamOpen)
+			predecessor.receive(host, c.fromHost, StreamOpen)
 			successor := predecessor.startSuccessor("pass")
 			predecessor.handOverTo(successor)
 			numbers := predecessor.deliverTransfers(successor, false)
@@ -33,8 +33,8 @@
 			if clientState != "closed" || hostState != "closed" {
 				t.Errorf("at the predecessor they are %s and %s", clientState, hostState)
 			}
-			successor.receive(numbers[client], c.laterFromClient, Open)
-			successor.receive(numbers[host], c.laterFromHost, Open)
+			successor.receive(numbers[client], c.laterFromClient, StreamOpen)
+			successor.receive(numbers[host], c.laterFromHost, StreamOpen)
 			got := predecessor.written[host][openingBytes:] + successor.written[numbers[host]]
 			if want := c.fromClient + c.laterFromClient; got != want {
 				t.Errorf("the host got %.80q, wanted %.80q", got, want)
@@ -47,8 +47,8 @@
 			if f := successor.checkedFigures(); f.Open != 1 || f.Accepted != 0 {
 				t.Errorf("the successor's figures are %+v", f)
 			}
-			successor.receive(numbers[client], "", Ended)
-			successor.receive(numbers[host], "", Ended)
+			successor.receive(numbers[client], "", StreamEnded)
+			successor.receive(numbers[host], "", StreamEnded)
 			predecessor.checkReleased()
 			successor.checkReleased()
 		})
@@ -65,14 +65,14 @@
 	}{
 		{"not sent", func(*testHarness, ConnID, ConnID) {}, true, true},
 		{"its client has ended", func(predecessor *testHarness, client, _ ConnID) {
-			predecessor.receive(client, "", Ended)
+			predecessor.receive(client, "", StreamEnded)
 		}, false, true},
 		{"its host has announced its end", func(predecessor *testHarness, _, host ConnID) {
-			predecessor.receive(host, "BYE\r\n", Open)
+			predecessor.receive(host, "BYE\r\n", StreamOpen)
 		}, false, true},
 		{"its client is blocked", func(predecessor *testHarness, client, host ConnID) {
 			predecessor.blocked[client] = true
-			predecessor.receive(host, "M 1\r\n", Open)
+			predecessor.receive(host, "M 1\r\n", StreamOpen)
 		}, false, true},
 		{"nothing in the way", func(*testHarness, ConnID, ConnID) {}, false, false},
 	} {
@@ -104,15 +104,15 @@
 	if len(predecessor.flowDials) == before {
 		t.Errorf("the predecessor places no flow")
 	}
-	predecessor.receive(predecessor.completeLastDial(), "UP 2\r\n", Open)
+	predecessor.receive(predecessor.completeLastDial(), "UP 2\r\n", StreamOpen)
 	predecessor.blocked = map[ConnID]bool{}
 	for _, done := range predecessor.blockedWrites {
 		predecessor.written[done.Conn] += "M 1\r\n"
 		predecessor.apply(done)
 	}
 	if predecessor.pendingReads[host] != nil && predecessor.connectionState[host] == "" {
-		predecessor.receive(host, "M 9\r\nBYE\r\n", Open)
-		predecessor.receive(host, "", Ended)
+		predecessor.receive(host, "M 9\r\nBYE\r\n", StreamOpen)
+		predecessor.receive(host, "", StreamEnded)
 		if !strings.HasSuffix(predecessor.written[client], "M 9\r\nBYE\r\n") {
 			t.Errorf("the client got %q", predecessor.written[client])
 		}
@@ -126,7 +126,7 @@
 	client := predecessor.openFlow(chatRequest)
 	successor := predecessor.startSuccessor("pass")
 	predecessor.handOverTo(successor)
-	predecessor.receive(predecessor.completeLastDial(), "UP 5\r\n", Open)
+	predecessor.receive(predecessor.completeLastDial(), "UP 5\r\n", StreamOpen)
 	if predecessor.written[client] != "UP 5\r\n" {
 		t.Fatalf("sent %q", predecessor.written[client])
 	}
@@ -147,8 +147,8 @@
 	client, host := predecessor.establish(chatRequest)
 	blockedClient, blockedHost := predecessor.establish("b2 c=chat,t=acme,d=2000")
 	predecessor.blocked[blockedClient] = true
-	predecessor.receive(blockedHost, "M 1\r\n", Open)
-	predecessor.receive(host, "M 2\r\n", Open)
+	predecessor.receive(blockedHost, "M 1\r\n", StreamOpen)
+	predecessor.receive(host, "M 2\r\n", StreamOpen)
 	successor := predecessor.startSuccessor("proxy")
 	predecessor.handOverTo(successor)
 	predecessor.apply(Shutdown{})
--- a/internal/sockets/connection.go
+++ b/internal/sockets/connection.go
@@ -58,7 +58,7 @@
 	s.group.Go(func() error {
 		for into := range c.reads {
 			n, err := socket.Read(into)
-			s.send(node.ReadDone{Conn: conn, Count: n, End: endOf(err)})
+			s.send(node.ReadDone{Conn: conn, Count: n, State: endOf(err)})
 		}
 		return done()
 	})
@@ -121,14 +121,14 @@
 }
 
 // endOf tells from a read's error how the far side's sending stands.
-func endOf(err error) node.End {
+func endOf(err error) node.StreamState {
 	switch {
 	case err == nil, errors.Is(err, os.ErrDeadlineExceeded): // the latter after stopReading
-		return node.Open
+		return node.StreamOpen
 	case errors.Is(err, io.EOF):
-		return node.Ended
+		return node.StreamEnded
 	}
-	return node.Broken
+	return node.StreamBroken
 }
 
 // close frees what the connection holds, and cancels its dial; reset breaks it off. The loop alone calls it, once.
