--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -108,15 +108,15 @@
 	return group.Wait()
 }
 
-// Ready announces to the other members whether this node accepts clients.
-func (f *Fleet) Ready(ready bool) {
+// SetReady announces to the other members whether this node accepts clients.
+func (f *Fleet) SetReady(ready bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.core.SetReady(f.now(), ready)
 }
 
-// InForce records that a revision of the live settings is in force at the node.
-func (f *Fleet) InForce(r live.Revision) {
+// SetInForce records that a revision of the live settings is in force at the node.
+func (f *Fleet) SetInForce(r live.Revision) {
 	if f.follower == nil {
 		return
 	}
@@ -137,7 +137,7 @@
 // updateNodeCount reports the number of nodes that share a budget, where it has changed.
 func (f *Fleet) updateNodeCount() {
 	f.mu.Lock()
-	nodes := f.divisor.Update(f.now(), f.core.Living(), f.configuredNodes)
+	nodes := f.divisor.Update(f.now(), f.core.LiveCount(), f.configuredNodes)
 	changed := nodes != f.reportedNodes
 	f.reportedNodes = nodes
 	f.mu.Unlock()
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -14,8 +14,8 @@
 type Part interface {
 	// Run is a member of the fleet until the context ends or the node has left the fleet.
 	Run(ctx context.Context) error
-	// Ready announces whether the node accepts clients.
-	Ready(ready bool)
+	// SetReady announces whether the node accepts clients.
+	SetReady(ready bool)
 	// SetHandedOver hands the membership over to another process of the node, or takes it back.
 	SetHandedOver(handedOver bool)
 	// Leave announces that the node leaves, unless another process of it is the member.
@@ -24,8 +24,8 @@
 	SendGossip(loads []peers.HostLoad)
 	// Follow follows the control servers from now on: no predecessor of this process does any more.
 	Follow()
-	// InForce records that a revision of the live settings is in force at the node.
-	InForce(r live.Revision)
+	// SetInForce records that a revision of the live settings is in force at the node.
+	SetInForce(r live.Revision)
 	// View returns what the node knows about the fleet now.
 	View() View
 }
@@ -34,7 +34,7 @@
 type View struct {
 	Fleet       string         `json:"fleet"`             // id of the fleet
 	Self        string         `json:"self"`              // name of the node
-	Living      int            `json:"living"`            // members that are alive or suspect, including the node
+	LiveCount   int            `json:"living"`            // members that are alive or suspect, including the node
 	HealthScore int            `json:"doubt"`             // local health score (Lifeguard); 0 is healthy
 	Nodes       int            `json:"nodes"`             // that share the hosts' budgets; 0 before the first count
 	Members     []Member       `json:"members"`           // in the order of their names, including the node and members that are gone
--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -9,7 +9,7 @@
 func (n *Node) answer(c *connection, reply []byte, reason Reason) {
 	c.endReason = reason
 	c.ownOutput = append(c.ownOutput, reply...)
-	c.closeAs = Ended
+	c.closeAs = StreamEnded
 	if f := c.flow; f != nil {
 		n.countFinalAnswer(f.serviceType, reply)
 		n.markOver(f)
@@ -34,7 +34,7 @@
 	}
 	n.closeConnection(f.host, false)
 	f.client.ownOutput = append(f.client.ownOutput, line.MoveLine...)
-	n.finish(f, Ended, reason, outcome)
+	n.finish(f, StreamEnded, reason, outcome)
 }
 
 // clientLeft ends a flow whose client does not wait for its answer.
@@ -59,14 +59,14 @@
 
 // clientGone handles a client that has gone although not all that it sent is read. Its flow gets no further attempt.
 func (n *Node) clientGone(c *connection) {
-	if c.flow != nil && !c.flow.established && c.closeAs == Open {
+	if c.flow != nil && !c.flow.established && c.closeAs == StreamOpen {
 		n.clientLeft(c.flow)
 	}
 }
 
 // logConnection writes the log line of a client's connection that ended.
 func (n *Node) logConnection(c *connection) {
-	record := Record{Reason: c.endReason, Duration: n.now - c.startedAt, BytesToClient: c.bytesWritten}
+	record := ConnectionRecord{Reason: c.endReason, Duration: n.now - c.startedAt, BytesToClient: c.bytesWritten}
 	if f := c.flow; f != nil {
 		record.Type = n.listener.ServiceTypes[f.serviceType]
 		record.Attempts = f.attempt + 1
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -11,39 +11,39 @@
 	// Dial opens a connection within Timeout seconds, answered by Dialed. For is the client's connection that it is for,
 	// 0 for none: where that client is seen to have gone, nothing is dialed, and ClientGone says so.
 	Dial struct {
-		Conn    Conn
+		Conn    ConnID
 		Address string
 		Timeout float64
-		For     Conn
+		For     ConnID
 	}
 	// Read fills some of Into, answered by ReadDone.
 	Read struct {
-		Conn Conn
+		Conn ConnID
 		Into []byte
 	}
 	// StopReading ends the Read under way with what it has, if anything; ReadDone answers it.
-	StopReading struct{ Conn Conn }
+	StopReading struct{ Conn ConnID }
 	// Write sends all of Data, answered by WriteDone.
 	Write struct {
-		Conn Conn
+		Conn ConnID
 		Data []byte
 	}
 	// CloseWrite ends the sending on a connection.
-	CloseWrite struct{ Conn Conn }
+	CloseWrite struct{ Conn ConnID }
 	// Close closes a connection, answered by Closed; Reset breaks it off.
 	Close struct {
-		Conn  Conn
+		Conn  ConnID
 		Reset bool
 	}
 )
 
 // Effects on discovery.
 type (
-	// Watch asks discovery for what changed after Index, and on from there, in place of any watch before. Beside keeps
-	// the oldest call that waits for its answer, until one of the two is answered.
+	// Watch asks discovery for the changes after Index, and for those that follow, and replaces any earlier watch. With
+	// KeepPrevious, the oldest call that still waits for its answer is kept until one of the two calls is answered.
 	Watch struct {
-		Index  int64
-		Beside bool
+		Index        int64
+		KeepPrevious bool
 	}
 	// StopWatch ends the watch.
 	StopWatch struct{}
@@ -59,7 +59,7 @@
 	// WriteLog is a line of the log.
 	WriteLog struct{ Line string }
 	// LogConnection is the log line of a client's connection that ended.
-	LogConnection struct{ Record Record }
+	LogConnection struct{ Record ConnectionRecord }
 	// OpenListener says, once, that clients can be served if the listener is opened.
 	OpenListener struct{}
 	// CloseListener ends the accepting of clients, once those that wait are accepted.
@@ -72,7 +72,7 @@
 	Reply struct {
 		OK            bool
 		StillDisabled bool           // to EnableHost: the live settings disable the host
-		Figures       Figures        // to GetFigures
+		Statistics    Statistics     // to GetStatistics
 		Handover      *HandoverState // to ClaimHandover and TakeOver
 	}
 	// SettingsApplied answers SettingsReceived: the revision is in force, or Err says why nothing of it is. Ignored
@@ -89,11 +89,11 @@
 	UpdatePeerProcess struct{ Update HandoverUpdate }
 	// SendConnection sends a client's connection and its host's to the successor, answered by ConnectionSent.
 	SendConnection struct {
-		Conn, Host Conn
+		Conn, Host ConnID
 		Transfer   *ConnectionTransfer
 	}
 	// BindHostConnection gives the host's connection that was received with a client's its number.
-	BindHostConnection struct{ Conn, Client Conn }
+	BindHostConnection struct{ Conn, Client ConnID }
 )
 
 func (Dial) effect()               {}
@@ -118,8 +118,8 @@
 func (SettingsApplied) effect()    {}
 func (MoveDiscovery) effect()      {}
 
-// Record is what the log keeps of a client's connection.
-type Record struct {
+// ConnectionRecord is what the log line of a client connection contains.
+type ConnectionRecord struct {
 	Reason          Reason
 	Type            string  // service type; empty without a flow
 	Host            string  // of the last attempt; empty for none
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -122,14 +122,14 @@
 		Returning: f.opening.Returning,
 	}
 	if inherited := n.flows.ids.inherited[f.opening.ID]; inherited != nil {
-		arrival.HeldBy = 1 + inherited.hostIndex
+		arrival.MidFlowServer = 1 + inherited.hostIndex
 		n.removeInherited(inherited.ID)
 	}
 	return arrival
 }
 
 // finish reports to the balancer that an established connection is over, and ends the client's side as end says.
-func (n *Node) finish(f *flow, end End, reason Reason, outcome placement.Outcome) {
+func (n *Node) finish(f *flow, end StreamState, reason Reason, outcome placement.Outcome) {
 	n.markOver(f)
 	n.endAttempt(f, outcome)
 	c := f.client
--- a/internal/node/host_lines_test.go
+++ b/internal/node/host_lines_test.go
@@ -30,7 +30,7 @@
 			harness.node.listener.ReportsDelay = c.reportsDelay
 			harness.node.listener.ReportsLoad = c.reportsLoad
 			_, host := harness.establish(chatRequest)
-			harness.receive(host, c.lines, Open)
+			harness.receive(host, c.lines, StreamOpen)
 			harness.advance(0.1)
 			harness.openFlow(chatRequest)
 			if (len(harness.flowDials) == 1) != c.hostIsAvoided {
@@ -43,18 +43,18 @@
 // The balancer migrates some flows off a slow host, and their clients are notified between two whole lines.
 func TestSlowHostLosesSomeFlows(t *testing.T) {
 	harness := newHarness(t, "proxy", 1, 1000)
-	var clients, hosts []Conn
+	var clients, hosts []ConnID
 	for key := range 6 {
 		client, host := harness.establish(fmt.Sprintf("%x c=chat,t=acme,d=2000", key+1))
 		clients = append(clients, client)
 		hosts = append(hosts, host)
 	}
 	for _, host := range hosts {
-		harness.receive(host, "LOAD 100000\r\nhalf a li", Open)
+		harness.receive(host, "LOAD 100000\r\nhalf a li", StreamOpen)
 	}
-	harness.receive(clients[0], "M\r\n", Open)
+	harness.receive(clients[0], "M\r\n", StreamOpen)
 	harness.advance(0.2)
-	harness.receive(hosts[0], "ne\r\n", Open) // four times the latency objective
+	harness.receive(hosts[0], "ne\r\n", StreamOpen) // four times the latency objective
 	harness.advance(0.6)
 	migrated := 0
 	for _, client := range clients {
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -11,8 +11,8 @@
 
 // idleQueue holds the clients' connections that ask for nothing: before their opening line, or after their end.
 type idleQueue struct {
-	queue []Conn // oldest first, with some that are no longer idle
-	count int    // of those that are
+	queue []ConnID // oldest first, with some that are no longer idle
+	count int      // of those that are
 }
 
 // add counts a client's connection among the idle ones, once.
@@ -91,7 +91,7 @@
 
 // closeIdle closes an idle connection to make room. Its client is rejected, as by dismiss, but the node does not wait for its end.
 func (n *Node) closeIdle(c *connection) {
-	if c.closeAs == Open && !c.writeClosed && c.writePending == 0 {
+	if c.closeAs == StreamOpen && !c.writeClosed && c.writePending == 0 {
 		n.emit(Write{c.id, line.BusyLine(0)})
 	}
 	c.endBeforeOpening(NoDescriptors)
--- a/internal/node/live_settings_test.go
+++ b/internal/node/live_settings_test.go
@@ -214,7 +214,7 @@
 // A limit of descriptors below those in use ends no connection that is established.
 func TestFewerDescriptorsEndNoConnection(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 200)
-	var clients, hosts []Conn
+	var clients, hosts []ConnID
 	for range 30 {
 		client, host := harness.establish(chatRequest)
 		clients = append(clients, client)
@@ -228,7 +228,7 @@
 	}
 	harness.advance(3)
 	for i := range clients {
-		harness.receive(clients[i], "M 1\r\n", Open)
+		harness.receive(clients[i], "M 1\r\n", StreamOpen)
 		if !strings.HasSuffix(harness.written[hosts[i]], "M 1\r\n") {
 			t.Fatalf("connection %d: its host was sent %q", i, harness.written[hosts[i]])
 		}
--- a/internal/node/query_test.go
+++ b/internal/node/query_test.go
@@ -17,9 +17,9 @@
 		if harness.dialedAddress[dial] != "h0" {
 			t.Fatalf("sent to %s", harness.dialedAddress[dial])
 		}
-		harness.receive(client, "", Ended)
+		harness.receive(client, "", StreamEnded)
 	}
-	if f := harness.query(GetFigures, "").Figures; f.Listed != 2 || f.Unavailable != 1 {
+	if f := harness.query(GetStatistics, "").Statistics; f.Listed != 2 || f.Unavailable != 1 {
 		t.Errorf("%d listed, %d unavailable", f.Listed, f.Unavailable)
 	}
 	harness.apply(ListReceived{hostList(1)}) // a host that has left the list is known all the same
--- a/internal/node/silent_host_test.go
+++ b/internal/node/silent_host_test.go
@@ -11,36 +11,36 @@
 // host has sent nothing.
 type silenceCase struct {
 	name    string
-	event   func(harness *testHarness, host, otherClient, otherHost Conn)
+	event   func(harness *testHarness, host, otherClient, otherHost ConnID)
 	reasons []Reason // of the clients that are migrated, the one that waits first
 }
 
 var silenceCases = []silenceCase{
-	{"the host answers a health check", func(harness *testHarness, _, _, _ Conn) {
+	{"the host answers a health check", func(harness *testHarness, _, _, _ ConnID) {
 		for end := harness.now + 1; harness.now < end; harness.advance(0.01) {
 			for _, check := range harness.healthChecks {
 				if harness.connectionState[check] == "dialed" {
-					harness.receive(harness.completeDial(check), "PONG\r\n", Open)
+					harness.receive(harness.completeDial(check), "PONG\r\n", StreamOpen)
 				}
 			}
 		}
 	}, nil},
-	{"the host is gone", func(harness *testHarness, _, _, _ Conn) {
+	{"the host is gone", func(harness *testHarness, _, _, _ ConnID) {
 		harness.advance(1)
 	}, []Reason{HostSilent, HostSilent}},
-	{"the node was held up", func(harness *testHarness, host, _, _ Conn) {
+	{"the node was held up", func(harness *testHarness, host, _, _ ConnID) {
 		harness.now += 2
 		harness.apply(TimerFired{})
-		harness.receive(host, "LOAD 9\r\n", Open)
+		harness.receive(host, "LOAD 9\r\n", StreamOpen)
 		harness.advance(0.2)
 	}, nil},
-	{"one line waits", func(harness *testHarness, _, otherClient, otherHost Conn) {
+	{"one line waits", func(harness *testHarness, _, otherClient, otherHost ConnID) {
 		for end := harness.now + connectionSilentAfter; harness.now < end; harness.advance(suspectAfter - 0.1) {
 			if len(harness.records) > 0 {
 				harness.Fatalf("ended too soon: %v", harness.endReasons())
 			}
-			harness.receive(otherClient, "M\r\n", Open)
-			harness.receive(otherHost, "M\r\n", Open)
+			harness.receive(otherClient, "M\r\n", StreamOpen)
+			harness.receive(otherHost, "M\r\n", StreamOpen)
 		}
 		harness.advance(suspectAfter)
 	}, []Reason{HostSilent}},
@@ -55,9 +55,9 @@
 			client, host := harness.establish(chatRequest)
 			otherClient, otherHost := harness.establish("a2 c=chat,t=acme,d=2000")
 			harness.advance(0.1)
-			harness.receive(client, "M\r\n", Open)
+			harness.receive(client, "M\r\n", StreamOpen)
 			c.event(harness, host, otherClient, otherHost)
-			for i, conn := range []Conn{client, otherClient} {
+			for i, conn := range []ConnID{client, otherClient} {
 				migrated := strings.HasSuffix(harness.written[conn], "MOVE\r\n")
 				if migrated != (i < len(c.reasons)) {
 					t.Errorf("sent %q", harness.written[conn])
@@ -77,13 +77,13 @@
 		t.Run(fmt.Sprintf("node held up %v", heldUp), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 1, 100)
 			client, host := harness.establish(chatRequest)
-			harness.receive(client, "M\r\n", Open)
+			harness.receive(client, "M\r\n", StreamOpen)
 			if heldUp {
 				harness.now += 0.5
 			} else {
 				harness.advance(0.5)
 			}
-			harness.receive(host, "M\r\n", Open)
+			harness.receive(host, "M\r\n", StreamOpen)
 			harness.advance(0.1)
 			harness.openFlow(chatRequest)
 			takesNoNewFlow := len(harness.flowDials) == 1
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -44,8 +44,8 @@
 
 // ending reports whether a flow has begun to end on either side, so that it ends here.
 func (f *flow) ending() bool {
-	farSidesOpen := f.client.farEnd == Open && f.host.farEnd == Open
-	staysOpen := f.client.closeAs == Open && f.host.closeAs == Open
+	farSidesOpen := f.client.farEnd == StreamOpen && f.host.farEnd == StreamOpen
+	staysOpen := f.client.closeAs == StreamOpen && f.host.closeAs == StreamOpen
 	return f.over || !farSidesOpen || !staysOpen || f.finalWord != line.Other
 }
 
@@ -133,7 +133,7 @@
 
 // adoptConnection goes on with an open connection of the predecessor's. One that the settings of this version do not
 // allow is closed.
-func (n *Node) adoptConnection(id Conn, transfer *ConnectionTransfer) {
+func (n *Node) adoptConnection(id ConnID, transfer *ConnectionTransfer) {
 	client := n.connections.add(id, clientRole, n.now)
 	client.connected = true
 	client.receivedInput = true
--- a/internal/rig/rig_golden_test.go
+++ b/internal/rig/rig_golden_test.go
@@ -164,7 +164,7 @@
 
 // goldenEvent has every field; no run writes such an event.
 func goldenEvent() Event {
-	return Event{At: 1.5, What: eventFlow, Node: 2, Fault: &Fault{At: 3.5, Kind: faultCut, Nodes: []int{4}, To: []int{5}, Both: true, For: 6.5,
+	return Event{At: 1.5, Kind: eventFlow, Node: 2, Fault: &Fault{At: 3.5, Kind: faultCut, Nodes: []int{4}, To: []int{5}, Both: true, For: 6.5,
 		By: 0.25}, Member: "n1", State: memberSuspect, Answer: "up", Count: 7, Ended: "cut", Began: 8.5, Part: 0.125, Note: "a note",
 		Control: &ControlEvent{Server: 9, ID: "p1", Outcome: "accepted", Version: configfeed.Version{Epoch: 2, Revision: 41},
 			Digest: "00000000000000ff", Marks: []string{"p1", "p2"}, Fault: &ControlFault{At: 10.5, Kind: faultRegion, Servers: []int{1},
@@ -219,8 +219,8 @@
 func TestGoldenResult(t *testing.T) {
 	event := goldenEvent()
 	checkJSON(t, "result.json", &Result{Seed: 1, Faults: []Fault{*event.Fault}, ControlFaults: []ControlFault{*event.Control.Fault},
-		Events: []Event{event}, Violations: []Violation{{Rule: "no blameless member is held for dead", At: 1.5, Text: "n1 holds n2 for dead"}}, Calls: 2,
-		Answers: map[string]int{"up": 3, "busy": 4}, JoinTime: 5.5, Agreed: 6.5, Changes: map[string]int{"accepted": 7}, InForce: []float64{8.5, 9.5},
+		Events: []Event{event}, Violations: []Violation{{Rule: "no blameless member is held for dead", At: 1.5, Text: "n1 holds n2 for dead"}}, Requests: 2,
+		Answers: map[string]int{"up": 3, "busy": 4}, JoinTime: 5.5, AgreementTime: 6.5, Changes: map[string]int{"accepted": 7}, InForce: []float64{8.5, 9.5},
 		Deaths: []Death{{Node: 1, First: 10.5, Last: 11.5, Known: 12}}, Nodes: 13})
 }
 
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -184,7 +184,7 @@
 		region, known := p.regions[at]
 		return known && p.cut.Load().drops(n.Region, region)
 	})
-	part.Ready(true)
+	part.SetReady(true)
 	ctx, stop := context.WithCancel(p.ctx)
 	h := &hollow{plan: n, part: part, stop: stop, done: make(chan struct{})}
 	p.mu.Lock()
@@ -205,7 +205,7 @@
 	if h == nil { // it has been ended meanwhile
 		return
 	}
-	h.part.InForce(r)
+	h.part.SetInForce(r)
 	p.inForce.installed(name, configfeed.Version{Epoch: r.Epoch, Revision: r.Number}, time.Now())
 }
 
@@ -243,7 +243,7 @@
 		if digests {
 			r.Digests[h.part.Digest()]++
 		}
-		r.Living[h.plan.Region] = r.Living[h.plan.Region].with(h.part.Living())
+		r.Living[h.plan.Region] = r.Living[h.plan.Region].with(h.part.LiveCount())
 	}
 	r.Seen, r.InForce = p.watch.seen(), p.inForce.times()
 	return r
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -17,7 +17,7 @@
 	inherited   *node.HandoverState // from the predecessor at the start; nil for none
 	handedOver  bool                // the successor has the clients
 	hostSocket  *net.TCPConn        // of the connection that the core restores now
-	unsent      []node.Conn         // connections that could not even be posted to the successor
+	unsent      []node.ConnID       // connections that could not even be posted to the successor
 }
 
 // inheritsRevision tells whether the predecessor has handed over a revision of the live settings. One that has none may
@@ -42,7 +42,7 @@
 
 // requestClients asks the predecessor for the clients. One that does not answer in time keeps nobody out.
 func (s *server) requestClients() {
-	s.upgrade.predecessor.post(outgoingMessage{Message: handover.Message{Ask: handover.RequestClients}})
+	s.upgrade.predecessor.post(outgoingMessage{Message: handover.Message{Request: handover.RequestClients}})
 	s.group.Go(func() error {
 		if pause(s.ctx, claimTimeout) {
 			s.do(s.openWithoutPredecessor)
@@ -97,13 +97,13 @@
 		return node.HandoverReceived{State: m.State}
 	case m.Transfer != nil:
 		return s.inheritConnection(p, m)
-	case m.Ask == handover.RequestState && (u.successor != nil || !s.listener.opened):
+	case m.Request == handover.RequestState && (u.successor != nil || !s.listener.opened):
 		p.post(outgoingMessage{Message: handover.Message{Refusal: handover.RefusalBusy}})
-	case m.Ask == handover.RequestState:
+	case m.Request == handover.RequestState:
 		u.successor = p
 		limitMemory(s.config.Limits.MemoryMB, true)
 		return node.Query{Question: node.ClaimHandover}
-	case m.Ask == handover.RequestClients && p == u.successor:
+	case m.Request == handover.RequestClients && p == u.successor:
 		s.handOverClients()
 		return node.Query{Question: node.TakeOver}
 	}
@@ -141,7 +141,7 @@
 // postUpdate sends a change of the core's state to the node's other processes.
 func (s *server) postUpdate(update *node.HandoverUpdate) {
 	if update.Revision != nil && s.fleet != nil {
-		s.fleet.InForce(*update.Revision)
+		s.fleet.SetInForce(*update.Revision)
 	}
 	m := outgoingMessage{Message: handover.Message{Update: update}}
 	s.upgrade.predecessor.post(m)
@@ -162,7 +162,7 @@
 }
 
 // bindHostConnection gives the host's side of the connection that the core restores now its number.
-func (s *server) bindHostConnection(conn node.Conn) {
+func (s *server) bindHostConnection(conn node.ConnID) {
 	s.addConnection(conn, s.upgrade.hostSocket)
 	s.upgrade.hostSocket = nil
 }
