--- a/internal/membership/bad_links.go
+++ b/internal/membership/bad_links.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// announceBadLinks announces which members this node reaches only through others, at most once in badLinkPeriods.
+// announceBadLinks announces which members this node reaches only through others, if that has changed and the last
+// announcement is at least badLinkPeriods ago.
 func (m *Members) announceBadLinks() {
 	if m.now < m.nextBadLinksAt {
 		return
@@ -16,8 +17,8 @@
 	m.announceSelf()
 }
 
-// badLinks returns the name hashes of the members that this node reaches only through others, the lowest maxBadLinks of
-// them, in order.
+// badLinks returns the sorted name hashes of the members that this node reaches only through others. If there are more
+// than maxBadLinks, it returns the lowest of them.
 func (m *Members) badLinks() []uint32 {
 	var hashes []uint32
 	for _, peer := range m.others {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -1,81 +1,84 @@
 package membership
 
-// Config is the configuration of a member. Times are in seconds. Period and ProbeTimeout have to be positive.
+// Config is the configuration of a member. Times are in seconds. Period and ProbeTimeout must be positive.
 type Config struct {
 	Self             Member   // Name, Start, Address, Zone, Build and Ready of this node
-	Join             []string // addresses of some members, to find the others by; may contain this node's own
-	Seed             uint64   // of all random choices
+	Join             []string // addresses of members to contact in order to join; may contain this node's own
+	Seed             uint64   // seed of the random number generator
 	Period           float64  // protocol period of SWIM: the time between two probes
-	ProbeTimeout     float64  // for the answer to a direct probe; at most a third of the period
-	IndirectProbes   int      // number of members that are asked to probe one that did not answer; 0 counts as 1
+	ProbeTimeout     float64  // time allowed for the answer to a direct probe; at most a third of Period
+	IndirectProbes   int      // number of members asked to probe a target that did not answer; 0 counts as 1
 	MaxMessageBytes  int      // size limit of an encoded message
-	WithoutLifeguard bool     // plain SWIM, to measure what Lifeguard's extensions change
+	WithoutLifeguard bool     // disables Lifeguard's extensions, to compare them with plain SWIM
 }
 
 // Periods and factors of the protocol.
 const (
-	// suspicionPeriods times the logarithm of the fleet's size is the shortest suspicion in periods (SWIM, section 4.2).
+	// suspicionPeriods, multiplied by the decimal logarithm of the fleet's size, is the shortest duration of a suspicion
+	// in periods (SWIM, section 4.2).
 	suspicionPeriods = 4.0
-	// suspicionSpread is the longest duration of a suspicion over the shortest (Lifeguard, section IV.B).
+	// suspicionSpread is the ratio of the longest duration of a suspicion to the shortest (Lifeguard, section IV.B).
 	suspicionSpread = 6.0
-	// maxConfirmations is the number of confirmations, after the first suspicion, that shorten it to its shortest
+	// maxConfirmations is the number of confirmations, after the first report, that reduce a suspicion to its shortest
 	// duration (Lifeguard, section IV.B).
 	maxConfirmations = 3
-	// maxHealthScore bounds the local health score (Lifeguard, section IV.A).
+	// maxHealthScore is the upper limit of the local health score (Lifeguard, section IV.A).
 	maxHealthScore = 8
-	// verifyingMembers is the expected number of members that probe a reported suspect themselves.
+	// verifyingMembers is the expected number of members that probe a suspect themselves after another member reported it.
 	verifyingMembers = 10
-	// finalProbePeriods is the time in periods for the answer to the probe that precedes a death.
+	// finalProbePeriods is the number of periods that a suspect has to answer the last probe before it is declared dead.
 	finalProbePeriods = 2
-	// leaveSuspicionPeriods and maxLeaveSuspicionPeriods are the shortest and the longest duration in periods of a
-	// suspicion of a member that is reported to have left.
+	// leaveSuspicionPeriods and maxLeaveSuspicionPeriods are the shortest and the longest duration, in periods, of the
+	// suspicion of a member that another member reports to have left.
 	leaveSuspicionPeriods    = 1
 	maxLeaveSuspicionPeriods = 2
 
-	// startJitter is the part of a period within which a node that starts begins its first period. It spreads the
-	// probes of a fleet whose nodes start together.
+	// startJitter is the fraction of a period within which a starting node begins its first period, at a random time.
+	// It spreads the probes of a fleet whose nodes start together.
 	startJitter = 0.25
-	// pauseThreshold is the part of a period by which a tick has to be late for the process to count as paused.
+	// pauseThreshold is the fraction of a period by which a tick must be late for the process to count as paused.
 	pauseThreshold = 0.25
 
-	// exchangePeriods is the mean number of periods between two exchanges of the full state. The time between two of
-	// them is drawn from exchangeMin to exchangeMin+exchangeSpan times that.
+	// exchangePeriods is the mean number of periods between two exchanges of the full state. Each interval is this
+	// number multiplied by a random factor between exchangeMin and exchangeMin+exchangeSpan.
 	exchangePeriods = 8
 	exchangeMin     = 0.75
 	exchangeSpan    = 0.5
 
 	// isolatedPeriods is the number of periods without any message after which a node counts as isolated.
 	isolatedPeriods = 3.0
-	// isolatedSlowing is the part of the time that suspicions do not count while this node is isolated. They still
-	// expire, so that the last survivor of a fleet declares the others dead within minutes.
+	// isolatedSlowing is the fraction of the elapsed time that does not count towards the end of a suspicion while this
+	// node is isolated. It is below 1, so that suspicions still expire and the last survivor of a fleet declares the
+	// others dead within minutes.
 	isolatedSlowing = 0.97
 	// suspectedPeriods is the number of periods for which a node counts as isolated after it learned that others
 	// suspect it or consider it dead.
 	suspectedPeriods = 4.0
 
-	// transmissionFactor times the logarithm of the fleet's size is how often an update is sent.
+	// transmissionFactor, multiplied by the decimal logarithm of the fleet's size, is the number of messages that an
+	// update is sent with.
 	transmissionFactor = 4.0
-	// updatePeriods is the number of periods for which an update is sent at most. Members that missed it learn it by an
-	// exchange of the full state.
+	// updatePeriods is the maximum number of periods for which an update is sent. Members that missed it receive it
+	// with an exchange of the full state.
 	updatePeriods = 30.0
-	// badLinkPeriods is the number of periods between two announcements of bad links.
+	// badLinkPeriods is the minimum number of periods between two announcements of bad links.
 	badLinkPeriods = 5
-	// correctionPeriods is the number of periods between two corrections of the same sender.
+	// correctionPeriods is the minimum number of periods between two corrections sent to the same member.
 	correctionPeriods = 0.5
 )
 
-// Limits that bound the work and memory that messages of others can cause.
+// Limits on the work and memory that messages of other members can cause.
 const (
-	maxMembers        = 1 << 14 // members that a node knows
-	maxBadLinks       = 4       // bad links that a member announces
-	maxFactBytes      = 64      // of a name, address, zone or build
-	maxUpdates        = 64      // updates that are read from a message
-	maxStateMessages  = 32      // messages with state that a node sends in a period
-	maxIndirectProbes = 64      // concurrent probes at the request of others
+	maxMembers        = 1 << 14 // number of members that a node stores
+	maxBadLinks       = 4       // number of bad links that a member announces
+	maxFactBytes      = 64      // length of a name, address, zone or build
+	maxUpdates        = 64      // number of updates that are read from one message
+	maxStateMessages  = 32      // number of messages with state that a node sends in one period
+	maxIndirectProbes = 64      // number of concurrent probes at the request of other members
 
-	// updateOverheadBytes is the most that protobuf adds to an encoded update in a message: the field's tag and length.
+	// updateOverheadBytes is the maximum that protobuf adds to an encoded update in a message: the field's tag and length.
 	updateOverheadBytes = 3
-	// minUpdatesTried is the number of pending updates that are tried for a message, beyond which the first that does
-	// not fit ends the search.
+	// minUpdatesTried is the index of the last pending update that is skipped if it does not fit into a message. After
+	// it, the first update that does not fit ends the search.
 	minUpdatesTried = 8
 )
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -10,20 +10,23 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// pendingUpdate is an update about a member that still has to be gossiped with other messages.
+// pendingUpdate is an update about a member that still has to be gossiped with other messages. The update itself is built
+// from the current view when it is sent.
 type pendingUpdate struct {
-	name          string
-	transmissions int     // messages that it was sent with
-	queuedAt      float64 // seconds
+	name          string  // name of the member
+	transmissions int     // number of messages that the update was sent with
+	queuedAt      float64 // time of enqueueing in seconds
 }
 
-// enqueueUpdate has the state of a member gossiped with the next messages, in place of an older update about it.
+// enqueueUpdate queues an update about a member, to be sent with the next messages. It replaces a queued update about the
+// same member.
 func (m *Members) enqueueUpdate(peer *member) {
 	m.pending = slices.DeleteFunc(m.pending, func(p pendingUpdate) bool { return p.name == peer.Name })
 	m.pending = append(m.pending, pendingUpdate{name: peer.Name, queuedAt: m.now})
 }
 
-// send sends a message with as many pending updates as fit, the least sent first.
+// send adds a Send effect for a message, with as many pending updates as fit. Updates with the fewest transmissions are
+// sent first.
 func (m *Members) send(to string, msg *wire.Message) {
 	if to == "" || to == m.self.Address {
 		return
@@ -34,7 +37,8 @@
 	m.effects = append(m.effects, Send{To: to, Message: msg})
 }
 
-// addPendingUpdates adds pending updates to a message and drops those that were sent often enough or are too old.
+// addPendingUpdates adds pending updates to a message and removes those from the queue that were sent maxTransmissions
+// times or are older than updatePeriods.
 func (m *Members) addPendingUpdates(msg *wire.Message) {
 	available := m.config.MaxMessageBytes - proto.Size(msg)
 	slices.SortStableFunc(m.pending, func(a, b pendingUpdate) int { return cmp.Compare(a.transmissions, b.transmissions) })
@@ -63,7 +67,7 @@
 	m.pending = kept
 }
 
-// maxTransmissions returns how often an update is sent, for the present size of the fleet.
+// maxTransmissions returns the number of messages that an update is sent with, for the current size of the fleet.
 func (m *Members) maxTransmissions() int {
 	return int(math.Ceil(transmissionFactor * math.Log10(float64(m.liveCount+1))))
 }
--- a/internal/membership/effect.go
+++ b/internal/membership/effect.go
@@ -2,8 +2,8 @@
 
 import "gorseledge/internal/membership/wire"
 
-// Effect is something that the caller of Members has to carry out: Send, Changed or Replaced. Effects are carried out in
-// the order in which they are returned.
+// Effect is an action or event that the caller of Members has to handle: Send, Changed or Replaced. Effects must be
+// handled in the order in which they are returned.
 type Effect interface{ effect() }
 
 // Send asks the caller to send a message to an address. The message may be lost.
@@ -14,16 +14,16 @@
 
 // Changed reports that a member is new or has changed its state.
 type Changed struct {
-	Member         // as it is now
-	New      bool  // the member was not known before
-	Previous State // its state before; Alive for a new member
-	// SuspectedBy is meant for the name of the member that reported a suspicion. It is always empty so far: the change
-	// is reported before the reporter is recorded.
+	Member         // the member after the change
+	New      bool  // whether the member was not known before
+	Previous State // state before the change; Alive for a new member
+	// SuspectedBy is reserved for the name of the member that reported a suspicion. It is always empty: the change is
+	// reported before the reporter is recorded.
 	SuspectedBy string
 }
 
-// Replaced reports that a later process has this node's name at another address. This node sends nothing more, and its
-// process has to leave the fleet.
+// Replaced reports that a process with a later start uses this node's name at another address. This node sends no more
+// messages, and its process must leave the fleet.
 type Replaced struct {
 	Successor Member // Name, Start, Address and Zone of the later process
 }
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -9,9 +9,9 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// exchangeState compares the full state with that of a random member, where that is due. It also asks an address of the
-// config and a member that is gone to join. This prevents two halves of a fleet from
-// considering each other dead for good.
+// exchangeState starts an exchange of the full state with a random live member, if that is due. It also sends a join
+// request to a configured address and to a member that is dead or has left. Otherwise two halves of a fleet that were
+// partitioned would consider each other dead for ever.
 func (m *Members) exchangeState() {
 	if m.now < m.nextExchangeAt {
 		return
@@ -28,8 +28,8 @@
 	}
 }
 
-// joinConfigured asks a random address of the config at which no live member is known for its state; a node that knows no
-// other asks twice, as the first address may be that of a node as new as itself.
+// joinConfigured sends a join request to a random configured address at which no live member is known. A node that knows
+// no live member sends two, because the first address may belong to a node that has just started as well.
 func (m *Members) joinConfigured(alone bool) {
 	addresses := m.unknownJoinAddresses()
 	if len(addresses) == 0 {
@@ -41,7 +41,7 @@
 	}
 }
 
-// unknownJoinAddresses returns the addresses of the config that are neither this node's nor those of live members.
+// unknownJoinAddresses returns the configured addresses that belong neither to this node nor to a live member.
 func (m *Members) unknownJoinAddresses() []string {
 	addresses := slices.Clone(m.config.Join)
 	addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == m.self.Address })
@@ -56,9 +56,9 @@
 	return addresses
 }
 
-// joinGone asks a random member that is gone for its state and sends it this node's view of it. A member
-// that receives messages while its own are lost learns by it that it is not heard; otherwise it would declare others
-// dead.
+// joinGone sends a join request with this node's view of the receiver to a random member that is dead or has left. If that
+// member still runs and receives messages, but its own messages are lost, it learns from the view that others consider it
+// dead; otherwise it would declare them dead.
 func (m *Members) joinGone() {
 	var gone []*member
 	for _, peer := range m.others {
@@ -74,7 +74,7 @@
 	m.sendJoin(peer.Address, peer.update())
 }
 
-// sendJoin asks the member at an address for its state, and sends it the given updates and this node's own.
+// sendJoin asks the member at an address for its state, and sends it the given updates and one about this node.
 func (m *Members) sendJoin(address string, updates ...*wire.Update) {
 	m.send(address, &wire.Message{
 		Kind:    wire.Message_JOIN,
@@ -83,13 +83,13 @@
 	})
 }
 
-// sendMember sends what is known about one member.
+// sendMember sends this node's view of one member to an address.
 func (m *Members) sendMember(to string, peer *member) {
 	m.send(to, &wire.Message{Kind: wire.Message_STATE, Updates: []*wire.Update{peer.update()}})
 }
 
-// receiveState answers a digest or the state of another member with this node's state, where the two differ. A bare
-// digest is answered with a request for the sender's state.
+// receiveState answers a digest or the state of another member with this node's state, if the sender asks for it and the
+// digests differ. The answer to a message with only a digest also asks for the sender's state.
 func (m *Members) receiveState(sender *member, msg *wire.Message) {
 	if sender == nil || !msg.Again || msg.Hash == m.Digest() {
 		return
@@ -97,8 +97,8 @@
 	m.sendState(sender.Address, len(msg.Updates) == 0)
 }
 
-// sendState sends the full state, or as much of it as this period allows, in a random order with this node first. Where
-// requestState is true, the first message asks for the receiver's state.
+// sendState sends the full state, up to the remaining quota of state messages of this period. This node comes first, the
+// other members follow in random order. If requestState is true, the first message asks for the receiver's state.
 func (m *Members) sendState(to string, requestState bool) {
 	remaining := append([]*member{m.self}, m.others...)
 	digest := m.Digest()
@@ -120,7 +120,7 @@
 	}
 }
 
-// fillState adds as many members to a message as fit, one at least, and returns the others.
+// fillState adds updates about as many members to a message as fit, but at least one, and returns the remaining members.
 func (m *Members) fillState(msg *wire.Message, members []*member) []*member {
 	size := proto.Size(msg)
 	for i, peer := range members {
--- a/internal/membership/expiry.go
+++ b/internal/membership/expiry.go
@@ -1,13 +1,13 @@
 package membership
 
-// expireSuspicions declares the members gone whose suspicion has expired. It runs once in a period.
+// expireSuspicions declares members dead or left whose suspicion has expired. It runs once per period.
 func (m *Members) expireSuspicions() {
 	elapsed := m.now - m.lastExpiryAt
 	m.lastExpiryAt = m.now
 	if m.suspectCount == 0 {
 		return
 	}
-	if m.isolated() { // an isolated node must not judge members that receive each other
+	if m.isolated() { // an isolated node must not declare members dead that still reach each other
 		m.extendSuspicions(elapsed * isolatedSlowing)
 	}
 	for _, peer := range m.others {
@@ -28,9 +28,9 @@
 	return !s.finalProbe && !s.reportedLeft && !m.config.WithoutLifeguard
 }
 
-// scheduleFinalProbe has a suspect probed once more, in one of the next periods, and extends its suspicion until the
-// answer can have come. This prevents the death of a member that is reached through others only, or whose refutation was
-// lost among many updates.
+// scheduleFinalProbe queues one more probe of a suspect and extends the suspicion by the time that its answer may need.
+// Without it, a live member would be declared dead that is reached only through other members, or whose refutation was
+// not gossiped in time because too many updates were pending.
 func (m *Members) scheduleFinalProbe(peer *member) {
 	s := peer.suspicion
 	s.finalProbe = true
@@ -38,8 +38,9 @@
 	m.priorityProbes = append(m.priorityProbes, peer.Name)
 }
 
-// declareGone declares a member dead whose suspicion has expired, or left where that was reported, and gossips it. No
-// other place declares a member dead; addMember takes over the state of a member that this node first learns of.
+// declareGone sets a member whose suspicion has expired to dead, or to left if another member reported that it left, and
+// gossips the change. It is the only function that declares a member dead; addMember just copies the reported state of a
+// member that this node did not know.
 func (m *Members) declareGone(peer *member) {
 	state := Dead
 	if peer.suspicion.reportedLeft {
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -1,24 +1,25 @@
 package membership
 
-// adjustHealth changes the local health score by so much, within 0 (healthy) and maxHealthScore (Lifeguard, section
-// IV.A).
-func (m *Members) adjustHealth(by int) {
+// adjustHealth adds delta to the local health score and limits the result to the range from 0 (healthy) to maxHealthScore
+// (Lifeguard, section IV.A).
+func (m *Members) adjustHealth(delta int) {
 	if m.config.WithoutLifeguard {
 		return
 	}
-	m.healthScore = min(max(m.healthScore+by, 0), maxHealthScore)
+	m.healthScore = min(max(m.healthScore+delta, 0), maxHealthScore)
 }
 
-// timeoutFactor returns the factor of this node's timeouts, which grow with its local health score.
+// timeoutFactor returns the factor by which this node's timeouts are multiplied. It grows with the local health score.
 func (m *Members) timeoutFactor() float64 { return float64(1 + m.healthScore) }
 
-// isolated reports whether this node has received no message for so long, or was suspected so recently, that the fault
-// may be its own: it cannot receive, or cannot send.
+// isolated reports whether failed probes may be this node's own fault: it has received no message for isolatedPeriods, so
+// that it may be unable to receive, or it learned within suspectedPeriods that others suspect it, so that it may be unable
+// to send.
 func (m *Members) isolated() bool {
 	if m.config.WithoutLifeguard || m.liveCount <= 1 {
 		return false
 	}
 	notReceiving := m.now-m.lastReceivedAt > isolatedPeriods*m.config.Period
-	notHeard := m.now-m.lastSuspectedAt < suspectedPeriods*m.config.Period
-	return notReceiving || notHeard
+	recentlySuspected := m.now-m.lastSuspectedAt < suspectedPeriods*m.config.Period
+	return notReceiving || recentlySuspected
 }
--- a/internal/membership/indirect_probe.go
+++ b/internal/membership/indirect_probe.go
@@ -9,15 +9,15 @@
 
 // indirectProbe is a probe at the request of another member.
 type indirectProbe struct {
-	requester         string
-	target            string
-	requesterSequence uint64  // of the requester's probe
-	nackAt            float64 // when the requester is notified that there was no answer
+	requester         string  // name of the member that requested the probe
+	target            string  // name of the probed member
+	requesterSequence uint64  // sequence number of the requester's probe
+	nackAt            float64 // time at which the requester is notified that there was no answer, in seconds
 	nackSent          bool
-	expiresAt         float64 // when an answer is no longer forwarded
+	expiresAt         float64 // time after which an answer is no longer forwarded, in seconds
 }
 
-// requestIndirectProbes asks some members to probe the target of the own probe, where that was not answered in time.
+// requestIndirectProbes asks some members to probe the target of this node's own probe if it did not answer in time.
 func (m *Members) requestIndirectProbes() {
 	p := m.probe
 	if p == nil || p.indirectSent || p.answered || m.now < p.indirectAt {
@@ -36,8 +36,8 @@
 	}
 }
 
-// chooseHelpers returns random members to probe a target, each of another zone as far as possible. None of them has a
-// known bad link to the target.
+// chooseHelpers returns random members to probe a target for this node. It prefers members of different zones, and
+// excludes members with a known bad link to the target or to this node.
 func (m *Members) chooseHelpers(target *member) (helpers []*member) {
 	candidates := m.randomAlive(len(m.others), target)
 	usedZones := map[string]bool{}
@@ -59,14 +59,15 @@
 	return helpers
 }
 
-// badLinkBetween reports whether a helper is known not to reach a target, or the other way round, or whether this node
-// does not reach the helper itself.
+// badLinkBetween reports whether the helper or the target announced a bad link to the other, or whether this node reaches
+// the helper only through other members.
 func badLinkBetween(helper, target *member) bool {
 	return helper.badLink || slices.Contains(helper.BadLinks, NameHash(target.Name)) ||
 		slices.Contains(target.BadLinks, NameHash(helper.Name))
 }
 
-// startIndirectProbe probes a member at the request of another member.
+// startIndirectProbe probes a member at the request of another member. The request is ignored if the requester or the
+// target is not known, or if maxIndirectProbes are in progress.
 func (m *Members) startIndirectProbe(requester *member, msg *wire.Message) {
 	if requester == nil || len(m.indirectProbes) >= maxIndirectProbes {
 		return
@@ -94,8 +95,8 @@
 	delete(m.indirectProbes, sequence)
 }
 
-// sendNacks answers the requests for indirect probes that got no answer in time, in the order of the requests, so that
-// the same seed gives the same messages.
+// sendNacks sends a nack to the requester of each indirect probe that got no answer in time, and removes expired probes.
+// It processes the probes in the order of the requests, so that the same seed leads to the same messages.
 func (m *Members) sendNacks() {
 	for _, sequence := range slices.Sorted(maps.Keys(m.indirectProbes)) {
 		request := m.indirectProbes[sequence]
@@ -110,7 +111,8 @@
 	}
 }
 
-// sendNack tells the requester of an indirect probe that its target did not answer this node. It is a part of Lifeguard.
+// sendNack notifies the requester of an indirect probe that the target did not answer this node. Nacks are an extension of
+// Lifeguard.
 func (m *Members) sendNack(request indirectProbe) {
 	requester := m.byName[request.requester]
 	if requester == nil || m.config.WithoutLifeguard {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -8,7 +8,7 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// State is the state of a member as another member sees it. Its numbers are those of the wire.
+// State is the state of a member as another member sees it. The numbers are part of the wire format.
 type State uint8
 
 // The states of a member. A suspect member still counts as a member, because it has time to refute the suspicion.
@@ -29,24 +29,24 @@
 	return "unknown"
 }
 
-// Gone reports whether a member cannot come back from the state under the same incarnation.
+// Gone reports whether the state is final for the member's incarnation: the member returns only with a newer one.
 func (s State) Gone() bool { return s >= Dead }
 
-// reportedState returns the state in an update. A state that this version does not know counts as Left.
+// reportedState returns the state in an update. It returns Left for a state that this version does not know.
 func reportedState(u *wire.Update) State { return State(min(u.State, uint32(Left))) }
 
 // Member is what is known about a node of the fleet.
 type Member struct {
 	Name        string   // unique in the fleet
-	Start       uint64   // start of its process, Unix microseconds: a later process takes the name over
+	Start       uint64   // start of its process in Unix microseconds; a process with a later start replaces this one
 	Incarnation uint32   // raised by the member itself, to refute a suspicion or to announce new facts
-	State       State    // as this node sees it
-	Since       float64  // when it got this state at this node, in seconds
-	Address     string   // for messages between members
-	Zone        string   // a fact that it announces about itself
-	Build       string   // revision of its program, which it announces as well
-	Ready       bool     // it accepts clients
-	BadLinks    []uint32 // NameHash of each member that it reaches only through others, maxBadLinks at most
+	State       State    // state of the member in the view of this node
+	Since       float64  // time at which this node set the state, in seconds
+	Address     string   // address for messages between members
+	Zone        string   // zone that the member announces for itself
+	Build       string   // revision of the program that the member announces for itself
+	Ready       bool     // whether the member accepts clients
+	BadLinks    []uint32 // NameHash of each member that it reaches only through others, up to maxBadLinks of them
 }
 
 // NameHash returns the hash that stands for a member's name in a list of bad links.
@@ -56,8 +56,8 @@
 	return h.Sum32()
 }
 
-// compareOrder compares two statements of a member about itself by their age: start first, then incarnation. The result
-// is negative where the given one is older than what is known.
+// compareOrder compares the start and incarnation of an update with those of the known member, start first. The result is
+// negative if the update is older than what is known, and positive if it is newer.
 func compareOrder(start uint64, incarnation uint32, known *Member) int {
 	return cmp.Or(cmp.Compare(start, known.Start), cmp.Compare(incarnation, known.Incarnation))
 }
@@ -77,15 +77,16 @@
 	}
 }
 
-// member is a Member with what this node needs for failure detection.
+// member is a Member with the data that this node's failure detector keeps about it.
 type member struct {
 	Member
 	suspicion        *suspicion // nil unless the state is Suspect
-	badLink          bool       // its last answer to a probe came only through others
-	nextCorrectionAt float64    // when correctSender may correct it again, in seconds
+	badLink          bool       // the answer to the last probe of the member came only through other members
+	nextCorrectionAt float64    // earliest time at which correctSender may correct the member again, in seconds
 }
 
-// update returns the update about the member for a message, with the member that reported its suspicion last.
+// update returns the update about the member for a message. For a suspect, it names the last member that reported the
+// suspicion.
 func (m *member) update() *wire.Update {
 	u := m.Update()
 	if m.State == Suspect && m.suspicion != nil {
@@ -94,7 +95,7 @@
 	return u
 }
 
-// setFacts sets what the member announced about itself.
+// setFacts copies what the member announced about itself from an update.
 func (m *member) setFacts(u *wire.Update) {
 	m.Start = u.Start
 	m.Incarnation = u.Incarnation
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -11,36 +11,37 @@
 // concurrent use. The zero value is not usable; New returns one that is.
 type Members struct {
 	config  Config
-	now     float64 // of the call in progress; it never goes back
+	now     float64 // time of the call in progress, in seconds; it never decreases
 	random  *rand.Rand
-	effects []Effect // of the call in progress
+	effects []Effect // effects of the call in progress
 
 	self         *member
-	byName       map[string]*member // all but this node; members that are gone stay
-	others       []*member          // the same members, in the order of this round of probes
-	liveCount    int                // members that are alive or suspect, including this node
-	suspectCount int                // others that are suspect
-	left         bool               // this node has left, or was replaced: it sends nothing more
-
-	sequence       uint64                   // of the last probe, own or at the request of another member
-	probe          *probe                   // the own probe in progress; nil for none
+	byName       map[string]*member // all members except this node; dead members and members that left stay
+	others       []*member          // the members in byName, in the probe order of the current round
+	liveCount    int                // number of members that are alive or suspect, including this node
+	suspectCount int                // number of other members that are suspect
+	left         bool               // this node has left or was replaced, and sends no more messages
+
+	sequence       uint64                   // sequence number of the last probe, including probes requested by others
+	probe          *probe                   // this node's own probe in progress; nil for none
 	nextTarget     int                      // index in others of the next member to probe
-	priorityProbes []string                 // names of suspects to probe before the others
+	priorityProbes []string                 // names of suspects that are probed before the next member of the round
 	indirectProbes map[uint64]indirectProbe // probes at the request of other members, by sequence number
-	healthScore    int                      // 0 is healthy (Lifeguard, section IV.A)
+	healthScore    int                      // local health score; 0 is healthy (Lifeguard, section IV.A)
 
 	pending           []pendingUpdate // updates that still have to be gossiped
-	stateMessageQuota int             // messages with state that may still be sent in this period
+	stateMessageQuota int             // number of messages with state that may still be sent in this period
 
+	// Times in seconds.
 	nextPeriodAt    float64 // start of the next protocol period
-	nextExchangeAt  float64 // of the full state
-	nextBadLinksAt  float64 // earliest next announcement of bad links
-	lastReceivedAt  float64 // last message of another member
+	nextExchangeAt  float64 // next exchange of the full state
+	nextBadLinksAt  float64 // earliest time of the next announcement of bad links
+	lastReceivedAt  float64 // last message received from another member
 	lastExpiryAt    float64 // last check for expired suspicions
 	lastSuspectedAt float64 // last report that this node is suspect or dead; -Inf for none
 }
 
-// New returns the state of a member that knows no others yet. Its first Tick is due within a quarter of a period.
+// New returns the state of a member that knows no other members yet. Its first Tick is due within a quarter of a period.
 func New(now float64, c Config) *Members {
 	c.IndirectProbes = max(c.IndirectProbes, 1)
 	c.WithoutLifeguard = c.WithoutLifeguard || shortSuspicionMutant
@@ -78,7 +79,8 @@
 	return at
 }
 
-// Tick does what is due at the time now and returns the effects, which are valid until the next call.
+// Tick runs the timers that are due at the time now and returns the effects. The returned slice is valid until the next
+// call of a method of m.
 func (m *Members) Tick(now float64) []Effect {
 	m.advanceClock(now)
 	if m.left {
@@ -93,8 +95,8 @@
 	return m.effects
 }
 
-// advanceClock sets the time and discards the effects of the last call. A tick that comes much too late means that this
-// process was paused.
+// advanceClock sets the time and discards the effects of the last call. If the call comes much later than the next tick
+// was due, this process was paused, and advanceClock resets the timers.
 func (m *Members) advanceClock(now float64) {
 	m.effects = m.effects[:0]
 	late := now - m.NextTick()
@@ -105,8 +107,9 @@
 	m.resumeAfterPause(late)
 }
 
-// resumeAfterPause starts anew after a pause of this process of so many seconds. The time that it missed is not counted
-// against the members under suspicion: otherwise a node that was paused would declare all others dead when it resumes.
+// resumeAfterPause drops the probes in progress and resets the timers after this process was paused for the given number
+// of seconds. The pause does not count towards the end of a suspicion: otherwise the node would declare all suspects dead
+// as soon as it resumes.
 func (m *Members) resumeAfterPause(seconds float64) {
 	m.probe = nil
 	clear(m.indirectProbes)
@@ -114,12 +117,12 @@
 	m.lastReceivedAt = m.now
 	m.lastExpiryAt = m.now
 	m.nextPeriodAt = m.now + m.config.Period*startJitter
-	m.nextExchangeAt = m.now // to learn at once what changed meanwhile, also about this node
+	m.nextExchangeAt = m.now // to learn at once what changed during the pause, also about this node
 	m.adjustHealth(1)
 }
 
-// startPeriod ends the probe in progress, expires suspicions, exchanges state where that is due and starts the next
-// probe.
+// startPeriod starts a protocol period: it ends the probe in progress, expires suspicions, exchanges the full state if
+// that is due, and starts the next probe.
 func (m *Members) startPeriod() {
 	m.nextPeriodAt = m.now + m.config.Period*m.timeoutFactor()
 	m.stateMessageQuota = maxStateMessages
@@ -132,8 +135,8 @@
 	m.startProbe()
 }
 
-// Leave returns messages that announce to some members that this node leaves. After it, the node sends nothing more.
-// A second call returns nothing.
+// Leave returns messages that announce to some members that this node leaves the fleet. After the call, the node sends no
+// more messages. A second call returns no effects.
 func (m *Members) Leave(now float64) []Effect {
 	m.advanceClock(now)
 	if m.left {
@@ -155,7 +158,7 @@
 	return m.effects
 }
 
-// SetReady announces to the others whether this node accepts clients, where that has changed.
+// SetReady sets whether this node accepts clients and, if that has changed, announces it to the other members.
 func (m *Members) SetReady(now float64, ready bool) {
 	m.now = max(now, m.now)
 	if m.self.Ready == ready {
@@ -165,8 +168,8 @@
 	m.announceSelf()
 }
 
-// announceSelf raises the incarnation of this node and announces its facts. After the highest incarnation it raises its
-// start instead, which precedes any incarnation: another member may have claimed the highest one.
+// announceSelf raises the incarnation of this node and gossips its facts. If the incarnation is already the highest
+// possible one, because another member reported it, announceSelf raises the start instead, which is compared first.
 func (m *Members) announceSelf() {
 	if m.self.Incarnation == math.MaxUint32 {
 		m.self.Start++
--- a/internal/membership/membership_golden_test.go
+++ b/internal/membership/membership_golden_test.go
@@ -13,8 +13,8 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: nodes of that
-// version run beside newer ones, so nothing rewrites them, and a test that fails here means a broken wire format.
+// The files under testdata were written by version 5fa7498 and must never be regenerated: nodes of that version run in the
+// same fleet as newer ones. A failing test in this file means that the wire format has changed.
 
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
@@ -32,13 +32,13 @@
 		Ready: true}, Join: []string{"127.0.0.2:7000"}, Seed: 7, Period: 1, ProbeTimeout: 0.2, IndirectProbes: 2, MaxMessageBytes: 208}
 }
 
-// goldenUpdate is a suspect member with every field set.
+// goldenUpdate returns an update about a suspect with every field set.
 func goldenUpdate() *wire.Update {
 	return &wire.Update{Name: "node-b", Start: 1700000000000002, Incarnation: 7, State: uint32(Suspect), Address: "127.0.0.2:7000",
 		Zone: "zone-b", Build: "5fa7498", Ready: true, Bad: []uint32{NameHash("node-c"), NameHash("node-d")}, By: "node-c"}
 }
 
-// render gives each message to be sent as a line: the address, a space and the message's bytes in hexadecimal.
+// render returns one line for each message to be sent: the address, a space and the encoded message in hexadecimal.
 func render(t *testing.T, effects []Effect) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -56,7 +56,8 @@
 	return out.Bytes()
 }
 
-// A member that is learned from an update is announced by the same bytes.
+// Guards against fields that are lost or encoded differently when a node forwards an update: the update about a member
+// must have the same bytes as the update from which the node learned of it.
 func TestGoldenUpdateIsReadAndWritten(t *testing.T) {
 	m := New(100, goldenConfig())
 	m.Receive(100, &wire.Message{Kind: wire.Message_STATE, From: "node-c", Start: 3, Updates: []*wire.Update{goldenUpdate()}})
@@ -78,13 +79,13 @@
 	checkGolden(t, "update.bin", text)
 }
 
-// goldenSend makes a node that knows its fleet send messages.
+// goldenSend is a case in which a node that knows other members sends messages.
 type goldenSend struct {
 	name string
 	send func(m *Members) []Effect
 }
 
-// goldenSends returns a case for each kind of message that a node sends.
+// goldenSends returns cases for all kinds of messages that a node sends, except the join request.
 func goldenSends() []goldenSend {
 	return []goldenSend{
 		{"ping", func(m *Members) []Effect { return m.Tick(m.NextTick()) }},
@@ -123,7 +124,8 @@
 	}
 }
 
-// The messages that a node sends of each kind, as answers and by itself.
+// Guards against changes to the messages that a node sends, as answers and on its own: nodes of older versions must be able
+// to read them.
 func TestGoldenMessagesOfANode(t *testing.T) {
 	for _, c := range goldenSends() {
 		t.Run(c.name, func(t *testing.T) {
@@ -150,14 +152,15 @@
 	})
 }
 
-// What two nodes compare, or announce in place of names.
+// Guards against changes to the digest of the state, with which two nodes decide whether to exchange it, and to the hashes
+// that stand for names in lists of bad links.
 func TestGoldenHashes(t *testing.T) {
 	m := New(100, goldenConfig())
 	m.Receive(100, &wire.Message{Kind: wire.Message_STATE, From: "node-c", Start: 3, Updates: []*wire.Update{goldenUpdate()}})
 	checkGolden(t, "hashes.txt", fmt.Appendf(nil, "digest %016x\nnumber %08x\n", m.Digest(), NameHash("node-b")))
 }
 
-// The numbers of the states on the wire, and their names in views and logs.
+// Guards against changes to the numbers of the states on the wire, and to their names in views and logs.
 func TestGoldenStates(t *testing.T) {
 	for number, name := range []string{"alive", "suspect", "dead", "left", "unknown"} {
 		if got := State(number).String(); got != name {
@@ -165,6 +168,6 @@
 		}
 	}
 	if Alive != 0 || Suspect != 1 || Dead != 2 || Left != 3 {
-		t.Error("a state has another number")
+		t.Error("the number of a state has changed")
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,11 +10,11 @@
 
 const (
 	testStart     = 100.0 // seconds
-	testNodeStart = 1000  // of the node under test, Unix microseconds
-	testPeerStart = 2000  // of all other members
+	testNodeStart = 1000  // start of the process of the node under test, Unix microseconds
+	testPeerStart = 2000  // start of the processes of all other members, Unix microseconds
 )
 
-// newTestMembers returns the state of node-0, which knows so many other members: node-1, node-2 and so on.
+// newTestMembers returns the state of node-0, which knows the given number of other members: node-1, node-2 and so on.
 func newTestMembers(t *testing.T, others int) *Members {
 	t.Helper()
 	m := New(testStart, Config{
@@ -45,12 +45,12 @@
 	}
 }
 
-// stateOf returns a message in which a member reports updates.
+// stateOf returns a message with which a member sends updates.
 func stateOf(from string, updates ...*wire.Update) *wire.Message {
 	return &wire.Message{Kind: wire.Message_STATE, From: from, Start: testPeerStart, Updates: updates}
 }
 
-// checkState checks the state of a member.
+// checkState checks that m has a member in a state.
 func checkState(t *testing.T, m *Members, name string, want State) {
 	t.Helper()
 	got, known := m.Member(name)
@@ -73,8 +73,9 @@
 	return found
 }
 
-// tickUntil ticks until a time and returns when a member was declared dead; +Inf where it was not. The members named
-// running answer pings, and requests for indirect probes with a nack; the others are silent.
+// tickUntil runs the ticks of m up to the time end and returns the time at which the target was declared dead, or +Inf if
+// it was not. The members named in running answer pings with an ack and requests for indirect probes with a nack; the
+// others do not answer.
 func tickUntil(m *Members, end float64, target string, running ...string) float64 {
 	for m.NextTick() < end {
 		now := m.NextTick()
@@ -96,7 +97,7 @@
 	return math.Inf(1)
 }
 
-// answersTo returns what the running members answer to a message.
+// answersTo returns the answers of the running members to a message.
 func answersTo(sent Send, running []string) []*wire.Message {
 	var answers []*wire.Message
 	for _, name := range running {
@@ -116,6 +117,7 @@
 	return answers
 }
 
+// Guards against a member that is declared dead or left on another member's report alone, without time to refute it.
 func TestReportOfSuspicionMakesMemberSuspect(t *testing.T) {
 	for _, state := range []State{Suspect, Dead, Left} {
 		t.Run(state.String(), func(t *testing.T) {
@@ -132,6 +134,8 @@
 	}
 }
 
+// Guards against a stale update that overwrites newer state: updates arrive in any order, and a member that restarts
+// begins with incarnation 0 again.
 func TestUpdatesAreOrderedByStartThenIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -143,8 +147,8 @@
 		{"older incarnation is ignored", testPeerStart, 4, Suspect, Alive},
 		{"same incarnation suspects", testPeerStart, 5, Suspect, Suspect},
 		{"newer incarnation suspects", testPeerStart, 6, Suspect, Suspect},
-		{"older start is ignored whatever its incarnation", testPeerStart - 1, 9, Suspect, Alive},
-		{"later start counts whatever its incarnation", testPeerStart + 1, 0, Suspect, Suspect},
+		{"older start with newer incarnation is ignored", testPeerStart - 1, 9, Suspect, Alive},
+		{"later start with older incarnation suspects", testPeerStart + 1, 0, Suspect, Suspect},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newTestMembers(t, 3)
@@ -157,6 +161,8 @@
 	}
 }
 
+// Guards against a suspicion that an old update cancels: only the member itself raises its incarnation, so only a newer
+// incarnation shows that it has refuted the suspicion.
 func TestSuspectIsAliveAgainOnlyWithNewerIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -175,6 +181,8 @@
 	}
 }
 
+// Guards against the false death of a running node that learns that others suspect it: it must announce a newer
+// incarnation than the reported one.
 func TestNodeRefutesSuspicionOfItself(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -199,6 +207,8 @@
 	}
 }
 
+// Guards against an overflow of the incarnation: after a report with the highest incarnation, a node that wrapped to 0
+// could never refute a suspicion again.
 func TestHighestIncarnationIsFollowedByLaterStart(t *testing.T) {
 	m := newTestMembers(t, 3)
 	m.Receive(testStart, stateOf("node-1", &wire.Update{Name: "node-0", Start: testNodeStart, Incarnation: math.MaxUint32,
@@ -208,6 +218,8 @@
 	}
 }
 
+// Guards against two processes that use the same name at different addresses, and against a node that leaves because of a
+// report about its own earlier process, whose clock was ahead.
 func TestLaterProcessAtOtherAddressReplacesNode(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -235,7 +247,8 @@
 	}
 }
 
-// The duration of a suspicion falls from suspicionSpread times the shortest to the shortest with its confirmations.
+// Guards against suspicions that confirmations do not shorten, or shorten too much: the duration must decrease from
+// suspicionSpread times the shortest duration to the shortest one with maxConfirmations confirmations.
 func TestConfirmationsShortenSuspicion(t *testing.T) {
 	m := newTestMembers(t, 9) // ten live members: the shortest suspicion is suspicionPeriods periods
 	previous := math.Inf(1)
@@ -256,6 +269,7 @@
 	}
 }
 
+// Guards against a single member that shortens a suspicion by reporting it again and again.
 func TestRepeatedReportConfirmsOnce(t *testing.T) {
 	m := newTestMembers(t, 9)
 	m.Receive(testStart, stateOf("node-1", peerUpdate(2, 0, Suspect)))
@@ -266,7 +280,8 @@
 	}
 }
 
-// A suspect that does not refute is declared dead after its suspicion and one more probe, and not before.
+// Guards against a dead member that stays a suspect, is declared dead before its shortest suspicion has passed, or comes
+// back to life through an update with the same incarnation.
 func TestUnrefutedSuspectIsDeclaredDead(t *testing.T) {
 	m := newTestMembers(t, 3)
 	m.Receive(testStart, stateOf("node-1", peerUpdate(2, 0, Suspect)))
@@ -287,7 +302,8 @@
 	checkState(t, m, "node-2", Alive)
 }
 
-func TestReportedDeathOfAnsweringMemberIsNotBelieved(t *testing.T) {
+// Guards against the false death of a member that answers probes, after a faulty or isolated member reported its death.
+func TestAnsweringMemberSurvivesReportOfItsDeath(t *testing.T) {
 	m := newTestMembers(t, 3)
 	m.Receive(testStart, stateOf("node-1", peerUpdate(2, 0, Dead)))
 	if at := tickUntil(m, testStart+60, "node-2", "node-1", "node-2", "node-3"); !math.IsInf(at, 1) {
@@ -295,6 +311,7 @@
 	}
 }
 
+// Guards against a suspicion of a member that announced itself that it leaves: it counts as left at once.
 func TestMemberThatAnnouncesItsLeaveHasLeft(t *testing.T) {
 	m := newTestMembers(t, 3)
 	m.Receive(testStart, stateOf("node-2", peerUpdate(2, 1, Left)))
@@ -304,7 +321,8 @@
 	}
 }
 
-// A node that receives nothing suspects the others, but does not declare them dead as fast as one that is not isolated.
+// Guards against false deaths at a node that receives no messages: it suspects the others, but must take at least five
+// times as long to declare them dead as a node that is not isolated.
 func TestIsolatedNodeDelaysDeaths(t *testing.T) {
 	connected := newTestMembers(t, 3)
 	connected.Receive(testStart, stateOf("node-1", peerUpdate(2, 0, Suspect)))
@@ -313,12 +331,14 @@
 	isolated.Receive(testStart, stateOf("node-1", peerUpdate(2, 0, Suspect)))
 	slow := tickUntil(isolated, testStart+1000, "node-2")
 	if slow < testStart+5*(fast-testStart) {
-		t.Errorf("isolated: dead after %g s; connected: after %g s", slow-testStart, fast-testStart)
+		t.Errorf("isolated node declares the death after %g s, connected node after %g s; want at least 5 times as long",
+			slow-testStart, fast-testStart)
 	}
 }
 
-// The time for which a process was paused is not counted against the members under suspicion.
-func TestPausedNodeDeclaresNobodyDeadOnResuming(t *testing.T) {
+// Guards against false deaths after a pause of this process: the pause must not count towards the end of suspicions,
+// because the node could not receive refutations during it.
+func TestPauseOfNodeExtendsSuspicions(t *testing.T) {
 	m := newTestMembers(t, 3)
 	m.Receive(testStart, stateOf("node-1", peerUpdate(2, 0, Suspect)))
 	before := m.find("node-2").suspicion.end()
@@ -333,6 +353,8 @@
 	}
 }
 
+// Guards against a health score that leaves the range from 0 to maxHealthScore, and with it against timeouts that are zero
+// or grow without limit.
 func TestHealthScoreStaysInItsRange(t *testing.T) {
 	m := newTestMembers(t, 1)
 	for _, c := range []struct{ change, want int }{{-1, 0}, {3, 3}, {20, maxHealthScore}, {-20, 0}} {
@@ -343,6 +365,8 @@
 	}
 }
 
+// Guards against updates that could not be gossiped: one without a name, or with a name or fact over 64 bytes, must not
+// become a member.
 func TestUpdateWithOverlongFactIsIgnored(t *testing.T) {
 	long := fmt.Sprintf("%065d", 0)
 	for name, update := range map[string]*wire.Update{
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,8 +6,8 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// mergeUpdate merges what the member from reports about a member. Updates without a name, or with names or facts that
-// are too long, are ignored.
+// mergeUpdate merges an update that the member named from sent into this node's view. Updates that are not valid or older
+// than the view are ignored.
 func (m *Members) mergeUpdate(u *wire.Update, from string) {
 	if !validUpdate(u) {
 		return
@@ -33,7 +33,7 @@
 	m.mergeState(peer, u, from)
 }
 
-// validUpdate reports whether an update has a name, and facts of a length that is accepted.
+// validUpdate reports whether an update has a name and none of its strings is longer than maxFactBytes.
 func validUpdate(u *wire.Update) bool {
 	if u.Name == "" || len(u.Name) > maxFactBytes {
 		return false
@@ -41,7 +41,7 @@
 	return len(u.Address) <= maxFactBytes && len(u.Zone) <= maxFactBytes && len(u.Build) <= maxFactBytes
 }
 
-// mergeNewMember adds a member that was not known, up to maxMembers of them.
+// mergeNewMember adds a member that was not known, unless maxMembers are known already.
 func (m *Members) mergeNewMember(u *wire.Update, from string) {
 	if len(m.byName) >= maxMembers {
 		return
@@ -53,9 +53,9 @@
 	}
 }
 
-// mergeState merges the reported state of a known member, of its present incarnation or a newer one. A member that
-// announces itself that it leaves has left. Any other report that a member is gone only confirms a suspicion of it: a
-// faulty member cannot make others declare a member dead that answers them.
+// mergeState merges the reported state of a known member, if the update is for its current incarnation or a newer one.
+// A member that itself announces that it leaves is set to left. Any other report that a member is dead or has left only
+// starts or confirms a suspicion, so that a faulty member cannot make others declare a member dead that answers them.
 func (m *Members) mergeState(peer *member, u *wire.Update, from string) {
 	state := reportedState(u)
 	if state == Alive {
@@ -71,13 +71,13 @@
 	}
 }
 
-// mergeSelfUpdate merges what others report about this node. It refutes a suspicion with a new incarnation, and leaves
-// where a later process has taken its name over at another address.
+// mergeSelfUpdate handles an update about this node. It refutes a suspicion with a new incarnation. If a process with a
+// later start uses this node's name at another address, this node leaves.
 func (m *Members) mergeSelfUpdate(u *wire.Update) {
 	state := reportedState(u)
 	suspected := state == Suspect || state == Dead
 	if suspected && u.Start == m.self.Start {
-		// A report of an old incarnation counts as well: the refutation may not reach the member that sent it.
+		// A report about an old incarnation counts as well: its sender may not receive this node's refutations.
 		m.lastSuspectedAt = m.now
 	}
 	order := compareOrder(u.Start, u.Incarnation, &m.self.Member)
@@ -94,13 +94,13 @@
 	m.self.Incarnation = u.Incarnation
 	m.announceSelf()
 	if suspected {
-		m.adjustHealth(1) // its answer to the probe was late
+		m.adjustHealth(1) // this node may have answered a probe too late
 	}
 }
 
-// mergeLaterStart merges a report about a later process with this node's name. One that is alive at another address
-// replaces this node. Any other report is of an earlier process of this node whose clock was ahead: this node takes a
-// start after it.
+// mergeLaterStart handles an update about a process with this node's name and a later start. If that process is alive at
+// another address, it replaces this node. Otherwise the update is about an earlier process of this node whose clock was
+// ahead, and this node adopts that start with a newer incarnation.
 func (m *Members) mergeLaterStart(u *wire.Update, state State) {
 	if u.Address != m.self.Address && state == Alive {
 		m.left = true
--- a/internal/membership/no_mutant.go
+++ b/internal/membership/no_mutant.go
@@ -2,5 +2,5 @@
 
 package membership
 
-// shortSuspicionMutant is false in every build that serves; see mutant_short_suspicion.go.
+// shortSuspicionMutant is false in production builds; see mutant_short_suspicion.go.
 const shortSuspicionMutant = false
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -2,19 +2,19 @@
 
 import "gorseledge/internal/membership/wire"
 
-// probe is the own probe in progress.
+// probe is the probe that this node started in the current period.
 type probe struct {
-	target           string
-	sequence         uint64
-	indirectAt       float64 // when other members are asked to probe the target
-	indirectSent     bool    // they were asked
-	answered         bool    // directly, or through another member
+	target           string  // name of the probed member
+	sequence         uint64  // sequence number of the ping
+	indirectAt       float64 // time at which other members are asked to probe the target, in seconds
+	indirectSent     bool    // whether other members were asked
+	answered         bool    // whether an answer arrived, directly or through another member
 	answeredDirectly bool
-	requests         int // members that were asked
-	nacks            int // of them, those that got no answer either
+	requests         int // number of members that were asked to probe the target
+	nacks            int // number of those members that reported that they got no answer either
 }
 
-// startProbe probes the next member, where there is one.
+// startProbe starts a probe of the next member, if there is one.
 func (m *Members) startProbe() {
 	peer := m.nextProbeTarget()
 	if peer == nil {
@@ -29,8 +29,8 @@
 	m.ping(peer, m.sequence)
 }
 
-// ping sends a ping to a member. A member that is not alive at this node gets this node's view of it, to be able to
-// refute it (Lifeguard's buddy system).
+// ping sends a ping to a member. If this node does not consider the member alive, the ping contains this node's view of
+// the member, which can then refute it (Lifeguard's buddy system).
 func (m *Members) ping(peer *member, sequence uint64) {
 	msg := &wire.Message{Kind: wire.Message_PING, Seq: sequence, About: peer.Name, At: m.self.Address}
 	if peer.State != Alive {
@@ -39,8 +39,8 @@
 	m.send(peer.Address, msg)
 }
 
-// nextProbeTarget returns the member to probe next: a suspect that this node verifies itself, or the next of the round;
-// nil where there is none.
+// nextProbeTarget returns the member to probe next: a suspect from the queue of priority probes, or else the next member
+// of the round that is not gone. It returns nil if there is none.
 func (m *Members) nextProbeTarget() *member {
 	if suspect := m.nextPriorityProbe(); suspect != nil {
 		return suspect
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// nextPriorityProbe returns the first member in the queue of priority probes that is still suspect; nil for none.
+// nextPriorityProbe removes and returns the first member in the queue of priority probes that is still suspect. It returns
+// nil if there is none.
 func (m *Members) nextPriorityProbe() *member {
 	for len(m.priorityProbes) > 0 {
 		peer := m.byName[m.priorityProbes[0]]
@@ -76,7 +77,7 @@
 	m.random.Shuffle(len(m.others), func(i, j int) { m.others[i], m.others[j] = m.others[j], m.others[i] })
 }
 
-// randomAlive returns up to count random members that are alive, except one.
+// randomAlive returns up to count random members that are alive, without the member except. It never returns this node.
 func (m *Members) randomAlive(count int, except *member) (alive []*member) {
 	for _, i := range m.random.Perm(len(m.others)) {
 		peer := m.others[i]
@@ -91,12 +92,12 @@
 	return alive
 }
 
-// probeFailed handles a probe that got no answer, direct or indirect. The target is suspected, unless this node may be at
-// fault itself.
+// probeFailed handles a probe that got no direct or indirect answer. The target is suspected, unless this node is isolated.
+// The health score rises if the members that were asked for help did not answer either, or none could be asked.
 func (m *Members) probeFailed(p *probe) {
 	peer := m.byName[p.target]
 	noHelp := p.requests == 0 && m.liveCount > 2
-	if noHelp || p.requests > p.nacks { // members that were asked are silent as well: the fault may be this node's
+	if noHelp || p.requests > p.nacks { // a missing nack means that this node's own links may be at fault
 		m.adjustHealth(1)
 	}
 	if peer == nil || m.isolated() {
@@ -106,7 +107,8 @@
 	m.suspect(peer, m.self.Name, false)
 }
 
-// probeAnswered handles an answer to the own probe in progress, from its target or through another member.
+// probeAnswered handles an answer to this node's own probe in progress, from the target itself (direct) or forwarded by
+// another member.
 func (m *Members) probeAnswered(sequence uint64, direct bool) {
 	p := m.probe
 	if p == nil || p.sequence != sequence {
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// find returns a member by its name, including this node; nil where it is not known.
+// find returns the member with a name, which may be this node, or nil if it is not known.
 func (m *Members) find(name string) *member {
 	if name == m.self.Name {
 		return m.self
@@ -19,14 +19,14 @@
 // Self returns this node as it announces itself.
 func (m *Members) Self() Member { return m.self.Member }
 
-// HealthScore returns the local health score of this node (Lifeguard), from 0 for healthy to 8. Its timeouts are longer by
-// the factor of the score plus one.
+// HealthScore returns the local health score of this node (Lifeguard), from 0 (healthy) to 8. The node's timeouts are
+// multiplied by the score plus one.
 func (m *Members) HealthScore() int { return m.healthScore }
 
 // LiveCount returns the number of members that are alive or suspect, including this node.
 func (m *Members) LiveCount() int { return m.liveCount }
 
-// All returns all known members in the order of their names, including this node and those that are gone.
+// All returns all known members, sorted by name. They include this node, dead members and members that left.
 func (m *Members) All() []Member {
 	all := []Member{m.self.Member}
 	for _, peer := range m.others {
@@ -36,10 +36,10 @@
 	return all
 }
 
-// PendingUpdates returns the number of updates that this node still gossips, with messages that it sends anyway.
+// PendingUpdates returns the number of updates that wait to be gossiped with other messages.
 func (m *Members) PendingUpdates() int { return len(m.pending) }
 
-// Member returns a member by its name, including this node; false where it is not known.
+// Member returns the member with a name, which may be this node, and whether it is known.
 func (m *Members) Member(name string) (Member, bool) {
 	peer := m.find(name)
 	if peer == nil {
@@ -48,7 +48,8 @@
 	return peer.Member, true
 }
 
-// Digest returns a hash of the state, which is the same at two nodes that know the same about the same members.
+// Digest returns a hash of the membership state. Two nodes return the same hash if they agree on the start, the incarnation
+// and the liveness of the same members.
 func (m *Members) Digest() uint64 {
 	encoded := appendIdentity(nil, m.self)
 	digest := xxhash.Sum64(encoded)
@@ -59,7 +60,7 @@
 	return digest
 }
 
-// appendIdentity appends what two nodes have to agree on about a member: its name, whether it is gone, its start and its
+// appendIdentity appends the part of a member's state that Digest covers: its name, whether it is gone, its start and its
 // incarnation.
 func appendIdentity(to []byte, peer *member) []byte {
 	gone := byte(0)
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -2,8 +2,8 @@
 
 import "gorseledge/internal/membership/wire"
 
-// Receive handles a message and returns the effects, which are valid until the next call. The caller has verified that
-// the message is authentic and not a replay.
+// Receive handles a message and returns the effects. The returned slice is valid until the next call of a method of m.
+// The caller must have verified that the message is authentic and not a replay.
 func (m *Members) Receive(now float64, msg *wire.Message) []Effect {
 	m.advanceClock(now)
 	if m.left || msg.From == "" {
@@ -17,11 +17,11 @@
 	for _, u := range msg.Updates[:min(len(msg.Updates), maxUpdates)] {
 		m.mergeUpdate(u, msg.From)
 	}
-	sender := m.byName[msg.From] // nil where the sender is not known
+	sender := m.byName[msg.From] // nil if the sender is not known
 	if sender != nil && msg.Start == sender.Start {
 		m.recordAlive(sender)
 	}
-	if m.left { // an update reported a later process of this node's name
+	if m.left { // an update reported a later process with this node's name
 		return m.effects
 	}
 	m.correctSender(sender, msg)
@@ -29,8 +29,8 @@
 	return m.effects
 }
 
-// receiveFromSameName handles a message of another process with this node's name. An older one is notified that
-// it is replaced. This process's own messages are ignored.
+// receiveFromSameName handles a message whose sender has this node's name. If the sender is an earlier process at another
+// address, this node notifies it that it is replaced. This process's own messages are ignored.
 func (m *Members) receiveFromSameName(msg *wire.Message) {
 	if msg.Start == m.self.Start {
 		return
@@ -50,8 +50,8 @@
 	m.sendMember(msg.At, m.self)
 }
 
-// dispatch handles what a message asks for or answers, by its kind. The sender is nil where it is not known. Kinds that
-// are not the core's, or that this version does not know, are ignored.
+// dispatch handles a message by its kind, after its updates were merged. The sender is nil if it is not known. Kinds that
+// other packages handle, or that this version does not know, are ignored.
 func (m *Members) dispatch(sender *member, msg *wire.Message) {
 	switch msg.Kind {
 	case wire.Message_PING:
@@ -71,8 +71,8 @@
 	}
 }
 
-// correctSender tells the sender of a message how this node sees it where that is not alive, or that a later process has
-// its name. The sender can refute it.
+// correctSender notifies the sender of a message if this node does not consider it alive, so that it can refute that, or
+// if a process with a later start uses its name, so that it leaves.
 func (m *Members) correctSender(sender *member, msg *wire.Message) {
 	if sender == nil || m.now < sender.nextCorrectionAt {
 		return
@@ -89,7 +89,7 @@
 	m.sendMember(to, sender)
 }
 
-// answerPing answers a ping. One for another name was sent to a wrong address and is ignored.
+// answerPing answers a ping. A ping for another name was sent to the wrong address and is ignored.
 func (m *Members) answerPing(sender *member, msg *wire.Message) {
 	if msg.About != m.self.Name {
 		return
@@ -101,8 +101,8 @@
 	m.send(to, &wire.Message{Kind: wire.Message_ACK, Seq: msg.Seq})
 }
 
-// receiveAck handles the answer to a ping: of a probe at the request of another member, which gets the answer, or of the
-// own probe in progress, from its target or through another member.
+// receiveAck handles the answer to a ping. The answer to an indirect probe is forwarded to the member that requested it.
+// Any other answer belongs to this node's own probe in progress and comes from its target or through another member.
 func (m *Members) receiveAck(msg *wire.Message) {
 	if request, found := m.indirectProbes[msg.Seq]; found && request.target == msg.From {
 		m.forwardAck(msg.Seq, request)
@@ -119,7 +119,7 @@
 	}
 }
 
-// receiveNack counts a member that was asked to probe the target of the own probe and got no answer either.
+// receiveNack counts the nack of a member that probed the target of this node's own probe and got no answer either.
 func (m *Members) receiveNack(msg *wire.Message) {
 	p := m.probe
 	if p != nil && p.sequence == msg.Seq && p.target == msg.About {
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -6,7 +6,8 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// setState sets the state of a member and reports the change. It ends the member's suspicion unless the state is Suspect.
+// setState sets the state of a member and adds a Changed effect. It ends the suspicion of the member unless the new state
+// is Suspect.
 func (m *Members) setState(peer *member, to State) {
 	previous := peer.State
 	if to != Suspect && peer.suspicion != nil {
@@ -27,7 +28,8 @@
 	m.effects = append(m.effects, Changed{Member: peer.Member, Previous: previous})
 }
 
-// addMember adds a member that was not known, as alive or gone. A suspicion is up to the caller.
+// addMember adds a member that was not known, as alive, dead or left. If the update reports a suspicion, the caller starts
+// it.
 func (m *Members) addMember(u *wire.Update) *member {
 	peer := &member{Member: Member{Name: u.Name, State: Alive, Since: m.now}}
 	peer.setFacts(u)
@@ -42,7 +44,8 @@
 	return peer
 }
 
-// insertIntoRound gives a member a random place in the order of probes, so that no member waits for long.
+// insertIntoRound inserts a member at a random position of the probe order, as SWIM does to bound the time until the
+// member is probed.
 func (m *Members) insertIntoRound(peer *member) {
 	at := m.random.IntN(len(m.others) + 1)
 	m.others = slices.Insert(m.others, at, peer)
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// suspicion is the time that a member has to refute that it failed. It is long while a single node suspects the member
-// and becomes shorter with each confirmation (Lifeguard, section IV.B). Times are in seconds.
+// suspicion is the time within which a suspect can refute that it failed. It lasts for maxDuration while a single member
+// reports it, and becomes shorter with each confirmation by another member (Lifeguard, section IV.B). Times are in seconds.
 type suspicion struct {
 	startedAt    float64
 	minDuration  float64
 	maxDuration  float64
-	notBefore    float64         // it does not expire before this time
-	expected     int             // confirmations, beside the first report, that shorten it to minDuration
+	notBefore    float64         // earliest time at which it may expire
+	expected     int             // number of confirmations, after the first report, that shorten it to minDuration
 	reporters    map[string]bool // names of the members that reported it
-	lastReporter string          // the latest one, which is gossiped with the suspicion
-	reportedLeft bool            // another member reports that the member has left
-	finalProbe   bool            // this node probes the member once more before it declares it dead
+	lastReporter string          // member that reported it last, which is gossiped with the suspicion
+	reportedLeft bool            // another member reported that the suspect has left
+	finalProbe   bool            // a last probe is queued, after which the suspect is declared dead
 }
 
-// mutantSuspicionParts is the part of a period that a suspicion lasts in the mutant build.
+// mutantSuspicionParts is the divisor of the period that yields the duration of a suspicion in the mutant build.
 const mutantSuspicionParts = 10
 
-// end returns when the suspicion expires.
+// end returns the time at which the suspicion expires.
 func (s *suspicion) end() float64 {
 	duration := s.maxDuration
 	if s.expected > 0 {
@@ -29,13 +29,13 @@
 	return max(s.startedAt+duration, s.notBefore)
 }
 
-// extend has the suspicion expire so many seconds later.
+// extend postpones the end of the suspicion by the given number of seconds.
 func (s *suspicion) extend(seconds float64) {
 	s.startedAt += seconds
 	s.notBefore += seconds
 }
 
-// shortenForLeave starts the suspicion again, with the short durations for a member that is reported to have left.
+// shortenForLeave restarts the suspicion with the shorter durations for a member that is reported to have left.
 func (s *suspicion) shortenForLeave(now, period float64) {
 	s.reportedLeft = true
 	s.startedAt = now
@@ -43,7 +43,7 @@
 	s.maxDuration = maxLeaveSuspicionPeriods * period
 }
 
-// newSuspicion returns a suspicion that starts now, with durations for the present size of the fleet.
+// newSuspicion returns a suspicion that starts now, with durations for the current size of the fleet.
 func (m *Members) newSuspicion() *suspicion {
 	shortest, longest := m.suspicionDurations()
 	return &suspicion{
@@ -55,7 +55,7 @@
 	}
 }
 
-// suspicionDurations returns the shortest and the longest duration of a suspicion in seconds, for the present size of the
+// suspicionDurations returns the shortest and the longest duration of a suspicion in seconds, for the current size of the
 // fleet.
 func (m *Members) suspicionDurations() (shortest, longest float64) {
 	if shortSuspicionMutant {
@@ -68,8 +68,9 @@
 	return shortest, suspicionSpread * shortest
 }
 
-// suspect begins a suspicion of a member, or confirms the one that exists. The reporter is the name of the member that
-// suspects it; hasLeft says that the member is reported to have left. A member that is gone is not suspected.
+// suspect starts a suspicion of a member or confirms the existing one. The reporter is the name of the member that
+// suspects it; hasLeft is true if the report is that the member has left. Members that are dead or have left are not
+// suspected.
 func (m *Members) suspect(peer *member, reporter string, hasLeft bool) {
 	if peer.State.Gone() {
 		return
@@ -89,8 +90,8 @@
 	m.enqueueUpdate(peer)
 }
 
-// startSuspicion begins a suspicion of a member. Of a suspicion that another member reports, some members, in a large
-// fleet about verifyingMembers of them, probe the suspect themselves: the reporter may be faulty or isolated.
+// startSuspicion starts a suspicion of a member. If another member reported it, this node queues a probe of the suspect
+// with a probability such that about verifyingMembers of a large fleet do: the reporter may be faulty or isolated.
 func (m *Members) startSuspicion(peer *member, reporter string) {
 	m.suspectCount++
 	peer.suspicion = m.newSuspicion()
@@ -103,8 +104,8 @@
 	}
 }
 
-// recordAlive records evidence that a member is alive now: a message of its own, or an answer through another member. Its
-// suspicion lasts at least until the member can have received and refuted it.
+// recordAlive records evidence that a member is alive now: a message from it, or its answer through another member. A
+// suspicion of the member then lasts for at least minDuration from now, so that the member can learn of it and refute it.
 func (m *Members) recordAlive(peer *member) {
 	s := peer.suspicion
 	if s == nil || m.config.WithoutLifeguard {
@@ -114,7 +115,7 @@
 	s.finalProbe = false
 }
 
-// extendSuspicions has all suspicions expire so many seconds later.
+// extendSuspicions postpones the end of all suspicions by the given number of seconds.
 func (m *Members) extendSuspicions(seconds float64) {
 	for _, peer := range m.others {
 		if peer.suspicion != nil {
--- a/internal/membership/wire/doc.go
+++ b/internal/membership/wire/doc.go
@@ -1,4 +1,4 @@
-// Package wire holds the messages among the members of a fleet, generated from wire.proto by protoc. Numbers and types of
-// the fields are fixed: nodes of several versions exchange these messages. The package has no logic; the packages
-// membership and fleet give the messages their meaning.
+// Package wire contains the messages that the members of a fleet exchange, generated from wire.proto by protoc. The numbers
+// and types of the fields must not change, because nodes of several versions exchange these messages. The package has no
+// logic; the packages membership and fleet implement the protocol.
 package wire
--- a/internal/membership/wire/wire_golden_test.go
+++ b/internal/membership/wire/wire_golden_test.go
@@ -11,16 +11,17 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: nodes of that
-// version run beside newer ones, so nothing rewrites them, and a test that fails here means a broken wire format.
+// The files under testdata were written by version 5fa7498 and must never be regenerated: nodes of that version run in the
+// same fleet as newer ones. A failing test in this file means that the wire format has changed.
 
-// goldenUpdate has every field set.
+// goldenUpdate returns an update with every field set.
 func goldenUpdate() *Update {
 	return &Update{Name: "node-b", Start: 1700000000000002, Incarnation: 7, State: 1, Address: "127.0.0.2:7000", Zone: "zone-b",
 		Build: "5fa7498", Ready: true, Bad: []uint32{0xdeadbeef, 0x01020304}, By: "node-c"}
 }
 
-// goldenMessage has every field set. No node sends such a message: it pins the number and type of each field.
+// goldenMessage returns a message with every field set. No node sends such a message; it is there to check the number and
+// type of each field.
 func goldenMessage(kind Message_Kind) *Message {
 	return &Message{Kind: kind, From: "node-a", Start: 1700000000000001, Seq: 42, About: "node-b", At: "127.0.0.1:7000",
 		Hash: 0x0123456789abcdef, Again: true, Updates: []*Update{goldenUpdate(), goldenUpdate()}, Words: []byte{1, 0, 0, 0, 9, 64}}
@@ -65,7 +66,8 @@
 	}
 }
 
-// checkAllFieldsSet checks that each known field of a message is set, in its parts as well, and that none is unknown.
+// checkAllFieldsSet checks that each field of a message and of its nested messages is set, and that there are no unknown
+// fields.
 func checkAllFieldsSet(t *testing.T, message protoreflect.Message) {
 	t.Helper()
 	if unknown := message.GetUnknown(); len(unknown) > 0 {
@@ -86,6 +88,7 @@
 	}
 }
 
+// Guards against changes to the encoding of a message, for each kind.
 func TestGoldenMessagesOfEachKind(t *testing.T) {
 	for number, name := range Message_Kind_name {
 		if number == int32(Message_NONE) {
@@ -97,9 +100,10 @@
 	}
 }
 
+// Guards against changes to the encoding of an authenticated message.
 func TestGoldenSealedMessage(t *testing.T) { checkGolden(t, "sealed.bin", goldenSealed()) }
 
-// An unset field takes no byte; the kind NONE is no byte at all.
+// Guards against fields that are encoded although they are not set: an empty message must encode to zero bytes.
 func TestGoldenEmptyMessage(t *testing.T) {
 	for _, message := range []proto.Message{&Message{}, &Update{}, &Sealed{}} {
 		if encoded, err := proto.Marshal(message); err != nil || len(encoded) > 0 {
@@ -108,6 +112,7 @@
 	}
 }
 
+// Guards against changes to the numbers of the kinds, by which nodes of other versions recognise them.
 func TestGoldenKindNumbers(t *testing.T) {
 	want := []int32{0, 1, 2, 3, 4, 5, 6, 7}
 	got := []Message_Kind{Message_NONE, Message_PING, Message_ACK, Message_PING_REQ, Message_NACK, Message_STATE, Message_JOIN,
@@ -122,7 +127,7 @@
 	}
 }
 
-// The number, type and cardinality of each field, whatever it is called.
+// Guards against changes to the number, type or cardinality of a field. Names may change, because they are not encoded.
 func TestGoldenFields(t *testing.T) {
 	type field struct {
 		number protoreflect.FieldNumber
