--- a/internal/fleet/authenticator.go
+++ b/internal/fleet/authenticator.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	datagramVersion  = 1   // first byte of a datagram: nodes of two versions ignore each other
-	fleetHashBytes   = 4   // of the hash of the fleet's id
-	macBytes         = 16  // of an HMAC-SHA256 that are sent
-	maxDatagramBytes = 256 // fits into a packet on any path
-	maxMessageBytes  = 208 // of an encoded message; the rest authenticates it
+	datagramVersion  = 1   // first byte of a datagram; datagrams with another version are rejected
+	fleetHashBytes   = 4   // number of bytes of the hash of the fleet's id that are sent
+	macBytes         = 16  // number of bytes of the HMAC-SHA256 that are sent
+	maxDatagramBytes = 256 // small enough that no network path fragments the packet
+	maxMessageBytes  = 208 // limit of an encoded message; the rest of the datagram authenticates it
 )
 
-// rejection is the reason for which a datagram is rejected. Its text stands on the page of the second address.
+// rejection is the reason for which a datagram is rejected. Its text is shown on the members page of the admin address.
 type rejection string
 
-// The reasons for a rejection; accepted is that of a datagram that is not rejected.
+// The reasons for a rejection; accepted means that the datagram is not rejected.
 const (
 	accepted       rejection = ""
 	malformed      rejection = "garbage"
@@ -33,13 +33,14 @@
 	tooManySenders rejection = "too many senders"
 )
 
-// authenticator authenticates messages and verifies them. A MAC under the fleet's key rejects messages of strangers, the
-// fleet's id those of other fleets, and a growing count rejects replays. It is not safe for concurrent use.
+// authenticator signs outgoing messages and verifies incoming ones. The MAC under the fleet's key excludes senders without
+// the key, the hash of the fleet's id excludes other fleets with the same key, and a count that increases with each
+// datagram of a sender detects replays. It is not safe for concurrent use.
 type authenticator struct {
 	fleet   []byte                    // hash of the fleet's id
-	keys    [][]byte                  // the first one signs; all are accepted
-	count   uint64                    // datagrams signed so far
-	windows map[string][]replayWindow // by name of the sender, of its latest processes
+	keys    [][]byte                  // the first key signs; all keys verify
+	count   uint64                    // number of datagrams signed so far
+	windows map[string][]replayWindow // replay windows of the latest processes of each sender, by its name
 }
 
 // newAuthenticator returns the authenticator of a node that has signed and verified nothing yet.
@@ -48,7 +49,7 @@
 	return &authenticator{fleet: sum[:fleetHashBytes], keys: c.keys, windows: map[string][]replayWindow{}}
 }
 
-// mac returns the MAC over the fleet, the count and the body of a datagram.
+// mac returns the MAC over the fleet, the count and the body of a sealed message.
 func mac(key []byte, sealed *wire.Sealed) []byte {
 	hash := hmac.New(sha256.New, key)
 	hash.Write(sealed.Fleet)
@@ -57,7 +58,7 @@
 	return hash.Sum(nil)[:macBytes]
 }
 
-// sign returns the authenticated datagram of a message. It may be longer than maxDatagramBytes.
+// sign returns the authenticated datagram for a message. The datagram may be longer than maxDatagramBytes.
 func (a *authenticator) sign(message *wire.Message) ([]byte, error) {
 	body, err := proto.Marshal(message)
 	if err != nil {
@@ -69,8 +70,8 @@
 	return proto.MarshalOptions{}.MarshalAppend([]byte{datagramVersion}, sealed)
 }
 
-// DatagramBytes returns the size of the datagram of an encoded message of so many bytes, when its sender has sent some
-// thousands of them.
+// DatagramBytes returns the size of the datagram for an encoded message of the given number of bytes. The size grows with
+// the sender's count; DatagramBytes assumes that of a sender with 8192 datagrams.
 func DatagramBytes(message int) int {
 	const count = 1 << 13
 	sealed := &wire.Sealed{
@@ -82,7 +83,7 @@
 	return 1 + proto.Size(sealed)
 }
 
-// verify returns the message of a datagram, or the reason for which the datagram is rejected.
+// verify returns the message in a datagram, or the reason for which the datagram is rejected.
 func (a *authenticator) verify(datagram []byte) (*wire.Message, rejection) {
 	if len(datagram) < 2 || len(datagram) > maxDatagramBytes {
 		return nil, malformed
@@ -107,7 +108,7 @@
 	return message, a.checkReplay(message.From, message.Start, sealed.Count)
 }
 
-// hasValidMAC reports whether a MAC was made with one of the keys.
+// hasValidMAC reports whether the MAC of a sealed message is valid under one of the keys.
 func (a *authenticator) hasValidMAC(sealed *wire.Sealed) bool {
 	for _, key := range a.keys {
 		if hmac.Equal(sealed.Mac, mac(key, sealed)) {
--- a/internal/fleet/authenticator_test.go
+++ b/internal/fleet/authenticator_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"strings"
 	"testing"
 
 	"google.golang.org/protobuf/proto"
@@ -10,7 +11,7 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// signedPing returns the next datagram of a sender.
+// signedPing returns a datagram with a ping, signed by a sender.
 func signedPing(t *testing.T, sender *authenticator) []byte {
 	t.Helper()
 	datagram, err := sender.sign(&wire.Message{Kind: wire.Message_PING, From: "n1", Start: 5, About: "n2"})
@@ -20,7 +21,7 @@
 	return datagram
 }
 
-// checkVerified checks the reason for which a datagram is rejected, or that it is accepted.
+// checkVerified checks that the receiver rejects a datagram for the given reason, or accepts it if that is accepted.
 func checkVerified(t *testing.T, receiver *authenticator, datagram []byte, want rejection) {
 	t.Helper()
 	if _, reason := receiver.verify(datagram); reason != want {
@@ -28,7 +29,8 @@
 	}
 }
 
-func TestDatagramIsAcceptedOnlyFromTheFleetAndOnce(t *testing.T) {
+// Guards against forged, foreign and replayed datagrams that would change the membership state.
+func TestVerifyAcceptsOnlyNewDatagramsOfTheFleet(t *testing.T) {
 	sender := newTestAuthenticator(t, "lima", testKey)
 	receiver := newTestAuthenticator(t, "lima", testKey)
 	first := signedPing(t, sender)
@@ -44,11 +46,11 @@
 		datagram []byte
 		want     rejection
 	}{
-		{"the same again", first, replayed},
+		{"replay of the first datagram", first, replayed},
 		{"empty", nil, malformed},
 		{"a changed byte", changed, invalidMAC},
 		{"a later version", later, unknownVersion},
-		{"noise", []byte{datagramVersion, 255, 255, 3, 1}, malformed},
+		{"invalid protobuf", []byte{datagramVersion, 255, 255, 3, 1}, malformed},
 		{"too long", make([]byte, 300), malformed},
 		{"another fleet", signedPing(t, newTestAuthenticator(t, "cusco", testKey)), otherFleet},
 		{"another key", signedPing(t, newTestAuthenticator(t, "lima", "another key of it")), invalidMAC},
@@ -57,26 +59,28 @@
 	}
 }
 
-func TestOldKeyIsAcceptedWhileItIsChanged(t *testing.T) {
+// Guards against nodes that reject each other while operators replace the fleet's key node by node.
+func TestOldKeyIsAcceptedDuringKeyChange(t *testing.T) {
 	sender := newTestAuthenticator(t, "lima", testKey)
 	receiver := newTestAuthenticator(t, "lima", "a newer key of it", testKey)
 	checkVerified(t, receiver, signedPing(t, sender), accepted)
 }
 
-func TestLateDatagramIsAcceptedWithinTheWindow(t *testing.T) {
+// Guards against the loss of datagrams that the network reorders, and against replays of those that were reordered.
+func TestReorderedDatagramIsAcceptedWithinTheWindow(t *testing.T) {
 	sender := newTestAuthenticator(t, "lima", testKey)
 	receiver := newTestAuthenticator(t, "lima", testKey)
 	var datagrams [][]byte
 	for range replayWindowSize + 6 {
 		datagrams = append(datagrams, signedPing(t, sender))
 	}
-	for late := range datagrams { // the last datagram comes first
+	for late := range datagrams { // the datagrams arrive in reverse order
 		want := accepted
 		if late >= replayWindowSize {
 			want = replayed
 		}
 		if _, reason := receiver.verify(datagrams[len(datagrams)-1-late]); reason != want {
-			t.Errorf("%d late: %q, want %q", late, reason, want)
+			t.Errorf("datagram that is %d counts behind the latest: %q, want %q", late, reason, want)
 		}
 	}
 	for i, datagram := range datagrams {
@@ -86,18 +90,20 @@
 	}
 }
 
-// A member that sends under ever new names and starts does not fill the memory.
-func TestRememberedSendersAreBounded(t *testing.T) {
+// Guards against unbounded memory use when a member sends messages with a new name or start each time.
+func TestReplayWindowsAreBounded(t *testing.T) {
 	a := newTestAuthenticator(t, "lima", testKey)
 	for i := range 2 * maxSenders {
 		a.checkReplay("n"+fmt.Sprint(i), 1, 1)
 		a.checkReplay("n0", uint64(2+i), 1)
 	}
 	if len(a.windows) > maxSenders || len(a.windows["n0"]) > processesPerName {
-		t.Errorf("%d names remembered, %d processes of one", len(a.windows), len(a.windows["n0"]))
+		t.Errorf("replay windows for %d names and %d processes of one name, want at most %d and %d",
+			len(a.windows), len(a.windows["n0"]), maxSenders, processesPerName)
 	}
 }
 
+// Guards against replays of datagrams of a former process of a node, whose replay window is no longer stored.
 func TestMessagesOfAnOlderProcessThanTheLatestTwoAreReplays(t *testing.T) {
 	a := newTestAuthenticator(t, "lima", testKey)
 	for _, c := range []struct {
@@ -110,22 +116,24 @@
 	}
 }
 
+// Guards against a DatagramBytes that differs from what is sent. The second name makes the body longer than 127 bytes, so
+// that its length is encoded in two bytes.
 func TestDatagramBytesIsTheSizeOfASignedMessage(t *testing.T) {
 	sender := newTestAuthenticator(t, "lima", testKey)
 	sender.count = 1 << 13
-	for _, about := range []string{"n2", "a name that makes the message longer than one byte of length can tell, as some are, so that " +
-		"the length itself takes two bytes: it goes on a little"} {
+	for _, about := range []string{"n2", strings.Repeat("n", 150)} {
 		message := &wire.Message{Kind: wire.Message_PING, From: "n1", Start: 5, About: about}
 		datagram, err := sender.sign(message)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := DatagramBytes(proto.Size(message)); got != len(datagram) {
-			t.Errorf("%d bytes, and the datagram has %d", got, len(datagram))
+			t.Errorf("DatagramBytes returned %d, but the datagram has %d bytes", got, len(datagram))
 		}
 	}
 }
 
+// Guards against datagrams from the network that make verify panic or return a message without a sender.
 func FuzzVerify(f *testing.F) {
 	c := Config{Fleet: "lima", keys: [][]byte{[]byte(testKey)}}
 	datagram, err := newAuthenticator(c).sign(&wire.Message{From: "n1"})
--- a/internal/fleet/budget_divisor_test.go
+++ b/internal/fleet/budget_divisor_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// The two halves of a partitioned fleet, each of which considers the other dead, divide a budget by numbers with which
-// both together stay within it. The number falls no faster than in fallSeconds, and recovers.
+// Guards against a host that is overloaded during a partition: each half of the fleet considers the other half dead, and
+// if both divided the budget by their own size, together they would exceed it. Also checks that the divisor decreases no
+// faster than fallSeconds allows, and recovers after the partition.
 func TestHalvesOfAPartitionedFleetStayWithinTheBudget(t *testing.T) {
 	const partitionedAt, healedAt, end = 10.0, 500.0, 1000.0
 	for _, configured := range []int{2, 3, 10, 301} {
@@ -21,12 +22,12 @@
 				}
 				leftNodes := left.Update(now, live, configured)
 				rightNodes := right.Update(now, configured-live, configured)
-				given := 0.5*float64(live)/float64(leftNodes) + 0.5*float64(configured-live)/float64(rightNodes)
-				if partitioned && given > 1 {
-					t.Fatalf("at %g s: %g of the budget is given out", now, given)
+				used := 0.5*float64(live)/float64(leftNodes) + 0.5*float64(configured-live)/float64(rightNodes)
+				if partitioned && used > 1 {
+					t.Fatalf("at %g s: both halves together use %g of the budget, want at most 1", now, used)
 				}
 				if float64(previous-leftNodes) > float64(configured)/fallSeconds+1 {
-					t.Fatalf("at %g s: from %d to %d at once", now, previous, leftNodes)
+					t.Fatalf("at %g s: divisor decreased from %d to %d within one second", now, previous, leftNodes)
 				}
 				previous = leftNodes
 			}
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -20,29 +20,29 @@
 	maxJoinAddresses     = 64
 )
 
-// Errors of a fleet file. Each has the key that it is about at its beginning.
+// Errors of a fleet file. Each begins with the key at fault.
 var (
-	errNoFleet       = errors.New("fleet: is missing")
-	errNoOtherToJoin = errors.New("join: has no address of another node")
+	errNoFleet       = errors.New("fleet: must not be empty")
+	errNoOtherToJoin = errors.New("join: must contain the address of at least one other node")
 )
 
-// Config is the fleet file of one node. Read and Parse return one that is checked; the zero value is not usable.
+// Config is the fleet file of one node. Read and Parse return a validated one; the zero value is not usable.
 type Config struct {
 	Fleet   string            `toml:"fleet"`             // id of the fleet: messages of another fleet are rejected
-	Address string            `toml:"address"`           // of this node, for messages among members: numeric, with a port (UDP)
-	Join    []string          `toml:"join"`              // addresses of some members, which may contain this node's own
-	Key     string            `toml:"key"`               // hexadecimal, 16 bytes or more: signs and verifies messages
-	OldKey  string            `toml:"old_key"`           // accepted as well, while the key is being changed; empty for none
-	Zone    string            `toml:"zone"`              // of the node; may be empty
-	Period  float64           `toml:"period_s"`          // seconds between two probes, 0.05 to 60; 1 where it is missing
-	Via     map[string]string `toml:"via"`               // where this node reaches an address, if that is elsewhere
-	Region  string            `toml:"region,omitempty"`  // of the node; needed where Control is not empty
-	Control []ControlServer   `toml:"control,omitempty"` // servers from which the node follows the configuration; may be empty
+	Address string            `toml:"address"`           // this node's numeric address and UDP port for messages between members
+	Join    []string          `toml:"join"`              // addresses of members to join at; may contain this node's own
+	Key     string            `toml:"key"`               // hexadecimal key of at least 16 bytes that signs and verifies messages
+	OldKey  string            `toml:"old_key"`           // second key that is accepted during a change of the key; may be empty
+	Zone    string            `toml:"zone"`              // zone of the node; may be empty
+	Period  float64           `toml:"period_s"`          // seconds between two probes, 0.05 to 60; defaults to 1
+	Via     map[string]string `toml:"via"`               // addresses that this node uses in place of other addresses
+	Region  string            `toml:"region,omitempty"`  // region of the node; required if Control is not empty
+	Control []ControlServer   `toml:"control,omitempty"` // control servers that the node follows; may be empty
 
-	keys [][]byte // decoded: Key, and OldKey where it is not empty
+	keys [][]byte // decoded Key, followed by the decoded OldKey if that is not empty
 }
 
-// Read reads and checks a fleet file. An error about its content names the file, the line and the key.
+// Read reads and validates a fleet file. An error about its content names the file, the line and the key.
 func Read(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -55,7 +55,8 @@
 	return c, nil
 }
 
-// Parse reads and checks the text of a fleet file; the path is only for errors, which name the line and the key as well.
+// Parse decodes and validates the text of a fleet file. Errors name the path, the line and the key; the path is not used
+// otherwise.
 func Parse(path string, text []byte) (Config, error) {
 	var c Config
 	if err := strict.Decode(path, text, &c); err != nil {
@@ -75,7 +76,7 @@
 	return c, nil
 }
 
-// decodeKeys returns the keys, the one to sign with first.
+// decodeKeys returns the decoded keys. The first one signs messages.
 func (c Config) decodeKeys() ([][]byte, error) {
 	keys, err := fleetkey.Decode(c.Key, c.OldKey)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return keys, nil
 }
 
-// check returns the first error with which no node can be a member, and its place in the file.
+// check validates the settings and returns the first error and its place in the file.
 func (c Config) check() (strict.Place, error) {
 	top := func(key string) strict.Place { return strict.Place{Key: key} }
 	if c.Fleet == "" {
@@ -94,8 +95,9 @@
 	if err != nil {
 		return top("address"), fmt.Errorf("address: %w", err)
 	}
-	if !(c.Period >= minPeriodSeconds && c.Period <= maxPeriodSeconds) { // this form excludes NaN as well
-		return top("period_s"), fmt.Errorf("period_s: %g is not between %g and %g", c.Period, minPeriodSeconds, maxPeriodSeconds)
+	if !(c.Period >= minPeriodSeconds && c.Period <= maxPeriodSeconds) { // negated, so that NaN is rejected as well
+		return top("period_s"), fmt.Errorf("period_s: must be between %g and %g s, got %g",
+			minPeriodSeconds, maxPeriodSeconds, c.Period)
 	}
 	if err := c.checkJoin(own); err != nil {
 		return top("join"), err
@@ -109,10 +111,10 @@
 	return c.checkControl()
 }
 
-// checkJoin checks the addresses to join at. One of them at least is not the node's own.
+// checkJoin validates the addresses to join at. At least one of them must not be the node's own.
 func (c Config) checkJoin(own netip.AddrPort) error {
 	if len(c.Join) > maxJoinAddresses {
-		return fmt.Errorf("join: %d addresses, and %d are allowed", len(c.Join), maxJoinAddresses)
+		return fmt.Errorf("join: must contain at most %d addresses, got %d", maxJoinAddresses, len(c.Join))
 	}
 	seen := map[netip.AddrPort]bool{}
 	for _, text := range c.Join {
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// checkVia checks the addresses that are reached elsewhere.
+// checkVia validates the addresses and their replacements in Via.
 func (c Config) checkVia() (strict.Place, error) {
 	for from, to := range c.Via {
 		for _, text := range []string{from, to} {
--- a/internal/fleet/config_follower.go
+++ b/internal/fleet/config_follower.go
@@ -13,29 +13,30 @@
 	"gorseledge/internal/node/live"
 )
 
-// configFollower is a node's part in the distribution of configuration: it follows the control servers, passes revisions
-// to the node and knows which one is in force. While another process of the node follows, this one does not. Its methods
-// may be called from several goroutines.
+// configFollower receives the distributed configuration of a node: it follows the control servers, passes new revisions to
+// the node and records which revision is in force. While another process of the node follows the control servers, this one
+// does not. Its methods may be called from several goroutines.
 type configFollower struct {
 	config    Config
 	options   view.Options
 	now       func() float64 // Unix time in seconds
 	startedAt float64
-	wake      wakeSignal // has run and watchServers check the state below again
-
-	mu              sync.Mutex
-	state           configfeed.State   // in force; zero for none
-	inForceSince    float64            // Unix time in seconds
-	ignored         []string           // keys in force that have no effect at this node
-	installing      configfeed.Version // that the node was asked to put in force
-	predecessorDone bool               // no predecessor of this process follows
-	handedOver      bool               // a successor follows
-	follower        *feedhttp.Follower // nil while this process does not follow
-	lastView        configfeed.FollowerView
-	traffic         feedhttp.Traffic // of followers before this one
+	wake      wakeSignal // makes run and watchServers read the fields below again
+
+	mu              sync.Mutex              // protects the fields below
+	state           configfeed.State        // state in force; zero for none
+	inForceSince    float64                 // time at which the state was put in force, Unix time in seconds
+	ignored         []string                // keys of the state in force that have no effect at this node
+	installing      configfeed.Version      // version that the node is being asked to put in force; zero for none
+	predecessorDone bool                    // whether no predecessor of this process follows any more
+	handedOver      bool                    // whether a successor of this process follows
+	follower        *feedhttp.Follower      // nil while this process does not follow
+	lastView        configfeed.FollowerView // final view of the previous follower
+	traffic         feedhttp.Traffic        // total traffic of the previous followers
 }
 
-// newConfigFollower returns a follower that goes on from the revision in force at the node. It follows once run is called.
+// newConfigFollower returns a follower that continues from the revision in force at the node. It does not contact the
+// control servers until run is called.
 func newConfigFollower(c Config, o view.Options, now func() float64) *configFollower {
 	f := &configFollower{
 		config:          c,
@@ -49,7 +50,7 @@
 	return f
 }
 
-// run follows the control servers, while no other process of the node does, until the context ends.
+// run follows the control servers until the context ends, except while another process of the node does.
 func (f *configFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.shouldFollow() {
@@ -67,15 +68,15 @@
 	return f.predecessorDone && !f.handedOver
 }
 
-// releaseByPredecessor records that no predecessor follows any more.
-func (f *configFollower) releaseByPredecessor() {
+// setPredecessorDone records that no predecessor follows the control servers any more.
+func (f *configFollower) setPredecessorDone() {
 	f.mu.Lock()
 	f.predecessorDone = true
 	f.mu.Unlock()
 	f.wake.set()
 }
 
-// setHandedOver records whether a successor follows.
+// setHandedOver records whether a successor follows the control servers.
 func (f *configFollower) setHandedOver(handedOver bool) {
 	f.mu.Lock()
 	f.handedOver = handedOver
@@ -83,8 +84,8 @@
 	f.wake.set()
 }
 
-// follow runs a follower until a successor follows or the context ends. The follower's goroutine has ended when follow
-// returns.
+// follow runs a follower until a successor follows the control servers or the context ends. It waits for the follower's
+// goroutine before it returns.
 func (f *configFollower) follow(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -100,7 +101,8 @@
 	f.stopFollower(follower)
 }
 
-// startFollower makes a follower that goes on from the revision in force. Nodes without a seed differ by their names.
+// startFollower creates a follower that continues from the revision in force. Its seed includes a hash of the node's name,
+// so that nodes without a configured seed draw different random numbers.
 func (f *configFollower) startFollower(ctx context.Context) *feedhttp.Follower {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,7 +124,7 @@
 	return f.follower
 }
 
-// stopFollower keeps what a follower that has ended knew last.
+// stopFollower saves the last view and the traffic of a follower that has ended.
 func (f *configFollower) stopFollower(follower *feedhttp.Follower) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,7 +133,7 @@
 	f.follower = nil
 }
 
-// totalTraffic returns the traffic of this follower and all before it. The caller holds the lock.
+// totalTraffic returns the total traffic of a follower and all previous ones. The caller holds the lock.
 func (f *configFollower) totalTraffic(follower *feedhttp.Follower) feedhttp.Traffic {
 	total := f.traffic
 	traffic := follower.Traffic()
@@ -142,7 +144,8 @@
 	return total
 }
 
-// install has the node put a state in force. It returns once it is in force, or why it cannot be.
+// install asks the node to put a state in force. It returns after the state is in force, or with the error that prevents
+// it.
 func (f *configFollower) install(ctx context.Context, state configfeed.State) error {
 	revision, err := decodeRevision(state)
 	if err != nil {
@@ -161,20 +164,22 @@
 	return err
 }
 
-// inForce records that the node has put a revision in force, by install or on a message of its peer process.
+// inForce records that the node has put a revision in force, either through install or because its peer process reported
+// it.
 func (f *configFollower) inForce(r live.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	version := configfeed.Version{Epoch: r.Epoch, Revision: r.Number}
 	if version != f.installing {
 		f.options.Log.Info().Uint64("epoch", r.Epoch).Uint64("revision", r.Number).Bool("in_force", true).
-			Msg("configuration of the peer process")
+			Msg("revision received from the peer process")
 	}
 	f.setInForce(r)
 }
 
-// setInForce records the revision in force. One without a valid state counts as none, so that a follower begins anew. The
-// caller holds the lock, or is the only one that has the follower.
+// setInForce records the revision in force. It ignores a revision without a valid state; if there was none before, a follower
+// then starts without a revision. The caller holds the lock, or is
+// the only one with access to f.
 func (f *configFollower) setInForce(r live.Revision) {
 	state, ok := stateOf(r)
 	if !ok {
--- a/internal/fleet/config_follower_test.go
+++ b/internal/fleet/config_follower_test.go
@@ -11,7 +11,7 @@
 	"gorseledge/internal/node/live"
 )
 
-// testState returns a valid state with this revision number.
+// testState returns a valid state with the given revision number.
 func testState(number uint64) configfeed.State {
 	return configfeed.State{
 		Version: configfeed.Version{Epoch: 1, Revision: number},
@@ -20,7 +20,7 @@
 	}
 }
 
-// testRevision returns a valid revision with this number.
+// testRevision returns a valid revision with the given number.
 func testRevision(t *testing.T, number uint64) live.Revision {
 	t.Helper()
 	revision, err := decodeRevision(testState(number))
@@ -30,13 +30,14 @@
 	return revision
 }
 
-// newTestFollower returns a follower at the time 1000 that does not run.
+// newTestFollower returns a follower that is not running and whose clock always returns 1000 s.
 func newTestFollower(t *testing.T, o view.Options) *configFollower {
 	t.Helper()
 	o.Log = zerolog.Nop()
 	return newConfigFollower(Config{Fleet: "lima"}, o, func() float64 { return 1000 })
 }
 
+// Guards against a handover after which both processes of a node follow the control servers, or none does.
 func TestOneProcessOfANodeFollows(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -46,7 +47,7 @@
 	}{
 		{"first process", false, func(*configFollower) {}, true},
 		{"successor while its predecessor follows", true, func(*configFollower) {}, false},
-		{"successor after its predecessor", true, func(f *configFollower) { f.releaseByPredecessor() }, true},
+		{"successor after its predecessor", true, func(f *configFollower) { f.setPredecessorDone() }, true},
 		{"predecessor of a successor", false, func(f *configFollower) { f.setHandedOver(true) }, false},
 		{"predecessor of a successor that ended", false, func(f *configFollower) {
 			f.setHandedOver(true)
@@ -63,6 +64,7 @@
 	}
 }
 
+// Guards against a view that shows a former revision after a newer one was put in force.
 func TestRevisionInForceIsRecorded(t *testing.T) {
 	f := newTestFollower(t, view.Options{InForce: testRevision(t, 3)})
 	if v := f.view(); v.Epoch != 1 || v.Revision != 3 || v.Since != 1000 || v.Follows {
@@ -74,6 +76,8 @@
 	}
 }
 
+// Guards against a follower that continues from a state that is damaged or missing, and so never receives the keys that it
+// lacks.
 func TestRevisionWithoutValidStateIsNotRecorded(t *testing.T) {
 	state := testState(4)
 	state.Digest++
@@ -100,7 +104,8 @@
 	}
 }
 
-func TestAgeOfTheLastAnswerCountsFromTheStartWhereNoneCame(t *testing.T) {
+// Guards against an age since 1970 before the first answer, and a negative age after a step of the clock.
+func TestAnswerAgeCountsFromStartBeforeFirstAnswer(t *testing.T) {
 	f := newTestFollower(t, view.Options{})
 	f.startedAt = 990
 	for _, c := range []struct{ lastAnswer, want float64 }{{0, 10}, {997, 3}, {1001, 0}} {
--- a/internal/fleet/config_test.go
+++ b/internal/fleet/config_test.go
@@ -49,7 +49,7 @@
 	return path
 }
 
-// checkErrorPlace checks that an error is one line that names the file, the line and the reason.
+// checkErrorPlace checks that an error is a single line that names the file and the line and contains the reason.
 func checkErrorPlace(t *testing.T, err error, path, line, reason string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), path+":"+line+":") || !strings.Contains(err.Error(), reason) ||
@@ -58,6 +58,7 @@
 	}
 }
 
+// Guards against settings of a valid fleet file that are rejected or lost.
 func TestValidFleetFileIsRead(t *testing.T) {
 	c, err := Read(writeFile(t, validFile))
 	if err != nil || c.Period != 0.5 || len(c.keys) != 1 || c.Via["127.0.0.2:7000"] == "" {
@@ -65,12 +66,14 @@
 	}
 }
 
+// Guards against invalid settings that are accepted, and against errors with which an operator cannot find them.
 func TestFleetFileErrorNamesFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ name, from, to, line, reason string }{
 		{"no fleet", `fleet = "lima"`, ``, "1", "fleet"},
 		{"address without a port", `"127.0.0.1:7000"` + "\njoin", `"127.0.0.1"` + "\njoin", "2", "address"},
 		{"address to join listed twice", `"127.0.0.2:7000", "127.0.0.1:7000"`, `"127.0.0.1:7000", "127.0.0.1:7000"`, "3", "twice"},
-		{"nobody to join", `"127.0.0.2:7000", "127.0.0.1:7000"`, `"127.0.0.1:7000"`, "3", "no address of another node"},
+		{"no other node to join", `"127.0.0.2:7000", "127.0.0.1:7000"`, `"127.0.0.1:7000"`, "3",
+			"join: must contain the address of at least one other node"},
 		{"address to join not numeric", `"127.0.0.2:7000", "`, `"n2:7000", "`, "3", "join"},
 		{"short key", "00112233", "0011", "4", "key"},
 		{"key not hexadecimal", "00112233", "zz112233", "4", "key"},
@@ -87,12 +90,14 @@
 	}
 }
 
+// Guards against a node that starts outside its fleet because the path of the fleet file is wrong.
 func TestAbsentFleetFileIsAnError(t *testing.T) {
 	if _, err := Read(filepath.Join(t.TempDir(), "none.toml")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v, want that there is no such file", err)
+		t.Errorf("%v, want %v", err, os.ErrNotExist)
 	}
 }
 
+// Guards against control servers that are lost when the fleet file is read.
 func TestControlServersOfFleetFile(t *testing.T) {
 	c, err := Read(writeFile(t, validFileWithControl))
 	if err != nil || c.Region != "west" || len(c.servers()) != 2 || c.servers()[1].Region != "east" {
@@ -103,20 +108,21 @@
 	}
 }
 
+// Guards against invalid control servers that are accepted, and against errors with which an operator cannot find them.
 func TestControlServerErrorNamesFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ name, from, to, line, reason string }{
-		{"no region of the node", `region = "west"` + "\n\n[via]", "[via]", "1", "region: is missing"},
+		{"no region of the node", `region = "west"` + "\n\n[via]", "[via]", "1", "region: must not be empty"},
 		{"space in the node's region", `region = "west"` + "\n\n[via]", "region = \"we st\"\n[via]", "5",
 			"region: \"we st\" contains a space"},
-		{"no name", `name = "c1"`, `name = ""`, "11", "control.name: is missing"},
+		{"no name", `name = "c1"`, `name = ""`, "11", "control.name: must not be empty"},
 		{"name listed twice", `name = "c2"`, `name = "c1"`, "16", "control.name: c1 is listed twice"},
 		{"long name", `name = "c2"`, `name = "` + strings.Repeat("c", 65) + `"`, "16",
-			"control.name: 65 bytes, and 64 are allowed"},
+			"control.name: must be at most 64 bytes, got 65"},
 		{"address listed twice", `"127.0.1.2:7100"`, `"127.0.1.1:7100"`, "17",
 			"control.address: 127.0.1.1:7100 is listed twice"},
 		{"address not numeric", `address = "127.0.1.2:7100"`, `address = "c2:7100"`, "17", "control.address"},
 		{"no address", `address = "127.0.1.2:7100"`, ``, "15", "control.address"},
-		{"no region", `region = "east"`, ``, "15", "control.region: is missing"},
+		{"no region", `region = "east"`, ``, "15", "control.region: must not be empty"},
 		{"unknown key", `region = "east"`, `zone = "b"`, "18", "unknown key control.zone"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/fleet/config_view.go
+++ b/internal/fleet/config_view.go
@@ -7,7 +7,7 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// view returns what is known about the distributed configuration now.
+// view returns the current status of the distributed configuration at this node.
 func (f *configFollower) view() *view.Config {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/control_config.go
+++ b/internal/fleet/control_config.go
@@ -12,17 +12,17 @@
 	"gorseledge/internal/strict"
 )
 
-// ControlServer is a control server, as the fleet file names it.
+// ControlServer is a control server in the fleet file.
 type ControlServer struct {
-	Name    string `toml:"name"`    // unique among the servers
-	Address string `toml:"address"` // numeric, with a port (TCP); unique as well
+	Name    string `toml:"name"`    // name, unique among the control servers
+	Address string `toml:"address"` // numeric address and TCP port, unique among the control servers
 	Region  string `toml:"region"`
 }
 
-// errMissing is the error of a name that is empty.
-var errMissing = errors.New("is missing")
+// errEmpty is the error for an empty name.
+var errEmpty = errors.New("must not be empty")
 
-// servers returns the control servers as a follower takes them.
+// servers returns the control servers in the type that a follower accepts.
 func (c Config) servers() []configfeed.ServerAddress {
 	servers := make([]configfeed.ServerAddress, 0, len(c.Control))
 	for _, s := range c.Control {
@@ -31,7 +31,7 @@
 	return servers
 }
 
-// checkControl returns the first error with which no node can follow its control servers, and its place in the file.
+// checkControl validates the node's region and the control servers and returns the first error and its place in the file.
 func (c Config) checkControl() (strict.Place, error) {
 	if len(c.Control) > 0 || c.Region != "" {
 		if err := checkName(c.Region); err != nil {
@@ -58,7 +58,8 @@
 func (e *settingError) Error() string { return e.key + ": " + e.err.Error() }
 func (e *settingError) Unwrap() error { return e.err }
 
-// check returns the first error of a server, or nil, and adds it to the names and addresses that are taken.
+// check returns the first error of a server. If it is valid, check adds its name and address to the maps of those that are
+// in use, and returns nil.
 func (s ControlServer) check(names map[string]bool, addresses map[netip.AddrPort]bool) *settingError {
 	if err := checkName(s.Name); err != nil {
 		return &settingError{key: "name", err: err}
@@ -81,13 +82,13 @@
 	return nil
 }
 
-// checkName returns an error where a text cannot be the name of a server or a region.
+// checkName returns an error if a text is not valid as the name of a server or a region.
 func checkName(name string) error {
 	if name == "" {
-		return errMissing
+		return errEmpty
 	}
 	if len(name) > configfeed.MaxNameBytes {
-		return fmt.Errorf("%d bytes, and %d are allowed", len(name), configfeed.MaxNameBytes)
+		return fmt.Errorf("must be at most %d bytes, got %d", configfeed.MaxNameBytes, len(name))
 	}
 	if strings.ContainsFunc(name, func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }) {
 		return fmt.Errorf("%q contains a space or an unprintable character", name)
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,18 +1,18 @@
-// Package fleet joins a node to the other nodes of its fleet. It owns what the core in package membership does without:
-// the fleet file, the node's UDP address, timers, and the authentication of messages. It also follows the control servers
-// for the node, where the fleet file names some.
+// Package fleet makes a node a member of its fleet. It adds to the protocol core in package membership what the core does
+// not have: the fleet file, the node's UDP socket, timers, and the authentication of messages. If the fleet file names
+// control servers, the package also follows them, that is, it receives the node's configuration from them.
 //
-// The package decides nothing about members: it passes datagrams and the time to the core and carries out the core's
-// effects. A node without a fleet file has no part in a fleet, and none of this runs.
+// The package makes no decisions about members: it passes datagrams and the time to the core and carries out the effects
+// that the core returns. A node without a fleet file does not use this package.
 //
-// Where the parts are:
+// The files of the package:
 //
-//	fleet.go            the node's part in a fleet, as the rest of the node uses it
-//	socket.go           the loop of the socket and the timer
-//	messages.go         datagrams in and out, and the core's effects
-//	handover.go         hand-over of the membership between the processes of a node
-//	config.go           the fleet file
-//	authenticator.go    what proves that a datagram is the fleet's and new
+//	fleet.go            Fleet, the interface to the rest of the node
+//	socket.go           loop that serves the socket and the timer
+//	messages.go         datagrams that are received and sent, and the core's effects
+//	handover.go         handover of the membership between the processes of a node
+//	config.go           fleet file
+//	authenticator.go    authentication of datagrams and detection of replays
 //	config_follower.go  following the control servers
-//	budget_divisor.go   the number of nodes that share a budget
+//	budget_divisor.go   number of nodes that share a budget
 package fleet
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,49 +16,49 @@
 )
 
 const (
-	probeTimeoutParts = 5 // of a period: the answer to a probe is awaited for one of them
-	indirectProbes    = 3 // members that are asked to probe one that did not answer
+	probeTimeoutParts = 5 // divisor of the period that yields the timeout of a direct probe
+	indirectProbes    = 3 // number of members that are asked to probe one that did not answer
 )
 
-// Fleet is this node's part in a fleet. Its methods may be called from several goroutines, but for those that are to be
-// called before Run.
+// Fleet is the fleet membership of this node. Its methods may be called from several goroutines, except for those that
+// must be called before Run.
 type Fleet struct {
-	config    Config
-	options   view.Options
-	log       zerolog.Logger
-	startedAt time.Time
-	base      float64                      // startedAt in Unix seconds
-	follower  *configFollower              // nil where the node follows no control servers
-	observe   func(membership.Changed)     // nil for none
-	filter    func(at netip.AddrPort) bool // nil in service
-	wake      wakeSignal                   // has the loop of the socket check the state below again
+	config           Config
+	options          view.Options
+	log              zerolog.Logger
+	startedAt        time.Time
+	startUnixSeconds float64                      // startedAt in Unix seconds
+	follower         *configFollower              // nil if the node follows no control servers
+	observe          func(membership.Changed)     // receives changes of members' states; nil for none
+	filter           func(at netip.AddrPort) bool // selects the addresses whose datagrams are dropped; nil in production
+	wake             wakeSignal                   // makes the loop of the socket read the fields below again
 
-	mu              sync.Mutex
+	mu              sync.Mutex // protects the fields below
 	core            *membership.Members
 	authenticator   *authenticator
-	socket          *peers.Socket     // nil while there is none
-	handedOver      bool              // another process of this node is the member now
-	left            bool              // this node has left the fleet, or was replaced
-	rejected        map[rejection]int // datagrams, by reason
+	socket          *peers.Socket     // nil while no socket is open
+	handedOver      bool              // whether another process of this node is the member now
+	left            bool              // whether this node has left the fleet or was replaced
+	rejected        map[rejection]int // number of rejected datagrams by reason
 	traffic         trafficCounts
 	divisor         BudgetDivisor
-	configuredNodes int // nodes of which the node's settings speak
-	reportedNodes   int // the number that NodesChanged was last called with
+	configuredNodes int // number of nodes of the fleet in the node's settings
+	reportedNodes   int // number that NodesChanged was last called with
 }
 
-// New returns a node's part in a fleet by its fleet file. It opens nothing: Run does.
+// New returns the membership of a node in the fleet that the fleet file describes. It opens no socket; Run does.
 func New(c Config, o view.Options) *Fleet {
 	startedAt := time.Now()
 	f := &Fleet{
-		config:          c,
-		options:         o,
-		log:             o.Log,
-		startedAt:       startedAt,
-		base:            float64(startedAt.UnixNano()) / 1e9,
-		configuredNodes: o.ConfiguredNodes,
-		authenticator:   newAuthenticator(c),
-		rejected:        map[rejection]int{},
-		wake:            newWakeSignal(),
+		config:           c,
+		options:          o,
+		log:              o.Log,
+		startedAt:        startedAt,
+		startUnixSeconds: float64(startedAt.UnixNano()) / 1e9,
+		configuredNodes:  o.ConfiguredNodes,
+		authenticator:    newAuthenticator(c),
+		rejected:         map[rejection]int{},
+		wake:             newWakeSignal(),
 	}
 	f.core = membership.New(f.now(), membership.Config{
 		Self: membership.Member{
@@ -82,19 +82,19 @@
 	return f
 }
 
-// now returns the time in Unix seconds. It does not follow steps of the system's clock after the start.
-func (f *Fleet) now() float64 { return f.base + time.Since(f.startedAt).Seconds() }
+// now returns the time in Unix seconds. It is not affected by steps of the system clock after the start.
+func (f *Fleet) now() float64 { return f.startUnixSeconds + time.Since(f.startedAt).Seconds() }
 
-// Observe has each change of a member's state that this node sees passed to a function, which is called under the
-// fleet's lock and must not call the fleet. Observe is called before Run.
+// Observe registers a function that receives each change of a member's state at this node. The function is called while
+// the lock of f is held and must not call methods of f. Observe must be called before Run.
 func (f *Fleet) Observe(changed func(membership.Changed)) { f.observe = changed }
 
-// Filter has datagrams from and to the addresses for which drop is true be lost, as by a partitioned network. It is for
-// test fleets only and is called before Run.
+// Filter drops datagrams from and to the addresses for which drop returns true, to simulate a network partition. It is for
+// test fleets only and must be called before Run.
 func (f *Fleet) Filter(drop func(at netip.AddrPort) bool) { f.filter = drop }
 
-// Run is a member of the fleet until the context ends or the node has left the fleet. It follows the control servers,
-// where the fleet file names some, until the context ends. It returns nil.
+// Run runs the membership protocol until the context ends or the node has left the fleet. If the fleet file names control
+// servers, Run also follows them until the context ends. It always returns nil.
 func (f *Fleet) Run(ctx context.Context) error {
 	if f.follower == nil {
 		return f.runMember(ctx)
@@ -115,7 +115,8 @@
 	f.core.SetReady(f.now(), ready)
 }
 
-// SetInForce records that a revision of the live settings is in force at the node.
+// SetInForce records that a revision of the live settings is in force at the node. It does nothing if the node follows no
+// control servers.
 func (f *Fleet) SetInForce(r live.Revision) {
 	if f.follower == nil {
 		return
@@ -124,7 +125,8 @@
 	f.setConfiguredNodes(r)
 }
 
-// setConfiguredNodes takes the number of nodes over from a revision, or from the node's start where it names none.
+// setConfiguredNodes sets the number of configured nodes to that of a revision, or to that of the settings at the node's
+// start if the revision does not set it.
 func (f *Fleet) setConfiguredNodes(r live.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,7 +136,7 @@
 	}
 }
 
-// updateNodeCount reports the number of nodes that share a budget, where it has changed.
+// updateNodeCount computes the number of nodes that share a budget and reports it with NodesChanged if it has changed.
 func (f *Fleet) updateNodeCount() {
 	f.mu.Lock()
 	nodes := f.divisor.Update(f.now(), f.core.LiveCount(), f.configuredNodes)
--- a/internal/fleet/fleet_golden_test.go
+++ b/internal/fleet/fleet_golden_test.go
@@ -23,9 +23,9 @@
 	"gorseledge/internal/peers"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: nodes of that
-// version run beside newer ones, and fleet files are the operators', so nothing rewrites them, and a test that fails here
-// means a broken wire format or a fleet file that is read otherwise.
+// The files under testdata were written by version 5fa7498 and must never be regenerated: nodes of that version run in the
+// same fleet as newer ones, and operators keep their fleet files. A failing test in this file means that the wire format
+// has changed, or that a fleet file is read differently.
 
 const (
 	goldenKey    = "00112233445566778899aabbccddeeff"
@@ -92,7 +92,8 @@
 			Bad: []uint32{0xdeadbeef}, By: "node-c"}}}
 }
 
-// goldenLoads are loads of hosts: what is over the largest one is told as it, and fractions are rounded up.
+// goldenLoads returns loads of hosts. They include one that is rounded up to the next step, and one above the largest
+// load that can be sent.
 func goldenLoads() []peers.HostLoad {
 	return []peers.HostLoad{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.51}, {Host: 7, Load: 9}}
 }
@@ -101,8 +102,8 @@
 	return &wire.Message{Kind: wire.Message_WORDS, From: "node-a", Start: 1700000000000001, Words: peers.Append(nil, goldenLoads())}
 }
 
-// A datagram is a version byte and a sealed message. The count is that of the sender's datagrams: a file holds a sender's
-// first and the next one its second.
+// Guards against changes to the format of datagrams: a version byte and a sealed message. The files contain the first and
+// the second datagram of one sender, because the message's count is part of the datagram.
 func TestGoldenDatagrams(t *testing.T) {
 	current, old := goldenBytes(t, goldenKey), goldenBytes(t, goldenOldKey)
 	sender := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{current, old}})
@@ -119,17 +120,17 @@
 			checkGolden(t, c.name, text)
 			got, reason := receiver.verify(readGolden(t, c.name))
 			if reason != accepted || !proto.Equal(got, c.message) {
-				t.Errorf("opened %v (%q), want %v", got, reason, c.message)
+				t.Errorf("verified message %v (%q), want %v", got, reason, c.message)
 			}
 			if _, reason := receiver.verify(readGolden(t, c.name)); reason != replayed {
-				t.Errorf("opened again: %q", reason)
+				t.Errorf("same datagram again: %q, want %q", reason, replayed)
 			}
 		})
 	}
 }
 
-// The names of what is not taken stand on the second address's page.
-func TestGoldenRefusals(t *testing.T) {
+// Guards against changes to the reasons of rejections, which operators' tools read from the members page.
+func TestGoldenRejectionReasons(t *testing.T) {
 	want := []string{"", "garbage", "another version", "another fleet", "no right MAC", "seen before", "too many senders"}
 	for i, got := range []rejection{accepted, malformed, unknownVersion, otherFleet, invalidMAC, replayed, tooManySenders} {
 		if string(got) != want[i] {
@@ -138,26 +139,27 @@
 	}
 }
 
-// A node accepts load gossip of the version in service, and shows on its page what came.
+// Guards against load gossip of nodes of version 5fa7498 that is rejected, read differently or not counted.
 func TestGoldenLoadGossipIsReceived(t *testing.T) {
 	file, err := Parse("fleet.toml", readGolden(t, "fleet.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var received []peers.HostLoad
-	part := New(file, view.Options{Name: "node-b", Log: zerolog.Nop(), GossipReceived: func(loads []peers.HostLoad) { received = loads }})
-	part.receiveDatagram(readGolden(t, "datagram-2-load.bin"), netip.AddrPort{})
+	node := New(file, view.Options{Name: "node-b", Log: zerolog.Nop(),
+		GossipReceived: func(loads []peers.HostLoad) { received = loads }})
+	node.receiveDatagram(readGolden(t, "datagram-2-load.bin"), netip.AddrPort{})
 	want := []peers.HostLoad{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.515625}, {Host: 7, Load: 3.984375}}
 	if !reflect.DeepEqual(received, want) {
 		t.Errorf("received %v, want %v", received, want)
 	}
 	traffic := []view.Traffic{{Kind: "words", ReceivedMessages: 1, ReceivedBytes: len(readGolden(t, "datagram-2-load.bin"))}}
-	if got := part.View().Traffic; !reflect.DeepEqual(got, traffic) {
+	if got := node.View().Traffic; !reflect.DeepEqual(got, traffic) {
 		t.Errorf("traffic %+v, want %+v", got, traffic)
 	}
 }
 
-// The names of the kinds of messages stand on the second address's page.
+// Guards against changes to the names of the message kinds, which operators' tools read from the members page.
 func TestGoldenTrafficKinds(t *testing.T) {
 	var counts trafficCounts
 	for kind := range messageKinds {
@@ -172,7 +174,7 @@
 	}
 }
 
-// Introductions name as many members in each message as fit.
+// Guards against changes to introductions, which contain as many members in each message as fit.
 func TestGoldenIntroductions(t *testing.T) {
 	var all []membership.Member
 	for i := range 5 {
@@ -203,7 +205,8 @@
 		keys: [][]byte{goldenBytes(t, goldenKey), goldenBytes(t, goldenOldKey)}}
 }
 
-// A fleet file with every key is read to these values, and they are written to the same bytes.
+// Guards against keys of a fleet file that are lost or renamed: a file with every key must decode to these values, and the
+// values must encode to the same bytes.
 func TestGoldenFleetFile(t *testing.T) {
 	want := goldenConfig(t)
 	written, err := toml.Marshal(want)
@@ -230,7 +233,7 @@
 	}
 }
 
-// The period of a fleet file that names none.
+// Guards against a change of the default period.
 func TestGoldenFleetFileDefaults(t *testing.T) {
 	got, err := Parse("fleet.toml", []byte("fleet = \"lima\"\naddress = \"127.0.0.1:7000\"\njoin = [\"127.0.0.2:7000\"]\nkey = \""+
 		goldenKey+"\"\n"))
@@ -241,7 +244,8 @@
 	}
 }
 
-// A revision as a process hands it to the one that takes its place: the successor's part in the fleet goes on from it.
+// Guards against a successor process that loses the revision in force: a process of version 5fa7498 may hand the revision
+// over in this form, and the successor must continue from it.
 func TestGoldenRevisionOfAPredecessor(t *testing.T) {
 	entries := []configfeed.Entry{{Key: "limits.sockets", Value: "900"}, {Key: "nodes", Value: "30"}}
 	state := configfeed.State{Version: configfeed.Version{Epoch: 2, Revision: 41}, Entries: entries, Digest: 0xf6014f494c73b015}
@@ -258,8 +262,10 @@
 	if err := json.Unmarshal(readGolden(t, "revision.json"), &inherited); err != nil {
 		t.Fatal(err)
 	}
-	part := newConfigFollower(goldenConfig(t), view.Options{Successor: true, InForce: inherited}, func() float64 { return 1700000000.5 })
-	if !reflect.DeepEqual(part.state, state) || part.inForceSince != 1700000000.5 || part.shouldFollow() {
-		t.Errorf("state %+v, want %+v; since %v, follows %v", part.state, state, part.inForceSince, part.shouldFollow())
+	now := func() float64 { return 1700000000.5 }
+	follower := newConfigFollower(goldenConfig(t), view.Options{Successor: true, InForce: inherited}, now)
+	if !reflect.DeepEqual(follower.state, state) || follower.inForceSince != 1700000000.5 || follower.shouldFollow() {
+		t.Errorf("state %+v, want %+v; since %v, follows %v", follower.state, state, follower.inForceSince,
+			follower.shouldFollow())
 	}
 }
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -2,8 +2,8 @@
 
 import "gorseledge/internal/membership"
 
-// SetHandedOver hands the membership over to another process of this node, or takes it back. This process then neither
-// sends nor receives messages, and does not follow the control servers.
+// SetHandedOver records that another process of this node is the member now, or that this process is the member again. A
+// process that is not the member neither sends nor receives messages, and does not follow the control servers.
 func (f *Fleet) SetHandedOver(handedOver bool) {
 	f.mu.Lock()
 	f.handedOver = handedOver
@@ -17,14 +17,15 @@
 	}
 }
 
-// Follow follows the control servers from now on, as the predecessor of this process no longer does.
+// Follow allows this process to follow the control servers. It is called when the predecessor of this process no longer
+// does.
 func (f *Fleet) Follow() {
 	if f.follower != nil {
-		f.follower.releaseByPredecessor()
+		f.follower.setPredecessorDone()
 	}
 }
 
-// Leave announces to the other members that this node leaves, unless another process of it is the member.
+// Leave announces to other members that this node leaves the fleet, unless another process of the node is the member.
 func (f *Fleet) Leave() {
 	f.mu.Lock()
 	inactive := f.handedOver || f.left
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// waitLimit is for conditions that hold at once on an idle machine.
+	// waitLimit is the timeout of eventually. It is long because tests may run on a busy machine.
 	waitLimit = 30 * time.Second
 	// testPeriod is the shortest period that a fleet file may have, in seconds.
 	testPeriod = 0.05
 	testKey    = "one key of sixteen"
 )
 
-// freeAddress returns an address on loopback at which nothing listens.
+// freeAddress returns a loopback address with an unused UDP port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -33,8 +33,8 @@
 	return conn.LocalAddr().String()
 }
 
-// startFleet starts nodes on loopback that join the first one, and ends them with the test. Prepare is called for each
-// before it runs; it may be nil.
+// startFleet starts nodes on loopback that join each other, and stops them when the test ends. The function prepare is
+// called for each node before it runs; it may be nil.
 func startFleet(t *testing.T, count int, prepare func(i int, f *Fleet)) []*Fleet {
 	t.Helper()
 	var addresses []string
@@ -69,17 +69,17 @@
 	return nodes[0], nodes[1]
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds. If it does not hold within waitLimit, the test fails.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", waitLimit, what)
+			t.Fatalf("condition does not hold within %v: %s", waitLimit, what)
 		}
 	}
 }
 
-// sumTraffic adds up counts of all kinds.
+// sumTraffic returns the sums of the counts of all kinds.
 func sumTraffic(counts []view.Traffic) view.Traffic {
 	var sum view.Traffic
 	for _, c := range counts {
@@ -91,7 +91,7 @@
 	return sum
 }
 
-// testMembers returns so many members that no test runs.
+// testMembers returns the given number of members for which no node runs.
 func testMembers(count int) []membership.Member {
 	var members []membership.Member
 	for i := range count {
@@ -106,7 +106,7 @@
 	return members
 }
 
-// newTestAuthenticator returns an authenticator of a fleet with these keys.
+// newTestAuthenticator returns an authenticator of a fleet with the given keys.
 func newTestAuthenticator(t *testing.T, fleet string, keys ...string) *authenticator {
 	t.Helper()
 	c := Config{Fleet: fleet}
--- a/internal/fleet/introduce.go
+++ b/internal/fleet/introduce.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	// introducer is the sender's name in introductions. No node has it.
+	// introducer is the sender's name in introductions. It must not be the name of a node.
 	introducer = "introducer"
-	// updateOverheadBytes is the most that protobuf adds to an encoded update in a message: the field's tag and length.
+	// updateOverheadBytes is the maximum that protobuf adds to an encoded update in a message: the field's tag and length.
 	updateOverheadBytes = 3
 )
 
 // errIntroductionTooLong is returned for an introduction that does not fit into a datagram.
 var errIntroductionTooLong = errors.New("the introduction does not fit into a datagram")
 
-// Introduce sends updates about all given members to the members at the addresses in to, in the messages with which
-// members exchange their state. A large test fleet knows itself in seconds by it, where its own exchange takes many
-// periods. Each receiver gets one message a pause, so that its socket's buffer does not overflow; lost messages are made
-// up for by the fleet's own exchange. Of the config it reads Fleet, Key and Address, from which the messages come.
+// Introduce sends updates about all given members to the members at the addresses in to, with the same messages that
+// members use to exchange their state. The members of a large test fleet learn of each other in seconds this way, while
+// their own exchange needs many periods. Introduce sends one message per pause to each receiver, so that its socket buffer
+// does not overflow. The fleet's own exchange makes up for lost messages. Introduce uses only Fleet, Key and Address of the
+// config; it sends from Address.
 func Introduce(ctx context.Context, c Config, all []membership.Member, to []string, pause time.Duration) error {
 	key, err := hex.DecodeString(c.Key)
 	if err != nil {
@@ -54,7 +55,7 @@
 			return fmt.Errorf("introduce members: %w", err)
 		}
 		next := time.Now().Add(pause)
-		for _, receiver := range receivers { // one call each, as the time limit of a call is for all its receivers
+		for _, receiver := range receivers { // one call per receiver, because Send has one time limit for all its receivers
 			socket.Send([][]byte{datagram}, receiver)
 		}
 		sleep(ctx, time.Until(next))
@@ -78,8 +79,8 @@
 	return addresses, nil
 }
 
-// introductions returns messages that together have an update about each member, as many in each message as fit. Start is
-// that of the sender, in Unix microseconds.
+// introductions returns messages that together contain an update about each member. Each message contains as many updates
+// as fit. The parameter start is the start of the sender in Unix microseconds.
 func introductions(all []membership.Member, start uint64) []*wire.Message {
 	var messages []*wire.Message
 	var message *wire.Message
--- a/internal/fleet/introduce_test.go
+++ b/internal/fleet/introduce_test.go
@@ -9,6 +9,7 @@
 	"gorseledge/internal/membership"
 )
 
+// Guards against introductions that receivers reject or that omit members.
 func TestIntroductionMakesAllMembersKnown(t *testing.T) {
 	first, _ := startPair(t, nil)
 	const count = 50
@@ -17,9 +18,10 @@
 	if err := Introduce(t.Context(), c, all, []string{first.Self().Address}, 0); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "all are known", func() bool { return len(first.View().Members) == count+2 })
+	eventually(t, "the first node knows all members", func() bool { return len(first.View().Members) == count+2 })
 }
 
+// Guards against introductions of a sender without the fleet's key, which could add any number of members.
 func TestIntroductionUnderAnotherKeyIsRejected(t *testing.T) {
 	first, _ := startPair(t, nil)
 	all := testMembers(50)
@@ -40,7 +42,8 @@
 	}
 }
 
-func TestIntroductionsFitAndNameEachMember(t *testing.T) {
+// Guards against introductions that are too long to be sent, or that omit members at the boundary of two messages.
+func TestIntroductionsFitAndContainEachMember(t *testing.T) {
 	var all []membership.Member
 	for i := range 100 {
 		all = append(all, membership.Member{Name: fmt.Sprintf("n%04d", i), Start: 1 << 50, Address: "127.100.100.100:7000", Zone: "a",
@@ -49,13 +52,13 @@
 	named := map[string]bool{}
 	for _, message := range introductions(all, 1<<50) {
 		if size := proto.Size(message); size > maxMessageBytes {
-			t.Errorf("%d bytes, and %d are allowed", size, maxMessageBytes)
+			t.Errorf("introduction must be at most %d bytes, got %d", maxMessageBytes, size)
 		}
 		for _, update := range message.Updates {
 			named[update.Name] = true
 		}
 	}
 	if len(named) != len(all) {
-		t.Errorf("%d of %d members are named", len(named), len(all))
+		t.Errorf("introductions contain %d of %d members", len(named), len(all))
 	}
 }
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -8,16 +8,17 @@
 	"gorseledge/internal/peers"
 )
 
-// maxGossipLoads is the number of loads in a message: a sender's name of 64 bytes fits beside them.
+// maxGossipLoads is the maximum number of loads in a message. It leaves room for a sender's name of 64 bytes.
 const maxGossipLoads = 24
 
-// receiveDatagram handles a datagram. The sender's identity is that in the message, not the address that it came from.
+// receiveDatagram handles a datagram. The sender is identified by the name in the message, not by the address from; that
+// is only used for the filter of test fleets.
 func (f *Fleet) receiveDatagram(datagram []byte, from netip.AddrPort) {
 	if f.filter != nil && f.filter(from) {
 		return
 	}
-	message, accepted := f.accept(datagram)
-	if !accepted {
+	message, ok := f.accept(datagram)
+	if !ok {
 		return
 	}
 	if message.Kind == wire.Message_WORDS {
@@ -28,8 +29,8 @@
 	f.wake.set()
 }
 
-// accept verifies a datagram, counts it and returns its message; false where it is rejected. The log has the first
-// rejection of each reason.
+// accept verifies and counts a datagram. It returns the message and true, or false if the datagram is rejected. Only the
+// first rejection for each reason is logged.
 func (f *Fleet) accept(datagram []byte) (*wire.Message, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,12 +41,12 @@
 	}
 	f.rejected[reason]++
 	if f.rejected[reason] == 1 {
-		f.log.Warn().Str("reason", string(reason)).Msg("message rejected")
+		f.log.Warn().Str("reason", string(reason)).Msg("datagram rejected; later ones for this reason are not logged")
 	}
 	return nil, false
 }
 
-// receiveLoads passes load gossip on to the node.
+// receiveLoads passes the loads in a gossip message to the node.
 func (f *Fleet) receiveLoads(message *wire.Message) {
 	loads := peers.Parse(message.Words)
 	if len(loads) > 0 && f.options.GossipReceived != nil {
@@ -53,7 +54,7 @@
 	}
 }
 
-// apply has the core take a step at the present time and carries out its effects.
+// apply calls step, which calls a method of the core, with the current time and carries out the effects that it returns.
 func (f *Fleet) apply(step func(now float64) []membership.Effect) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,13 +67,13 @@
 		case membership.Replaced:
 			f.left = true
 			f.log.Error().Str("address", e.Successor.Address).
-				Msg("another process has this node's name: this one leaves the fleet")
+				Msg("leaving the fleet: another process uses this node's name")
 			f.closeSocket()
 		}
 	}
 }
 
-// memberChanged logs a change of a member's state and passes it to the observer. The caller holds the lock.
+// memberChanged passes a change of a member's state to the observer and logs it. The caller holds the lock.
 func (f *Fleet) memberChanged(c membership.Changed) {
 	if f.observe != nil {
 		f.observe(c)
@@ -82,8 +83,8 @@
 		Msg("member")
 }
 
-// send sends a message to a member's address, or to the one at which this node reaches it. A message that cannot be sent
-// is lost, as one that the network loses. The caller holds the lock.
+// send sends a message to a member's address, or to its replacement in Via. A message that cannot be sent is dropped, like
+// one that the network loses. The caller holds the lock.
 func (f *Fleet) send(to string, message *wire.Message) {
 	if via, found := f.config.Via[to]; found {
 		to = via
@@ -97,15 +98,15 @@
 	}
 	datagram, err := f.authenticator.sign(message)
 	if err != nil || len(datagram) > maxDatagramBytes {
-		f.log.Error().Err(err).Int("bytes", len(datagram)).Msg("message not sent")
+		f.log.Error().Err(err).Int("bytes", len(datagram)).Msg("message not sent: too long or encoding failed")
 		return
 	}
 	f.traffic.sent(message.Kind, len(datagram))
 	f.socket.Send([][]byte{datagram}, address)
 }
 
-// SendGossip sends loads of hosts that this node has learned to every other live member. Lost messages are not repeated:
-// the others learn the same from their own health checks, later.
+// SendGossip sends loads of hosts that this node has learned to every other live member. Lost messages are not sent again,
+// because the other members later learn the loads from their own health checks.
 func (f *Fleet) SendGossip(loads []peers.HostLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/queries.go
+++ b/internal/fleet/queries.go
@@ -12,43 +12,44 @@
 	return f.core.LiveCount()
 }
 
-// Digest returns a hash of the membership state, which is the same at two nodes that know the same about the same members.
+// Digest returns a hash of the membership state. Two nodes return the same hash if they agree on the start, the incarnation
+// and the liveness of the same members.
 func (f *Fleet) Digest() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.core.Digest()
 }
 
-// PendingUpdates returns the number of updates that this node still gossips; 0 in a fleet at rest.
+// PendingUpdates returns the number of updates that this node still has to gossip. It is 0 after a while without changes.
 func (f *Fleet) PendingUpdates() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.core.PendingUpdates()
 }
 
-// Member returns what this node knows about a member; false where it does not know it.
+// Member returns the member with a name and whether this node knows it.
 func (f *Fleet) Member(name string) (membership.Member, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.core.Member(name)
 }
 
-// Self returns this member as it announces itself.
+// Self returns this node as it announces itself.
 func (f *Fleet) Self() membership.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.core.Self()
 }
 
-// Traffic returns counts of the messages that this node has sent to and received from other members since its start, by
-// kind.
+// Traffic returns the numbers of messages and bytes that this node has exchanged with other members since its start, for
+// each kind of message that occurred.
 func (f *Fleet) Traffic() []view.Traffic {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.traffic.nonZero()
 }
 
-// Config returns what this node knows about the distributed configuration; nil where it follows no control servers.
+// Config returns the status of the distributed configuration at this node, or nil if it follows no control servers.
 func (f *Fleet) Config() *view.Config {
 	if f.follower == nil {
 		return nil
@@ -56,7 +57,7 @@
 	return f.follower.view()
 }
 
-// View returns what this node knows about its fleet now.
+// View returns this node's current view of its fleet.
 func (f *Fleet) View() view.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,8 +85,8 @@
 	return v
 }
 
-// memberView returns a member as others of the node see it. The names are those of all known members, by their hashes;
-// bad links to members that are not known are left out.
+// memberView converts a member for the view. The map names has the name of each known member by its hash; bad links to
+// members that are not known are omitted.
 func memberView(m membership.Member, names map[uint32]string) view.Member {
 	seen := view.Member{
 		Name:        m.Name,
--- a/internal/fleet/replay_window.go
+++ b/internal/fleet/replay_window.go
@@ -3,19 +3,19 @@
 import "slices"
 
 const (
-	replayWindowSize = 64      // datagrams that may come late or out of order
-	maxSenders       = 1 << 15 // names of senders that are remembered
-	processesPerName = 2       // latest processes of a name that are remembered: the older one may still run
+	replayWindowSize = 64      // number of latest counts within which datagrams may arrive out of order
+	maxSenders       = 1 << 15 // maximum number of sender names that have replay windows
+	processesPerName = 2       // maximum number of processes per name with a window; the older one may still run
 )
 
-// replayWindow records which counts of one process were seen.
+// replayWindow records which of the latest counts of one process were received.
 type replayWindow struct {
-	start   uint64 // of the process
-	highest uint64 // count
-	seen    uint64 // a bit for each count up to the highest one, which is the lowest bit
+	start   uint64 // start of the process
+	highest uint64 // highest count received
+	seen    uint64 // bit i is set if the count highest-i was received
 }
 
-// accept records a count. One that was seen, or is older than the window, is a replay.
+// accept records a count. It returns replayed if the count was received before or is older than the window.
 func (w *replayWindow) accept(count uint64) rejection {
 	if count > w.highest {
 		w.seen = w.seen<<min(count-w.highest, replayWindowSize) | 1
@@ -30,8 +30,8 @@
 	return accepted
 }
 
-// checkReplay records the count of a message and rejects a replay. Messages of a process that is older than the
-// remembered ones of its name count as replays.
+// checkReplay records the count of a message and rejects replays. If processesPerName processes of the sender's name are
+// known, messages of a process that started before them count as replays.
 func (a *authenticator) checkReplay(name string, start, count uint64) rejection {
 	windows := a.windows[name]
 	i := slices.IndexFunc(windows, func(w replayWindow) bool { return w.start == start })
--- a/internal/fleet/revision.go
+++ b/internal/fleet/revision.go
@@ -9,7 +9,8 @@
 	"gorseledge/internal/node/live"
 )
 
-// decodeRevision returns a distributed state as the node takes it. The errors name the key that cannot be decoded.
+// decodeRevision converts a distributed state to a revision of the node's live settings. The error names the key that
+// cannot be decoded.
 func decodeRevision(state configfeed.State) (live.Revision, error) {
 	settings, err := livesettings.Decode(state.Entries)
 	if err != nil {
@@ -27,7 +28,7 @@
 	}, nil
 }
 
-// stateOf returns the distributed state of a revision; false where it has none, or one that is not valid.
+// stateOf returns the distributed state that a revision contains. It returns false if there is none or it is not valid.
 func stateOf(r live.Revision) (configfeed.State, bool) {
 	var state configfeed.State
 	if r.IsZero() || json.Unmarshal(r.State, &state) != nil || state.Verify() != nil {
--- a/internal/fleet/server_watch.go
+++ b/internal/fleet/server_watch.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	serversSilentSeconds = 10.0        // without an answer of any control server, after which the log reports it
-	serverWatchInterval  = time.Second // between two checks of that
+	serversSilentSeconds = 10.0        // time without an answer of any control server after which a warning is logged
+	serverWatchInterval  = time.Second // time between two checks for such silence
 )
 
-// watchServers logs when no control server answers, and when one answers again, until this process is to follow no longer
-// or the context ends.
+// watchServers logs when no control server has answered for serversSilentSeconds and when one answers again. It returns
+// when this process must no longer follow the control servers or the context ends.
 func (f *configFollower) watchServers(ctx context.Context, follower *feedhttp.Follower) {
 	ticker := time.NewTicker(serverWatchInterval)
 	defer ticker.Stop()
@@ -35,21 +35,23 @@
 	}
 }
 
-// logServers logs that no control server answers, or that one does again. The age is that of the last answer in seconds.
+// logServers logs that no control server answers, or that one answers again. The parameter age is the time in seconds since
+// the last answer.
 func (f *configFollower) logServers(silent bool, age float64) {
 	f.mu.Lock()
 	version := f.state.Version
 	f.mu.Unlock()
 	event := f.options.Log.Info()
-	message := "control servers answer again"
+	message := "a control server answers again"
 	if silent {
 		event = f.options.Log.Warn()
-		message = "no control server answers: the configuration stays as it is"
+		message = "no control server answers; keeping the current configuration"
 	}
 	event.Float64("age_s", float64(int(age))).Uint64("epoch", version.Epoch).Uint64("revision", version.Revision).Msg(message)
 }
 
-// answerAge returns the seconds since a control server answered last, or since the start where none did.
+// answerAge returns the seconds since the last answer of a control server, or since the start of this process if none has
+// answered, for which lastAnswer is 0.
 func (f *configFollower) answerAge(lastAnswer float64) float64 {
 	if lastAnswer == 0 {
 		lastAnswer = f.startedAt
--- a/internal/fleet/socket.go
+++ b/internal/fleet/socket.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	reopenDelay       = 50 * time.Millisecond // between two attempts to open the address
-	nodeCountInterval = time.Second           // between two updates of the number of nodes
-	maxTickSeconds    = 3600                  // longest time for which the timer is set
+	reopenDelay       = 50 * time.Millisecond // time between two attempts to open the socket
+	nodeCountInterval = time.Second           // time between two updates of the number of nodes
+	maxTickSeconds    = 3600                  // longest duration of the timer; the core's next tick may be at infinity
 )
 
-// runMember is a member until the context ends or the node has left the fleet. While another process of the node is the
-// member, it waits.
+// runMember runs the membership protocol until the context ends or the node has left the fleet. It waits while another
+// process of the node is the member.
 func (f *Fleet) runMember(ctx context.Context) error {
 	for ctx.Err() == nil {
 		f.mu.Lock()
@@ -31,7 +31,7 @@
 		}
 		socket, err := f.openSocket(ctx)
 		if err != nil {
-			f.log.Debug().Err(err).Msg("cannot open the fleet's address")
+			f.log.Debug().Err(err).Msg("cannot open the socket for fleet messages; will retry")
 			sleep(ctx, reopenDelay)
 			continue
 		}
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// openSocket opens the node's address. It fails with net.ErrClosed where the membership was handed over meanwhile.
+// openSocket opens a socket at the node's address. It fails with net.ErrClosed if the membership was handed over, or the
+// node left, while the socket was being opened.
 func (f *Fleet) openSocket(ctx context.Context) (*peers.Socket, error) {
 	socket, err := peers.Open(ctx, f.config.Address)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return socket, nil
 }
 
-// closeSocket closes the node's address. The caller holds the lock.
+// closeSocket closes the socket, if it is open. The caller holds the lock.
 func (f *Fleet) closeSocket() {
 	if f.socket == nil {
 		return
@@ -66,8 +67,8 @@
 	f.socket = nil
 }
 
-// serve receives datagrams and ticks until the socket is closed. The goroutine that reads the socket has ended when serve
-// returns.
+// serve receives datagrams and runs the core's ticks until the socket is closed. It waits for the goroutine that reads the
+// socket before it returns.
 func (f *Fleet) serve(ctx context.Context, socket *peers.Socket) {
 	closed := make(chan struct{})
 	go func() {
@@ -92,7 +93,7 @@
 	}
 }
 
-// untilTick returns the time until the core's next tick is due.
+// untilTick returns the time until the core's next tick is due, up to maxTickSeconds.
 func (f *Fleet) untilTick() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/traffic.go
+++ b/internal/fleet/traffic.go
@@ -7,13 +7,13 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// messageKinds is the number of kinds that are counted apart. A kind that this build does not know counts as NONE.
+// messageKinds is the number of message kinds. Messages of a kind that this version does not know are counted as NONE.
 const messageKinds = int(wire.Message_WORDS) + 1
 
 // trafficCounts counts messages and their bytes by kind. It is not safe for concurrent use.
 type trafficCounts [messageKinds]view.Traffic
 
-// of returns the counts of a kind.
+// of returns the counts of a kind, to read or change them.
 func (t *trafficCounts) of(kind wire.Message_Kind) *view.Traffic {
 	if kind < 0 || int(kind) >= messageKinds {
 		kind = wire.Message_NONE
@@ -35,7 +35,7 @@
 	c.ReceivedBytes += bytes
 }
 
-// nonZero returns the counts of the kinds that occurred, in the order of the kinds.
+// nonZero returns the counts of the kinds that occurred, in the order of the kinds' numbers.
 func (t *trafficCounts) nonZero() []view.Traffic {
 	var counts []view.Traffic
 	for kind, c := range t {
--- a/internal/fleet/traffic_test.go
+++ b/internal/fleet/traffic_test.go
@@ -9,12 +9,12 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// Each message that one of two nodes sends is counted there as sent and at the other as received, with its bytes, by its
-// kind.
+// Guards against messages that are counted under the wrong kind, with the wrong size, or not at all: what one of two nodes
+// counts as sent, the other must count as received.
 func TestTrafficIsCountedAtBothEnds(t *testing.T) {
 	first, second := startPair(t, nil)
-	eventually(t, "they have probed", func() bool { return sumTraffic(first.Traffic()).SentMessages > 20 })
-	first.SetHandedOver(true) // sends nothing from here on
+	eventually(t, "the first node has sent some probes", func() bool { return sumTraffic(first.Traffic()).SentMessages > 20 })
+	first.SetHandedOver(true) // sends nothing any more
 	second.SetHandedOver(true)
 	receivedByKind := map[string]view.Traffic{}
 	for _, counts := range second.View().Traffic {
@@ -35,6 +35,7 @@
 	}
 }
 
+// Guards against a panic when a node of a newer version sends a kind of message that this version does not know.
 func TestUnknownKindIsCountedAsNone(t *testing.T) {
 	var counts trafficCounts
 	counts.received(wire.Message_Kind(messageKinds), 10)
@@ -45,23 +46,24 @@
 	}
 }
 
-func TestFilterDropsDatagramsBothWaysUncounted(t *testing.T) {
-	var closed atomic.Bool
+// Guards against a simulated partition that lets datagrams pass in one direction, or counts dropped ones as traffic.
+func TestFilterDropsDatagramsInBothDirectionsUncounted(t *testing.T) {
+	var dropping atomic.Bool
 	first, second := startPair(t, func(i int, f *Fleet) {
 		if i == 0 {
-			f.Filter(func(netip.AddrPort) bool { return closed.Load() })
+			f.Filter(func(netip.AddrPort) bool { return dropping.Load() })
 		}
 	})
-	closed.Store(true)
+	dropping.Store(true)
 	before := sumTraffic(first.Traffic())
-	sent := sumTraffic(second.Traffic()).SentMessages // the second node goes on sending and receives nothing more
+	sent := sumTraffic(second.Traffic()).SentMessages // the second node keeps sending but receives nothing
 	eventually(t, "the second node sends", func() bool { return sumTraffic(second.Traffic()).SentMessages > sent+20 })
 	after := sumTraffic(first.Traffic())
 	if after.SentMessages > before.SentMessages+1 || after.ReceivedMessages > before.ReceivedMessages+1 {
-		t.Errorf("through a closed filter: %+v, before %+v", after, before)
+		t.Errorf("traffic %+v after the filter dropped all datagrams for a while, %+v before", after, before)
 	}
-	closed.Store(false)
-	eventually(t, "messages pass again", func() bool {
+	dropping.Store(false)
+	eventually(t, "the first node receives messages again", func() bool {
 		return sumTraffic(first.Traffic()).ReceivedMessages > after.ReceivedMessages
 	})
 }
--- a/internal/fleet/view/options.go
+++ b/internal/fleet/view/options.go
@@ -9,25 +9,25 @@
 	"gorseledge/internal/peers"
 )
 
-// Options are what a node's part in a fleet takes from the node, beside the fleet file. Functions may be nil; they are
-// called from goroutines of the part and must not call it.
+// Options are the parameters of a node's fleet membership that come from the node and not from the fleet file. The
+// functions may be nil. They are called from goroutines of the Part and must not call its methods.
 type Options struct {
-	Name            string // of the node, unique in the fleet
+	Name            string // name of the node, unique in the fleet
 	Build           string // revision of the program
-	Seed            uint64 // of all random choices
-	ConfiguredNodes int    // number of nodes in the node's settings
+	Seed            uint64 // seed of the random number generators
+	ConfiguredNodes int    // number of nodes of the fleet in the node's settings
 	Log             zerolog.Logger
 
-	// NodesChanged is called with the number of nodes that share the hosts' budgets, whenever it changes.
+	// NodesChanged is called with the number of nodes that share the hosts' budgets each time that the number changes.
 	NodesChanged func(n int)
-	// GossipReceived is called with load gossip of other members.
+	// GossipReceived is called with the loads in load gossip of other members.
 	GossipReceived func(loads []peers.HostLoad)
 
-	// Install puts a revision of the live settings in force, and returns once it is or cannot be. It returns the keys
-	// that have no effect at this node. It is nil for a node that takes no revisions.
+	// Install puts a revision of the live settings in force and returns after it is in force or has failed. It returns
+	// the keys that have no effect at this node. If Install is nil, the node does not follow control servers.
 	Install func(ctx context.Context, r live.Revision) (ignored []string, err error)
-	// InForce is the revision in force at the start of the part; the zero Revision for none.
+	// InForce is the revision in force when the Part is created; the zero Revision for none.
 	InForce live.Revision
-	// Successor says that another process of the node follows the control servers until Part.Follow is called.
+	// Successor is true if another process of the node follows the control servers until Part.Follow is called.
 	Successor bool
 }
--- a/internal/fleet/view/view_golden_test.go
+++ b/internal/fleet/view/view_golden_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: operators' tools
-// read these pages, so nothing rewrites them, and a test that fails here means that a page has changed.
+// The files under testdata were written by version 5fa7498 and must never be regenerated: operators' tools read these
+// pages. A failing test in this file means that the JSON form of a page has changed.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -57,7 +57,7 @@
 	}
 }
 
-// encode gives a value as the second address writes it.
+// encode returns a value in the JSON form in which the admin address shows it.
 func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -84,6 +84,7 @@
 	checkGolden(t, name, encode(t, decoded))
 }
 
+// Guards against renamed, removed or added fields of the members page.
 func TestGoldenMembersPage(t *testing.T) {
 	checkPage(t, "members.json", View{Fleet: "lima", Self: "node-a", LiveCount: 2, HealthScore: 3, Nodes: 4,
 		Members: []Member{
@@ -95,6 +96,7 @@
 		Rejected: map[string]int{"another fleet": 9, "no right MAC": 10}})
 }
 
+// Guards against renamed, removed or added fields of the configuration page.
 func TestGoldenConfigPage(t *testing.T) {
 	checkPage(t, "config.json", Config{Epoch: 2, Revision: 41, Since: 1700000000.5, Digest: "00000000000000ff", Region: "west",
 		Server: "c1", Servers: []string{"c1", "c2"}, Heard: 1700000001.25, Age: 0.75, Follows: true,
@@ -103,7 +105,7 @@
 		Ignored: []string{"limits.sockets"}, Requests: 11, BytesSent: 1200, BytesReceived: 13000})
 }
 
-// What is absent from a page, and what stands there as nothing.
+// Guards against changes to which empty fields are omitted from a page and which are shown as empty.
 func TestGoldenEmptyPages(t *testing.T) {
 	checkGolden(t, "members-empty.json", encode(t, View{Members: []Member{{}}, Traffic: []Traffic{{}}}))
 	checkGolden(t, "config-empty.json", encode(t, &Config{}))
--- a/internal/fleet/wait.go
+++ b/internal/fleet/wait.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// wakeSignal wakes a goroutine that has to check shared state again. Several signals before it does so count as one.
+// wakeSignal wakes a goroutine that has to read shared state again. Signals that are set before the goroutine receives one
+// are merged.
 type wakeSignal chan struct{}
 
 // newWakeSignal returns a signal that is not set.
