--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -11,11 +11,11 @@
 // Link exchanges load gossip with a fixed set of nodes. Its methods may be called from several goroutines.
 type Link struct {
 	socket *Socket
-	nodes  map[netip.AddrPort]bool // the other nodes
+	nodes  map[netip.AddrPort]bool // addresses of the other nodes
 }
 
-// Listen opens a node's own address for load gossip with the nodes named, which may contain the node itself. Serve closes
-// the socket. An error says which address it is about.
+// Listen opens a socket at the address own for load gossip with the nodes at the given addresses, which may include own.
+// Serve closes the socket. An error names the invalid address.
 func Listen(ctx context.Context, own string, nodes []string) (*Link, error) {
 	self, err := ParseAddress(own)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return &Link{socket: socket, nodes: others}, nil
 }
 
-// Send sends the loads to every other node, in as few messages as they fit into. Lost messages are not repeated: the
-// others learn the same from their own health checks, later.
+// Send sends the loads to every other node in as few messages as possible. Lost messages are not sent again, because the
+// other nodes later learn the loads from their own health checks.
 func (l *Link) Send(loads []HostLoad) {
 	var messages [][]byte
 	for batch := range slices.Chunk(loads, MaxLoads) {
@@ -48,8 +48,8 @@
 	l.socket.Send(messages, slices.Collect(maps.Keys(l.nodes))...)
 }
 
-// Serve passes what the other nodes send to receive, until the context ends, and closes the socket then. Datagrams of
-// other senders, and those that are not messages, are dropped. It returns nil.
+// Serve passes the loads that the other nodes send to receive until the context ends, and then closes the socket. Datagrams
+// from other addresses and invalid messages are dropped. It always returns nil.
 func (l *Link) Serve(ctx context.Context, receive func([]HostLoad)) error {
 	return l.socket.Serve(ctx, MaxMessageBytes, func(datagram []byte, from netip.AddrPort) {
 		if !l.nodes[from] {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,9 +1,9 @@
-// Package peers carries datagrams among the nodes, and defines the form of load gossip: what a node learned about the
-// loads of hosts. It owns UDP sockets and nothing else; it does not decide what is sent, and does not authenticate
-// senders beyond their addresses.
+// Package peers sends and receives datagrams between nodes, and defines the encoding of load gossip, with which a node
+// shares what it learned about the loads of hosts. The package does not decide what is sent, and authenticates senders
+// only by their addresses.
 //
-// A message of load gossip is a version byte and up to MaxLoads loads of five bytes each. Nodes of two versions ignore
-// each other's messages.
+// A message of load gossip is a version byte followed by up to MaxLoads loads of five bytes each. A node ignores messages
+// with another version byte than its own.
 package peers
 
 import (
@@ -13,24 +13,25 @@
 
 const (
 	messageVersion = 1        // first byte of a message
-	loadBytes      = 5        // a host's id, and its load in steps
-	loadStep       = 1.0 / 64 // of a host's capacity; loads are rounded up to it, so that a small one is not sent as none
-	maxLoadSteps   = 255
+	loadBytes      = 5        // encoded size of one load: 4 bytes for the host's id, 1 byte for its load in steps
+	loadStep       = 1.0 / 64 // unit of an encoded load, as a fraction of the host's capacity
+	maxLoadSteps   = 255      // largest load that fits into its byte
 
-	// MaxLoads is the number of loads in a message at most.
+	// MaxLoads is the maximum number of loads in a message.
 	MaxLoads = 51
-	// MaxMessageBytes is the length of the longest message.
+	// MaxMessageBytes is the length of a message with MaxLoads loads.
 	MaxMessageBytes = 1 + MaxLoads*loadBytes
 )
 
 // HostLoad is the load of one host.
 type HostLoad struct {
 	Host uint32  // id of the host
-	Load float64 // work that is asked of the host over its capacity, 0 or more
+	Load float64 // ratio of the work that is requested of the host to its capacity, 0 or more
 }
 
-// Append appends a message with the first MaxLoads of the loads. Loads are sent in steps of 1/64, rounded up, from 0 to
-// just under 4; one beyond that range is sent as the nearest value in it.
+// Append appends a message with the loads to a slice and returns it. Loads after the first MaxLoads are omitted. A load is
+// encoded as a multiple of 1/64 from 0 to 255/64. It is rounded up, so that a small load is not encoded as 0, and limited
+// to that range.
 func Append(to []byte, loads []HostLoad) []byte {
 	to = append(to, messageVersion)
 	for _, l := range loads[:min(len(loads), MaxLoads)] {
@@ -41,7 +42,7 @@
 	return to
 }
 
-// Parse returns the loads in a message; nil for a message of another version or length.
+// Parse returns the loads in a message. It returns nil if the message has another version or an invalid length.
 func Parse(message []byte) []HostLoad {
 	if len(message) < 1 || len(message) > MaxMessageBytes {
 		return nil
--- a/internal/peers/peers_golden_test.go
+++ b/internal/peers/peers_golden_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// testdata/datagrams.txt was written by revision 5fa7498: nodes of that version and of this one talk to each other. It is
-// fixed for good: there is no flag that rewrites it. Each line has a name and a datagram in hexadecimal.
+// The file testdata/datagrams.txt was written by version 5fa7498 and must never be regenerated: nodes of that version
+// exchange load gossip with newer ones. Each line has a name and a datagram in hexadecimal.
 
-// goldenDatagrams reads the datagrams by name.
+// goldenDatagrams returns the datagrams of the golden file by name.
 func goldenDatagrams(t *testing.T) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/datagrams.txt")
@@ -29,7 +29,7 @@
 	return datagrams
 }
 
-// manyLoads gives loads that all differ.
+// manyLoads returns the given number of loads, which all differ.
 func manyLoads(count int) []HostLoad {
 	loads := make([]HostLoad, count)
 	for i := range loads {
@@ -38,12 +38,13 @@
 	return loads
 }
 
+// Guards against changes to the encoding of load gossip.
 func TestDatagramsKeepTheirWireForm(t *testing.T) {
 	datagrams := goldenDatagrams(t)
 	cases := []struct {
 		name string
 		sent []HostLoad
-		read []HostLoad // where it is not what was sent
+		read []HostLoad // loads that Parse returns; nil if they are the same as those sent
 	}{
 		{name: "empty"},
 		{name: "one", sent: []HostLoad{{0x5be2a07c, 0.75}}},
@@ -59,11 +60,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			datagram, found := datagrams[c.name]
 			if !found {
-				t.Fatal("no such datagram")
+				t.Fatal("the golden file has no datagram of this name")
 			}
 			seen[c.name] = true
 			if got := Append(nil, c.sent); !bytes.Equal(got, datagram) {
-				t.Errorf("Append wrote %x, want %x", got, datagram)
+				t.Errorf("Append returned %x, want %x", got, datagram)
 			}
 			want := c.read
 			if want == nil {
@@ -71,18 +72,19 @@
 			}
 			got := Parse(datagram)
 			if !slices.Equal(got, want) {
-				t.Errorf("Parse gave %v, want %v", got, want)
+				t.Errorf("Parse returned %v, want %v", got, want)
 			}
 			if again := Append(nil, got); !bytes.Equal(again, datagram) {
-				t.Errorf("read and written again: %x, want %x", again, datagram)
+				t.Errorf("Append returned %x for the parsed loads, want %x", again, datagram)
 			}
 		})
 	}
 	if len(seen) != len(datagrams) {
-		t.Errorf("%d of %d datagrams are tested", len(seen), len(datagrams))
+		t.Errorf("%d of %d datagrams of the golden file are tested", len(seen), len(datagrams))
 	}
 }
 
+// Guards against changes to the limits of a datagram: nodes of other versions reject longer ones.
 func TestDatagramLimits(t *testing.T) {
 	if MaxLoads != 51 || MaxMessageBytes != 256 {
 		t.Errorf("%d loads and %d bytes in a datagram, want 51 and 256", MaxLoads, MaxMessageBytes)
@@ -92,10 +94,10 @@
 		t.Fatalf("the longest golden datagram has %d bytes, want 256", len(most))
 	}
 	if loads := Parse(append(bytes.Clone(most), 0, 0, 0, 1, 2)); loads != nil {
-		t.Errorf("a longer one was read as %v", loads)
+		t.Errorf("a datagram that is too long was parsed as %v, want nil", loads)
 	}
 	most[0]++
 	if loads := Parse(most); loads != nil {
-		t.Errorf("one of another version was read as %v", loads)
+		t.Errorf("a datagram of another version was parsed as %v, want nil", loads)
 	}
 }
