--- a/internal/fleetkey/fleetkey.go
+++ b/internal/fleetkey/fleetkey.go
@@ -1,5 +1,6 @@
-// Package fleetkey decodes the keys of a fleet, with which its messages are authenticated. While a key is being changed,
-// the old one is accepted as well. The package neither reads files nor authenticates anything.
+// Package fleetkey decodes the keys of a fleet from the settings key and old_key. Nodes authenticate messages with these
+// keys; while the key of a fleet is being changed, they also accept the old one. The package neither reads files nor
+// authenticates messages.
 package fleetkey
 
 import (
@@ -10,18 +11,18 @@
 // MinBytes is the length of the shortest key that is accepted, in bytes.
 const MinBytes = 16
 
-// Error is the error of a setting that is not a key.
+// Error is the error for a setting that does not contain a valid key.
 type Error struct {
-	Setting string // its name in the file
+	Setting string // name of the setting in the file
 }
 
-// Error returns the name of the setting and what a key has to be. It does not contain the setting's value.
+// Error returns the name of the setting and the requirements for a key. It does not contain the value, which is a secret.
 func (e *Error) Error() string {
-	return fmt.Sprintf("%s: wanted %d hexadecimal bytes or more", e.Setting, MinBytes)
+	return fmt.Sprintf("%s: must be at least %d bytes in hexadecimal", e.Setting, MinBytes)
 }
 
-// Decode returns the keys of the settings key and old_key, which are hexadecimal; the one to sign with comes first. The
-// old key may be empty.
+// Decode decodes the hexadecimal values of the settings key and old_key. The first key that it returns is the one that
+// signs messages. The old key may be empty.
 func Decode(key, oldKey string) ([][]byte, *Error) {
 	current, err := decodeKey("key", key)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return [][]byte{current, old}, nil
 }
 
-// decodeKey returns the key in a setting.
+// decodeKey decodes the key in a setting.
 func decodeKey(setting, text string) ([]byte, *Error) {
 	key, err := hex.DecodeString(text)
 	if err != nil || len(key) < MinBytes {
--- a/internal/fleetkey/fleetkey_golden_test.go
+++ b/internal/fleetkey/fleetkey_golden_test.go
@@ -8,11 +8,12 @@
 	"testing"
 )
 
-// The file holds key settings, old key settings and the keys that the build of revision 5fa7498, which is in service,
-// decodes them to: "-" stands for no setting, an error names the setting at fault. It is fixed for good: a node that
-// decodes a key otherwise is shut out of its fleet. There is no way to rewrite it on purpose.
+// Each line of the golden file has the settings key and old_key, and the keys to which version 5fa7498 decodes them. A "-"
+// stands for an absent setting; an error is given by the name of the invalid setting. The file must never be regenerated.
 const goldenFile = "testdata/golden/keys.txt"
 
+// Guards against a node that decodes a key differently from nodes of older versions, so that the others reject its
+// messages.
 func TestKeysMatchGoldenFile(t *testing.T) {
 	golden, err := os.ReadFile(goldenFile)
 	if err != nil {
@@ -22,7 +23,7 @@
 	for line := range strings.Lines(string(golden)) {
 		fields := strings.Fields(line)
 		if len(fields) < 3 {
-			t.Fatalf("%q is no line of three fields", line)
+			t.Fatalf("line %q must have at least 3 fields, got %d", line, len(fields))
 		}
 		key, oldKey := fields[0], fields[1]
 		got.WriteString(key + " " + oldKey + " " + decoded(key, oldKey) + "\n")
@@ -32,7 +33,7 @@
 	}
 }
 
-// decoded returns the keys as hexadecimal text, the signing key first, or the setting at fault.
+// decoded returns the decoded keys in hexadecimal, the signing key first, or an error with the name of the invalid setting.
 func decoded(key, oldKey string) string {
 	setting := func(text string) string { return strings.TrimPrefix(text, "-") }
 	keys, err := Decode(setting(key), setting(oldKey))
--- a/internal/fleetkey/fleetkey_test.go
+++ b/internal/fleetkey/fleetkey_test.go
@@ -10,6 +10,7 @@
 	anotherKey = "ffeeddccbbaa99887766554433221100"
 )
 
+// Guards against a node that signs messages with the old key, which the other nodes may no longer accept.
 func TestDecodeReturnsSigningKeyFirst(t *testing.T) {
 	keys, err := Decode(validKey, anotherKey)
 	if err != nil || len(keys) != 2 || keys[0][0] != 0 || keys[1][0] != 0xff {
@@ -20,6 +21,7 @@
 	}
 }
 
+// Guards against keys that are too short or not hexadecimal, and against errors that name the wrong setting.
 func TestDecodeNamesInvalidSetting(t *testing.T) {
 	for _, c := range []struct{ name, key, oldKey, setting string }{
 		{"no key", "", "", "key"},
@@ -31,7 +33,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Decode(c.key, c.oldKey)
 			if err == nil || err.Setting != c.setting || !strings.Contains(err.Error(), c.setting+": ") {
-				t.Errorf("%q, %q: %v, wanted one of %s", c.key, c.oldKey, err, c.setting)
+				t.Errorf("%q, %q: error %v, want one that names %s", c.key, c.oldKey, err, c.setting)
 			}
 		})
 	}
