--- a/placement/attempts.go
+++ b/placement/attempts.go
@@ -4,26 +4,28 @@
 	// answerMargin is the number of ticks before its timeout at which a flow gets its final answer, so that the answer
 	// arrives before the client gives up.
 	answerMargin = 3
-	// A Retry-After is spread evenly from leastRetryAfter on, over retryAfterSpread of the longest one.
-	leastRetryAfter  = 0.25
-	retryAfterSpread = 0.5
-	// uncertaintyLimit is the uncertainty, lowered for small fleets, above which a node counts as uncertain.
+	// A Retry-After is a random time between minRetryAfterFraction and minRetryAfterFraction + retryAfterSpreadFraction
+	// of MaxRetryAfter.
+	minRetryAfterFraction    = 0.25
+	retryAfterSpreadFraction = 0.5
+	// uncertaintyLimit is the uncertainty above which a node counts as uncertain, after a correction that lowers the
+	// uncertainty of nodes in small fleets.
 	uncertaintyLimit = 0.5
 )
 
 // Outcome is how an attempt, an established connection or a health check ended.
 type Outcome uint8
 
-// The outcomes. Those that prove that the attempt had no effect are named by NeverRan.
+// The outcomes. NeverRan reports those that prove that the attempt had no effect.
 const (
-	Served         Outcome = iota // it ended well
-	Failed                        // the server answered with an error; the attempt may have run
-	Rejected                      // the server rejected it without looking at it
-	TimedOut                      // no answer in time; it may have run
-	ConnectFailed                 // no connection in time; it never ran
-	ConnectionLost                // the connection broke; it may have run
-	Canceled                      // ended by this side; it may have run
-	NotSent                       // it never left this node
+	Served         Outcome = iota // ended without an error
+	Failed                        // the server answered with an error; the attempt may have had an effect
+	Rejected                      // the server rejected the attempt without processing it
+	TimedOut                      // no answer before the timeout; the attempt may have had an effect
+	ConnectFailed                 // no connection before the timeout; the attempt had no effect
+	ConnectionLost                // the connection was lost; the attempt may have had an effect
+	Canceled                      // this node ended the attempt; it may have had an effect
+	NotSent                       // the attempt was not sent to a server
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
@@ -45,8 +47,8 @@
 	b.concurrency.raise()
 }
 
-// AttemptEnded reports the end of an attempt, or of the connection that it became. The argument over says that the
-// flow has had its final answer or needs none.
+// AttemptEnded reports the end of an attempt, or of the connection that it became. The argument over is true if the
+// flow has already received its final answer or needs none.
 func (b *Balancer) AttemptEnded(now float64, id, attempt int, outcome Outcome, over bool) {
 	if !b.isLive(id) {
 		return
@@ -101,26 +103,27 @@
 // mayAttemptNow reports whether a flow has time and attempts left, and whether the load on this node's servers
 // allows one.
 func (b *Balancer) mayAttemptNow(now float64, f *flow) bool {
-	paced := b.paceReturning(f) // always first, because it may draw a random number
-	if paced || b.retryHeldBack(f) {
+	paced := b.mustPaceReturning(f) // called first, because it may consume a random number
+	if paced || b.retrySuppressed(f) {
 		return false
 	}
 	return now < f.deadline && f.attempts < b.MaxAttempts && (b.concurrency.allows(b.attemptsInFlight) || f.midFlow)
 }
 
-// paceReturning decides by chance whether a returning client has to wait. This prevents dropped clients from
-// moving from one overloaded server to the next where this node sees too few connections to find capacity.
-func (b *Balancer) paceReturning(f *flow) bool {
+// mustPaceReturning decides at random whether a returning client has to wait. Clients whose connections were dropped
+// would otherwise move from one overloaded server to the next, because a node with few connections cannot see which
+// servers have capacity.
+func (b *Balancer) mustPaceReturning(f *flow) bool {
 	if !f.returning || f.midFlow || f.attempts != 0 {
 		return false
 	}
-	return b.random() < returnPacing*b.overload.slowShare*b.overload.uncertainty
+	return b.random() < returnPacing*b.overload.slowFraction*b.overload.uncertainty
 }
 
-// retryHeldBack reports whether a flow whose attempt may have run gets no retry for now. A concurrency limit allows
-// one attempt a node at the least. With many nodes this would send again what failed at a store that the servers
-// share.
-func (b *Balancer) retryHeldBack(f *flow) bool {
+// retrySuppressed reports whether a flow whose attempt may have had an effect gets no retry for now. A concurrency limit
+// always allows each node at least one attempt. With many nodes, these attempts alone could overload a store that the
+// servers share, if each of them were repeated after a failure.
+func (b *Balancer) retrySuppressed(f *flow) bool {
 	return f.ranAt >= 0 && b.concurrency.active() && b.uncertain()
 }
 
@@ -134,33 +137,33 @@
 	f.tried = append(f.tried, index)
 	s := &b.servers[index]
 	s.slowStart.attempts++
-	s.admin.enterFrom = 0
+	s.admin.reentryAt = 0
 	return Decision{Action: Connect, Flow: id, Server: index, Seconds: timeout}
 }
 
-// finalAnswer returns a Reject where a retry by the client is safe, else an Abort. The Retry-After is spread, so
-// that rejected clients do not return together.
+// finalAnswer returns a Reject if a retry by the client is safe, otherwise an Abort. The Retry-After is randomized, so
+// that rejected clients do not return at the same time.
 func (b *Balancer) finalAnswer(now float64, id int) Decision {
-	retryAfter := b.MaxRetryAfter * (leastRetryAfter + retryAfterSpread*b.random())
+	retryAfter := b.MaxRetryAfter * (minRetryAfterFraction + retryAfterSpreadFraction*b.random())
 	if b.mayReject(now, &b.flows[id], retryAfter) {
 		return Decision{Action: Reject, Flow: id, Seconds: retryAfter}
 	}
 	return Decision{Action: Abort, Flow: id}
 }
 
-// attemptTimeout returns the timeout of the next attempt. It leaves time for a retry where one is possible. A node
-// that is uncertain waits to the deadline. This prevents setups that are given up and sent again
-// from filling the queue of a shared store.
+// attemptTimeout returns the timeout of the next attempt in seconds. It leaves time for a retry if one is possible. An
+// uncertain node waits until the deadline of the flow instead: setups that time out and are sent again could fill the
+// queue of a store that the servers share.
 func (b *Balancer) attemptTimeout(now float64, f *flow) float64 {
-	left := f.deadline - now
+	remaining := f.deadline - now
 	serviceType := &b.ServiceTypes[f.serviceType]
 	if f.attempts+1 >= b.MaxAttempts || serviceType.Idempotency == AtMostOnce || b.uncertain() {
-		return left
+		return remaining
 	}
-	return min(left, max(serviceType.SetupObjective, left/2))
+	return min(remaining, max(serviceType.SetupObjective, remaining/2))
 }
 
-// mayAttempt reports whether an attempt of a flow at a server cannot cause its effect a second time.
+// mayAttempt reports whether a flow may be attempted at a server without the risk that its effect happens twice.
 func (b *Balancer) mayAttempt(now float64, f *flow, index int) bool {
 	serviceType := &b.ServiceTypes[f.serviceType]
 	if f.ranAt < 0 || serviceType.Idempotency == Idempotent {
@@ -182,7 +185,7 @@
 	return false
 }
 
-// mayReject reports whether the client of a flow may retry safely after some seconds.
+// mayReject reports whether the client of a flow may safely retry after a Retry-After in seconds.
 func (b *Balancer) mayReject(now float64, f *flow, retryAfter float64) bool {
 	serviceType := &b.ServiceTypes[f.serviceType]
 	if f.ranAt < 0 || serviceType.Idempotency == Idempotent {
@@ -192,8 +195,8 @@
 		now+retryAfter < f.ranAt+serviceType.KeyLifetime
 }
 
-// uncertain reports whether this node, one of many, has too few connections to tell the fault of one server from a
-// fault that all servers share.
+// uncertain reports whether this node has too few connections to distinguish the fault of one server from a fault that
+// all servers share. The nodes of a small fleet each have enough of the traffic and are never uncertain.
 func (b *Balancer) uncertain() bool {
 	return b.overload.uncertainty*(1-smallFleet/float64(b.Nodes)) > uncertaintyLimit
 }
--- a/placement/attempts_test.go
+++ b/placement/attempts_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// retryCase is a flow whose first attempt has ended, and what has to follow.
+// retryCase is a flow whose first attempt has ended, and the decision that must follow.
 type retryCase struct {
 	name        string
 	idempotency Idempotency
@@ -14,7 +14,7 @@
 	after       float64 // seconds until the first attempt ended; the key lives for 1 s
 	dialTimeout float64
 	want        Action
-	sameScope   func(first, second Endpoint) bool // what holds for the servers of both attempts; nil for anything
+	sameScope   func(first, second Endpoint) bool // required relation of both attempts' servers; nil for none
 }
 
 func sameZone(first, second Endpoint) bool { return first.Zone == second.Zone }
@@ -27,8 +27,8 @@
 		{"key by cell", IdempotentWithKey, KeyScopeCell, Failed, 0.1, 0, Connect, sameCell},
 		{"key at all servers", IdempotentWithKey, KeyScopeAll, ConnectionLost, 0.1, 0, Connect, nil},
 		{"key expired", IdempotentWithKey, KeyScopeAll, ConnectionLost, 1.5, 0, Abort, nil},
-		{"key expired once dialed", IdempotentWithKey, KeyScopeAll, ConnectionLost, 0.8, 0.25, Abort, nil},
-		{"key valid once dialed", IdempotentWithKey, KeyScopeAll, ConnectionLost, 0.7, 0.25, Connect, nil},
+		{"key expires before the retry is written", IdempotentWithKey, KeyScopeAll, ConnectionLost, 0.8, 0.25, Abort, nil},
+		{"key still valid when the retry is written", IdempotentWithKey, KeyScopeAll, ConnectionLost, 0.7, 0.25, Connect, nil},
 		{"key by zone expired", IdempotentWithKey, KeyScopeZone, TimedOut, 1.5, 0, Abort, nil},
 		{"key by cell expired, never ran", IdempotentWithKey, KeyScopeCell, Rejected, 1.5, 0, Connect, nil},
 	}
@@ -44,6 +44,8 @@
 	return cases
 }
 
+// A retry after an attempt that may have had an effect could execute a request twice. It is allowed only if the service
+// type is idempotent, or if the next server drops repeats for the flow's idempotency key and the key is still valid.
 func TestRetryNeverRepeatsAnEffect(t *testing.T) {
 	for _, c := range retryCases() {
 		t.Run(c.name, func(t *testing.T) {
@@ -62,22 +64,24 @@
 			}
 			second := b.serverIndex(decisions[0].Server)
 			if c.sameScope != nil && !c.sameScope(b.endpoint(first, Ready), b.endpoint(second, Ready)) {
-				t.Fatalf("the retry left the key's scope: %d then %d", first, second)
+				t.Fatalf("the retry went to server %d, outside the key scope of server %d", second, first)
 			}
 			b.AttemptEnded(b.now, 0, 1, TimedOut, true)
 			again := b.decisions()
 			if c.want != Connect && len(again) > 0 && again[0].Action <= Abort {
-				t.Fatalf("a decision after the final answer: %+v", again)
+				t.Fatalf("decision after the final answer: %+v", again)
 			}
 		})
 	}
 }
 
+// A client that receives no answer before its timeout, or more than one, cannot know whether a retry is safe. A flow whose
+// attempts all time out therefore gets exactly one final answer before its deadline.
 func TestFlowGetsOneAnswerInTime(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		idempotency  Idempotency
-		mostAttempts int
+		name        string
+		idempotency Idempotency
+		maxAttempts int
 	}{
 		{"idempotent", Idempotent, 3},
 		{"idempotent with key", IdempotentWithKey, 3},
@@ -89,11 +93,11 @@
 				s.ServiceTypes[0].KeyLifetime = 5
 			})
 			answers, attempts := b.failAllAttempts()
-			if answers != 1 || attempts > c.mostAttempts || b.now >= 1001.8 {
-				t.Fatalf("%d answers after %d attempts at %.3f", answers, attempts, b.now)
+			if answers != 1 || attempts > c.maxAttempts || b.now >= 1001.8 {
+				t.Fatalf("%d final answers after %d attempts at %.3f s, want one before 1001.8 s", answers, attempts, b.now)
 			}
 			if !b.Release(0) {
-				t.Fatal("the index of an ended flow is not free")
+				t.Fatal("the index of an ended flow was not released")
 			}
 		})
 	}
@@ -115,7 +119,8 @@
 	return answers, attempts
 }
 
-// With 200 servers, each of the 200 attempts of one flow goes to another one.
+// A retry at a server that was tried before would most likely fail again. Each of 200 attempts of one flow goes to a
+// different one of 200 servers.
 func TestRetryGoesToAnotherServer(t *testing.T) {
 	const servers = 200
 	b := newTestBalancer(servers, func(s *Settings) { s.MaxAttempts = servers })
@@ -126,29 +131,31 @@
 		b.AttemptEnded(b.now, 0, attempt, NotSent, false)
 		decisions := b.decisions()
 		if len(decisions) != 1 || decisions[0].Action != Connect || seen[b.serverIndex(decisions[0].Server)] {
-			t.Fatalf("after %d attempts: %+v", attempt+1, decisions)
+			t.Fatalf("after %d attempts: got %+v, want one Connect to a server not tried before", attempt+1, decisions)
 		}
 		seen[b.serverIndex(decisions[0].Server)] = true
 	}
 }
 
-// Where a node sees few connections, clients that return during an overload are paced; else they are placed.
+// Clients whose connections an overloaded server dropped would move on to the next servers and overload them too. At a node
+// with few connections, which cannot see which servers have capacity, they are rejected with a Retry-After instead. New
+// clients are still placed.
 func TestReturningClientsArePaced(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		slowShare   float64
-		uncertainty float64
-		returning   bool
-		least, most int
+		name            string
+		slowFraction    float64
+		uncertainty     float64
+		returning       bool
+		atLeast, atMost int
 	}{
 		{"overload, uncertain, returning", 1, 1, true, 100, 100},
 		{"overload, uncertain, new", 1, 1, false, 0, 0},
-		{"overload, sees its servers, returning", 1, 0.04, true, 1, 25},
+		{"overload, many connections, returning", 1, 0.04, true, 1, 25},
 		{"no overload, uncertain, returning", 0, 1, true, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestBalancer(40, nil)
-			b.overload.slowShare = c.slowShare
+			b.overload.slowFraction = c.slowFraction
 			b.overload.uncertainty = c.uncertainty
 			rejected := 0
 			for id := range 100 {
@@ -157,31 +164,32 @@
 					rejected++
 				}
 			}
-			if rejected < c.least || rejected > c.most {
-				t.Errorf("%d of 100 rejected, want %d to %d", rejected, c.least, c.most)
+			if rejected < c.atLeast || rejected > c.atMost {
+				t.Errorf("%d of 100 rejected, want %d to %d", rejected, c.atLeast, c.atMost)
 			}
 		})
 	}
 }
 
-// One of many nodes that has next to no connections waits to the deadline of an attempt. Once it sees failures at
-// several servers it sends no retry. Setups that are given up would else stay in the queue of a shared store.
-func TestUncertainNodeWaitsToTheDeadline(t *testing.T) {
+// Setups that time out stay in the queue of a store that the servers share, so retries by many nodes fill it with setups
+// that are no longer needed. A node of a large fleet that has almost no connections therefore lets the first attempt use the
+// time until the flow's deadline, and sends no retry once it has seen failures at several servers.
+func TestUncertainNodeWaitsUntilDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		nodes       int
 		uncertainty float64
 		limit       float64 // concurrency limit
 		outcome     Outcome // of the first attempt
-		timeout     float64 // of the first attempt, of 3 s
-		retry       float64 // timeout of the second, 0.5 s later; 0 for none
+		timeout     float64 // timeout of the first attempt; the flow has 3 s
+		retry       float64 // timeout of the second attempt, 0.5 s later; 0 if there must be none
 	}{
-		{"a node of many connections", 300, 0.2, math.Inf(1), TimedOut, 1.5, 1.25},
-		{"many connections and common failures", 300, 0.2, 3, Failed, 1.5, 1.25},
-		{"one of few that has no connection yet", 3, 1, math.Inf(1), TimedOut, 1.5, 1.25},
-		{"one of many that has next to none", 300, 0.9, math.Inf(1), TimedOut, 3, 2.5},
-		{"one of many whose first attempt reached nothing", 300, 0.9, math.Inf(1), ConnectFailed, 3, 2.5},
-		{"one of many and common failures", 300, 0.9, 3, Failed, 3, 0},
+		{"large fleet, node with many connections", 300, 0.2, math.Inf(1), TimedOut, 1.5, 1.25},
+		{"large fleet, node with many connections, common failures", 300, 0.2, 3, Failed, 1.5, 1.25},
+		{"small fleet, node without connections", 3, 1, math.Inf(1), TimedOut, 1.5, 1.25},
+		{"large fleet, node with almost no connections", 300, 0.9, math.Inf(1), TimedOut, 3, 2.5},
+		{"large fleet, node with almost no connections, failed to connect", 300, 0.9, math.Inf(1), ConnectFailed, 3, 2.5},
+		{"large fleet, node with almost no connections, common failures", 300, 0.9, 3, Failed, 3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestBalancer(9, func(s *Settings) {
@@ -192,22 +200,22 @@
 			b.concurrency = concurrencyLimit{limit: c.limit, loweredAt: b.now}
 			first, _ := b.arrive(1, Arrival{ClientKey: 1})
 			if first.Action != Connect || math.Abs(first.Seconds-c.timeout) > 1e-6 {
-				t.Fatalf("%+v, want a Connect of %g s", first, c.timeout)
+				t.Fatalf("got %+v, want a Connect with a timeout of %g s", first, c.timeout)
 			}
 			b.now += 0.5
 			b.AttemptEnded(b.now, 1, 0, c.outcome, false)
 			second := decisionFor(b.decisions(), 1)
 			if c.retry == 0 && second.Action != Reject {
-				t.Errorf("then %+v, want a Reject at once", second)
+				t.Errorf("after the first attempt: got %+v, want a Reject", second)
 			}
 			if c.retry > 0 && (second.Action != Connect || math.Abs(second.Seconds-c.retry) > 1e-6) {
-				t.Errorf("then %+v, want a Connect of %g s", second, c.retry)
+				t.Errorf("after the first attempt: got %+v, want a Connect with a timeout of %g s", second, c.retry)
 			}
 		})
 	}
 }
 
-// decisionFor returns the first decision for a flow, or one with the action Log.
+// decisionFor returns the first decision for a flow, or one with the action Log if there is none.
 func decisionFor(decisions []Decision, id int) Decision {
 	for _, decision := range decisions {
 		if decision.Flow == id {
--- a/placement/balancer.go
+++ b/placement/balancer.go
@@ -1,24 +1,32 @@
-// Package placement takes every decision of the load balancer: which server a flow is sent to, when an attempt
-// is repeated, when a flow is rejected, which servers are ejected, checked or relieved of connections.
+// Package placement makes every decision of the load balancer: to which server a flow is sent, when an attempt is
+// retried, when a flow is rejected, and which servers are ejected, health-checked or drained of connections.
 //
-// The package owns what is known of servers and flows. It has no input or output, no clock and no goroutine, and
-// it reads randomness only from its seed. The host reports what happened through the input methods of Balancer
-// (UpdateEndpoints, AddFlow, RestoreFlow, Established, AttemptEnded, ClientLeft, ReportLoad, ReportDelay,
-// HealthChecked, GossipReceived, Woken), which update the state and decide nothing. It then calls Next until
-// there is no further decision. Equal settings and equal inputs give equal decisions.
+// The package holds the state of servers and flows. It performs no input or output, has no clock and starts no
+// goroutines, and its only source of randomness is the seed in its settings. The host, which is the process that embeds
+// a Balancer, reports events through the input methods of Balancer (UpdateEndpoints, AddFlow, RestoreFlow,
+// Established, AttemptEnded, ClientLeft, ReportLoad, ReportDelay, HealthChecked, GossipReceived, Woken), which update
+// the state but return no decision. The host then calls Next until there is no further decision. Equal settings and
+// equal inputs lead to equal decisions.
 //
-// Flows and servers are small indices that the host assigns. Times are seconds on the host's clock.
+// Flows and servers are identified by small indices that the host assigns. Times are in seconds on the host's clock.
 //
-// Four terms come from the paper that the design follows:
+// Terms, of which base list, primary, spill and home come from the paper that the design follows:
 //
+//   - A flow is one client's request for a connection, and the connection that it becomes. An attempt is one try to
+//     set up the flow's connection at a server. A flow that arrives mid-flow is an established connection that was
+//     handled by another node before.
 //   - The base list holds every listed server in any state, ordered by id. All nodes that have the same endpoint
-//     list have the same base list.
-//   - The primary of a flow is the server at the position in the base list that the hash of its client key names.
-//     If that server takes no new flows, the hash names one of the usable servers instead.
+//     list have the same base list. The usable servers are those of the base list that accept new flows now.
+//   - The primary of a flow is the server at the position in the base list that is selected by the hash of the flow's
+//     client key. If that server accepts no new flows, the hash selects one of the usable servers instead.
 //   - A flow spills when its primary has more connections than the spill limit. It then visits the other servers
 //     until one has capacity.
 //   - The home of a group of flows is the server with the lowest rank for the hash of the group. Its second home
 //     has the second lowest rank, and so on. A flow of a group spills from home to home.
+//   - A server is in slow start for some time after its start. During that time its weight rises from the
+//     settings' SlowStartShare to 1, and all nodes together keep within a budget of attempts there.
+//   - The uncertainty of a node is 1 if it has no connections, and close to 0 if it has many for each server. An
+//     uncertain node cannot tell from its own connections which servers have capacity.
 package placement
 
 import (
@@ -30,9 +38,9 @@
 )
 
 const (
-	// longAgo stands for an event that has not happened yet, so that no pause after it is still running.
+	// longAgo is the time of an event that has not happened yet. It is so early that every pause after it is over.
 	longAgo = -99.0
-	// housekeepingInterval is the time between two wakes in seconds. Every pause that the balancer keeps is longer.
+	// housekeepingInterval is the time in seconds between two Wake decisions. The pauses that end with a wake are longer.
 	housekeepingInterval = 0.25
 	// evidenceHalfLife is the time in seconds after which the counts of failures and successes are halved.
 	evidenceHalfLife = 8.0
@@ -40,25 +48,25 @@
 	noWake = -1.0
 )
 
-// Balancer takes the decisions of one node. Instances share nothing. A Balancer must be created by New and used by
+// Balancer makes the decisions of one node. Instances share no state. A Balancer must be created by New and used by
 // one goroutine at a time. The embedded Settings are those in force.
 type Balancer struct {
 	Settings
 	servers []server
 	flows   []flow
 	base    []int // indices of the base list's servers, by id
-	usable  []int // indices of the servers that take new flows now, by id; rebuilt for each decision
+	usable  []int // indices of the servers that accept new flows now, by id; rebuilt for each decision
 
-	pendingFlows     []int      // flows that await a decision
-	queued           []Decision // decisions that Next returns before it looks for others
-	randomDraws      uint64     // number of draws so far
-	openByTenant     []int      // established connections; the last element counts tenants without a quota
-	attemptsInFlight int        // attempts that are neither established nor ended
-	longestList      float64    // length of the longest base list so far
-	quotaPerServer   float64    // connections that the quotas of all tenants allow for each server and node
-	handedOver       bool       // a successor process takes the flows
-	nextDecayAt      float64    // when the counts of failures and successes are halved next
-	wakeAt           float64    // when the requested wake is due, or noWake
+	pendingFlows      []int      // flows that await a decision
+	queued            []Decision // decisions that Next returns before it looks for others
+	randomCount       uint64     // random numbers generated so far
+	openByTenant      []int      // established connections; the last element counts tenants without a quota
+	attemptsInFlight  int        // attempts that are neither established nor ended
+	longestListLength float64    // length of the longest base list so far
+	quotaPerServer    float64    // connections that the quotas of all tenants allow for each server and node
+	handedOver        bool       // a successor process handles new flows
+	nextDecayAt       float64    // when the counts of failures and successes are next halved
+	wakeAt            float64    // when the requested wake is due, or noWake
 
 	loads       loadEstimates
 	concurrency concurrencyLimit
@@ -69,8 +77,8 @@
 	messageObjective float64 // shortest message objective of all service types; infinite if none has one
 }
 
-// New returns a balancer that knows nothing but its settings. The caller must not change the slices in settings
-// afterwards. Fewer than one node counts as one, and a poll interval of 0 as defaultPollInterval.
+// New returns a balancer without servers and flows. The caller must not change the slices in settings afterwards. Fewer
+// than one node counts as one, and a poll interval of 0 as defaultPollInterval.
 func New(settings Settings) *Balancer {
 	settings.Nodes = max(settings.Nodes, 1)
 	settings.PollInterval = pollInterval(settings.PollInterval)
@@ -88,8 +96,8 @@
 	}
 }
 
-// Next returns the next decision, or false when there is none for now. The host calls it after each round of
-// inputs until it returns false.
+// Next returns the next decision, or false if there is none for now. The host calls it after each round of inputs until
+// it returns false.
 func (b *Balancer) Next(now float64) (Decision, bool) {
 	if decision, ok := b.nextFlowDecision(now); ok {
 		return decision, true
@@ -110,7 +118,8 @@
 	return b.nextHealthCheck(now)
 }
 
-// housekeep queues what is due once in a housekeeping interval: migrations, load gossip and the next wake.
+// housekeep queues the decisions that are due once in each housekeeping interval: migrations, load gossip and the next
+// Wake.
 func (b *Balancer) housekeep(now float64) {
 	b.wakeAt = now + housekeepingInterval
 	b.migrateExcess(now)
@@ -118,7 +127,7 @@
 	b.queued = append(b.queued, Decision{Action: Wake, Seconds: housekeepingInterval})
 }
 
-// Woken reports that the time of a Wake decision has come. A call before that time is harmless.
+// Woken reports that the delay of a Wake decision has passed. A call before that time is harmless.
 func (b *Balancer) Woken(now float64) {
 	if now >= b.wakeAt-b.Tick {
 		b.wakeAt = noWake
@@ -140,13 +149,13 @@
 	}
 }
 
-// random returns a number that is evenly distributed over [0, 1), from the seed and the count of draws. Both are
-// hashed, because a plain counter gives near seeds similar sequences.
+// random returns a number that is uniformly distributed over [0, 1). It hashes the seed together with the count of
+// numbers generated so far, because a plain counter would produce similar sequences for similar seeds.
 func (b *Balancer) random() float64 {
 	var input [16]byte
 	binary.LittleEndian.PutUint64(input[:8], b.Seed)
-	binary.LittleEndian.PutUint64(input[8:], b.randomDraws)
-	b.randomDraws++
+	binary.LittleEndian.PutUint64(input[8:], b.randomCount)
+	b.randomCount++
 	return float64(xxhash.Sum64(input[:])>>11) / (1 << 53)
 }
 
@@ -157,7 +166,7 @@
 	return xxhash.Sum64(input[:])
 }
 
-// logf queues a line for the host's log.
+// logf queues a Log decision with a formatted message.
 func (b *Balancer) logf(format string, arguments ...any) {
 	b.queued = append(b.queued, Decision{Action: Log, Message: fmt.Sprintf(format, arguments...)})
 }
--- a/placement/balancer_test.go
+++ b/placement/balancer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// unusualInputCase is a balancer that gets settings or inputs which a host should not send.
+// unusualInputCase gives a balancer settings or inputs that a host is not expected to send.
 type unusualInputCase struct {
 	name    string
 	change  func(*Settings)
@@ -19,7 +19,7 @@
 	{"a thousand servers", nil, 1000, nil},
 	{"no nodes, tenants, service types or attempts", func(s *Settings) { *s = Settings{} }, 20, nil},
 	{"unknown tenant and service type", func(s *Settings) { s.Quotas = []float64{1} }, 20, nil},
-	{"quota of next to nothing", func(s *Settings) { s.Quotas = []float64{1e-12} }, 20, nil},
+	{"quota close to zero", func(s *Settings) { s.Quotas = []float64{1e-12} }, 20, nil},
 	{"unknown indices", nil, 20, useUnknownIndices},
 	{"a load that is NaN", nil, 20, func(b *testBalancer) { b.ReportLoad(905, math.NaN()) }},
 	{"a server listed twice with a new start time", nil, 20, func(b *testBalancer) {
@@ -45,6 +45,8 @@
 	}
 }
 
+// A balancer that panics, or loses a flow, on invalid settings or inputs would take down a node or leave its clients without
+// an answer. Every flow still gets a decision, and the state stays free of NaN.
 func TestUnusualInputStillAnswersEveryFlow(t *testing.T) {
 	for _, c := range unusualInputCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,24 +62,26 @@
 					b.Established(id, 0)
 					b.Established(id, 0) // counts once
 				} else if decision.Action != Reject && decision.Action != Abort {
-					t.Fatalf("flow %d got no answer", id)
+					t.Fatalf("no decision for flow %d", id)
 				}
 				b.advance(housekeepingInterval)
 			}
 			if c.servers > 0 && math.IsNaN(b.serverAt(0).assignedLoad) {
-				t.Fatal("the load in flight is NaN")
+				t.Fatal("the assigned load of a server is NaN")
 			}
 		})
 	}
 }
 
-func TestRandomIsEvenAndDiffersBySeed(t *testing.T) {
-	const draws = 20000
+// Nodes spread their polls, retries and choices by random numbers. Numbers that are not uniform, or similar for similar
+// seeds, would make the nodes act together.
+func TestRandomIsUniformAndDiffersBySeed(t *testing.T) {
+	const samples = 20000
 	first := newTestBalancer(0, nil)
 	second := newTestBalancer(0, func(s *Settings) { s.Seed = 8 })
 	var bins [10]int
 	near := 0
-	for range draws {
+	for range samples {
 		x, y := first.random(), second.random()
 		bins[int(x*10)]++
 		if math.Abs(x-y) < 0.1 {
@@ -86,21 +90,21 @@
 	}
 	for i, count := range bins {
 		if count < 1850 || count > 2150 {
-			t.Errorf("bin %d of 10 has %d of %d draws", i, count, draws)
+			t.Errorf("bin %d of 10 has %d of %d samples, want about 2000", i, count, samples)
 		}
 	}
 	if near < 3500 || near > 4100 {
-		t.Errorf("two seeds come close in %d of %d draws, want about 3800", near, draws)
+		t.Errorf("two seeds differ by less than 0.1 in %d of %d samples, want about 3800", near, samples)
 	}
 }
 
-// The cost of a flow and of a wake for each server must not grow with the number of servers.
+// The cost per server of a flow and of a wake must not grow with the number of servers.
 func BenchmarkFlowByServers(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000} {
 		b.Run(strconv.Itoa(servers), func(b *testing.B) {
 			balancer := newTestBalancer(servers, nil)
 			balancer.establish(0, 4*servers)
-			for i := range balancer.servers { // each wake looks for connections to migrate
+			for i := range balancer.servers { // so that each wake searches for connections to migrate
 				balancer.servers[i].threshold.load = balancer.servers[i].assignedLoad / 2
 			}
 			b.ReportAllocs()
--- a/placement/concurrency_test.go
+++ b/placement/concurrency_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Failures that come from dying servers or from a single flow are no fault that the servers share.
+// A concurrency limit would reject flows for no reason if failures that are caused by dead servers or by a single flow were
+// mistaken for a fault that the servers share.
 func TestUnsharedFaultSetsNoConcurrencyLimit(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -24,7 +25,7 @@
 			b.arrive(100, Arrival{ClientKey: 100})
 			b.AttemptEnded(b.now, 100, 0, Failed, false)
 		}},
-		{"one flow fails everywhere", func(b *testBalancer) {
+		{"one flow fails at every server", func(b *testBalancer) {
 			b.arrive(100, Arrival{ClientKey: 100})
 			for attempt := range 3 {
 				b.AttemptEnded(b.now, 100, attempt, Failed, false)
@@ -37,13 +38,13 @@
 			b.establish(0, 30)
 			c.inject(b)
 			if !math.IsInf(b.concurrency.limit, 1) {
-				t.Errorf("concurrency limit %g", b.concurrency.limit)
+				t.Errorf("concurrency limit %g, want none", b.concurrency.limit)
 			}
 		})
 	}
 }
 
-// loseConnections ends the first 30 flows where they are at one of two places.
+// loseConnections loses the connections of the first 30 flows that are at one of two places.
 func (b *testBalancer) loseConnections(first, second int) {
 	for id := range 30 {
 		at := b.flows[id].server
@@ -53,8 +54,9 @@
 	}
 }
 
-// A slow store fails attempts everywhere: few servers are ejected and few attempts are sent. When the fault has
-// passed, the limit is lifted.
+// If a store that the servers share is slow, attempts fail at all servers. Ejecting many servers would not help, and further
+// attempts would increase the load on the store, so few servers are ejected and the attempts in flight are limited. A limit
+// that outlasts the fault would reject flows for no reason, so it is lifted once attempts succeed again.
 func TestCommonFailuresLimitConcurrencyUntilTheyEnd(t *testing.T) {
 	b := newTestBalancer(9, nil)
 	b.establish(0, 30)
@@ -70,7 +72,7 @@
 		}
 	}
 	if b.ejectedServers() > 3 || math.IsInf(b.concurrency.limit, 1) {
-		t.Fatalf("%d ejected, concurrency limit %g", b.ejectedServers(), b.concurrency.limit)
+		t.Fatalf("%d servers ejected, concurrency limit %g, want at most 3 and a limit", b.ejectedServers(), b.concurrency.limit)
 	}
 	for id := 300; id < 420; id++ {
 		for _, decision := range b.advance(0.25) {
@@ -82,6 +84,6 @@
 	}
 	b.advance(60)
 	if !math.IsInf(b.concurrency.limit, 1) {
-		t.Fatalf("the concurrency limit stays at %g", b.concurrency.limit)
+		t.Fatalf("concurrency limit %g after the failures have ended, want none", b.concurrency.limit)
 	}
 }
--- a/placement/draining.go
+++ b/placement/draining.go
@@ -6,25 +6,27 @@
 )
 
 const (
-	// thresholdSlack is the multiple of a load threshold above which connections migrate. Loads vary by as much.
+	// thresholdSlack is the multiple of a load threshold above which connections migrate. Loads below it are within the
+	// usual variation.
 	thresholdSlack = 1.1
-	// drainGrace is the time in seconds in which a draining server may send its clients away itself.
+	// drainGrace is the time in seconds that a draining server has to disconnect its clients itself.
 	drainGrace = 3.0
-	// migrationsPerWake is the inverse of the share of a server's connections that migrate in one interval.
-	migrationsPerWake = 10
-	// overQuotaPriority is the factor by which connections of tenants over their quota migrate first.
+	// migrationDivisor is the number by which a server's connections are divided to get how many of them migrate in one
+	// housekeeping interval.
+	migrationDivisor = 10
+	// overQuotaPriority is the factor that raises the migration priority of connections of tenants over their quota.
 	overQuotaPriority = 10
 )
 
-// adminState is what an operator said of a server. Neither endpoint lists nor health checks change it.
+// adminState is the state that an operator has set for a server. Neither endpoint lists nor health checks change it.
 type adminState struct {
 	disabled  bool
-	changedAt float64 // when it was disabled, or when a server enabled again counts as started
-	enterFrom float64 // when a new flow enters a server that was enabled again; 0 once one did
+	changedAt float64 // when the server was disabled, or, once enabled again, when it counts as started
+	reentryAt float64 // when a first flow is sent to the server after it was enabled again; 0 if none is due
 }
 
-// SetDisabled reports that an operator has disabled a server or enabled it again, and returns whether that is a
-// change. A disabled server gets no new flow and its connections migrate.
+// SetDisabled reports that an operator has disabled a server or enabled it again, and returns whether this changed its
+// state. A disabled server gets no new flows and its connections migrate.
 func (b *Balancer) SetDisabled(now float64, index int, disabled bool) bool {
 	s := b.server(index)
 	if s.admin.disabled == disabled {
@@ -40,8 +42,9 @@
 	return true
 }
 
-// enable forgets what was learned of the server, as its operators vouch for it. A server that has not started since
-// it was disabled counts as started now: it most likely was restarted, and the list does not say so yet.
+// enable discards what was learned about a server, because its operator has declared it usable. If the listed start time
+// is from before it was disabled, the server counts as started now: it was most likely restarted and the endpoint list
+// does not show it yet.
 func (b *Balancer) enable(now float64, s *server) {
 	before := *s
 	s.forget()
@@ -52,10 +55,10 @@
 	if s.StartedAt < before.admin.changedAt {
 		s.admin.changedAt = now
 	}
-	s.admin.enterFrom = now + reentryTime*b.random()*(1-1/float64(b.Nodes)) // all nodes hear of it in one moment
+	s.admin.reentryAt = now + reentryTime*b.random()*(1-1/float64(b.Nodes)) // random: all nodes are notified at once
 }
 
-// mustMigrate reports whether connections have to leave a server: all of them when it is disabled or drains, else
+// mustMigrate reports whether connections have to leave a server: all of them if it is disabled or draining, otherwise
 // those above its load threshold.
 func (b *Balancer) mustMigrate(now float64, s *server) bool {
 	if s.admin.disabled {
@@ -67,13 +70,13 @@
 	return s.threshold.exceeded(s.assignedLoad, b.meanUsualLoad())
 }
 
-// migrateExcess queues the migration of connections that have to leave their servers, a tenth of each server's
-// connections at a time.
+// migrateExcess queues the migration of connections that have to leave their servers. In one housekeeping interval it
+// migrates about a tenth of each server's connections.
 func (b *Balancer) migrateExcess(now float64) {
 	for _, id := range b.migrationCandidates(now) {
 		f := &b.flows[id]
 		s := &b.servers[f.server]
-		if !b.mustMigrate(now, s) || s.migrations > s.inFlight/migrationsPerWake {
+		if !b.mustMigrate(now, s) || s.migrations > s.inFlight/migrationDivisor {
 			continue
 		}
 		s.migrations++
@@ -84,7 +87,7 @@
 	}
 }
 
-// migrationCandidates returns the connections on servers that have to lose some, the highest priority first.
+// migrationCandidates returns the connections on servers that connections have to leave, the highest priority first.
 func (b *Balancer) migrationCandidates(now float64) []int {
 	var candidates []int
 	for id := range b.flows {
@@ -99,8 +102,8 @@
 	return candidates
 }
 
-// migrationPriority puts tenants over their quota first, then connections that are heavy for their service type, so
-// that no type bears all migrations.
+// migrationPriority ranks connections of tenants over their quota first. It then ranks by the load of a connection
+// relative to the usual load of its service type, so that the migrations are not all of one type.
 func (b *Balancer) migrationPriority(id int) float64 {
 	f := &b.flows[id]
 	if b.overQuota(f.tenant) {
--- a/placement/draining_test.go
+++ b/placement/draining_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A draining server may stop without notice to its clients. They migrate at the pace of other migrations, after the
-// time in which the server may send them away itself.
+// A draining server may stop without notice, and all its clients would then lose their connections at once. They therefore
+// migrate, at the usual rate of migrations, after drainGrace, in which the server may disconnect them itself.
 func TestConnectionsMigrateFromDrainingServer(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -12,7 +12,7 @@
 	}{
 		{"ready", Ready, false},
 		{"draining", Draining, true},
-		{"removed: its connections end by themselves", Removed, false},
+		{"removed: its connections are left alone", Removed, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestBalancer(3, nil)
@@ -20,7 +20,7 @@
 			connections := b.serverAt(0).inFlight
 			b.changeState(0, c.state)
 			if countActions(b.advance(drainGrace), Migrate) > 0 {
-				t.Error("migrated before the server could send its clients away")
+				t.Error("connections migrated within the drain grace")
 			}
 			first := countActions(b.advance(housekeepingInterval), Migrate)
 			before := map[int]bool{}
@@ -29,7 +29,7 @@
 			}
 			for _, decision := range b.advance(5) {
 				if decision.Action == Migrate && before[decision.Flow] {
-					t.Error("migrated twice")
+					t.Error("a connection migrated twice")
 				}
 			}
 			want := 0
@@ -38,13 +38,14 @@
 			}
 			migrated := b.migratedFrom(t, 0)
 			if migrated != want || connections < 3 || first > 1+connections/10 {
-				t.Errorf("%d of %d migrated, %d in the first interval", migrated, connections, first)
+				t.Errorf("%d of %d connections migrated, %d in the first interval", migrated, connections, first)
 			}
 		})
 	}
 }
 
-// migratedFrom returns how many flows were migrated, which have to be at one place.
+// migratedFrom returns how many flows were migrated from the server at a place, and fails the test if any were migrated from
+// another server.
 func (b *testBalancer) migratedFrom(t *testing.T, place int) int {
 	t.Helper()
 	migrated := 0
@@ -54,7 +55,7 @@
 			continue
 		}
 		if f.server != b.serverIndex(place) {
-			t.Error("migrated from another server")
+			t.Error("a connection migrated from another server")
 			continue
 		}
 		migrated++
@@ -62,7 +63,7 @@
 	return migrated
 }
 
-// disable and enable let an operator disable the server at place 2 and enable it again.
+// disable disables the server at place 2, as an operator would, and enable enables it again.
 func disable(b *testBalancer) { b.SetDisabled(b.now, b.serverIndex(2), true) }
 
 func enable(b *testBalancer) { b.SetDisabled(b.now, b.serverIndex(2), false) }
@@ -82,8 +83,9 @@
 	}
 }
 
-// What an operator, the endpoint list and outlier detection say of a server are three states. The server takes flows
-// only if all three allow it.
+// An endpoint list, a restart or a passed health check must not put a server back into use that an operator has disabled. The
+// operator's, the list's and outlier detection's state of a server are independent, and it gets flows only if all three
+// allow it.
 func TestDisabledServerGetsNoNewFlow(t *testing.T) {
 	const place, servers = 2, 5
 	key := clientKeyFor(place, servers)
@@ -99,11 +101,11 @@
 		{"disabled, a complete list", []func(*testBalancer){disable, listAll}, false},
 		{"disabled, restarted", []func(*testBalancer){disable, listed(Ready, testStart+1)}, false},
 		{"disabled, draining, ready", []func(*testBalancer){disable, listed(Draining, 0), listAll}, false},
-		{"disabled, removed, listed anew",
+		{"disabled, removed, listed again",
 			[]func(*testBalancer){disable, listed(Removed, 0), listed(Ready, testStart)}, false},
 		{"enabled while draining", []func(*testBalancer){disable, listed(Draining, 0), enable}, false},
 		{"disabled when ejected, health checks passed", []func(*testBalancer){eject, disable, passThreeChecks}, false},
-		{"ejected, disabled, enabled: its operators vouch for it", []func(*testBalancer){eject, disable, enable}, true},
+		{"ejected, disabled, enabled: enabling ends the ejection", []func(*testBalancer){eject, disable, enable}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestBalancer(servers, nil)
@@ -115,17 +117,18 @@
 			_, unavailable := b.Unavailable(b.now)
 			_, at := b.arrive(1, Arrival{ClientKey: key})
 			if (at == place) != c.used || listedBefore != servers || (unavailable == 0) != c.used {
-				t.Errorf("sent to %d of %d, %d unavailable", at, listedBefore, unavailable)
+				t.Errorf("sent to place %d of %d, %d unavailable", at, listedBefore, unavailable)
 			}
 			if _, at := b.arrive(2, Arrival{ClientKey: key, MidFlow: true}); (at == place) != c.used {
-				t.Errorf("a mid-flow connection went to %d", at)
+				t.Errorf("a mid-flow connection was sent to place %d", at)
 			}
 		})
 	}
 }
 
-// The connections of a disabled server migrate at once, nothing checks it, and flows are rejected if it was the last.
-func TestDisabledServerIsRelieved(t *testing.T) {
+// A disabled server that keeps its connections or is still checked would prevent an operator from taking it down. Its
+// connections start to migrate at once, it gets no health checks, and flows are rejected if it was the last server.
+func TestDisabledServerIsDrained(t *testing.T) {
 	b := newTestBalancer(1, nil)
 	b.establish(0, 20)
 	for id := range 20 {
@@ -139,13 +142,13 @@
 			migrated++
 			b.AttemptEnded(b.now, decision.Flow, 0, Canceled, true)
 		case CheckHealth:
-			t.Fatal("a disabled server is checked")
+			t.Fatal("health check of a disabled server")
 		}
 	}
 	if migrated != 20 {
-		t.Errorf("%d of 20 migrated", migrated)
+		t.Errorf("%d of 20 connections migrated", migrated)
 	}
 	if decision, _ := b.arrive(50, Arrival{ClientKey: 5}); decision.Action != Reject || decision.Seconds <= 0 {
-		t.Errorf("the last server is disabled: %v", decision)
+		t.Errorf("the last server is disabled: got %v, want a Reject with a Retry-After", decision)
 	}
 }
--- a/placement/ejection.go
+++ b/placement/ejection.go
@@ -1,35 +1,35 @@
 package placement
 
 const (
-	// firstEjectionTime is the time in seconds until the first health check of a server that was ejected. It
-	// doubles with each further ejection up to maxEjectionTime.
+	// firstEjectionTime is the time in seconds from a server's first ejection until its first health check. The time
+	// doubles with each further ejection, up to maxEjectionTime.
 	firstEjectionTime = 1.0
 	maxEjectionTime   = 16.0
-	// outlierFailureShare is the share of failures above which a server is an outlier where others have none.
-	outlierFailureShare = 0.2
-	// commonFailureWeight is how much of the other servers' share of failures is added to outlierFailureShare.
+	// outlierFailureRatio is the ratio of failed attempts above which a server is an outlier if no others fail.
+	outlierFailureRatio = 0.2
+	// commonFailureWeight is the factor by which the failure ratio of the other servers is added to outlierFailureRatio.
 	commonFailureWeight = 2
-	// passesToReturn is the number of health checks in a row after which an ejected server is used again.
+	// passesToReturn is the number of health checks that an ejected server must pass in a row before it is used again.
 	passesToReturn = 2
 )
 
-// outlierState is what outlier detection knows of one server.
+// outlierState is the state of outlier detection for one server.
 type outlierState struct {
 	failures     float64 // failed attempts, halved every evidenceHalfLife
-	successes    float64 // established attempts, likewise
+	successes    float64 // established attempts, halved at the same times
 	ejected      bool
-	ejectionTime float64 // of the next ejection, in seconds
+	ejectionTime float64 // duration in seconds of the next ejection until its first health check
 }
 
-// peerEvidence sums up what outlier detection knows of the servers on the base list.
+// peerEvidence sums up the outlier detection state of the base list, to decide on the ejection of one server.
 type peerEvidence struct {
-	failures float64 // at all servers but the one in question
-	attempts float64 // likewise
-	ejected  int     // ready servers that would be ejected if the one in question were
-	ready    int
+	failures float64 // failed attempts at all other servers
+	attempts float64 // attempts at all other servers
+	ejected  int     // ready servers that are ejected, plus one for the server itself
+	ready    int     // servers in state Ready
 }
 
-// recordOutcome takes what the outcome of an attempt or connection says of its server.
+// recordOutcome updates the state of a server from the outcome of an attempt or connection there.
 func (b *Balancer) recordOutcome(now float64, f *flow, outcome Outcome, wasEstablished bool) {
 	s := &b.servers[f.server]
 	switch {
@@ -43,28 +43,30 @@
 	case wasEstablished, outcome == Served, outcome == Canceled, outcome == NotSent:
 		return
 	case outcome == Failed && f.ranAt >= 0:
-		return // a flow that fails again says something of itself and not of the server
+		return // a flow that fails repeatedly is more likely at fault than the server
 	}
 	b.recordFailure(now, s, outcome)
 }
 
-// recordFailure counts a failed attempt and draws the conclusions. A connection that failed is the fault of its
-// server alone. This prevents many dead servers, on a list that is late, from being taken for a fault that all share.
+// recordFailure counts a failed attempt, and lowers the concurrency limit or ejects the server if necessary. A failure to
+// connect counts against its server alone. Many dead servers on an outdated list would otherwise look like a fault that
+// all servers share.
 func (b *Balancer) recordFailure(now float64, s *server, outcome Outcome) {
 	s.outlier.failures++
 	peers := b.evidenceOfPeers(s)
 	commonFailures := peers.failures / max(peers.attempts, 1)
 	if outcome == ConnectFailed {
-		b.ejectOutlier(now, s, peers, outlierFailureShare, max(1, peers.ready*2/3))
+		b.ejectOutlier(now, s, peers, outlierFailureRatio, max(1, peers.ready*2/3))
 		return
 	}
 	if outcome == Failed || outcome == TimedOut {
 		b.limitConcurrency(now, commonFailures)
 	}
-	b.ejectOutlier(now, s, peers, outlierFailureShare+commonFailureWeight*commonFailures, max(1, peers.ready/3))
+	b.ejectOutlier(now, s, peers, outlierFailureRatio+commonFailureWeight*commonFailures, max(1, peers.ready/3))
 }
 
-// evidenceOfPeers leaves out the failures of the server in question: one faulty server is no sign of a shared fault.
+// evidenceOfPeers sums up the attempts at all servers but the given one, because the failures of a single server do not
+// indicate a shared fault.
 func (b *Balancer) evidenceOfPeers(s *server) peerEvidence {
 	evidence := peerEvidence{ejected: 1}
 	for _, i := range b.base {
@@ -84,16 +86,17 @@
 	return evidence
 }
 
-// ejectOutlier ejects a server whose share of failures is above a limit, unless too many are ejected already.
-func (b *Balancer) ejectOutlier(now float64, s *server, peers peerEvidence, failureShare float64, mostEjected int) {
+// ejectOutlier ejects a server whose failure ratio exceeds failureRatio, unless more than maxEjected servers would then
+// be ejected.
+func (b *Balancer) ejectOutlier(now float64, s *server, peers peerEvidence, failureRatio float64, maxEjected int) {
 	o := &s.outlier
-	if o.failures/(o.failures+o.successes) <= failureShare || o.ejected || !s.listed || peers.ejected > mostEjected {
+	if o.failures/(o.failures+o.successes) <= failureRatio || o.ejected || !s.listed || peers.ejected > maxEjected {
 		return
 	}
 	o.ejected = true
 	s.check.passed = 0
 	s.check.nextAt = now + o.ejectionTime
-	b.logf("server %d ejected for %.1f s: %.1f failures to %.1f established, %d of %d ejected", s.ID, o.ejectionTime,
+	b.logf("server %d ejected for %.1f s: %.1f attempts failed, %.1f succeeded, %d of %d servers ejected", s.ID, o.ejectionTime,
 		o.failures, o.successes, peers.ejected, peers.ready)
 	o.ejectionTime = min(2*o.ejectionTime, maxEjectionTime)
 }
@@ -106,5 +109,5 @@
 	s.outlier.ejected = false
 	s.outlier.failures = 0
 	s.outlier.successes = 0
-	b.logf("server %d back after %d health checks passed", s.ID, s.check.passed)
+	b.logf("server %d no longer ejected: %d health checks passed in a row", s.ID, s.check.passed)
 }
--- a/placement/ejection_test.go
+++ b/placement/ejection_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// An ejected server that returned too early would fail more flows, and one that never returned would be lost as capacity. It
+// gets no flow until it has passed two health checks.
 func TestEjectedServerReturnsAfterTwoPassedChecks(t *testing.T) {
 	const place, servers = 4, 9
 	b := newTestBalancer(servers, nil)
@@ -16,14 +18,14 @@
 			continue
 		}
 		if i > 0 {
-			t.Fatal("sent to an ejected server")
+			t.Fatal("a flow was sent to an ejected server")
 		}
 		b.AttemptEnded(b.now, decision.Flow, 0, ConnectFailed, false)
 		b.decisions()
 	}
 	b.advance(firstEjectionTime - housekeepingInterval)
 	if !b.serverAt(place).outlier.ejected {
-		t.Fatal("not ejected")
+		t.Fatal("the server was used again before its first health check")
 	}
 	checks := 0
 	for steps := 0; checks < 2 && steps < 50; steps++ {
@@ -32,7 +34,7 @@
 				continue
 			}
 			if !b.serverAt(place).outlier.ejected {
-				t.Fatal("returned too early")
+				t.Fatal("the server was used again before two passed checks")
 			}
 			checks++
 			b.HealthChecked(b.now, decision.Server, Served, loadOnly(-1))
@@ -42,44 +44,46 @@
 		t.Fatal("still ejected after two passed checks")
 	}
 	if _, at := b.arrive(200, arrival); at != place {
-		t.Fatal("not used after its return")
+		t.Fatal("the server gets no flow after its ejection has ended")
 	}
 }
 
-// On a list that is late, half of the servers may be gone. Failed connections say so of each alone, and a node of
-// few flows learns it from one. Errors may be a fault that the servers share.
+// If the endpoint list is outdated, half of the servers on it may be gone, and a node with few flows must recognize each of
+// them by one failure to connect. Failed attempts at many servers, on the other hand, may be due to a fault that the servers
+// share; ejecting them all would leave too few servers.
 func TestManyServersAreEjectedOnlyIfUnreachable(t *testing.T) {
 	const servers = 9
 	for _, c := range []struct {
-		name      string
-		dead      int
-		outcome   Outcome
-		least     int     // ejected servers
-		mostShare float64 // of all servers
+		name        string
+		dead        int
+		outcome     Outcome
+		atLeast     int     // ejected servers
+		maxFraction float64 // ejected servers as a fraction of all
 	}{
 		{"one unreachable", 1, ConnectFailed, 1, 1},
 		{"five unreachable", 5, ConnectFailed, 5, 1},
-		{"all unreachable: a third stays, as the fault may be this node's", 9, ConnectFailed, 6, 0.7},
-		{"five answer with errors: what they share may be at fault", 5, Failed, 1, 0.4},
+		{"all unreachable: a third stays in use, as the fault may be this node's", 9, ConnectFailed, 6, 0.7},
+		{"five answer with errors: a shared fault is likely", 5, Failed, 1, 0.4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestBalancer(servers, nil)
 			for place := range c.dead {
 				decision, at := b.arrive(place, Arrival{ClientKey: clientKeyFor(place, servers), Timeout: 3})
 				if at != place {
-					continue // ejected or full: nothing to learn
+					continue // not sent to the server, which is ejected or full
 				}
 				b.AttemptEnded(b.now, decision.Flow, 0, c.outcome, true)
 				b.decisions()
 			}
 			ejected := b.ejectedServers()
-			if ejected < c.least || float64(ejected) > c.mostShare*servers {
-				t.Errorf("%d of %d ejected, want %d at the least", ejected, servers, c.least)
+			if ejected < c.atLeast || float64(ejected) > c.maxFraction*servers {
+				t.Errorf("%d of %d ejected, want at least %d and at most %.1f", ejected, servers, c.atLeast, c.maxFraction*servers)
 			}
 		})
 	}
 }
 
+// The failures of one faulty server must not limit attempts at all others: it is ejected, and there is no concurrency limit.
 func TestOneFaultyServerIsEjectedWithoutConcurrencyLimit(t *testing.T) {
 	const place, servers = 4, 9
 	b := newTestBalancer(servers, nil)
--- a/placement/endpoints.go
+++ b/placement/endpoints.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// rejectionPause is the time in seconds for which a server that rejected an attempt gets no new flow.
+// rejectionPause is the time in seconds for which a server that rejected an attempt gets no new flows.
 const rejectionPause = 1.0
 
-// EndpointState is what the endpoint list says of a server.
+// EndpointState is the state of a server in the endpoint list.
 type EndpointState uint8
 
-// The states of a listed server. Removed is the state of a server that the list does not name.
+// The states of a listed server. Removed is the state of a server that is not on the list.
 const (
 	Removed EndpointState = iota
 	Ready
@@ -21,38 +21,38 @@
 
 // Endpoint is one server of the endpoint list.
 type Endpoint struct {
-	Server    int    // the host's index of the server
-	ID        uint32 // orders the base list
+	Server    int    // index that the host assigned to the server
+	ID        uint32 // id that orders the base list and is hashed to rank homes
 	State     EndpointState
-	StartedAt float64 // when it last started, in seconds; 0 for long ago
+	StartedAt float64 // when the server last started, in seconds; 0 for long ago
 	Zone      int
 	Cell      int
-	Size      float64 // relative to other servers' sizes; 0 counts as 1
+	Size      float64 // capacity relative to other servers; 0 counts as 1
 }
 
-// ListKind says what an endpoint list is and how it relates to the one before, or why there is none.
+// ListKind distinguishes complete endpoint lists, changes to the previous list and failures to get a list.
 type ListKind uint8
 
 // The kinds of an endpoint list.
 const (
-	ListCached   ListKind = iota // complete, from the node's own cache
-	ListChanges                  // only the servers that changed
-	ListFull                     // complete
-	ListFailed                   // a poll or the watch after it failed
-	ListTimedOut                 // the watch brought nothing for too long; the list is seconds old by then
+	ListCached   ListKind = iota // complete list from the node's own cache
+	ListChanges                  // only the servers that changed since the previous list
+	ListFull                     // complete list from the list service
+	ListFailed                   // no list: a poll, or the watch that follows it, failed
+	ListTimedOut                 // no list: the watch received nothing for too long, so the known list is seconds old
 )
 
-// server is what the balancer knows of one server.
+// server is the state of one server.
 type server struct {
 	Endpoint
-	listed       bool    // in the base list
-	idHash       uint64  // of the id
-	drainingAt   float64 // when it was first seen to drain
-	rejectedAt   float64 // when it last rejected an attempt
-	inFlight     int     // attempts and connections of this node
-	assignedLoad float64 // load expected of them
-	migrations   int     // connections migrated away since the last wake
-	homeRank     float64 // rank for the group whose homes were visited last
+	listed       bool    // the server is in the base list
+	idHash       uint64  // hash of the id
+	drainingAt   float64 // when the server was first listed as draining
+	rejectedAt   float64 // when the server last rejected an attempt
+	inFlight     int     // attempts and connections of this node at the server
+	assignedLoad float64 // expected load of these attempts and connections
+	migrations   int     // connections migrated from the server since the last wake
+	homeRank     float64 // rank of the server for the group whose homes were ranked last
 
 	admin     adminState
 	threshold loadThreshold
@@ -62,7 +62,7 @@
 	slowStart slowStartWindow
 }
 
-// newServer returns a server of which nothing is known.
+// newServer returns a server without any observations.
 func newServer() server {
 	return server{
 		rejectedAt: longAgo,
@@ -72,7 +72,7 @@
 	}
 }
 
-// server returns the server with an index. It adds all servers up to that index where they are missing.
+// server returns the server with an index. It first adds any missing servers up to that index.
 func (b *Balancer) server(index int) *server {
 	for len(b.servers) <= index {
 		b.servers = append(b.servers, newServer())
@@ -80,7 +80,7 @@
 	return &b.servers[index]
 }
 
-// forget drops what was learned of a server's process. What this node has in flight there stays.
+// forget discards all observations of a server's process. The counts of what this node has in flight there stay.
 func (s *server) forget() {
 	before := *s
 	*s = newServer()
@@ -89,8 +89,8 @@
 	s.check.inFlight = before.check.inFlight
 }
 
-// UpdateEndpoints reports an endpoint list, or that there is none. The items of a list are all listed servers,
-// except for ListChanges; they are ignored for ListFailed and ListTimedOut.
+// UpdateEndpoints reports an endpoint list, or the failure to get one. The items are all listed servers, or for
+// ListChanges only those that changed. They are ignored for ListFailed and ListTimedOut.
 func (b *Balancer) UpdateEndpoints(now float64, kind ListKind, items []Endpoint) {
 	if kind == ListFailed || kind == ListTimedOut {
 		b.schedulePollAfterFailure(now, kind)
@@ -106,7 +106,7 @@
 	}
 	lengthBefore := len(b.base)
 	b.rebuildBaseList()
-	b.longestList = max(b.longestList, float64(len(b.base)))
+	b.longestListLength = max(b.longestListLength, float64(len(b.base)))
 	b.updateQuotaPerServer()
 	b.schedulePollAfterList(now, kind)
 	if len(b.base) != lengthBefore {
@@ -114,15 +114,15 @@
 	}
 }
 
-// updateEndpoint takes one item of an endpoint list. A new start time means a new process, of which nothing is
-// known but what an operator said of the server.
+// updateEndpoint applies one item of an endpoint list. A changed start time means a new server process, so everything
+// learned about the server is discarded except what an operator has set.
 func (b *Balancer) updateEndpoint(now float64, item Endpoint) {
 	s := b.server(item.Server)
 	if item.StartedAt != s.StartedAt {
 		admin := s.admin
 		s.forget()
 		s.admin.disabled = admin.disabled
-		s.admin.enterFrom = admin.enterFrom
+		s.admin.reentryAt = admin.reentryAt
 		if admin.disabled {
 			s.admin.changedAt = admin.changedAt
 		}
@@ -145,8 +145,8 @@
 	slices.SortFunc(b.base, func(x, y int) int { return cmp.Compare(b.servers[x].ID, b.servers[y].ID) })
 }
 
-// updateUsable rebuilds the list of usable servers. Ejected servers are among them only if there are no others,
-// and servers that rejected an attempt just now only for a mid-flow connection.
+// updateUsable rebuilds the list of usable servers. Ejected servers are usable only if there are no others. Servers that
+// rejected an attempt within the rejectionPause are usable only for a mid-flow connection.
 func (b *Balancer) updateUsable(now float64, midFlow bool) {
 	b.collectUsable(now, midFlow, false)
 	if len(b.usable) == 0 {
@@ -171,7 +171,7 @@
 	}
 }
 
-// Unavailable returns the length of the base list, and how many servers on it take no new flows now.
+// Unavailable returns the length of the base list, and how many servers on it accept no new flows now.
 func (b *Balancer) Unavailable(now float64) (listed, unavailable int) {
 	b.updateUsable(now, false)
 	return len(b.base), len(b.base) - len(b.usable)
--- a/placement/fleet_test.go
+++ b/placement/fleet_test.go
@@ -7,18 +7,18 @@
 
 const (
 	loadServers     = 60
-	loadConnections = 1200 // of all nodes, within one second
-	loadMaxNodes    = 40   // that a test runs; each stands for several where there are more
-	startedPlace    = 7    // of a server that has just started
+	loadConnections = 1200 // connections of all nodes, set up within one second
+	loadMaxNodes    = 40   // nodes that a test runs; in a larger fleet each of them represents several
+	startedPlace    = 7    // place of a server that has just started
 )
 
-// fleetLoad is what all nodes of a fleet together ask of discovery and of servers.
+// fleetLoad counts the requests that all nodes of a fleet together send to the list service and to servers.
 type fleetLoad struct {
 	nodes         int
 	nodesRun      int
 	checks        float64   // health checks of servers in use, in 5 s
-	firstPolls    []float64 // by second
-	toLastServer  float64   // connections to a server in slow start while all others reject
+	firstPolls    []float64 // by second after the start
+	toLastServer  float64   // connections to a server in slow start while all others reject flows
 	roundTripSeen LoadReport
 }
 
@@ -26,7 +26,7 @@
 	return float64(l.nodes) / float64(l.nodesRun)
 }
 
-// connectionsPerNode is at least one, so that every node is in use.
+// connectionsPerNode returns the number of connections of each node, at least one.
 func (l *fleetLoad) connectionsPerNode() int {
 	return max(loadConnections/l.nodes, 1)
 }
@@ -74,7 +74,7 @@
 	b.HealthChecked(b.now, index, Served, l.roundTripSeen)
 }
 
-// countAtLastServer lets one node's flows arrive while only the server in slow start takes any.
+// countAtLastServer lets one node's flows arrive while only the server in slow start accepts flows.
 func (l *fleetLoad) countAtLastServer(node int) {
 	b := l.newNode(node, nil)
 	list := b.readyEndpoints(loadServers)
@@ -89,7 +89,8 @@
 	l.toLastServer += l.weight() * float64(b.serverAt(startedPlace).inFlight)
 }
 
-// What is little for one node may be a flood from a thousand. The sums stay within bounds for any number of nodes.
+// Requests that are few for one node may overload the list service or a server if a thousand nodes send them. Their sums over
+// all nodes stay within bounds for any number of nodes.
 func TestLoadOfAllNodesIsBounded(t *testing.T) {
 	for _, nodes := range []int{1, 3, 80, 1000} {
 		load := fleetLoad{nodes: nodes, nodesRun: min(nodes, loadMaxNodes), firstPolls: make([]float64, 1000),
@@ -98,22 +99,24 @@
 			load.countPollsAndChecks(node)
 			load.countAtLastServer(node)
 		}
-		// Two a second for each server, and one for each server that each node begins with.
-		mostChecks := 5*2*loadServers*1.4 + float64(min(nodes*loadServers, loadConnections))
-		if load.checks > mostChecks {
-			t.Errorf("%d nodes: %.0f health checks in 5 s, want %.0f at the most", nodes, load.checks, mostChecks)
+		// Two checks a second of each server, and one check of each server that a node starts to use.
+		maxChecks := 5*2*loadServers*1.4 + float64(min(nodes*loadServers, loadConnections))
+		if load.checks > maxChecks {
+			t.Errorf("%d nodes: %.0f health checks in 5 s, want at most %.0f", nodes, load.checks, maxChecks)
 		}
-		// The overload multiple of what the even share of a server past its slow start comes to, at a weight of a fifth.
-		mostConnections := 0.2 * 3 * loadConnections / loadServers
-		if load.toLastServer > 1.5*mostConnections+load.weight() {
-			t.Errorf("%d nodes: %.0f connections to a server in slow start, want %.0f at the most", nodes,
-				load.toLastServer, mostConnections)
+		// A server past its slow start would get an even part of the connections. At a weight of a fifth, the server may get
+		// the overload multiple of a fifth of that.
+		maxConnections := 0.2 * 3 * loadConnections / loadServers
+		if load.toLastServer > 1.5*maxConnections+load.weight() {
+			t.Errorf("%d nodes: %.0f connections to a server in slow start, want at most %.0f", nodes,
+				load.toLastServer, maxConnections)
 		}
-		// As many as all nodes make that have to poll in time for a change to be known before it counts as in force.
-		mostPolls := max(listServiceRate/loadServers+1.0, float64(nodes)/maxPollSpread)
-		if slices.Max(load.firstPolls) > 1.5*mostPolls+3*load.weight() {
+		// The rate of the list service, or the rate at which all nodes poll within maxPollSpread if that is higher: they must
+		// learn of a change before it counts as in force.
+		maxPolls := max(listServiceRate/loadServers+1.0, float64(nodes)/maxPollSpread)
+		if slices.Max(load.firstPolls) > 1.5*maxPolls+3*load.weight() {
 			t.Errorf("%d nodes: %.0f first polls in one second, want about %.0f", nodes, slices.Max(load.firstPolls),
-				mostPolls)
+				maxPolls)
 		}
 	}
 }
--- a/placement/flow.go
+++ b/placement/flow.go
@@ -6,52 +6,52 @@
 )
 
 const (
-	// none is the index of no server.
+	// none stands for the absence of a server where an index is expected.
 	none = -1
-	// never is the time of an attempt that has not been sent.
+	// never stands for the time of an attempt that has not been sent.
 	never = -1.0
 )
 
-// Arrival is a flow as it reaches this node.
+// Arrival describes a flow that reaches this node.
 type Arrival struct {
 	Type          int     // index of the service type
 	Tenant        int     // index of the tenant's quota
 	ClientKey     uint64  // identifies the client; 0 for none
 	GroupKey      uint64  // identifies the group of flows; 0 for none
-	Timeout       float64 // seconds until the client gives up the setup
-	Load          float64 // expected load; 0 where it is not known
-	MidFlow       bool    // an established connection whose packets now come to this node
-	MidFlowServer int     // 1 + the server of the mid-flow connection if the predecessor named it, otherwise 0
-	Returning     bool    // the client comes again after its connection broke or was migrated
+	Timeout       float64 // seconds until the client gives up waiting for the setup
+	Load          float64 // expected load; 0 if it is not known
+	MidFlow       bool    // the flow is an established connection whose packets now arrive at this node
+	MidFlowServer int     // 1 + index of the mid-flow connection's server if the predecessor reported it, otherwise 0
+	Returning     bool    // the client connects again after its connection was lost or migrated
 }
 
-// flow is one flow, from its arrival until it is released.
+// flow is the state of one flow, from its arrival until it is released.
 type flow struct {
-	live        bool // the index is in use
-	unanswered  bool // the flow is owed a final answer
-	inFlight    bool // an attempt, or the connection that it became
-	established bool // the attempt became a connection
+	live        bool // the index is assigned to a flow
+	unanswered  bool // the flow has not received its final answer and still needs it
+	inFlight    bool // there is an attempt, or a connection that it became
+	established bool // the attempt in flight became a connection
 	midFlow     bool
 	returning   bool
-	migrated    bool // the client has been sent away
+	migrated    bool // the client has been asked to disconnect and connect again
 
 	serviceType int
 	tenant      int
 	clientHash  uint64
-	groupHash   uint64 // 0 without a group
-	holder      int    // server that has the mid-flow connection, or none
+	groupHash   uint64 // 0 if the flow has no group
+	holder      int    // server that has the mid-flow connection; none if it is not known
 
-	deadline  float64 // the final answer is sent before
-	load      float64
-	server    int     // of the last attempt, or none
-	attempts  int     // so far
+	deadline  float64 // time by which the final answer is sent
+	load      float64 // expected or last reported load
+	server    int     // server of the last attempt, or none
+	attempts  int     // number of attempts so far
 	tried     []int   // servers of the attempts
 	sentAt    float64 // when the last attempt was sent
-	ranAt     float64 // when the first attempt that may have run was sent, or never
-	ranServer int     // its server
+	ranAt     float64 // when the first attempt that may have had an effect was sent, or never
+	ranServer int     // server of that attempt
 }
 
-// AddFlow reports a flow that arrived. It gets one final answer: a connection, a Reject or an Abort.
+// AddFlow reports a flow that arrived. The flow receives one final answer: a connection, a Reject or an Abort.
 func (b *Balancer) AddFlow(now float64, id int, arrival Arrival) {
 	f := b.newFlow(id, arrival)
 	f.unanswered = true
@@ -68,8 +68,8 @@
 	b.markEstablished(f)
 }
 
-// newFlow puts an arrival into the flow table. The group stands in for a client key that is missing, and a
-// random number for both. The number is drawn for every flow.
+// newFlow adds a flow to the flow table. If the client key is missing, the group key is hashed in its place, and if
+// both are missing, a random number. The random number is generated for every flow, used or not.
 func (b *Balancer) newFlow(id int, arrival Arrival) *flow {
 	for len(b.flows) <= id {
 		b.flows = append(b.flows, flow{})
@@ -95,14 +95,15 @@
 	return f
 }
 
-// ClientLeft reports that the client of a flow is gone, so that it is owed no answer.
+// ClientLeft reports that the client of a flow is gone, so that the flow needs no final answer.
 func (b *Balancer) ClientLeft(id int) {
 	if b.isLive(id) {
 		b.flows[id].unanswered = false
 	}
 }
 
-// Release frees the index of a flow and reports whether it did: nothing may be in flight and no answer be owed.
+// Release frees the index of a flow and returns true, unless the flow has an attempt or connection in flight or still
+// needs its final answer.
 func (b *Balancer) Release(id int) bool {
 	if !b.isLive(id) || b.flows[id].unanswered || b.flows[id].inFlight {
 		return false
@@ -126,7 +127,7 @@
 	b.attemptsInFlight++
 }
 
-// unreserve takes back what reserve and markEstablished counted.
+// unreserve reverses the counts of reserve and markEstablished.
 func (b *Balancer) unreserve(f *flow) {
 	s := &b.servers[f.server]
 	s.inFlight--
@@ -140,7 +141,7 @@
 	f.established = false
 }
 
-// markEstablished counts an attempt in flight as a connection, which is a flow's final answer.
+// markEstablished counts the attempt of a flow as a connection, which is the flow's final answer.
 func (b *Balancer) markEstablished(f *flow) {
 	f.established = true
 	f.unanswered = false
--- a/placement/handover.go
+++ b/placement/handover.go
@@ -5,42 +5,42 @@
 	"math"
 )
 
-// ServerState is what a balancer has learned of one server and hands over to its successor. Times are seconds on
-// the host's clock. The JSON names are those of the version in service and must stay.
+// ServerState is the state of one server that a balancer hands over to its successor. Times are in seconds on the host's
+// clock. The JSON names are those of the versions in service, with which state is exchanged, and must not change.
 type ServerState struct {
-	LoadThreshold float64 `json:"Ceiling"` // 0 for none
+	LoadThreshold float64 `json:"Ceiling"` // 0 if there is none
 	LoweredAt     float64 `json:"CutAt"`   // when the threshold was last lowered
 	ReportedAt    float64 `json:"ToldAt"`  // when the last load report was received
-	DrainingAt    float64 `json:"DrainAt"` // when the server was first seen to drain
-	Load          float64 `json:"Load"`    // last reported load over capacity
-	OverloadedAt  float64 `json:"JamAt"`   // when the server was last seen to be overloaded
-	RejectedAt    float64 `json:"FullAt"`  // when it last rejected an attempt
-	Failures      float64 `json:"Bad"`     // of late
-	Successes     float64 `json:"Good"`    // of late
-	EjectionTime  float64 `json:"Hold"`    // of the next ejection
-	NextCheckAt   float64 `json:"ProbeAt"` // when the next health check may be
-	ShortestCheck float64 `json:"Least"`   // shortest round trip of a health check
-	Ejected       bool    `json:"Aside"`
+	DrainingAt    float64 `json:"DrainAt"` // when the server was first listed as draining
+	Load          float64 `json:"Load"`    // last reported load divided by capacity
+	OverloadedAt  float64 `json:"JamAt"`   // when the server was last observed to be overloaded
+	RejectedAt    float64 `json:"FullAt"`  // when the server last rejected an attempt
+	Failures      float64 `json:"Bad"`     // failed attempts, halved every evidenceHalfLife
+	Successes     float64 `json:"Good"`    // established attempts, halved every evidenceHalfLife
+	EjectionTime  float64 `json:"Hold"`    // duration in seconds of the next ejection until its first health check
+	NextCheckAt   float64 `json:"ProbeAt"` // earliest time of the next health check
+	ShortestCheck float64 `json:"Least"`   // shortest round trip of a health check, in seconds; 0 if there was none
+	Ejected       bool    `json:"Aside"`   // by outlier detection
 	Disabled      bool    `json:"ByHand"`  // by an operator
-	DisabledAt    float64 `json:"HandAt"`  // when it was, or when a server enabled again counts as started
-	EnterFrom     float64 `json:"Wanted"`  // when a new flow enters a server enabled again; 0 for none
-	ChecksPassed  int     `json:"Answers"` // health checks in a row
-	RoundingDraw  float64 `json:"Round"`   // decides whether this node exceeds a threshold of less than one connection
+	DisabledAt    float64 `json:"HandAt"`  // when the server was disabled, or, once enabled again, when it counts as started
+	EnterFrom     float64 `json:"Wanted"`  // when a first flow is sent to the server after it was enabled again; 0 if none is due
+	ChecksPassed  int     `json:"Answers"` // health checks passed in a row
+	RoundingDraw  float64 `json:"Round"`   // random; decides if this node exceeds a threshold of less than one connection
 }
 
-// HandoverState is what a balancer hands over to its successor beside the endpoint list. It names no flow. The JSON
-// names are those of the version in service and must stay.
+// HandoverState is the state that a balancer hands over to its successor in addition to the endpoint list. It contains
+// no flows. The JSON names are those of the versions in service, with which state is exchanged, and must not change.
 type HandoverState struct {
-	Servers          []ServerState      `json:"Servers"` // by the host's index
-	UsualLoads       []float64          `json:"Typical"` // by service type
-	ClientLoads      map[uint64]float64 `json:"Loads"`   // by hash of the client key
-	ConcurrencyLimit float64            `json:"Gate"`    // attempts in flight; 0 for no limit
-	LimitLoweredAt   float64            `json:"GateAt"`
-	ShortestCheck    float64            `json:"Least"`  // shortest round trip of a health check at any server
-	OverloadLevel    float64            `json:"Strain"` // from 0 to 1
+	Servers          []ServerState      `json:"Servers"` // by the index that the host assigned
+	UsualLoads       []float64          `json:"Typical"` // usual load of a connection, by service type
+	ClientLoads      map[uint64]float64 `json:"Loads"`   // last reported load, by hash of the client key
+	ConcurrencyLimit float64            `json:"Gate"`    // attempts in flight; 0 if there is no limit
+	LimitLoweredAt   float64            `json:"GateAt"`  // when the limit was last lowered
+	ShortestCheck    float64            `json:"Least"`   // shortest health check round trip at any server, in seconds; 0 for none
+	OverloadLevel    float64            `json:"Strain"`  // from 0 to 1: chance that a flow of a group starts at the group's home
 }
 
-// HandoverState returns what is handed over to a successor. The result shares nothing with the balancer.
+// HandoverState returns the state to hand over to a successor. The result shares no memory with the balancer.
 func (b *Balancer) HandoverState() HandoverState {
 	state := HandoverState{
 		UsualLoads:       append([]float64(nil), b.loads.usual...),
@@ -58,8 +58,8 @@
 	return state
 }
 
-// Restore takes what a predecessor has handed over in place of what is known. It is called after the endpoint list
-// and before any flow is added. The servers go by this balancer's indices.
+// Restore replaces the state of the balancer with the one that a predecessor handed over. The host calls it after the
+// first endpoint list and before it adds any flow. The servers in state are in the order of this balancer's indices.
 func (b *Balancer) Restore(state HandoverState) {
 	if len(state.UsualLoads) == len(b.loads.usual) { // the service types may have changed with the version
 		copy(b.loads.usual, state.UsualLoads)
@@ -92,9 +92,9 @@
 		Ejected:       s.outlier.ejected,
 		Disabled:      s.admin.disabled,
 		DisabledAt:    s.admin.changedAt,
-		EnterFrom:     s.admin.enterFrom,
+		EnterFrom:     s.admin.reentryAt,
 		ChecksPassed:  s.check.passed,
-		RoundingDraw:  s.threshold.roundingDraw,
+		RoundingDraw:  s.threshold.roundingOffset,
 	}
 }
 
@@ -102,7 +102,7 @@
 	s.threshold.load = infiniteForZero(state.LoadThreshold)
 	s.threshold.loweredAt = state.LoweredAt
 	s.threshold.overloadedAt = state.OverloadedAt
-	s.threshold.roundingDraw = state.RoundingDraw
+	s.threshold.roundingOffset = state.RoundingDraw
 	s.report.receivedAt = state.ReportedAt
 	s.report.load = state.Load
 	s.drainingAt = state.DrainingAt
@@ -116,10 +116,10 @@
 	s.check.passed = state.ChecksPassed
 	s.admin.disabled = state.Disabled
 	s.admin.changedAt = state.DisabledAt
-	s.admin.enterFrom = state.EnterFrom
+	s.admin.reentryAt = state.EnterFrom
 }
 
-// zeroForInfinite writes the absence of a limit in the form of the handover, because JSON has no infinite number.
+// zeroForInfinite returns 0 for an infinite limit, because JSON cannot represent infinity.
 func zeroForInfinite(limit float64) float64 {
 	if math.IsInf(limit, 1) {
 		return 0
@@ -135,15 +135,15 @@
 	return limit
 }
 
-// AddPeerLoad adds connections that the node's other process has at a server, or takes them back by a negative
-// count and load. They count like this process's own.
+// AddPeerLoad adds connections that the node's other process (its predecessor or successor) has at a server. A negative
+// count and load remove them again. They count like the connections of this process.
 func (b *Balancer) AddPeerLoad(index, count int, load float64) {
 	s := b.server(index)
 	s.inFlight += count
 	s.assignedLoad += load
 }
 
-// SetHandedOver says whether a successor takes the flows. As long as it does, this balancer has no budget at
+// SetHandedOver sets whether a successor process handles new flows. While it does, this balancer sends no attempts to
 // servers in slow start and requests no health checks.
 func (b *Balancer) SetHandedOver(handedOver bool) {
 	b.handedOver = handedOver
--- a/placement/handover_golden_test.go
+++ b/placement/handover_golden_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// testdata/handover.json is what a balancer of revision 5fa7498 leaves to its successor, as it crosses to a process of
-// another version. It is fixed for good: there is no flag that rewrites it. Each figure has to come back under its own
-// name from a balancer that has taken it.
-func TestInheritedStateIsHandedOnUnchanged(t *testing.T) {
+// A renamed or lost field would drop state silently when a process hands over to one of another version.
+// testdata/handover.json is the state that a balancer of revision 5fa7498 hands over. The file must never change, and no
+// flag rewrites it. A balancer that has restored this state must hand over each value under the same name.
+func TestRestoredStateIsHandedOverUnchanged(t *testing.T) {
 	text, err := os.ReadFile("testdata/handover.json")
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 	for i, server := range state.Servers {
 		for field := range reflect.TypeFor[ServerState]().NumField() {
 			if reflect.ValueOf(server).Field(field).IsZero() {
-				t.Errorf("server %d has no %s", i, reflect.TypeFor[ServerState]().Field(field).Name)
+				t.Errorf("testdata/handover.json: server %d has no value for %s", i, reflect.TypeFor[ServerState]().Field(field).Name)
 			}
 		}
 	}
@@ -34,12 +34,13 @@
 	b.Restore(state)
 	got, err := json.Marshal(b.HandoverState())
 	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%v, handed on:\n%s\nwant:\n%s", err, got, want)
+		t.Errorf("error %v, handed over:\n%s\nwant:\n%s", err, got, want)
 	}
 }
 
-// A balancer that knows nothing hands on a fresh server as one without a ceiling, which is written as 0.
-func TestFreshStateKeepsItsForm(t *testing.T) {
+// JSON has no infinity, so encoding an infinite limit would fail. A new balancer hands over a server without a load
+// threshold, and itself without a concurrency limit, as 0.
+func TestNewBalancerHandsOverItsInitialState(t *testing.T) {
 	b := New(Settings{Seed: 1, Nodes: 2, ServiceTypes: make([]ServiceType, 2)})
 	b.UpdateEndpoints(1, ListFull, []Endpoint{{Server: 0, ID: 101, State: Ready}})
 	text, err := json.Marshal(b.HandoverState())
@@ -47,6 +48,6 @@
 		`"Good":0,"Hold":1,"ProbeAt":0,"Least":0,"Aside":false,"ByHand":false,"HandAt":0,"Wanted":0,"Answers":0,"Round":0}],` +
 		`"Typical":[0,0],"Loads":{},"Gate":0,"GateAt":-99,"Least":0,"Strain":0.5}`
 	if err != nil || string(text) != want {
-		t.Errorf("%v, %s\nwant %s", err, text, want)
+		t.Errorf("error %v, handed over:\n%s\nwant:\n%s", err, text, want)
 	}
 }
--- a/placement/health_checks.go
+++ b/placement/health_checks.go
@@ -6,37 +6,39 @@
 )
 
 const (
-	// checkInterval is the mean time in seconds between two health checks of one ejected server.
+	// checkInterval is the mean time in seconds between two health checks of an ejected server.
 	checkInterval = 0.5
-	// A time between two health checks is drawn evenly from leastCheckInterval to leastCheckInterval + checkSpread,
-	// as a share of its mean.
-	leastCheckInterval = 0.75
-	checkSpread        = 0.5
-	// roundTripNoise is the variation in seconds of a health check's round trip on a sound network.
+	// The time between two health checks is random, from minCheckIntervalFactor to
+	// minCheckIntervalFactor + checkIntervalSpread times its mean.
+	minCheckIntervalFactor = 0.75
+	checkIntervalSpread    = 0.5
+	// roundTripNoise is the variation in seconds of a health check's round trip on a network without faults.
 	roundTripNoise = 4e-3
-	// roundTripSpread is the multiple of the shortest round trip at any server up to which a server is not slow.
+	// roundTripSpread is the multiple of the shortest round trip at any server up to which the round trip of an unloaded
+	// server may be.
 	roundTripSpread = 3.0
-	// delayPerRoundTrip is the factor from the squared excess of a round trip to message objectives of delay.
+	// delayPerRoundTrip converts the squared relative excess of a round trip to a message delay, in multiples of the
+	// message objective.
 	delayPerRoundTrip = 4
 )
 
-// checkState is what this node's health checks have shown of one server.
+// checkState is the state of this node's health checks of one server.
 type checkState struct {
-	inFlight          bool
-	requestedAt       float64 // when the last one was requested
-	nextAt            float64 // when the next one may be
-	shortestRoundTrip float64 // in seconds; 0 for none
-	passed            int     // in a row
+	inFlight          bool    // a health check was requested and has not ended
+	requestedAt       float64 // when the last health check was requested
+	nextAt            float64 // earliest time of the next health check
+	shortestRoundTrip float64 // in seconds; 0 if there was none
+	passed            int     // health checks passed in a row
 }
 
-// checkSchedule is what the health checks of all servers have in common.
+// checkSchedule is the state that the health checks of all servers share.
 type checkSchedule struct {
-	nextRoundAt       float64 // when load reports of all servers are requested next
-	roundStartedAt    float64 // when they were last
-	shortestRoundTrip float64 // at any server, in seconds; 0 for none
+	nextRoundAt       float64 // when load reports of all servers are next requested
+	roundStartedAt    float64 // when load reports of all servers were last requested
+	shortestRoundTrip float64 // at any server, in seconds; 0 if there was none
 }
 
-// HealthChecked reports the outcome of a health check. The report counts only if the outcome is Served.
+// HealthChecked reports the outcome of a health check. The load report is ignored unless the outcome is Served.
 func (b *Balancer) HealthChecked(now float64, index int, outcome Outcome, report LoadReport) {
 	if index < 0 || index >= len(b.servers) {
 		return
@@ -52,7 +54,7 @@
 	b.returnIfHealthy(s)
 }
 
-// recordCheck takes what a health check that passed has brought.
+// recordCheck records the load, or else the round trip, of a health check that passed.
 func (b *Balancer) recordCheck(now float64, s *server, report LoadReport) {
 	if report.Load >= 0 {
 		b.recordReport(now, s, report.Load)
@@ -63,8 +65,9 @@
 	}
 }
 
-// observeRoundTrip estimates the message delay from the round trip of a health check, for overload that no message
-// shows. The shortest round trip at any server bounds the one at this server, whose first checks may have been slow.
+// observeRoundTrip estimates the message delay from the round trip of a health check, to detect overload if no message
+// delays are reported. The round trip is compared with the shortest one of this server. As the server's first checks may
+// have been slow, the shortest round trip at any server, times roundTripSpread, is an upper bound for it.
 func (b *Balancer) observeRoundTrip(now float64, s *server, roundTrip float64) {
 	fastest := min(cmp.Or(b.checks.shortestRoundTrip, roundTrip), roundTrip)
 	shortest := min(cmp.Or(s.check.shortestRoundTrip, roundTrip), roundTrip, roundTripSpread*fastest)
@@ -74,8 +77,8 @@
 	b.observeDelay(now, s, delayPerRoundTrip*b.messageObjective*math.Pow(excess, 2))
 }
 
-// startReportRound requests the load reports of all servers at once, so that one message carries all gossip.
-// The time to the next round is drawn, because nodes may start together.
+// startReportRound requests the load reports of all servers at once, so that one message carries all gossip. The time
+// until the next round is random, because nodes may start at the same time.
 func (b *Balancer) startReportRound(now float64) {
 	if !b.LoadReports || now < b.checks.nextRoundAt {
 		return
@@ -86,8 +89,8 @@
 	b.checks.nextRoundAt = now + 2*b.random()*checkInterval*float64(b.Nodes)
 }
 
-// nextHealthCheck returns the next health check that is due. Where none are allowed, an ejected server returns
-// without one.
+// nextHealthCheck returns the next health check that is due. If the settings allow no health checks, an ejected server is
+// used again without one when its ejection time has passed.
 func (b *Balancer) nextHealthCheck(now float64) (Decision, bool) {
 	for i := range b.servers {
 		s := &b.servers[i]
@@ -104,8 +107,8 @@
 	return Decision{}, false
 }
 
-// checkDue reports whether a server needs a health check now: it is ejected, its load report is requested, or its
-// round trip is measured.
+// checkDue reports whether a server needs a health check now, because it is ejected, its load report is due, or its round
+// trip has to be measured.
 func (b *Balancer) checkDue(now float64, s *server) bool {
 	if s.check.inFlight || now < s.check.nextAt || !s.listed || s.State != Ready || s.admin.disabled || b.handedOver {
 		return false
@@ -121,11 +124,11 @@
 	return reportDue || measured
 }
 
-// scheduleNextCheck sets when a server may be checked again. All nodes share the pace, except for servers that are
-// ejected or whose measured round trip was long just now.
+// scheduleNextCheck sets when a server may be checked again. The interval grows with the number of nodes, so that the rate
+// of all nodes' checks stays the same, except for servers that are ejected or were found slow within slowHold.
 func (b *Balancer) scheduleNextCheck(now float64, s *server) {
 	s.check.requestedAt = now
-	s.check.nextAt = now + checkInterval*(leastCheckInterval+checkSpread*b.random())
+	s.check.nextAt = now + checkInterval*(minCheckIntervalFactor+checkIntervalSpread*b.random())
 	slow := b.TimeHealthChecks && now-s.threshold.loweredAt < slowHold
 	if !s.outlier.ejected && !slow {
 		s.check.nextAt += checkInterval * float64(b.Nodes)
--- a/placement/health_checks_test.go
+++ b/placement/health_checks_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// A node whose first health checks were slow, by its own fault or the server's, still sees an overload by the
-// shortest round trip at any server.
+// If a node's first health checks of a server were slow, later ones look normal in comparison and would hide an overload. The
+// shortest round trip at any server therefore bounds the one with which they are compared.
 func TestRoundTripsAreComparedWithTheBestServer(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		best       float64 // round trip at another server, in seconds
-		first      float64 // at this server
-		second     float64 // at this server
+		best       float64 // round trip at another server in seconds
+		first      float64 // first round trip at this server in seconds
+		second     float64 // second round trip at this server in seconds
 		overloaded bool
 	}{
 		{"first check slow, second slower", 0.0014, 0.006, 0.0105, true},
-		{"first check slow, second alike", 0.0014, 0.0043, 0.0045, false},
-		{"all servers as far away", 0.006, 0.006, 0.0105, false},
+		{"first check slow, second similar", 0.0014, 0.0043, 0.0045, false},
+		{"all servers equally far away", 0.006, 0.006, 0.0105, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestBalancer(3, func(s *Settings) { s.TimeHealthChecks = true })
@@ -29,13 +29,13 @@
 			}
 			threshold := b.serverAt(1).threshold
 			if (threshold.overloadedAt == b.now) != c.overloaded {
-				t.Errorf("overloaded at %g, now %g, threshold %g", threshold.overloadedAt, b.now, threshold.load)
+				t.Errorf("last overloaded at %g, now %g, threshold %g", threshold.overloadedAt, b.now, threshold.load)
 			}
 		})
 	}
 }
 
-// Where messages say nothing of an overload, the round trips of health checks do.
+// If no message delays are reported, an overload would go unnoticed. The round trips of health checks show it instead.
 func TestLongRoundTripLowersThreshold(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -49,8 +49,8 @@
 		{"three times the shortest: overloaded", true, 0.004, 0.014, Served, true, true},
 		{"twice the shortest: threshold lowered", true, 0.004, 0.008, Served, false, true},
 		{"a little over the shortest", true, 0.004, 0.0045, Served, false, false},
-		{"a millisecond more where the shortest is short", true, 0.0005, 0.0012, Served, false, false},
-		{"a failed check says nothing of the time", true, 0.004, 0.014, Failed, false, false},
+		{"less than a millisecond over a very short one", true, 0.0005, 0.0012, Served, false, false},
+		{"a failed check is ignored", true, 0.004, 0.014, Failed, false, false},
 		{"not timed", false, 0.004, 0.014, Served, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -70,16 +70,17 @@
 	}
 }
 
-// A health check costs its server work: servers in use are checked at a pace that all nodes share, slow ones sooner.
-func TestPaceOfTimedHealthChecks(t *testing.T) {
+// Health checks cost their server work, so those of many nodes could overload it. The interval at which a node checks a
+// server in use grows with the number of nodes. Slow servers are checked more often.
+func TestRateOfTimedHealthChecks(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		timed       bool
-		connections int
-		roundTrip   float64 // seconds
-		least, most int     // checks in 20 s
+		name            string
+		timed           bool
+		connections     int
+		roundTrip       float64 // seconds
+		atLeast, atMost int     // checks in 20 s
 	}{
-		{"sound", true, 3, 0.004, 11, 16}, // one in 1.5 s at two nodes
+		{"not slow", true, 3, 0.004, 11, 16}, // one check in 1.5 s with two nodes
 		{"slow", true, 3, 0.02, 24, 45},
 		{"not in use", true, 0, 0.004, 0, 0},
 		{"not timed", false, 3, 0.004, 0, 0},
@@ -98,8 +99,8 @@
 					}
 				}
 			}
-			if checks < c.least || checks > c.most {
-				t.Errorf("%d checks in 20 s, want %d to %d", checks, c.least, c.most)
+			if checks < c.atLeast || checks > c.atMost {
+				t.Errorf("%d checks in 20 s, want %d to %d", checks, c.atLeast, c.atMost)
 			}
 		})
 	}
--- a/placement/helper_test.go
+++ b/placement/helper_test.go
@@ -5,18 +5,19 @@
 	"testing"
 )
 
-// testStart is the time at which a testBalancer begins, in seconds.
+// testStart is the time in seconds at which the clock of a testBalancer starts.
 const testStart = 1000
 
-// testBalancer is a balancer with ready servers whose ids are 100, 101 and so on. A server's place is its position
-// by id; its index runs the other way. Its clock is now.
+// testBalancer is a balancer with a clock, now, and with ready servers whose ids are 100, 101 and so on. Tests identify a
+// server by its place, which is its position by id from 0 on. The indices of the servers are in another order than their
+// places, so that a test fails if the balancer confuses the two.
 type testBalancer struct {
 	*Balancer
 	now float64
 }
 
-// newTestBalancer returns a balancer that is one of two nodes and has been quiet for some minutes, with many
-// connections: its overload level and uncertainty are 0.
+// newTestBalancer returns a balancer that is one of two nodes. Its overload level and uncertainty are 0, as after some
+// minutes without overload and with many connections.
 func newTestBalancer(servers int, change func(*Settings)) *testBalancer {
 	settings := Settings{
 		Seed:             7,
@@ -56,17 +57,17 @@
 	return list
 }
 
-// changeState brings a list change of one server's state. Its start time is long ago.
+// changeState reports a change of one server's state in the endpoint list. Its start time is long ago.
 func (b *testBalancer) changeState(place int, state EndpointState) {
 	b.UpdateEndpoints(b.now, ListChanges, []Endpoint{b.endpoint(place, state)})
 }
 
-// restartServer brings a list change of one server's start time.
+// restartServer reports a change of one server's start time in the endpoint list.
 func (b *testBalancer) restartServer(place int, startedAt float64) {
 	b.listStarted(place, Ready, startedAt)
 }
 
-// listStarted brings a list change of one server's state and start time.
+// listStarted reports a change of one server's state and start time in the endpoint list.
 func (b *testBalancer) listStarted(place int, state EndpointState, startedAt float64) {
 	item := b.endpoint(place, state)
 	item.StartedAt = startedAt
@@ -97,7 +98,7 @@
 	return ejected
 }
 
-// decisions returns the decisions of now, without wakes and log lines.
+// decisions returns all decisions at the current time except Wake and Log.
 func (b *testBalancer) decisions() []Decision {
 	var decisions []Decision
 	for {
@@ -111,8 +112,8 @@
 	}
 }
 
-// arrive adds a flow and returns what was decided for it and, for a Connect, the server's place. Without a decision
-// it returns one with the action Log.
+// arrive adds a flow and returns the decision for it and, for a Connect, the server's place. If there is no decision, it
+// returns one with the action Log.
 func (b *testBalancer) arrive(id int, arrival Arrival) (Decision, int) {
 	if arrival.Timeout == 0 {
 		arrival.Timeout = 3
@@ -132,7 +133,7 @@
 	return decision.Action == Connect && at == place
 }
 
-// establish adds flows with numbers from first on and establishes those that are sent to a server.
+// establish adds flows with indices from first on and establishes those that are sent to a server.
 func (b *testBalancer) establish(first, count int) {
 	for id := first; id < first+count; id++ {
 		decision, _ := b.arrive(id, Arrival{ClientKey: uint64(id + 1)})
@@ -142,14 +143,14 @@
 	}
 }
 
-// restoreFlows restores connections to the server at a place, with flow numbers from 900 on.
+// restoreFlows restores connections to the server at a place, with flow indices from 900 on.
 func (b *testBalancer) restoreFlows(place, count int) {
 	for i := range count {
 		b.RestoreFlow(b.now, 900+i, Arrival{ClientKey: 1}, b.serverIndex(place))
 	}
 }
 
-// advance lets time go by in housekeeping intervals and returns what was decided meanwhile.
+// advance moves the clock forward in housekeeping intervals and returns the decisions during that time.
 func (b *testBalancer) advance(seconds float64) []Decision {
 	var decisions []Decision
 	end := b.now + seconds
@@ -165,7 +166,7 @@
 func (b *testBalancer) homes(group uint64, count int) []int {
 	b.updateUsable(b.now, false)
 	var homes []int
-	after := firstRank
+	after := belowFirstRank
 	for len(homes) < count {
 		place, rank := b.nextHome(hash64(group), after)
 		homes = append(homes, place)
@@ -194,7 +195,7 @@
 	}
 }
 
-// groupKeyFor returns a group whose first homes among some servers are those at the places.
+// groupKeyFor returns a group key whose first homes among some servers are those at the places.
 func groupKeyFor(servers int, places ...int) uint64 {
 	b := newTestBalancer(servers, nil)
 	for group := uint64(1); ; group++ {
--- a/placement/load_estimates.go
+++ b/placement/load_estimates.go
@@ -3,27 +3,29 @@
 import "cmp"
 
 const (
-	// initialLoad is the load of a connection before any was reported. Loads are only compared with one another.
+	// initialLoad is the assumed load of a connection before any load was reported. Its unit does not matter, because
+	// loads are only compared with one another.
 	initialLoad = 0.02
-	// maxRecentLoads bounds the memory: older loads are dropped when this many clients have reported recent ones.
+	// maxRecentLoads bounds the memory for client loads: when this many clients have recent loads, those become the
+	// older ones and the previous older ones are dropped.
 	maxRecentLoads = 5000
-	// usualLoadWeight is the inverse weight of one report in the usual load of a service type.
-	usualLoadWeight = 32
+	// usualLoadDivisor is the divisor of one report in the moving average that is the usual load of a service type.
+	usualLoadDivisor = 32
 )
 
-// loadEstimates is what connections are expected to ask of their servers.
+// loadEstimates holds the expected loads of connections, from the loads that were reported.
 type loadEstimates struct {
-	usual  []float64          // by service type; 0 before any report
-	recent map[uint64]float64 // by hash of the client key: the last reported load
-	older  map[uint64]float64 // the same, before recent was last emptied
+	usual  []float64          // usual load by service type; 0 before any report
+	recent map[uint64]float64 // last reported load by hash of the client key
+	older  map[uint64]float64 // content of recent before it was last emptied
 }
 
 func newLoadEstimates(serviceTypes int) loadEstimates {
 	return loadEstimates{usual: make([]float64, serviceTypes), recent: map[uint64]float64{}}
 }
 
-// ReportLoad reports the load of an established connection, as a share of a server's capacity or in any other
-// unit that all connections share. A negative load and NaN are ignored.
+// ReportLoad reports the load of an established connection, as a fraction of a server's capacity or in any other unit
+// that is the same for all connections. A negative load and NaN are ignored.
 func (b *Balancer) ReportLoad(id int, load float64) {
 	if !b.isLive(id) || b.flows[id].migrated || !(load >= 0) {
 		return
@@ -36,7 +38,8 @@
 	b.loads.add(f, load)
 }
 
-// add takes the reported load of a flow. The first report of all stands for every type that has none of its own.
+// add records the reported load of a flow. The first report is also used for every other service type until that has
+// reports of its own.
 func (l *loadEstimates) add(f *flow, load float64) {
 	if len(l.recent) >= maxRecentLoads {
 		l.older = l.recent
@@ -48,7 +51,7 @@
 			l.usual[serviceType] = load
 		}
 	}
-	l.usual[f.serviceType] += (load - l.usual[f.serviceType]) / usualLoadWeight
+	l.usual[f.serviceType] += (load - l.usual[f.serviceType]) / usualLoadDivisor
 }
 
 func (b *Balancer) usualLoad(serviceType int) float64 {
@@ -64,8 +67,8 @@
 	return mean
 }
 
-// expectedLoad returns what a flow is expected to ask: what its client asked last, what came with it, or what is
-// usual for its type.
+// expectedLoad returns the load that a flow is expected to have: the last one that was reported for its client, the one
+// given on arrival, or the usual one of its service type.
 func (b *Balancer) expectedLoad(f *flow) float64 {
 	return cmp.Or(b.loads.recent[f.clientHash], b.loads.older[f.clientHash], f.load, b.usualLoad(f.serviceType))
 }
--- a/placement/load_reports.go
+++ b/placement/load_reports.go
@@ -1,36 +1,37 @@
 package placement
 
 const (
-	// highLoad is the load over capacity above which a server gets new flows only after all others.
+	// highLoad is the load divided by capacity above which a server gets new flows only after all others.
 	highLoad = 0.75
-	// coolingLoad is the load below which a server that had a high load is reported to the other nodes again.
+	// coolingLoad is the load below which the other nodes are notified that a server no longer has a high load. It is
+	// lower than highLoad, so that a load that varies around highLoad is not gossiped repeatedly.
 	coolingLoad = highLoad - 0.1
-	// reportValidity is the time in seconds for which a report counts.
+	// reportValidity is the time in seconds for which a load report is used.
 	reportValidity = 8.0
-	// gossipInterval is the time in seconds after which a high load is gossiped again.
+	// gossipInterval is the time in seconds after which a high load is gossiped again, before the last report expires.
 	gossipInterval = 0.75 * reportValidity
 )
 
-// LoadReport is what a health check returned of a server.
+// LoadReport is the result of a health check that passed.
 type LoadReport struct {
-	Load      float64 // load over capacity; negative where it was not reported
-	RoundTrip float64 // seconds until the answer; 0 where it is not known
+	Load      float64 // load divided by capacity; negative if it was not reported
+	RoundTrip float64 // seconds until the answer; 0 if it is not known
 }
 
 // reportedLoad is the last load report of a server, from this node's health check or from another node.
 type reportedLoad struct {
-	load          float64 // load over capacity
+	load          float64 // load divided by capacity
 	receivedAt    float64
-	gossipPending bool // the other nodes have to be notified
+	gossipPending bool // the other nodes have to be notified of the load
 }
 
-// high reports whether a server was so loaded of late that its messages wait.
+// high reports whether the last report, if still valid, shows a load at which messages are delayed.
 func (r *reportedLoad) high(now float64) bool {
 	return r.load > highLoad && now-r.receivedAt < reportValidity
 }
 
-// recordReport takes the load that a health check of this node brought. Each node pays for each message, so only
-// what the others do not expect is passed on.
+// recordReport records the load from a health check of this node. As every gossip message costs each node work, the load
+// is passed on only if it is high and the others may not know it, or no longer high and they do not expect it.
 func (b *Balancer) recordReport(now float64, s *server, load float64) {
 	isHigh := load > highLoad
 	wasHigh := s.report.high(now)
@@ -42,13 +43,13 @@
 	s.report.receivedAt = now
 }
 
-// GossipReceived reports the load over capacity of a server, as reported to another node.
+// GossipReceived reports the load of a server divided by its capacity, as reported to another node.
 func (b *Balancer) GossipReceived(now float64, index int, load float64) {
 	s := b.server(index)
 	s.report = reportedLoad{load: load, receivedAt: now}
 }
 
-// queueLoadGossip queues all pending gossip together, because one message costs less than one for each server.
+// queueLoadGossip queues all pending gossip together, because one message costs less than one message for each server.
 func (b *Balancer) queueLoadGossip() {
 	for i := range b.servers {
 		report := &b.servers[i].report
--- a/placement/polling.go
+++ b/placement/polling.go
@@ -1,42 +1,42 @@
 package placement
 
 const (
-	// listServiceRate is the number of list entries a second that all nodes together may ask of the list service.
+	// listServiceRate is the number of list entries per second that all nodes together may request from the list service.
 	listServiceRate = 500
-	// maxPollSpread is the longest time in seconds over which all nodes' polls are spread. Half as much again, and
-	// three seconds until a poll is answered, stay within the six after which a change must be in force.
+	// maxPollSpread is the longest time in seconds over which the polls of all nodes are spread. A change must be in force
+	// within six seconds: 1.5 times this spread and three seconds until a poll is answered fit into them.
 	maxPollSpread = 2.0
-	// maxRewatchDelay is the longest time in seconds until the poll after a watch that timed out.
+	// maxRewatchDelay is the longest time in seconds from a watch that timed out to the next poll.
 	maxRewatchDelay = 1.5
 )
 
-// pollingState is when the endpoint list is polled next. The zero value polls at once.
+// pollingState schedules the polls of the endpoint list. The zero value polls immediately.
 type pollingState struct {
-	watching bool    // a watch stands, or its poll was asked for
-	nextAt   float64 // when to poll, unless watching
-	backoff  float64 // mean pause after the last failure; 0 after a list
+	watching bool    // a watch is established, or the poll before it was requested
+	nextAt   float64 // when to poll next, unless watching
+	backoff  float64 // mean pause in seconds after the last failed poll; 0 after a list was received
 }
 
-// fleetPollTime returns the time in seconds that the complete lists of all nodes take at the list service, within
-// the time in which each node has to poll.
+// fleetPollTime returns the time in seconds that the list service needs to send complete lists to all nodes, but no more
+// than half of the poll interval and maxPollSpread.
 func (b *Balancer) fleetPollTime() float64 {
 	return min(float64(b.Nodes*len(b.base))/listServiceRate, b.PollInterval/2, maxPollSpread)
 }
 
-// schedulePollAfterFailure sets when to poll after a poll that failed or a watch that timed out. Each node finds a
-// time-out by its own clock, which spreads the polls already, so it waits less than after a failure.
+// schedulePollAfterFailure sets when to poll after a poll that failed or a watch that timed out. The nodes notice a
+// time-out at different times, which already spreads their polls, so the delay is shorter than after a failure.
 func (b *Balancer) schedulePollAfterFailure(now float64, kind ListKind) {
-	delay := b.random() * min(b.fleetPollTime(), maxRewatchDelay) // drawn for both kinds, which keeps later draws equal
+	delay := b.random() * min(b.fleetPollTime(), maxRewatchDelay) // for both kinds, to keep later random numbers equal
 	if kind == ListFailed {
 		b.polling.backoff = b.nextPollBackoff()
 		delay = b.polling.backoff * (0.5 + b.random())
 	}
 	b.polling.watching = false
 	b.polling.nextAt = now + delay
-	b.logf("poll of the endpoint list failed, next in %.1f s, %d servers known", b.polling.nextAt-now, len(b.base))
+	b.logf("no endpoint list received, next poll in %.1f s, %d servers known", b.polling.nextAt-now, len(b.base))
 }
 
-// nextPollBackoff doubles the backoff between a lower and an upper bound that both grow with the fleet.
+// nextPollBackoff returns twice the current backoff, within a lower and an upper bound that both grow with the fleet.
 func (b *Balancer) nextPollBackoff() float64 {
 	pollTime := b.fleetPollTime()
 	lowest := max(2*b.polling.backoff, housekeepingInterval, pollTime/2)
@@ -44,7 +44,7 @@
 	return min(lowest, highest)
 }
 
-// schedulePollAfterList ends the backoff. After a cached list it spreads the polls of nodes that start together.
+// schedulePollAfterList resets the backoff. After a cached list it spreads the polls of nodes that start at the same time.
 func (b *Balancer) schedulePollAfterList(now float64, kind ListKind) {
 	b.polling.backoff = 0
 	if kind == ListCached {
--- a/placement/polling_test.go
+++ b/placement/polling_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newPollingBalancer returns a balancer that has to poll the endpoint list, and a list of ready servers.
+// newPollingBalancer returns a balancer that has to poll the endpoint list, and an endpoint list of ready servers.
 func newPollingBalancer(seed, nodes, servers int) (*Balancer, []Endpoint) {
 	b := New(Settings{Seed: uint64(seed), Nodes: nodes, WatchEndpoints: true, PollInterval: 10})
 	var list []Endpoint
@@ -15,6 +15,8 @@
 	return b, list
 }
 
+// Polls at a constant rate would keep a failing list service overloaded. The pause grows with each failure, and the known list
+// stays in use.
 func TestPollBacksOffAfterEachFailure(t *testing.T) {
 	b := newTestBalancer(3, func(s *Settings) { s.WatchEndpoints = true })
 	last := 0.0
@@ -22,27 +24,29 @@
 		b.UpdateEndpoints(b.now, ListFailed, nil)
 		gap := b.timeToPoll(t)
 		if i > 0 && gap < last/4 || gap > 0.75*float64(int(1)<<i)+housekeepingInterval {
-			t.Fatalf("polled after %.2f s, before that after %.2f s", gap, last)
+			t.Fatalf("next poll %.2f s after a failure, %.2f s after the one before", gap, last)
 		}
 		last = gap
 	}
 	if len(b.base) != 3 {
-		t.Fatal("a failed poll lost the list")
+		t.Fatal("a failed poll discarded the endpoint list")
 	}
 }
 
-// timeToPoll lets time go by until the endpoint list is polled and returns the seconds that it took.
+// timeToPoll moves the clock forward until the endpoint list is polled and returns the time in seconds until then.
 func (b *testBalancer) timeToPoll(t *testing.T) float64 {
 	t.Helper()
 	start := b.now
 	for countActions(b.advance(housekeepingInterval), WatchEndpoints) == 0 {
 		if b.now-start > 13 {
-			t.Fatal("never polled again")
+			t.Fatal("no poll within 13 s")
 		}
 	}
 	return b.now - start
 }
 
+// Observations of a server's last process do not apply to the process that replaced it. A new start time ends an ejection and
+// begins a slow start.
 func TestListChangeForgetsRestartedServer(t *testing.T) {
 	b := newTestBalancer(3, nil)
 	b.serverAt(0).outlier.ejected = true
@@ -53,20 +57,20 @@
 		t.Error("a restarted server is still ejected")
 	}
 	if weight := b.slowStartWeight(b.now, b.serverAt(0)); weight != b.SlowStartShare {
-		t.Errorf("a restarted server has a weight of %g", weight)
+		t.Errorf("a restarted server has a slow-start weight of %g", weight)
 	}
 	if len(b.base) != 2 {
 		t.Errorf("the base list has %d servers after one of three was removed", len(b.base))
 	}
 }
 
-// Nodes that start together do not poll a slow list service together, and wait longer after each failure. They never
-// wait so long that a change counts as in force before a later poll can be answered.
+// Nodes that start at the same time would overload a slow list service with their first polls. The polls are spread, and the
+// pause grows after each failure, but never so much that a change must be in force before the next poll can be answered.
 func TestFirstPollsAreSpread(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		nodes, servers int
-		widest         float64 // the first polls come within this time in seconds, and over most of it
+		spread         float64 // time in seconds over which the first polls are spread
 	}{
 		{"one node", 1, 10, 0.02},
 		{"30 nodes", 30, 100, maxPollSpread},
@@ -82,33 +86,34 @@
 				requireGrowingBackoff(t, b)
 			}
 			pollTime := float64(c.nodes*c.servers) / listServiceRate
-			if last > c.widest || last-first < 0.7*min(c.widest, pollTime) {
-				t.Errorf("first polls from %.2f to %.2f s", first, last)
+			if last > c.spread || last-first < 0.7*min(c.spread, pollTime) {
+				t.Errorf("first polls between %.2f and %.2f s, want them spread over %.2f s", first, last, min(c.spread, pollTime))
 			}
 		})
 	}
 }
 
-// requireGrowingBackoff lets six polls fail at time 0 and checks the backoff after each.
+// requireGrowingBackoff lets six polls fail at time 0 and checks that the backoff never shrinks and stays within its bound.
 func requireGrowingBackoff(t *testing.T, b *Balancer) {
 	t.Helper()
 	last := 0.0
 	for range 6 {
 		b.UpdateEndpoints(0, ListFailed, nil)
 		if b.polling.backoff < last || b.polling.nextAt > 1.5*maxPollSpread || b.polling.nextAt <= 0 {
-			t.Fatalf("backoff %.2f s after %.2f s, next poll at %.2f s", b.polling.backoff, last, b.polling.nextAt)
+			t.Fatalf("backoff %.2f s, %.2f s before, next poll at %.2f s", b.polling.backoff, last, b.polling.nextAt)
 		}
 		last = b.polling.backoff
 	}
 }
 
-// A watch that timed out means a list that is seconds old: a few nodes poll at once, those of a large fleet over a
-// second and a half beside the two over which they notice it. A failure after it is waited out as ever.
+// After a watch has timed out, the known list is seconds old, and a normal backoff would delay changes further. A few nodes
+// therefore poll at once. The nodes of a large fleet notice the time-out over about two seconds and spread their polls over a
+// second and a half more. A failed poll after that leads to the usual backoff.
 func TestPollAfterWatchTimedOutIsPrompt(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		nodes       int
-		least, most float64 // of the longest wait in seconds
+		name            string
+		nodes           int
+		atLeast, atMost float64 // bounds of the longest delay in seconds
 	}{
 		{"one node", 1, 0, 0.1},
 		{"6 nodes", 6, 0, 0.1},
@@ -128,17 +133,17 @@
 				requireNoEarlyPoll(t, b)
 				b.UpdateEndpoints(9, ListFailed, nil)
 				if b.polling.nextAt <= 9 {
-					t.Fatal("polled at once after a failure")
+					t.Fatal("no pause after a failed poll")
 				}
 			}
-			if longest < c.least || longest > c.most {
-				t.Errorf("the longest wait is %.2f s, want %.1f to %.1f s", longest, c.least, c.most)
+			if longest < c.atLeast || longest > c.atMost {
+				t.Errorf("longest delay %.2f s, want %.1f to %.1f s", longest, c.atLeast, c.atMost)
 			}
 		})
 	}
 }
 
-// requireNoEarlyPoll lets time go by from 0 until the next poll is due and checks that none comes before.
+// requireNoEarlyPoll moves the time forward from 0 until the next poll is due and checks that there is no poll before.
 func requireNoEarlyPoll(t *testing.T, b *Balancer) {
 	t.Helper()
 	for now := 0.0; now <= b.polling.nextAt; now += housekeepingInterval {
@@ -148,7 +153,7 @@
 				break
 			}
 			if decision.Action == WatchEndpoints && now < b.polling.nextAt {
-				t.Fatalf("polled at %.2f s, not %.2f s", now, b.polling.nextAt)
+				t.Fatalf("polled at %.2f s, want no poll before %.2f s", now, b.polling.nextAt)
 			}
 		}
 	}
--- a/placement/primary_test.go
+++ b/placement/primary_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A client that returns is placed at one of three homes by its key. Where its connection is then handed over
-// mid-flow to another node, that node looks there, although the nodes know nothing of each other.
+// The packets of an established connection may arrive at another node, which has no record of it and would break the
+// connection by forwarding them to another server. A returning client is placed by its key at one of three homes of its group,
+// so that the other node finds the server without communication.
 func TestReturnedFlowIsFoundByAnotherNode(t *testing.T) {
 	const servers, clients = 12, 600
 	found := 0
@@ -16,29 +17,31 @@
 			s.Nodes = 300
 			s.Seed = uint64(2 * client)
 		})
-		first.overload.uncertainty = 0.93 // has run for a while
+		first.overload.uncertainty = 0.93 // as of a node that has run for some time
 		second := newTestBalancer(servers, func(s *Settings) {
 			s.Nodes = 300
 			s.Seed = uint64(2*client + 1)
 		})
 		second.overload.uncertainty = 0.9
-		second.overload.level = 1 // has just started
+		second.overload.level = 1 // as of a node that has just started
 		key := hash64(uint64(client))
 		_, placed := first.arrive(1, Arrival{ClientKey: key, GroupKey: 77, Returning: true})
-		_, looked := second.arrive(1, Arrival{ClientKey: key, GroupKey: 77, MidFlow: true})
-		if looked == placed {
+		_, foundAt := second.arrive(1, Arrival{ClientKey: key, GroupKey: 77, MidFlow: true})
+		if foundAt == placed {
 			found++
 		}
 		placedAt[placed]++
 	}
 	if found < clients*9/10 {
-		t.Errorf("%d of %d were found", found, clients)
+		t.Errorf("%d of %d connections were sent to their server mid-flow, want at least 90 %%", found, clients)
 	}
-	if len(placedAt) < 3 { // returning clients do not all go where the load was too much
-		t.Errorf("placed at %v", placedAt)
+	if len(placedAt) < 3 { // returning clients do not all go to the server that was overloaded
+		t.Errorf("clients by place: %v, want at least three places", placedAt)
 	}
 }
 
+// If a change of the endpoint list moved the homes of many groups, their flows would be split between old and new homes. Only
+// the groups whose home was the removed server move.
 func TestHomeMovesOnlyWithItsServer(t *testing.T) {
 	const removedPlace = 3
 	b := newTestBalancer(40, nil)
@@ -57,17 +60,18 @@
 		}
 		moved++
 		if was != b.serverIndex(removedPlace) {
-			t.Fatalf("group %d moved from a server that stays", group)
+			t.Fatalf("group %d moved from a server that is still listed", group)
 		}
 	}
 	if moved == 0 || moved > 40 {
-		t.Fatalf("%d of 400 groups moved with one of 40 servers", moved)
+		t.Fatalf("%d of 400 groups moved when one of 40 servers was removed, want 1 to 40", moved)
 	}
 }
 
-// What spills of a group goes to its second home, and what returns to an uncertain node goes to one of the first
-// three. Each server with flows of a group pays for the group once.
-func TestGroupGathersAtItsHomes(t *testing.T) {
+// Each server with flows of a group does the work that the whole group needs, so a group that is scattered over many servers
+// costs many times that work. Flows that spill go to the group's second home, and clients that return to an uncertain node go
+// to one of the first three homes.
+func TestGroupIsPlacedAtItsHomes(t *testing.T) {
 	for _, returning := range []bool{false, true} {
 		name := "spilled"
 		if returning {
@@ -76,13 +80,13 @@
 		t.Run(name, func(t *testing.T) {
 			byHome, all := placeGroup(returning)
 			if byHome[none] > 0 {
-				t.Errorf("%d of %d elsewhere than at the group's homes", byHome[none], all)
+				t.Errorf("%d of %d flows placed at servers that are not homes of the group", byHome[none], all)
 			}
 			if !returning && byHome[1] != all {
-				t.Errorf("%d of %d at the second home", byHome[1], all)
+				t.Errorf("%d of %d flows at the second home, want all", byHome[1], all)
 			}
 			if returning && (byHome[0] < all/8 || byHome[1] < all/4 || byHome[2] < all/4) {
-				t.Errorf("at the homes %v of %d", byHome, all)
+				t.Errorf("flows by home %v of %d, want them spread over the first three", byHome, all)
 			}
 		})
 	}
@@ -103,7 +107,7 @@
 			b.serverAt(homes[0]).threshold.load = 0
 		}
 		b.overload.uncertainty = 1
-		for range hash64(seed) % 50 { // the nodes have made different numbers of draws
+		for range hash64(seed) % 50 { // the nodes have generated different numbers of random numbers
 			b.random()
 		}
 		decision, place := b.arrive(0, Arrival{ClientKey: seed + 1, GroupKey: 77, Returning: returning})
@@ -115,21 +119,21 @@
 	return byHome, all
 }
 
-// Nodes that each place one client of a group at its home put as many there as there are nodes. Where the quotas say
-// that three servers can take less, the clients are dealt over as many homes as can take that, and every node finds a
-// client where any other placed it.
-func TestLargeGroupIsDealtOverHomes(t *testing.T) {
+// If each node of a large fleet places one client of a group at the same home, that server gets as many connections as there
+// are nodes. If the quotas show that three servers cannot hold so many, the clients are spread over as many homes as are
+// needed, and every node finds a client where any other node placed it.
+func TestLargeGroupIsSpreadOverHomes(t *testing.T) {
 	const nodes = groupNodes
 	for _, c := range []struct {
 		name        string
-		connections float64 // that the quotas allow for a server; 0 without quotas
-		homes       int
+		connections float64 // connections that the quotas allow for a server; 0 without quotas
+		homes       int     // number of homes over which the group is spread
 	}{
 		{"no quotas", 0, 1},
-		{"one connection a node and more", 1.5 * nodes, 1},
-		{"a third of that", 0.34 * nodes, 1},
-		{"a good fifth of that", 0.24 * nodes, 4},
-		{"a good ninth of that", 0.115 * nodes, 8},
+		{"more than one connection for each node", 1.5 * nodes, 1},
+		{"a third of a connection for each node", 0.34 * nodes, 1},
+		{"a quarter of a connection for each node", 0.24 * nodes, 4},
+		{"a ninth of a connection for each node", 0.115 * nodes, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			fleet := groupFleet{}
@@ -143,7 +147,7 @@
 				byHome[slices.Index(homes, place)]++
 				if c.homes > 1 {
 					fleet.requireFound(t, client, place)
-					fleet.requirePrimaryWhenQuiet(t, client)
+					fleet.requirePrimaryWithoutOverload(t, client)
 				}
 			}
 			most := 0
@@ -151,7 +155,7 @@
 				most = max(most, clients)
 			}
 			if byHome[none] > 0 || len(byHome) != c.homes || most > nodes/c.homes*3/2 {
-				t.Errorf("at its homes %v, want %d homes evenly", byHome, c.homes)
+				t.Errorf("clients by home %v, want them spread evenly over %d homes", byHome, c.homes)
 			}
 		})
 	}
@@ -162,7 +166,7 @@
 	groupServers = 90
 )
 
-// groupFleet makes the nodes of a fleet of which each sees one client of a group.
+// groupFleet creates the nodes of a fleet in which each node has one client of a group.
 type groupFleet struct {
 	quotas []float64
 }
@@ -182,38 +186,39 @@
 	return Arrival{ClientKey: hash64(uint64(client)), GroupKey: 77, Tenant: client % 2}
 }
 
-// place returns where a client's own node places it.
+// place returns the place of the server to which a client's own node sends it.
 func (g groupFleet) place(client int) int {
 	_, place := g.node(2*client).arrive(1, g.arrival(client))
 	return place
 }
 
-// requireFound checks that another node places a returning client where it was, and looks for it there mid-flow.
+// requireFound checks that another node sends a returning client, and its connection mid-flow, to the server where it was.
 func (g groupFleet) requireFound(t *testing.T, client, place int) {
 	t.Helper()
 	returning := g.arrival(client)
 	returning.Returning = true
 	if _, returned := g.node(2*client+1).arrive(1, returning); returned != place {
-		t.Errorf("client %d was at %d, returned to %d", client, place, returned)
+		t.Errorf("client %d was at place %d, returned to place %d", client, place, returned)
 	}
 	midFlow := g.arrival(client)
 	midFlow.MidFlow = true
-	if _, looked := g.node(2*client+1).arrive(1, midFlow); looked != place {
-		t.Errorf("client %d is at %d, mid-flow it is looked for at %d", client, place, looked)
+	if _, foundAt := g.node(2*client+1).arrive(1, midFlow); foundAt != place {
+		t.Errorf("client %d is at place %d, sent to place %d mid-flow", client, place, foundAt)
 	}
 }
 
-// requirePrimaryWhenQuiet checks that the primary decides again after quiet minutes, also of mid-flow connections.
-func (g groupFleet) requirePrimaryWhenQuiet(t *testing.T, client int) {
+// requirePrimaryWithoutOverload checks that flows, also mid-flow ones, go to their primary again after minutes without
+// overload.
+func (g groupFleet) requirePrimaryWithoutOverload(t *testing.T, client int) {
 	t.Helper()
 	for _, midFlow := range []bool{false, true} {
-		quiet := g.node(2*client + 1)
-		quiet.overload.level = 0
-		quiet.overload.uncertainty = 0
+		node := g.node(2*client + 1)
+		node.overload.level = 0
+		node.overload.uncertainty = 0
 		arrival := g.arrival(client)
 		arrival.MidFlow = midFlow
-		if _, place := quiet.arrive(1, arrival); place != int(hash64(arrival.ClientKey)%groupServers) {
-			t.Errorf("client %d, mid-flow %v, is at %d after quiet minutes", client, midFlow, place)
+		if _, place := node.arrive(1, arrival); place != int(hash64(arrival.ClientKey)%groupServers) {
+			t.Errorf("client %d, mid-flow %v: sent to place %d without overload, want its primary", client, midFlow, place)
 		}
 	}
 }
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// defaultPollInterval is the poll interval in seconds where the settings have none.
+// defaultPollInterval is the poll interval in seconds if the settings have none.
 const defaultPollInterval = 16.0
 
-// Idempotency says what a second execution of a flow does.
+// Idempotency is the effect of a second execution of a flow.
 type Idempotency uint8
 
 // The kinds of idempotency, the strictest first.
 const (
-	AtMostOnce        Idempotency = iota // a flow that may have run must not be attempted again
-	IdempotentWithKey                    // servers within a KeyScope drop repeats for the KeyLifetime
-	Idempotent                           // repeats do no harm
+	AtMostOnce        Idempotency = iota // a flow that may have had an effect must not be attempted again
+	IdempotentWithKey                    // servers within the KeyScope drop repeated attempts for the KeyLifetime
+	Idempotent                           // repeated attempts are harmless
 )
 
-// KeyScope is the set of servers among which the repeats of a flow with an idempotency key are dropped.
+// KeyScope is the set of servers that drop the repeated attempts of a flow with an idempotency key.
 type KeyScope uint8
 
 // The scopes of an idempotency key.
@@ -29,37 +29,37 @@
 	KeyScopeAll                  // all servers
 )
 
-// ServiceType holds what differs between the types of service. The zero value is the strictest. Times are seconds.
+// ServiceType holds the properties of one type of service. The zero value is the strictest. Times are in seconds.
 type ServiceType struct {
 	Idempotency      Idempotency
 	KeyScope         KeyScope
-	KeyLifetime      float64 // how long repeats are dropped, from the first attempt that may have run
+	KeyLifetime      float64 // how long repeated attempts are dropped, from the first attempt that may have had an effect
 	SetupObjective   float64 // latency objective of a setup
 	MessageObjective float64 // latency objective of a message on an established connection; 0 for none
 }
 
-// Settings are what a balancer is configured with. Times are seconds.
+// Settings is the configuration of a balancer. Times are in seconds.
 type Settings struct {
-	Seed             uint64  // of all random draws
+	Seed             uint64  // seed of all random numbers
 	Nodes            int     // nodes that share the servers, this one included
 	NodeNumber       int     // number of this node among them, the same after a restart
 	StartedAt        float64 // when this process started
-	Tick             float64 // shortest time between two rounds of inputs
-	MaxAttempts      int     // for one flow
+	Tick             float64 // shortest time between two rounds of inputs from the host
+	MaxAttempts      int     // maximum number of attempts for one flow
 	DialTimeout      float64 // longest time from a Connect decision until the request is written
 	HealthChecks     bool    // health checks are allowed
-	MaxRetryAfter    float64 // longest Retry-After that a client follows; 0 where none is allowed
+	MaxRetryAfter    float64 // longest Retry-After that a client obeys; 0 if none is allowed
 	WatchEndpoints   bool    // the endpoint list has to be polled
 	PollInterval     float64 // longest time between two polls without a watch; 0 for defaultPollInterval
-	LoadReports      bool    // health checks bring load reports
-	LoadGossip       bool    // nodes send one another the loads that were reported to them
-	TimeHealthChecks bool    // the round trip of health checks stands in for message delays
-	SlowStartShare   float64 // share of its capacity, above 0 to 1, that a server has when it starts
-	SlowStartTime    float64 // time after its start until a server has all its capacity
-	OverloadMultiple float64 // a server in slow start fails under more than this multiple of its capacity
-	OverloadWindow   float64 // for how long such a server bears that
+	LoadReports      bool    // health checks return load reports
+	LoadGossip       bool    // nodes notify one another of the loads that were reported to them
+	TimeHealthChecks bool    // message delays are estimated from the round trips of health checks
+	SlowStartShare   float64 // fraction of its capacity, above 0 and up to 1, that a server has when it starts
+	SlowStartTime    float64 // time from the start of a server until it has its full capacity
+	OverloadMultiple float64 // multiple of its current capacity above which a server in slow start fails
+	OverloadWindow   float64 // for how long a server in slow start withstands a load above that multiple
 	ServiceTypes     []ServiceType
-	Quotas           []float64 // by tenant: open connections of its quota over all nodes; nil for none
+	Quotas           []float64 // by tenant: maximum of open connections over all nodes; nil for no quotas
 }
 
 // Objectives are the replaceable latency objectives of one service type, in seconds.
@@ -68,7 +68,7 @@
 	Message float64 // 0 for none
 }
 
-// LiveSettings are the parts of Settings that may be replaced while flows go on. Times are seconds.
+// LiveSettings is the part of Settings that may be replaced while the balancer is in use. Times are in seconds.
 type LiveSettings struct {
 	MaxAttempts      int
 	MaxRetryAfter    float64
@@ -81,7 +81,7 @@
 	Quotas           []float64    // by tenant
 }
 
-// Live returns the replaceable part of the settings. The result shares nothing with them.
+// Live returns the replaceable part of the settings. The result shares no memory with them.
 func (s Settings) Live() LiveSettings {
 	live := LiveSettings{
 		MaxAttempts:      s.MaxAttempts,
@@ -100,9 +100,9 @@
 	return live
 }
 
-// ApplySettings puts live settings into force for all later decisions. Earlier decisions and the deadlines of
-// waiting flows stand. The caller gives as many objectives as there are service types and as many quotas as there
-// are tenants; quotas of another number are ignored. The balancer keeps nothing of the argument.
+// ApplySettings applies live settings to all later decisions. Earlier decisions and the deadlines of waiting flows remain
+// in force. The caller passes as many objectives as there are service types and as many quotas as there are tenants; if
+// the number of quotas differs, they are ignored. The balancer keeps no reference to the argument.
 func (b *Balancer) ApplySettings(live LiveSettings) {
 	b.MaxAttempts = live.MaxAttempts
 	b.MaxRetryAfter = live.MaxRetryAfter
@@ -115,13 +115,13 @@
 	if len(live.Quotas) == len(b.Quotas) {
 		b.Quotas = slices.Clone(live.Quotas)
 	}
-	if b.longestList > 0 {
+	if b.longestListLength > 0 {
 		b.updateQuotaPerServer()
 	}
 }
 
 func (b *Balancer) applyObjectives(objectives []Objectives) {
-	b.ServiceTypes = slices.Clone(b.ServiceTypes) // the slice given to New belongs to the caller
+	b.ServiceTypes = slices.Clone(b.ServiceTypes) // the slice passed to New belongs to the caller
 	given := min(len(objectives), len(b.ServiceTypes))
 	for i, objective := range objectives[:given] {
 		b.ServiceTypes[i].SetupObjective = objective.Setup
@@ -137,25 +137,26 @@
 	b.Nodes = nodes
 }
 
-// SetSize replaces the size of a server until the endpoint list names the server again.
+// SetSize replaces the size of a server until the next endpoint list that contains the server.
 func (b *Balancer) SetSize(server int, size float64) {
 	b.server(server).Size = size
 }
 
-// overQuota reports whether a tenant has more open connections here than this node's part of its quota.
+// overQuota reports whether a tenant has more open connections at this node than the node's part of its quota.
 func (b *Balancer) overQuota(tenant int) bool {
 	return tenant < len(b.Quotas) && float64(b.openByTenant[tenant]*b.Nodes) > b.Quotas[tenant]
 }
 
-// updateQuotaPerServer reckons by the longest list so far: a shorter one does not make the servers larger.
+// updateQuotaPerServer divides the quotas by the length of the longest list so far, because a shorter list does not
+// increase the capacity of the servers on it.
 func (b *Balancer) updateQuotaPerServer() {
 	b.quotaPerServer = 0
 	for _, quota := range b.Quotas {
-		b.quotaPerServer += quota / b.longestList / float64(b.Nodes)
+		b.quotaPerServer += quota / b.longestListLength / float64(b.Nodes)
 	}
 }
 
-// shortestMessageObjective returns the shortest message objective in seconds, infinite if no type has one.
+// shortestMessageObjective returns the shortest message objective in seconds, or infinity if no type has one.
 func shortestMessageObjective(serviceTypes []ServiceType) float64 {
 	shortest := math.Inf(1)
 	for _, serviceType := range serviceTypes {
--- a/placement/settings_test.go
+++ b/placement/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// liveSettingCase changes one live setting, and what hangs on it.
+// liveSettingCase is a change of one live setting and a decision that depends on the setting.
 type liveSettingCase struct {
 	name   string
 	change func(*LiveSettings)
@@ -70,7 +70,8 @@
 	return first == second
 }
 
-// actionOverQuota leaves capacity within the load thresholds, but none within what tenants over their quota may use.
+// actionOverQuota returns the decision for a flow when the servers have capacity below their load thresholds, but none in
+// the part of them that tenants over their quota may use.
 func actionOverQuota(b *testBalancer) any {
 	b.establish(0, 4)
 	for place := range 4 {
@@ -81,7 +82,9 @@
 	return decision.Action
 }
 
-func TestLiveSettingDecidesNext(t *testing.T) {
+// A live setting that is stored but not used would leave an operator's change without effect. Each setting changes the next
+// decision that depends on it.
+func TestLiveSettingAffectsNextDecision(t *testing.T) {
 	for _, c := range liveSettingCases {
 		t.Run(c.name, func(t *testing.T) {
 			withQuota := func(s *Settings) { s.Quotas = []float64{1000} }
@@ -92,24 +95,25 @@
 			changed.ApplySettings(live)
 			before := c.decide(unchanged)
 			if after := c.decide(changed); before == after {
-				t.Errorf("%v under both", before)
+				t.Errorf("%v with and without the change", before)
 			}
 		})
 	}
 }
 
-// The first settings, put into force again, decide as if nothing had been changed.
+// A change of settings that leaves traces in the balancer could not be undone. After the first settings are applied again, the
+// decisions are as if nothing had been changed.
 func TestRestoredSettingsDecideAsBefore(t *testing.T) {
 	withoutChange := newBalancerWithQuotas().decideEighty()
 	b := newBalancerWithQuotas()
 	b.changeAndRestoreSettings(t)
 	withChange := b.decideEighty()
 	if len(withoutChange) != len(withChange) {
-		t.Fatalf("%d decisions and %d", len(withoutChange), len(withChange))
+		t.Fatalf("%d decisions without a change of settings, %d with it", len(withoutChange), len(withChange))
 	}
 	for i := range withoutChange {
 		if withoutChange[i] != withChange[i] {
-			t.Fatalf("decision %d: %+v and %+v", i, withoutChange[i], withChange[i])
+			t.Fatalf("decision %d: %+v without a change of settings, %+v with it", i, withoutChange[i], withChange[i])
 		}
 	}
 }
@@ -128,12 +132,12 @@
 	other.Objectives[0].Message = 0
 	b.ApplySettings(other)
 	if b.MaxAttempts != 1 || !math.IsInf(b.messageObjective, 1) || b.Quotas[1] != 0 || start.Quotas[1] != 30 {
-		t.Fatalf("%+v", b.Settings)
+		t.Fatalf("the settings were not applied: %+v", b.Settings)
 	}
 	b.ApplySettings(start)
 }
 
-// decideEighty returns the decisions on 80 flows of three tenants, two thirds of which are established.
+// decideEighty returns the decisions for 80 flows of three tenants, two thirds of which are established.
 func (b *testBalancer) decideEighty() []Decision {
 	var decisions []Decision
 	for id := range 80 {
@@ -147,6 +151,8 @@
 	return decisions
 }
 
+// A waiting flow whose deadline moved could be answered after its client has given up. Live settings leave deadlines as they
+// are.
 func TestLiveSettingsKeepDeadlinesOfWaitingFlows(t *testing.T) {
 	b := newTestBalancer(4, nil)
 	b.arrive(0, Arrival{ClientKey: 5, Timeout: 2})
@@ -160,17 +166,19 @@
 	live.SlowStartTime = 99
 	b.ApplySettings(live)
 	if b.flows[0].deadline != deadline {
-		t.Errorf("deadline at %g, was %g", b.flows[0].deadline, deadline)
+		t.Errorf("deadline %g, want %g as before", b.flows[0].deadline, deadline)
 	}
 }
 
+// Servers of unequal size would be unevenly loaded if each were the home of as many groups. A server's part of them grows with
+// its size.
 func TestLargeServerIsHomeOfMoreGroups(t *testing.T) {
 	const place = 2
 	b := newTestBalancer(4, nil)
 	before := b.groupsAtHome(place)
 	b.SetSize(b.serverIndex(place), 50)
 	if after := b.groupsAtHome(place); before > 50 || after < 90 {
-		t.Errorf("%d of 100 homes before, %d after", before, after)
+		t.Errorf("home of %d of 100 groups before the change of size, of %d after", before, after)
 	}
 }
 
--- a/placement/shared_store_test.go
+++ b/placement/shared_store_test.go
@@ -7,7 +7,7 @@
 
 const (
 	storeNodes    = 60
-	storeClients  = 5     // of each node
+	storeClients  = 5     // clients of each node
 	storeRate     = 100.0 // setups a second
 	storeCapacity = 220   // setups in its queue
 	storeStep     = 0.01  // seconds
@@ -21,21 +21,21 @@
 	until   float64 // when the attempt times out
 }
 
-// storeClient is one client that is served or arrives again.
+// storeClient is one client, which arrives again until it is served.
 type storeClient struct {
 	arrivesAt float64
 	served    bool
 }
 
-// sharedStore is a store that all servers share. It works through setups in turn, also those that were given up
-// meanwhile, and fails what finds its queue full.
+// sharedStore simulates a store that all servers share. It processes setups in the order of arrival, including those whose
+// attempts have timed out since, and fails attempts that arrive while its queue is full.
 type sharedStore struct {
 	balancers []*testBalancer
 	clients   [][storeClients]storeClient
 	queue     []storeSetup
-	work      float64 // setups that it may finish now
-	attempts  int
-	served    int
+	work      float64 // setups that the store may finish now
+	attempts  int     // attempts of all clients
+	served    int     // clients served
 }
 
 func newSharedStore() *sharedStore {
@@ -52,7 +52,7 @@
 	return store
 }
 
-// step lets all nodes and then the store work at one point in time.
+// step runs all nodes and then the store at one point in time.
 func (s *sharedStore) step(now float64) {
 	for node, b := range s.balancers {
 		b.now = now
@@ -80,7 +80,7 @@
 	}
 }
 
-// carryOut carries out all decisions of a node. Rejected clients come again after 50 ms.
+// carryOut carries out all decisions of a node. Clients that get a Reject or an Abort arrive again after 50 ms.
 func (s *sharedStore) carryOut(node int) {
 	b := s.balancers[node]
 	for {
@@ -108,7 +108,7 @@
 	s.queue = append(s.queue, storeSetup{node, decision.Flow, attempt, b.now + decision.Seconds})
 }
 
-// waiting reports whether the attempt of a setup still waits for it.
+// waiting reports whether the attempt of a setup is still waiting for it.
 func (s *sharedStore) waiting(setup storeSetup) bool {
 	f := &s.balancers[setup.node].flows[setup.flow]
 	return f.inFlight && !f.established && f.attempts-1 == setup.attempt
@@ -137,8 +137,8 @@
 	s.work = min(s.work, 1)
 }
 
-// The clients of many nodes come to a shared store at once and come again when they are rejected. They are served
-// as the store works, in little more than one attempt each.
+// If the clients of many nodes arrive at a shared store at once, attempts that time out and are retried can fill its queue, so
+// that it works only for setups that are no longer needed. All clients are served, with few attempts for each.
 func TestSharedStoreServesAllClientsInFewAttempts(t *testing.T) {
 	const clients = storeNodes * storeClients
 	store := newSharedStore()
@@ -146,6 +146,6 @@
 		store.step(now)
 	}
 	if store.served < clients || store.attempts > 4*clients {
-		t.Errorf("%d of %d served, %d attempts", store.served, clients, store.attempts)
+		t.Errorf("%d of %d clients served in %d attempts, want all in at most %d", store.served, clients, store.attempts, 4*clients)
 	}
 }
--- a/placement/slow_start_test.go
+++ b/placement/slow_start_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// sendToNewServer lets flows arrive within one window whose primary is the sixth of six servers, and returns how
-// many were sent there.
+// sendToNewServer adds flows at one point in time whose primary is the last of six servers, and returns how many of them are
+// sent there.
 func (b *testBalancer) sendToNewServer(flows int, midFlow bool) int {
 	sent := 0
 	for id := 100; id < 100+flows; id++ {
@@ -17,21 +17,24 @@
 	return sent
 }
 
+// A server that has just started fails if it gets as many flows as the others, and stays unused if it gets none. The attempts
+// that one node sends in one overload window stay within its budget, which grows with the server's age.
 func TestSlowStartBoundsOneNode(t *testing.T) {
-	const seeds = 20 // one window's budget is rounded by one draw: none may be over, and the mean not under
+	// The budget of one window is rounded randomly: no seed may be above the maximum, and the mean not below the minimum.
+	const seeds = 20
 	for _, c := range []struct {
 		name       string
 		age        float64 // seconds since the server started
-		least      float64 // in the mean
-		most       int
+		minMean    float64 // attempts, as the mean over all seeds
+		maxSent    int     // attempts with any one seed
 		midFlow    bool
 		othersFull bool
 	}{
 		{"just started", 0, 1, 3, false, false},
-		{"half of the slow start", 5, 1, 12, false, false},
-		{"just started, all arrive mid-flow", 0, 1, 4, true, false},
+		{"half of the slow start over", 5, 1, 12, false, false},
+		{"just started, all flows mid-flow", 0, 1, 4, true, false},
 		{"after the slow start", 10, 8, 40, false, false},
-		{"just started, the others full", 0, 0.25, 4, false, true},
+		{"just started, other servers full", 0, 0.25, 4, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sum := 0
@@ -40,20 +43,20 @@
 					s.Seed = seed
 					s.NodeNumber = int(seed)
 				})
-				b.now += float64(seed / 2) // both nodes have their part of each window
+				b.now += float64(seed / 2) // seeds 2n and 2n+1 are the two nodes at the same time
 				b.establish(0, 50)
 				b.restartServer(5, b.now-c.age)
 				if c.othersFull {
 					b.rejectAt(5)
 				}
 				sent := b.sendToNewServer(40, c.midFlow)
-				if sent > c.most {
-					t.Fatalf("seed %d: %d attempts, at most %d", seed, sent, c.most)
+				if sent > c.maxSent {
+					t.Fatalf("seed %d: %d attempts, want at most %d", seed, sent, c.maxSent)
 				}
 				sum += sent
 			}
-			if float64(sum) < c.least*seeds*3/4 {
-				t.Fatalf("%d attempts over %d seeds, want about %g each", sum, seeds, c.least)
+			if float64(sum) < c.minMean*seeds*3/4 {
+				t.Fatalf("%d attempts over %d seeds, want about %g for each", sum, seeds, c.minMean)
 			}
 		})
 	}
@@ -66,13 +69,14 @@
 	}
 }
 
-// All nodes together keep to one budget, however many they are.
+// A budget for each node would let a large fleet overload a server in slow start. All nodes together stay within one budget,
+// for any number of nodes.
 func TestSlowStartBoundsAllNodes(t *testing.T) {
 	for _, nodes := range []int{1, 3, 30, 160, 1000} {
 		for _, midFlow := range []bool{false, true} {
 			sent := 0
 			budget := 0.0
-			for seed := range max(nodes, 30) { // several fleets of few nodes, so that chance evens out
+			for seed := range max(nodes, 30) { // at least 30 balancers, so that random variations even out
 				b := newTestBalancer(5, func(s *Settings) {
 					s.Nodes = nodes
 					s.Seed = uint64(seed)
@@ -100,15 +104,16 @@
 	return max(b.SlowStartShare, 1/float64(nodes), perWindow)
 }
 
-// The attempts of all nodes in a window add up to their parts, and one more for each size of part that there is. They
-// are never over the budget by more than chance allows, twice its root and two, also in a window that begins
-// anywhere. The last case shows that draws of each node's own, whose sum strays by the root of the number of nodes,
-// would be found.
-func TestSlowStartDrawsAddUp(t *testing.T) {
+// If each node rounded its budget independently, the sum of all nodes would deviate from the budget by about the square root of
+// the number of nodes and could overload a server in slow start. The attempts of all nodes in a window add up to the sum of
+// their parts of the budget, and at most one more for each different size of part. In any two successive windows, which one
+// window of the server may overlap, they exceed the budget by at most twice its square root plus two. The last case shows that
+// the test detects independent rounding.
+func TestSlowStartBudgetsAddUp(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		fleet     windowFleet
-		wantStray bool // more than one over the parts, as if each node drew by itself
+		name       string
+		fleet      windowFleet
+		wantExcess bool // attempts exceed the bounds, as with independent rounding
 	}{
 		{"one node", windowFleet{nodes: 1}, false},
 		{"5 nodes", windowFleet{nodes: 5}, false},
@@ -117,35 +122,35 @@
 		{"300 nodes", windowFleet{nodes: 300}, false},
 		{"30 nodes, some restart", windowFleet{nodes: 30, restarts: true}, false},
 		{"300 nodes, some restart", windowFleet{nodes: 300, restarts: true}, false},
-		{"30 nodes that draw by themselves", windowFleet{nodes: 30, randomNumbers: true}, true},
+		{"30 nodes that round independently", windowFleet{nodes: 30, randomNumbers: true}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			worst, least, stray, last := 0.0, math.Inf(1), 0.0, 0.0
+			worst, lowest, highest, last := 0.0, math.Inf(1), 0.0, 0.0
 			for window := range 300 {
 				parts, sent := c.fleet.attempts(window)
 				budget := 2 * parts
-				stray = max(stray, sent-parts)
+				highest = max(highest, sent-parts)
 				worst = max(worst, (sent+last-budget)/(2*math.Sqrt(budget)+2))
-				least = min(least, sent-parts)
+				lowest = min(lowest, sent-parts)
 				last = sent
 			}
-			strayed := worst > 1 || stray > 2
-			tooFew := !c.fleet.restarts && !c.wantStray && least < -3
-			if strayed != c.wantStray || tooFew {
-				t.Errorf("%.1f to %.1f beside the parts, %.2f of what chance allows", least, stray, worst)
+			exceeded := worst > 1 || highest > 2
+			tooFew := !c.fleet.restarts && !c.wantExcess && lowest < -3
+			if exceeded != c.wantExcess || tooFew {
+				t.Errorf("attempts less parts from %.1f to %.1f, largest excess %.2f of the allowed one", lowest, highest, worst)
 			}
 		})
 	}
 }
 
-// windowFleet is a fleet of which each node sends what it may to one server in slow start.
+// windowFleet is a fleet in which each node sends as many attempts as it may to one server in slow start.
 type windowFleet struct {
 	nodes         int
-	restarts      bool // a tenth of the nodes start within each window
-	randomNumbers bool // node numbers are not consecutive, so that the nodes' draws are independent
+	restarts      bool // a tenth of the nodes restart within each window
+	randomNumbers bool // node numbers are random, so that the nodes round independently
 }
 
-// attempts returns the sum of all nodes' parts of the budget in a window, and what they sent.
+// attempts returns the sum of all nodes' parts of the budget in a window, and the number of attempts that they sent.
 func (w windowFleet) attempts(window int) (parts, sent float64) {
 	const windowSeconds = 2.0
 	for node := range w.nodes {
@@ -162,7 +167,7 @@
 		s := b.server(0)
 		s.StartedAt = 999
 		s.idHash = 7
-		mean := 10.0 / float64(w.nodes) * (0.2 + 1.6*float64(node%2)) // some nodes see nine times what others do
+		mean := 10.0 / float64(w.nodes) * (0.2 + 1.6*float64(node%2)) // some nodes have nine times the connections of others
 		perWindow := b.SlowStartShare * mean * b.OverloadMultiple / 2 * windowSeconds / b.SlowStartTime
 		parts += max(1/float64(w.nodes), perWindow)
 		for range 20 {
@@ -175,23 +180,24 @@
 	return parts, sent
 }
 
-// One of many nodes sees a flow now and then, and its part of the budget is far below one connection. All nodes
-// together give a server in slow start its even share by its weight, and no more than the overload multiple of it
-// where every other server rejects flows.
-func TestSlowStartShareOfManyNodes(t *testing.T) {
-	const windows = 100 // one strays by a twentieth, as the draws decide which nodes have a part at several servers
+// A node of a large fleet gets few flows and its part of the budget is far below one connection, so all nodes together could
+// leave a server in slow start unused. They send it an even part of the flows times its weight, and no more than the overload
+// multiple of that if all other servers reject flows.
+func TestManyNodesUseServerInSlowStart(t *testing.T) {
+	// A single window deviates by a twentieth, as rounding decides which nodes may send to several of the servers.
+	const windows = 100
 	for _, c := range []struct {
-		name        string
-		nodes       int
-		othersFull  bool
-		least, most float64 // of the even share
+		name            string
+		nodes           int
+		othersFull      bool
+		atLeast, atMost float64 // flows as a fraction of the even part
 	}{
 		{"one node", 1, false, 0.05, 1.5},
 		{"three nodes", 3, false, 0.05, 1.5},
 		{"80 nodes", 80, false, 0.6, 1.5},
 		{"1000 nodes", 1000, false, 0.6, 1.5},
-		{"80 nodes, the others full: the multiple of the share", 80, true, 0.4, 0.7},
-		{"1000 nodes, the others full: the multiple of the share", 1000, true, 0.4, 0.7},
+		{"80 nodes, other servers full: the overload multiple", 80, true, 0.4, 0.7},
+		{"1000 nodes, other servers full: the overload multiple", 1000, true, 0.4, 0.7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			flows := max(2*c.nodes, 200) // at all nodes in each window
@@ -203,17 +209,17 @@
 			if !c.othersFull {
 				even = even * startedServers / startedAmong
 			}
-			share := float64(sent) / (windows * even)
-			if share < c.least || share > c.most {
-				t.Errorf("%.2f of the even share, want %.1f to %.1f", share, c.least, c.most)
+			fraction := float64(sent) / (windows * even)
+			if fraction < c.atLeast || fraction > c.atMost {
+				t.Errorf("sent %.2f of the even part, want %.1f to %.1f", fraction, c.atLeast, c.atMost)
 			}
 		})
 	}
 }
 
 const (
-	startedServers = 4 // that have a weight of 0.6
-	startedAmong   = 12
+	startedServers = 4  // servers in slow start, with a weight of 0.6
+	startedAmong   = 12 // all servers
 )
 
 // sentToStartedServers returns how many flows one node sends in one window to the servers in slow start.
@@ -245,17 +251,18 @@
 	return sent
 }
 
-// The budget is reckoned by the quotas where there are any: what is in flight sinks during an overload, just when
-// servers in slow start are needed. A list that got shorter does not make its servers larger.
+// The connections in flight decrease during an overload, so a budget that depended on them would shrink just when servers in
+// slow start are needed. The budget is therefore computed from the quotas, if there are any, and from the longest list so far,
+// because a shorter list does not increase the capacity of its servers.
 func TestSlowStartBudgetFollowsQuotas(t *testing.T) {
 	const place = 2
 	for _, c := range []struct {
-		name        string
-		quotas      []float64
-		removed     int
-		least, most int // in eight windows
+		name            string
+		quotas          []float64
+		removed         int
+		atLeast, atMost int // attempts in eight windows
 	}{
-		{"no quotas: what is in flight", nil, 0, 0, 8},
+		{"no quotas: connections in flight", nil, 0, 0, 8},
 		{"quotas", []float64{100, 60}, 0, 9, 24},
 		{"half of the list removed", []float64{100, 60}, 4, 9, 24},
 	} {
@@ -278,10 +285,10 @@
 					}
 				}
 			}
-			// 160 over 8 servers and 2 nodes are 10; with a weight of a half, twice of that spread over the slow start comes
-			// to 2.1 in a window of 2 s.
-			if sent < 20*c.least/8 || sent > 20*c.most/8 {
-				t.Errorf("%d sent in 20 windows", sent)
+			// The quotas allow 160 connections, 10 for each of 8 servers and 2 nodes. At a weight of a half, twice that number
+			// spread over the slow-start time is 2.1 in a window of 2 s.
+			if sent < 20*c.atLeast/8 || sent > 20*c.atMost/8 {
+				t.Errorf("%d sent in 20 windows, want %d to %d", sent, 20*c.atLeast/8, 20*c.atMost/8)
 			}
 		})
 	}
--- a/placement/spill.go
+++ b/placement/spill.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// overQuotaThreshold is the share of a server's load threshold that tenants over their quota may use.
-	overQuotaThreshold = 0.8
+	// overQuotaFraction is the fraction of a server's load threshold that tenants over their quota may use.
+	overQuotaFraction = 0.8
 	// highLoadPenalty puts a server with a high reported load behind all others, the least loaded first.
 	highLoadPenalty = 99
 )
 
-// path is the way of one flow through the usable servers.
+// path is the sequence of usable servers that are considered for one flow.
 type path struct {
-	flow          *flow
-	midFlow       bool    // the first attempt of a mid-flow connection, which stays where it was if possible
-	meanInFlight  float64 // connections and attempts of this node for each usable server
-	position      int     // of the current server among the usable ones
-	homeRank      float64 // rank of the last home visited
-	spillLimit    float64 // connections of this node above which a server is passed by
-	load          float64 // expected of the flow
-	thresholdPart float64 // share of a load threshold that the flow may use
-	followHomes   bool    // the path goes from home to home in place of the order of ids
+	flow              *flow
+	midFlow           bool    // this is the first attempt of a mid-flow connection, which stays at its server if possible
+	meanInFlight      float64 // mean number of connections and attempts of this node at a usable server
+	position          int     // position of the current server among the usable servers
+	homeRank          float64 // rank of the last home visited
+	spillLimit        float64 // connections of this node above which a server is skipped
+	load              float64 // expected load of the flow
+	thresholdFraction float64 // fraction of a server's load threshold that the flow may use
+	followHomes       bool    // the path visits the group's homes by rank instead of the servers by id
 }
 
-// candidate is the server that a path falls back on if none is below its limits.
+// candidate is the server that is used if no server on the path is below its limits.
 type candidate struct {
 	index  int
-	excess float64 // connections by capacity, and the penalty for a high load
+	excess float64 // connections divided by the slow-start weight, plus the penalty for a high load
 }
 
-// selectServer walks the path of a flow and returns the server where it is attempted, or none.
+// selectServer returns the server where a flow is attempted next, or none.
 func (b *Balancer) selectServer(now float64, f *flow) int {
 	midFlow := f.midFlow && f.attempts == 0
 	b.updateUsable(now, midFlow)
@@ -42,17 +42,18 @@
 	if index := b.reentryServer(now, f, meanInFlight); index != none {
 		return index
 	}
-	p := &path{flow: f, midFlow: midFlow, meanInFlight: meanInFlight, load: b.expectedLoad(f), thresholdPart: 1}
+	p := &path{flow: f, midFlow: midFlow, meanInFlight: meanInFlight, load: b.expectedLoad(f), thresholdFraction: 1}
 	b.enter(p)
 	if b.overQuota(f.tenant) {
-		p.thresholdPart = overQuotaThreshold
+		p.thresholdFraction = overQuotaFraction
 	}
-	// Where this node sees few of a group's flows, they spill from home to home, because a group shares its work.
+	// If this node has few connections, a group's flows spill from home to home: each server with flows of the group does
+	// the work that they share, so the flows should be at few servers.
 	p.followHomes = f.groupHash != 0 && b.random() < 2*b.overload.uncertainty
 	return b.walk(now, p)
 }
 
-// meanInFlight returns this node's connections and attempts for each usable server.
+// meanInFlight returns the mean number of this node's connections and attempts at a usable server.
 func (b *Balancer) meanInFlight() float64 {
 	mean := 0.0
 	for _, i := range b.usable {
@@ -61,8 +62,9 @@
 	return mean
 }
 
-// walk visits each usable server once, the one where the path enters twice if it is reached again. It returns the
-// first that is below its limits, else the best of those that may take the flow at all, or none.
+// walk visits the usable servers along a path. It has one step more than there are servers, so that it can come back to
+// the first one. It returns the first server that is below its limits, otherwise the best of those where the flow may be
+// attempted, or none.
 func (b *Balancer) walk(now float64, p *path) int {
 	best := candidate{index: none, excess: math.Inf(1)}
 	for step := range len(b.usable) + 1 {
@@ -70,14 +72,14 @@
 		index := b.usable[p.position]
 		s := &b.servers[index]
 		weight := b.slowStartWeight(now, s)
-		share := b.slowStartShare(weight, step)
-		if p.midFlow && step == 0 && b.withinSlowStartBudget(now, s, weight, p.meanInFlight, share) {
+		minChance := b.minAttemptChance(weight, step)
+		if p.midFlow && step == 0 && b.withinSlowStartBudget(now, s, weight, p.meanInFlight, minChance) {
 			return index
 		}
 		if !b.hasCapacity(now, p, s) || slices.Contains(p.flow.tried, index) || !b.mayAttempt(now, p.flow, index) {
 			continue
 		}
-		if !b.withinSlowStartBudget(now, s, weight, p.meanInFlight, share) {
+		if !b.withinSlowStartBudget(now, s, weight, p.meanInFlight, minChance) {
 			continue
 		}
 		if b.belowSpillLimit(now, p, s, weight) {
@@ -90,7 +92,7 @@
 	return best.index
 }
 
-// advance moves a path to the server of a step: the next home of a group, or the next server by id.
+// advance moves a path to its next server: the next home of a group, or the next server by id.
 func (b *Balancer) advance(p *path, step int) {
 	if step == 0 {
 		return
@@ -105,14 +107,14 @@
 
 // hasCapacity reports whether a server has capacity for the flow under its load threshold and is not overloaded now.
 func (b *Balancer) hasCapacity(now float64, p *path, s *server) bool {
-	if s.assignedLoad+p.load > p.thresholdPart*s.threshold.load {
+	if s.assignedLoad+p.load > p.thresholdFraction*s.threshold.load {
 		return false
 	}
 	return !s.threshold.overloadedNow(now)
 }
 
-// belowSpillLimit reports whether a path ends at a server that may take the flow. A server in slow start is drawn by
-// its weight, where the others have connections already.
+// belowSpillLimit reports whether a flow is sent to a server without looking further. A server in slow start is chosen with
+// a chance that is its weight, once the other servers have connections.
 func (b *Balancer) belowSpillLimit(now float64, p *path, s *server, weight float64) bool {
 	if s.report.high(now) || float64(s.inFlight) > p.spillLimit*weight {
 		return false
@@ -120,7 +122,7 @@
 	return weight >= 1 || p.meanInFlight < 1 || b.random() < weight
 }
 
-// excess orders the servers on which a path falls back, the best first.
+// excess returns the value by which fallback candidates are compared. The server with the lowest value is used.
 func (s *server) excess(now, weight float64) float64 {
 	excess := float64(s.inFlight) / weight
 	if s.report.high(now) {
