--- a/internal/lbwire/actions.go
+++ b/internal/lbwire/actions.go
@@ -5,7 +5,7 @@
 	"gorseledge/placement"
 )
 
-// newAction gives an action's record, without its fields.
+// newAction returns the record of an action with its code and instance id. The other fields are zero.
 func newAction(code actionCode, id uint16) [actionBytes]byte {
 	var record [actionBytes]byte
 	record[0] = byte(code)
@@ -13,7 +13,8 @@
 	return record
 }
 
-// appendDecision appends a decision of an instance to the reply. Load gossip waits for the end of the batch.
+// appendDecision appends the action for a decision of an instance to the reply. Load gossip is collected and sent at the end
+// of the batch.
 func (s *session) appendDecision(id uint16, in *instance, d placement.Decision) {
 	if d.Action == placement.GossipLoad {
 		in.gossip = append(in.gossip, peers.HostLoad{Host: in.hostIDs[d.Server], Load: d.Load})
@@ -46,7 +47,8 @@
 	s.actions = append(s.actions, record[:]...)
 }
 
-// appendGossip sends an instance's load gossip of this batch to every other instance, in as few messages as it takes.
+// appendGossip appends actions that send an instance's load gossip of this batch to every other instance, in as few messages
+// as possible.
 func (s *session) appendGossip(id uint16, in *instance) {
 	for len(in.gossip) > 0 {
 		record := newAction(actionGossip, id)
--- a/internal/lbwire/events.go
+++ b/internal/lbwire/events.go
@@ -9,7 +9,7 @@
 	"gorseledge/placement"
 )
 
-// handleEvent gives one event to its instance. Events of instances that do not run are ignored.
+// handleEvent passes one event to its instance. Events of instances that are not running are ignored.
 func (s *session) handleEvent(now float64, record, tail []byte) error {
 	code, id := eventCode(record[0]), byteOrder.Uint16(record[1:])
 	switch code {
@@ -32,25 +32,25 @@
 	return in.handleEvent(now, code, record, tail)
 }
 
-// startInstance starts an instance in place of any before it with the same id.
+// startInstance starts an instance. It replaces any instance with the same id.
 func (s *session) startInstance(id uint16, record, tail []byte) error {
 	text, err := tailPart(record[11:], tail, 1)
 	if err != nil {
 		return err
 	}
-	core, listener, err := settings.Parse(text, byteOrder.Uint64(record[3:]))
+	balancerSettings, listenerSettings, err := settings.Parse(text, byteOrder.Uint64(record[3:]))
 	if err != nil {
 		return err
 	}
-	if core.NodeNumber < 0 {
-		core.NodeNumber = int(id)
+	if balancerSettings.NodeNumber < 0 {
+		balancerSettings.NodeNumber = int(id)
 	}
-	s.instances[id] = newInstance(core, listener.ReportFields)
+	s.instances[id] = newInstance(balancerSettings, listenerSettings.ReportFields)
 	s.order = append(s.order, id)
 	return nil
 }
 
-// handleEvent gives one event to the balancer.
+// handleEvent passes one event to the balancer of the instance.
 func (in *instance) handleEvent(now float64, code eventCode, record, tail []byte) error {
 	id := byteOrder.Uint32(record[3:])
 	attempt := int(byteOrder.Uint16(record[7:]))
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// handleFlowNote takes the load or the delay of an established flow.
+// handleFlowNote passes the reported load or message delay of an established flow to the balancer.
 func (in *instance) handleFlowNote(now float64, id uint32, record []byte) {
 	value := float32At(record[14:])
 	switch record[7] {
@@ -95,7 +95,7 @@
 	}
 }
 
-// handleGossip takes another instance's load gossip. Hosts that are not known are left out.
+// handleGossip passes the load gossip of another instance to the balancer. Unknown hosts are ignored.
 func (in *instance) handleGossip(now float64, record, tail []byte) error {
 	text, err := tailPart(record[5:], tail, 1)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// handleHealthCheck takes the result of a health check of a host that is known.
+// handleHealthCheck passes the result of a health check to the balancer, unless the host is unknown.
 func (in *instance) handleHealthCheck(now float64, record []byte) {
 	index, known := in.hosts[byteOrder.Uint32(record[9:])]
 	if !known {
@@ -119,7 +119,8 @@
 	in.balancer.HealthChecked(now, index, outcome, in.loadReportOf(record[13:]))
 }
 
-// loadReportOf reads a load report: the number of figures, and the figures. Its load is -1 where it has none.
+// loadReportOf decodes a load report, which is a number of figures followed by the figures. The load is -1 if the report has
+// none.
 func (in *instance) loadReportOf(field []byte) placement.LoadReport {
 	report := placement.LoadReport{Load: -1}
 	for i := range min(int(field[0]), len(in.reportFields), maxReportFigures) {
@@ -130,7 +131,7 @@
 	return report
 }
 
-// arrivalOf reads what a new or restored flow asks for.
+// arrivalOf decodes the properties of a new or restored flow.
 func arrivalOf(record []byte) placement.Arrival {
 	options := record[37]
 	arrival := placement.Arrival{
@@ -148,11 +149,11 @@
 	return arrival
 }
 
-// handleEndpoints takes an endpoint list, or that it could not be had.
+// handleEndpoints passes an endpoint list, or the failure to get one, to the balancer.
 func (in *instance) handleEndpoints(now float64, record, tail []byte) error {
 	kind, known := listKinds[record[7]]
 	if !known {
-		return fmt.Errorf("unknown kind of list %d", record[7])
+		return fmt.Errorf("unknown kind of endpoint list %d", record[7])
 	}
 	entries, err := tailPart(record[8:], tail, endpointBytes)
 	if err != nil {
@@ -170,11 +171,11 @@
 	return nil
 }
 
-// endpointOf reads one entry of a list.
+// endpointOf decodes one entry of an endpoint list.
 func (in *instance) endpointOf(entry []byte) (placement.Endpoint, error) {
 	state, known := endpointStates[entry[6]]
 	if !known {
-		return placement.Endpoint{}, fmt.Errorf("unknown server state %d", entry[6])
+		return placement.Endpoint{}, fmt.Errorf("unknown server state %d in the endpoint list", entry[6])
 	}
 	host := byteOrder.Uint32(entry[16:])
 	return placement.Endpoint{
--- a/internal/lbwire/instance.go
+++ b/internal/lbwire/instance.go
@@ -5,18 +5,18 @@
 	"gorseledge/placement"
 )
 
-// instance is one simulated instance: a balancer, with the small indices by which it knows the protocol's flows and
-// hosts.
+// instance is one simulated instance: a balancer, and the mapping from the protocol's ids of flows and hosts to the indices
+// that the balancer uses.
 type instance struct {
 	balancer     *placement.Balancer
-	reportFields []string         // names of a load report's figures
-	flows        map[uint32]int   // index by id
-	flowIDs      []uint32         // id by index
-	freeFlows    []int            // indices that no flow has
-	touched      []int            // flows that may have ended in this batch
-	hosts        map[uint32]int   // index by id
-	hostIDs      []uint32         // id by index
-	gossip       []peers.HostLoad // for the other instances, in this batch
+	reportFields []string         // names of the figures of a load report, in order
+	flows        map[uint32]int   // flow index by flow id
+	flowIDs      []uint32         // flow id by flow index
+	freeFlows    []int            // released flow indices
+	touched      []int            // indices of flows that may have ended in this batch
+	hosts        map[uint32]int   // host index by host id
+	hostIDs      []uint32         // host id by host index
+	gossip       []peers.HostLoad // loads to send to the other instances at the end of this batch
 }
 
 func newInstance(settings placement.Settings, reportFields []string) *instance {
@@ -28,7 +28,7 @@
 	}
 }
 
-// hostIndex gives a host's index, a new one for a host that is not known.
+// hostIndex returns the index of a host. It assigns a new index to an unknown host.
 func (in *instance) hostIndex(id uint32) int {
 	index, known := in.hosts[id]
 	if !known {
@@ -39,7 +39,7 @@
 	return index
 }
 
-// addFlow gives a flow an index, and false for an id that a flow has already.
+// addFlow assigns an index to a flow. It returns false if there is already a flow with the id.
 func (in *instance) addFlow(id uint32) (index int, added bool) {
 	if _, taken := in.flows[id]; taken {
 		return 0, false
@@ -57,7 +57,7 @@
 	return index, true
 }
 
-// flowIndex gives the index of a flow that an event is about, -1 for one that is not known.
+// flowIndex returns the index of a flow for which an event arrived, or -1 if the flow is unknown.
 func (in *instance) flowIndex(id uint32) int {
 	index, known := in.flows[id]
 	if !known {
@@ -67,7 +67,7 @@
 	return index
 }
 
-// releaseEndedFlows frees the indices of the batch's flows that have ended.
+// releaseEndedFlows releases the indices of the flows that have ended in this batch.
 func (in *instance) releaseEndedFlows() {
 	for _, index := range in.touched {
 		if in.balancer.Release(index) {
--- a/internal/lbwire/protocol.go
+++ b/internal/lbwire/protocol.go
@@ -8,22 +8,22 @@
 	"gorseledge/placement"
 )
 
-// byteOrder is the protocol's.
+// byteOrder is the byte order of the protocol.
 var byteOrder = binary.BigEndian
 
-// Sizes of the protocol's parts, in bytes.
+// Sizes in the protocol, in bytes unless noted otherwise.
 const (
-	batchHeadBytes    = 16
-	replyHeadBytes    = 8
+	batchHeaderBytes  = 16
+	replyHeaderBytes  = 8
 	eventBytes        = 48
 	actionBytes       = 16
 	endpointBytes     = 22
 	maxFrameBytes     = 1 << 28
-	maxReportFigures  = 4 // load figures of one health check
+	maxReportFigures  = 4 // largest number of load figures of one health check
 	reportFigureBytes = 4
 )
 
-// loadReportField is the figure of a load report that is the host's load.
+// loadReportField is the name of the figure of a load report that is the load of the host.
 const loadReportField = "x0"
 
 // Units of the protocol, in seconds.
@@ -32,10 +32,10 @@
 	millisecond = 1e-3
 )
 
-// eventCode says what an event is.
+// eventCode is the kind of an event.
 type eventCode byte
 
-// The protocol's event codes, with its names for them.
+// The event codes of the protocol. The comments are the protocol's names for them.
 const (
 	eventClientLeft     eventCode = 1 + iota // cancelled_by_client
 	eventHealthChecked                       // probe_done
@@ -51,10 +51,10 @@
 	eventInstanceKilled                      // destroy
 )
 
-// actionCode says what an action is.
+// actionCode is the kind of an action.
 type actionCode byte
 
-// The protocol's action codes that this package writes, with its names for them.
+// The action codes that this package writes. The comments are the protocol's names for them.
 const (
 	actionConnect        actionCode = 1  // call_out
 	actionReject         actionCode = 2  // deny
@@ -67,7 +67,7 @@
 	actionMigrate        actionCode = 13 // redirect
 )
 
-// actionCodes gives the protocol's code for the balancer's actions, but for load gossip, which is sent together.
+// actionCodes maps the balancer's actions to the protocol's codes. Load gossip is missing, because appendGossip encodes it.
 var actionCodes = map[placement.Action]actionCode{
 	placement.Connect:        actionConnect,
 	placement.Reject:         actionReject,
@@ -79,16 +79,16 @@
 	placement.Migrate:        actionMigrate,
 }
 
-// allInstances is the recipient of a message to every other instance.
+// allInstances is the recipient code of a message to every other instance.
 const allInstances = math.MaxUint16
 
-// watchWithChanges asks for the list's changes, not only for a list.
+// watchWithChanges is the code that requests the changes of the endpoint list in addition to the list.
 const watchWithChanges = 1
 
 // Kinds of an eventFlowNote.
 const (
-	noteLoad  = 1 // millionths
-	noteDelay = 2 // ms
+	noteLoad  = 1 // load in millionths
+	noteDelay = 2 // message delay in milliseconds
 )
 
 // Bits of a flow's options.
@@ -98,7 +98,7 @@
 	optionReturning = 16
 )
 
-// outcomes gives the balancer's term for the protocol's code of an outcome.
+// outcomes maps the protocol's outcome codes to the balancer's outcomes.
 var outcomes = map[uint16]placement.Outcome{
 	0:   placement.Served,
 	5:   placement.Failed,
@@ -110,7 +110,8 @@
 	125: placement.Canceled,
 }
 
-// outcomeOf gives an outcome by its code. One that is not known may have run, as after a lost connection.
+// outcomeOf returns the outcome for a code. An unknown code counts as a lost connection, because the attempt may have had an
+// effect.
 func outcomeOf(code uint16) placement.Outcome {
 	if outcome, known := outcomes[code]; known {
 		return outcome
@@ -118,7 +119,7 @@
 	return placement.ConnectionLost
 }
 
-// listKinds gives the balancer's term for the protocol's code of a list.
+// listKinds maps the protocol's codes for kinds of endpoint lists to the balancer's kinds.
 var listKinds = map[byte]placement.ListKind{
 	0: placement.ListCached,
 	1: placement.ListChanges,
@@ -126,27 +127,28 @@
 	4: placement.ListFailed,
 }
 
-// endpointStates gives the balancer's term for the protocol's code of a server's state.
+// endpointStates maps the protocol's codes for server states to the balancer's states.
 var endpointStates = map[byte]placement.EndpointState{
 	0: placement.Removed,
 	1: placement.Ready,
 	2: placement.Draining,
 }
 
-// tailPart gives what a field of offset and length names in the tail, in units of unitBytes bytes.
+// tailPart returns the part of the tail to which a field refers. The field holds the offset in bytes and the length in units
+// of unitBytes bytes.
 func tailPart(field, tail []byte, unitBytes uint64) ([]byte, error) {
 	from := uint64(byteOrder.Uint32(field))
 	length := uint64(byteOrder.Uint32(field[4:])) * unitBytes
 	if from+length > uint64(len(tail)) {
-		return nil, fmt.Errorf("bytes %d to %d are past the tail's %d", from, from+length, len(tail))
+		return nil, fmt.Errorf("field refers to bytes %d to %d, past the tail of %d bytes", from, from+length, len(tail))
 	}
 	return tail[from : from+length], nil
 }
 
-// float32At reads a field of 4 bytes.
+// float32At decodes a 32-bit floating-point field.
 func float32At(field []byte) float64 { return float64(math.Float32frombits(byteOrder.Uint32(field))) }
 
-// microseconds turns seconds into the protocol's time, which is positive.
+// microseconds converts seconds to the microseconds of the protocol, at least 1 and at most math.MaxInt32.
 func microseconds(seconds float64) uint32 {
 	return uint32(math.Min(math.Max(math.Round(seconds/microsecond), 1), math.MaxInt32))
 }
--- a/internal/lbwire/serve_golden_test.go
+++ b/internal/lbwire/serve_golden_test.go
@@ -12,9 +12,9 @@
 	"gorseledge/internal/settings"
 )
 
-// testdata/input.hex is a stream of the simulator's frames, one a line, and testdata/output.hex holds what revision
-// 5fa7498 answered, one reply a line. They are fixed for good: there is no flag that rewrites them. The simulator goes by
-// these bytes, and the decisions in them have to stay as they are.
+// testdata/input.hex is a stream of frames from the simulator, one per line, and testdata/output.hex holds the replies of
+// revision 5fa7498, one per line. The files must never change, and no flag rewrites them: the simulator depends on these
+// bytes, and the decisions in them must stay the same.
 
 // goldenFrames returns the frames of a file under testdata.
 func goldenFrames(t *testing.T, name string) [][]byte {
@@ -34,20 +34,20 @@
 	return frames
 }
 
-// codes returns the codes of the fixed-size records that follow a frame's head, sorted, each once.
-func codes(frames [][]byte, headLength, recordLength int) []byte {
+// codes returns the distinct codes of the fixed-size records after the frames' headers, sorted.
+func codes(frames [][]byte, headerLength, recordLength int) []byte {
 	var all []byte
 	for _, frame := range frames {
-		count := int(byteOrder.Uint32(frame[headLength-4:]))
+		count := int(byteOrder.Uint32(frame[headerLength-4:]))
 		for i := range count {
-			all = append(all, frame[headLength+i*recordLength])
+			all = append(all, frame[headerLength+i*recordLength])
 		}
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// endings returns the outcomes with which the stream's connects end.
+// endings returns the outcome codes with which attempts in the stream end.
 func endings(frames [][]byte) map[uint16]bool {
 	found := map[uint16]bool{}
 	for _, frame := range frames {
@@ -60,6 +60,7 @@
 	return found
 }
 
+// A kind of record that is missing from the golden stream would not be covered by the comparison of replies.
 func TestGoldenStreamHasEveryKindOfRecord(t *testing.T) {
 	input, output := goldenFrames(t, "input.hex"), goldenFrames(t, "output.hex")
 	if got, want := codes(input, 16, 48), []byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}; !bytes.Equal(got, want) {
@@ -71,22 +72,22 @@
 	found := endings(input)
 	for _, code := range []uint16{0, 5, 11, 104, 110, 111, 114, 125, 999} {
 		if !found[code] {
-			t.Errorf("no connect ends with outcome %d", code)
+			t.Errorf("no attempt ends with outcome %d", code)
 		}
 	}
 }
 
-// action is one record of a reply with the part of the reply's tail that it refers to.
+// action is one record of a reply, with the part of the reply's tail to which it refers.
 type action struct {
-	record [16]byte // without references into the tail
-	tail   string   // empty for a log line, whose words may change
+	record [16]byte // record without its offset and length in the tail
+	tail   string   // part of the tail; empty for a log line, whose words may change
 }
 
-// actions takes a reply apart. It fails the test where the reply's length does not agree with what is in it.
+// actions decodes a reply. It fails the test if the length of the reply does not match its contents.
 func actions(t *testing.T, reply []byte) []action {
 	t.Helper()
 	if len(reply) < 8 || int(byteOrder.Uint32(reply)) != len(reply) {
-		t.Fatalf("a reply of %d bytes has the head %x", len(reply), reply[:min(len(reply), 8)])
+		t.Fatalf("reply of %d bytes has the header %x", len(reply), reply[:min(len(reply), 8)])
 	}
 	count := int(byteOrder.Uint32(reply[4:]))
 	tail := reply[8+count*16:]
@@ -104,7 +105,7 @@
 		case 9: // a log line
 			from, length := byteOrder.Uint32(a.record[3:]), byteOrder.Uint32(a.record[7:])
 			if length == 0 || int(from+length) > len(tail) {
-				t.Fatalf("a log line of %d bytes at %d in a tail of %d", length, from, len(tail))
+				t.Fatalf("log line of %d bytes at offset %d in a tail of %d bytes", length, from, len(tail))
 			}
 			used += int(length)
 			clear(a.record[3:11])
@@ -112,12 +113,13 @@
 		all = append(all, a)
 	}
 	if used != len(tail) {
-		t.Fatalf("a tail of %d bytes, of which %d are referred to", len(tail), used)
+		t.Fatalf("tail of %d bytes, but the records refer to %d", len(tail), used)
 	}
 	return all
 }
 
-// The replies are compared action by action: all bytes but the words of log lines, which are no part of the protocol.
+// A changed decision or encoding would break the simulator and its recorded runs. The replies must be equal to the golden
+// ones, except for the words of log lines, which are not part of the protocol.
 func TestServeAnswersGoldenStream(t *testing.T) {
 	input, want := goldenFrames(t, "input.hex"), goldenFrames(t, "output.hex")
 	var output bytes.Buffer
@@ -126,7 +128,7 @@
 	}
 	for i, reply := range want {
 		if output.Len() < 8 {
-			t.Fatalf("no reply %d", i)
+			t.Fatalf("reply %d is missing", i)
 		}
 		got := output.Next(int(byteOrder.Uint32(output.Bytes())))
 		if !slices.Equal(actions(t, got), actions(t, reply)) {
@@ -134,16 +136,17 @@
 		}
 	}
 	if output.Len() > 0 {
-		t.Errorf("%d bytes more than the golden replies", output.Len())
+		t.Errorf("%d bytes after the last golden reply", output.Len())
 	}
 }
 
-// The settings in the stream's first frame have every key, and all of them are read.
+// A setting that the simulator sends and that is not decoded would change decisions silently. The settings in the first frame
+// of the golden stream have every key, and the values of all of them are decoded.
 func TestGoldenSettingsAreRead(t *testing.T) {
 	first := goldenFrames(t, "input.hex")[0]
 	from, length := byteOrder.Uint32(first[16+11:]), byteOrder.Uint32(first[16+15:])
 	tail := first[16+48*byteOrder.Uint32(first[12:]):]
-	settings, rest, err := settings.Parse(tail[from:from+length], byteOrder.Uint64(first[16+3:]))
+	settings, listener, err := settings.Parse(tail[from:from+length], byteOrder.Uint64(first[16+3:]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,8 +155,8 @@
 		len(settings.ServiceTypes) != 3 || !slices.Equal(settings.Quotas, []float64{6, 4}) {
 		t.Errorf("read %+v", settings)
 	}
-	if !slices.Equal(rest.ReportFields, []string{"x1", "x0"}) || !slices.Equal(rest.Zones, []string{"a", "b"}) ||
-		!slices.Equal(rest.Tenants, []string{"acme", "beta"}) || !rest.PassThrough || !rest.ReportsDelay || !rest.ReportsLoad {
-		t.Errorf("read %+v", rest)
+	if !slices.Equal(listener.ReportFields, []string{"x1", "x0"}) || !slices.Equal(listener.Zones, []string{"a", "b"}) ||
+		!slices.Equal(listener.Tenants, []string{"acme", "beta"}) || !listener.PassThrough || !listener.ReportsDelay || !listener.ReportsLoad {
+		t.Errorf("read %+v", listener)
 	}
 }
--- a/internal/lbwire/serve_test.go
+++ b/internal/lbwire/serve_test.go
@@ -7,33 +7,36 @@
 	"testing"
 )
 
-// Frames in hexadecimal: an empty batch, and the head of a batch with one record.
+// Frames in hexadecimal: an empty batch, and the header of a batch with one record.
 const (
-	emptyBatch = "0000000000000001" + "00000010" + "00000000"
-	oneHead    = "0000000000000001" + "00000040" + "00000001" // 16 + 48 bytes, one record
+	emptyBatch      = "0000000000000001" + "00000010" + "00000000"
+	oneRecordHeader = "0000000000000001" + "00000040" + "00000001" // 16 + 48 bytes, one record
 )
 
-func TestServeAnswersFramesOrNamesWhatIsWrong(t *testing.T) {
+// A malformed frame that was accepted, or a valid one that was refused, would make the simulator's results meaningless. Valid
+// frames get the exact reply, and malformed ones an error that names what is wrong.
+func TestServeRepliesToValidFramesAndRejectsOthers(t *testing.T) {
 	pad := func(s string) string { return s + strings.Repeat("0", 96-len(s)) }
 	cases := []struct{ name, in, out, fails string }{
 		{"no batch", "", "", ""},
 		{"empty batch", emptyBatch, "0000000800000000", ""},
 		{"two empty batches", emptyBatch + emptyBatch, "00000008000000000000000800000000", ""},
-		{"cut off in the header", emptyBatch[:10], "", "batch 0: cut off in its header"},
-		{"cut off in the body", oneHead + "0a", "", "batch 0: cut off before its 64 bytes"},
+		{"stream ends in the header", emptyBatch[:10], "", "batch 0: stream ended within the header"},
+		{"stream ends in the body", oneRecordHeader + "0a", "",
+			"batch 0: stream ended before the end of the frame of 64 bytes"},
 		{"length below the header", "0000000000000001" + "0000000f" + "00000000", "",
-			"batch 0: 15 bytes do not hold 0"},
-		{"more records than bytes", "0000000000000001" + "00000040" + "00000002", "", "do not hold 2 records"},
-		{"oversized", "0000000000000001" + "ffffffff" + "00000000", "", "4294967295 bytes"},
-		{"unknown event", oneHead + pad("63"), "", "record 0: unknown event code 99"},
-		{"settings past the tail", oneHead + pad("0b0001"+"0000000000000005"+"00000000"+"00000009"), "",
-			"past the tail"},
-		{"wake of an unknown instance", oneHead + pad("0a0007"), "0000000800000000", ""},
-		{"end of an unknown instance", oneHead + pad("0c0007"), "0000000800000000", ""},
-		{"flow for an unknown instance", oneHead + pad("030007"), "0000000800000000", ""},
+			"batch 0: frame size must be between 16 and 268435456 bytes and fit 0 records of 48 bytes, got 15 bytes"},
+		{"more records than bytes", "0000000000000001" + "00000040" + "00000002", "", "fit 2 records of 48 bytes, got 64 bytes"},
+		{"oversized", "0000000000000001" + "ffffffff" + "00000000", "", "got 4294967295 bytes"},
+		{"unknown event", oneRecordHeader + pad("63"), "", "record 0: unknown event code 99"},
+		{"settings past the tail", oneRecordHeader + pad("0b0001"+"0000000000000005"+"00000000"+"00000009"), "",
+			"past the tail of 0 bytes"},
+		{"wake of an unknown instance", oneRecordHeader + pad("0a0007"), "0000000800000000", ""},
+		{"end of an unknown instance", oneRecordHeader + pad("0c0007"), "0000000800000000", ""},
+		{"flow for an unknown instance", oneRecordHeader + pad("030007"), "0000000800000000", ""},
 		{"settings that do not parse", "0000000000000001" + "00000042" + "00000001" +
 			pad("0b0001"+"0000000000000005"+"00000000"+"00000002") + "7b7b", "", "record 0: settings"},
-		{"unknown keys, no types, a wake asked for", "0000000000000001" + "0000004a" + "00000001" +
+		{"unknown keys, no service types: one wake", "0000000000000001" + "0000004a" + "00000001" +
 			pad("0b0001"+"0000000000000005"+"00000000"+"0000000a") + hex.EncodeToString([]byte(`{"odd":[]}`)),
 			"0000001800000001" + "050001" + "0003d090" + "000000000000000000", ""},
 	}
