--- a/internal/lbwire/serve_golden_test.go
+++ b/internal/lbwire/serve_golden_test.go
@@ -156,7 +156,8 @@
 		t.Errorf("read %+v", settings)
 	}
 	if !slices.Equal(listener.ReportFields, []string{"x1", "x0"}) || !slices.Equal(listener.Zones, []string{"a", "b"}) ||
-		!slices.Equal(listener.Tenants, []string{"acme", "beta"}) || !listener.PassThrough || !listener.ReportsDelay || !listener.ReportsLoad {
+		!slices.Equal(listener.Tenants, []string{"acme", "beta"}) || !listener.PassThrough || !listener.ReportsDelay ||
+		!listener.ReportsLoad {
 		t.Errorf("read %+v", listener)
 	}
 }
--- a/internal/lbwire/serve_test.go
+++ b/internal/lbwire/serve_test.go
@@ -17,7 +17,7 @@
 // frames get the exact reply, and malformed ones an error that names what is wrong.
 func TestServeRepliesToValidFramesAndRejectsOthers(t *testing.T) {
 	pad := func(s string) string { return s + strings.Repeat("0", 96-len(s)) }
-	cases := []struct{ name, in, out, fails string }{
+	cases := []struct{ name, in, out, wantError string }{
 		{"no batch", "", "", ""},
 		{"empty batch", emptyBatch, "0000000800000000", ""},
 		{"two empty batches", emptyBatch + emptyBatch, "00000008000000000000000800000000", ""},
@@ -48,9 +48,9 @@
 			}
 			var out bytes.Buffer
 			err = Serve(bytes.NewReader(in), &out)
-			if c.fails != "" {
-				if err == nil || !strings.Contains(err.Error(), c.fails) {
-					t.Fatalf("error %v, want %q", err, c.fails)
+			if c.wantError != "" {
+				if err == nil || !strings.Contains(err.Error(), c.wantError) {
+					t.Fatalf("error %v, want %q", err, c.wantError)
 				}
 				return
 			}
