--- a/internal/settings/live_keys_test.go
+++ b/internal/settings/live_keys_test.go
@@ -8,7 +8,8 @@
 	"gorseledge/internal/livesettings"
 )
 
-// keysOf gives the dotted keys of all values of a settings object; the rows of a list go by a name.
+// keysOf returns the dotted keys of all values in the type of a settings object. An element of a list of objects has the key
+// "chat", as an example of a name.
 func keysOf(t reflect.Type, key string) (keys []string) {
 	switch t.Kind() {
 	case reflect.Pointer:
@@ -27,12 +28,13 @@
 	return []string{key}
 }
 
-// Every key that the settings object of a start knows is live, or refused by name as one that needs a restart: none is
-// unknown to the live settings.
+// An operator who puts a setting of the start into the live settings must learn that it needs a restart, instead of reading
+// that the key is unknown. Of all keys of the settings object, one is a live setting, and all others are refused with that
+// reason.
 func TestStartKeysAreLiveOrNeedRestart(t *testing.T) {
 	keys := keysOf(reflect.TypeFor[object](), "")
 	if len(keys) < 25 {
-		t.Fatalf("only %v", keys)
+		t.Fatalf("found only %d keys: %v", len(keys), keys)
 	}
 	for _, key := range keys {
 		_, err := livesettings.Parse("live.toml", []byte(key+" = 1"))
@@ -40,7 +42,7 @@
 			t.Errorf("%s: %v", key, err)
 		}
 		if err == nil && key != "limits.max_connects" {
-			t.Errorf("%s is live", key)
+			t.Errorf("%s is accepted as a live setting, want an error", key)
 		}
 	}
 }
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -6,7 +6,7 @@
 	"gorseledge/placement"
 )
 
-// object is the settings object as it is written. Times are in microseconds. Keys that are not named here are skipped.
+// object is the JSON form of the settings. Times are in microseconds. Unknown keys are ignored.
 type object struct {
 	Family struct {
 		MessageObjectives []float64 `json:"message_aim_us"` // by service type
@@ -48,11 +48,11 @@
 		SetupObjective    float64 `json:"setup_target_us"`
 	} `json:"service_types"`
 	Nodes      float64  `json:"siblings"`
-	NodeNumber *float64 `json:"me"` // nil where it is not given
+	NodeNumber *float64 `json:"me"` // nil if it is missing
 	Zones      []string `json:"zones"`
 }
 
-// The texts by which the object names a choice.
+// The values of the keys mode, membership_mode and source.
 const (
 	modePassThrough         = "pass"
 	listModeWatched         = "subscribe"
@@ -60,48 +60,48 @@
 	reportsWithHealthChecks = "on_probe"
 )
 
-// idempotencies gives the balancer's term for the text of a type's effect; the empty one is AtMostOnce.
+// idempotencies maps the values of a service type's key "effect". A missing or empty value is AtMostOnce.
 var idempotencies = map[string]placement.Idempotency{
 	"repeatable": placement.Idempotent,
 	"by_key":     placement.IdempotentWithKey,
 	"once":       placement.AtMostOnce,
 }
 
-// keyScopes gives the balancer's term for the text of a type's group; any other is KeyScopeCell.
+// keyScopes maps the values of a service type's key "group". Any other value is KeyScopeCell.
 var keyScopes = map[string]placement.KeyScope{
 	"all":  placement.KeyScopeAll,
 	"zone": placement.KeyScopeZone,
 	"cell": placement.KeyScopeCell,
 }
 
-// figure is a number of the object, with its key below the root.
-type figure struct {
+// number is one numeric setting with its key, without the root key.
+type number struct {
 	key   string
 	value float64
 }
 
-// check gives a *KeyError for the first effect that is not known, or else for the first negative figure. Neither is taken
-// for another one.
+// check returns a *KeyError for the first unknown effect, or else for the first negative number. It replaces neither by a
+// valid value.
 func (o *object) check() error {
 	for i, t := range o.ServiceTypes {
 		if _, known := idempotencies[t.Effect]; !known && t.Effect != "" {
 			return &KeyError{
 				Key:    fmt.Sprintf("%s.service_types[%d].effect", rootKey, i),
-				Reason: fmt.Sprintf("%q is none of repeatable, by_key, once", t.Effect),
+				Reason: fmt.Sprintf("must be repeatable, by_key or once, got %q", t.Effect),
 			}
 		}
 	}
-	for _, f := range o.figures() {
-		if f.value < 0 {
-			return &KeyError{Key: rootKey + "." + f.key, Reason: fmt.Sprintf("%v is negative", f.value)}
+	for _, n := range o.numbers() {
+		if n.value < 0 {
+			return &KeyError{Key: rootKey + "." + n.key, Reason: fmt.Sprintf("must not be negative, got %v", n.value)}
 		}
 	}
 	return nil
 }
 
-// figures gives the numbers that must not be negative.
-func (o *object) figures() []figure {
-	figures := []figure{
+// numbers returns the numbers that must not be negative.
+func (o *object) numbers() []number {
+	numbers := []number{
 		{"granularity_us", o.Tick},
 		{"siblings", o.Nodes},
 		{"invariants.ask_within_us", o.Invariants.PollInterval},
@@ -114,18 +114,18 @@
 		{"limits.max_retry_after_us", o.Limits.MaxRetryAfter},
 	}
 	if o.NodeNumber != nil {
-		figures = append(figures, figure{"me", *o.NodeNumber})
+		numbers = append(numbers, number{"me", *o.NodeNumber})
 	}
 	for i, objective := range o.Family.MessageObjectives {
-		figures = append(figures, figure{fmt.Sprintf("family_info.message_aim_us[%d]", i), objective})
+		numbers = append(numbers, number{fmt.Sprintf("family_info.message_aim_us[%d]", i), objective})
 	}
 	for i, quota := range o.Family.Quotas {
-		figures = append(figures, figure{fmt.Sprintf("family_info.tenant_quota_connections[%d]", i), quota})
+		numbers = append(numbers, number{fmt.Sprintf("family_info.tenant_quota_connections[%d]", i), quota})
 	}
 	for i, t := range o.ServiceTypes {
 		row := fmt.Sprintf("service_types[%d].", i)
-		figures = append(figures, figure{row + "give_up_us", t.MaxConnectTimeout}, figure{row + "memory_span_us", t.KeyLifetime},
-			figure{row + "setup_target_us", t.SetupObjective})
+		numbers = append(numbers, number{row + "give_up_us", t.MaxConnectTimeout}, number{row + "memory_span_us", t.KeyLifetime},
+			number{row + "setup_target_us", t.SetupObjective})
 	}
-	return figures
+	return numbers
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads the settings object that a node or a simulated instance is given at its start: for the
-// balancer (placement.Settings) and for what carries its decisions out (ListenerSettings). It owns the mapping from the
-// object's keys, names of choices and microseconds to the terms and seconds of the code. It sets no defaults.
+// Package settings decodes the JSON settings that a node or a simulated instance receives when it starts. It returns the
+// settings of the balancer (placement.Settings) and those of the code that carries out the balancer's decisions
+// (ListenerSettings). It maps the keys, values and microseconds of the JSON object to Go types and seconds, and sets no
+// defaults.
 package settings
 
 import (
@@ -13,39 +14,39 @@
 
 const (
 	microsecond = 1e-6    // s
-	maxCount    = 1 << 20 // of nodes, attempts or a node's number
-	noNumber    = -1      // a node's number where the settings do not give it
+	maxCount    = 1 << 20 // largest number of nodes or attempts, and largest node number
+	noNumber    = -1      // node number if the settings have none
 )
 
-// rootKey is the key of the whole object in the messages of a KeyError.
+// rootKey is the key of the whole settings object in a KeyError.
 const rootKey = "settings"
 
-// ListenerSettings is what a node needs of the settings beside the balancer's: names and limits of connections. Times are
-// in seconds. The zero value has no service types, tenants and zones, and no limits.
+// ListenerSettings holds the settings that a node needs in addition to the balancer's: names and limits of connections. Times
+// are in seconds. The zero value has no service types, tenants or zones, and no limits.
 type ListenerSettings struct {
-	ReportFields      []string // names of a load report's figures, in their order
-	ServiceTypes      []string // names, by the balancer's index
-	Tenants           []string // names, by the balancer's index
-	Zones             []string // names, by the balancer's index
-	DialTimeout       float64  // a connection that is not up by then never comes up
-	MaxConnectTimeout float64  // the longest connect timeout of a client
-	ReportsLoad       bool     // hosts report a connection's load
-	ReportsDelay      bool     // hosts report how long a message takes
-	ListPushed        bool     // lists come on their own, to an agent on the node's machine
-	PassThrough       bool     // packets pass through: connections outlive the node
+	ReportFields      []string // names of the figures of a load report, in order
+	ServiceTypes      []string // names of the service types, by the balancer's index
+	Tenants           []string // names of the tenants, by the balancer's index
+	Zones             []string // names of the zones, by the balancer's index
+	DialTimeout       float64  // longest time to establish a connection; one that takes longer is never established
+	MaxConnectTimeout float64  // longest connect timeout of any service type's clients
+	ReportsLoad       bool     // hosts report the load of each connection
+	ReportsDelay      bool     // hosts report message delays
+	ListPushed        bool     // endpoint lists are pushed to an agent on the node's machine and need no polls
+	PassThrough       bool     // packets are passed through, so connections survive the end of the node's process
 }
 
-// KeyError tells what of the settings cannot be taken, and why.
+// KeyError reports an invalid setting.
 type KeyError struct {
-	Key    string // with dots and indices, from "settings" on
-	Reason string
+	Key    string // path of the setting with dots and indices, starting with "settings"
+	Reason string // what is wrong with the value
 }
 
-// Error gives the key and the reason.
+// Error returns the key and the reason.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
-// Parse reads the settings of a start. What cannot be taken is a *KeyError. Keys that are not known are skipped, and what
-// is missing is zero, but for the node's number, which is -1.
+// Parse decodes the settings with which a node or an instance starts. It returns a *KeyError if they are invalid. Unknown keys
+// are ignored, and missing values are zero, except for a missing node number, which is -1.
 func Parse(text []byte, seed uint64) (placement.Settings, ListenerSettings, error) {
 	var o object
 	if err := json.Unmarshal(text, &o); err != nil {
@@ -57,7 +58,7 @@
 	return o.balancerSettings(seed), o.listenerSettings(), nil
 }
 
-// keyOf gives the key at which decoding failed.
+// keyOf returns the key at which decoding failed.
 func keyOf(err error) string {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Field != "" {
@@ -66,19 +67,19 @@
 	return rootKey
 }
 
-// Validate tells of settings that no deployment has together, as a *KeyError: a node must not start on half of one
-// deployment's and half of another's.
+// Validate returns a *KeyError for a combination of settings that no deployment uses, so that a node does not start with
+// settings that were mixed up from two deployments.
 func Validate(s placement.Settings) error {
 	if s.LoadReports && !s.HealthChecks {
 		return &KeyError{
 			Key:    rootKey + ".reporting.source",
-			Reason: "reports come on probes, and settings.limits.probes allows none",
+			Reason: "load reports are sent with health checks, which settings.limits.probes does not allow",
 		}
 	}
 	return nil
 }
 
-// balancerSettings gives what the balancer is configured with.
+// balancerSettings returns the settings of the balancer.
 func (o *object) balancerSettings(seed uint64) placement.Settings {
 	s := placement.Settings{
 		Seed:             seed,
@@ -118,7 +119,7 @@
 	return s
 }
 
-// listenerSettings gives what a node needs beside the balancer's settings.
+// listenerSettings returns the settings that a node needs in addition to the balancer's.
 func (o *object) listenerSettings() ListenerSettings {
 	s := ListenerSettings{
 		ReportFields: o.Reporting.Fields,
@@ -139,8 +140,8 @@
 	return s
 }
 
-// seconds turns microseconds into seconds, 0 at least.
+// seconds converts microseconds to seconds, at least 0.
 func seconds(microseconds float64) float64 { return math.Max(microseconds, 0) * microsecond }
 
-// count turns a number into a count, from 0 to maxCount.
+// count converts a number to a count from 0 to maxCount.
 func count(number float64) int { return int(math.Min(math.Max(number, 0), maxCount)) }
--- a/internal/settings/settings_golden_test.go
+++ b/internal/settings/settings_golden_test.go
@@ -11,8 +11,8 @@
 	"gorseledge/placement"
 )
 
-// testdata/settings.json has every key of the settings object that revision 5fa7498 reads. The keys are those of
-// deployments and of the simulator, so the file is fixed for good: there is no flag that rewrites it.
+// testdata/settings.json has every key of the settings object that revision 5fa7498 decodes. Deployments and the simulator use
+// these keys, so the file must never change, and no flag rewrites it.
 
 func goldenSettings(t *testing.T) []byte {
 	t.Helper()
@@ -23,7 +23,7 @@
 	return text
 }
 
-// checkNonZero fails the test where v, or a field of anything in it, has no value. path names v.
+// checkNonZero fails the test if v, or any field or element in it, is zero. path is the name of v in failure messages.
 func checkNonZero(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
@@ -44,6 +44,8 @@
 	}
 }
 
+// A renamed or removed key would silently turn the setting of a deployment into a zero value. The golden settings have a value
+// for each key and nothing else, and are the same after they are decoded and encoded again.
 func TestGoldenSettingsHaveEveryKey(t *testing.T) {
 	text := goldenSettings(t)
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -55,12 +57,14 @@
 	checkNonZero(t, "settings", reflect.ValueOf(settings))
 	again, err := json.Marshal(settings)
 	if err != nil || string(again)+"\n" != string(text) {
-		t.Errorf("%v, encoded again:\n%s\nwant:\n%s", err, again, text)
+		t.Errorf("error %v, encoded again:\n%s\nwant:\n%s", err, again, text)
 	}
 }
 
+// A key that is decoded into the wrong field or with the wrong unit would change the decisions of every deployment. Each value
+// of the golden settings is found in the right field.
 func TestGoldenSettingsAreRead(t *testing.T) {
-	settings, rest, err := Parse(goldenSettings(t), 18446744073709551615)
+	settings, listener, err := Parse(goldenSettings(t), 18446744073709551615)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,34 +81,34 @@
 	if !reflect.DeepEqual(settings, wantSettings) {
 		t.Errorf("read %+v, want %+v", settings, wantSettings)
 	}
-	wantRest := ListenerSettings{
+	wantListener := ListenerSettings{
 		ReportFields: []string{"x0", "x1"}, ServiceTypes: []string{"chat", "order", "pay"}, Tenants: []string{"acme", "beta"},
 		Zones: []string{"a", "b"}, DialTimeout: 0.375, MaxConnectTimeout: 4.5, ReportsLoad: true, ReportsDelay: true, PassThrough: true,
 	}
-	if !reflect.DeepEqual(rest, wantRest) {
-		t.Errorf("read %+v, want %+v", rest, wantRest)
+	if !reflect.DeepEqual(listener, wantListener) {
+		t.Errorf("read %+v, want %+v", listener, wantListener)
 	}
 }
 
-// Words that stand for a choice, beside those of the golden settings.
+// The golden settings have only one value of each setting that selects among alternatives. The other values are decoded too.
 func TestGoldenSettingsOfOtherChoices(t *testing.T) {
 	for _, c := range []struct {
 		name, from, to string
 		settings       func(*placement.Settings)
-		rest           func(*ListenerSettings)
+		listener       func(*ListenerSettings)
 	}{
 		{"pushed lists", `"membership_mode":"subscribe"`, `"membership_mode":"automatic"`,
 			func(s *placement.Settings) { s.WatchEndpoints = false }, func(d *ListenerSettings) { d.ListPushed = true }},
 		{"polled lists", `"membership_mode":"subscribe"`, `"membership_mode":"poll"`,
 			func(s *placement.Settings) { s.WatchEndpoints = false }, nil},
-		{"connections that end at the node", `"mode":"pass"`, `"mode":"end"`, nil,
+		{"connections terminated at the node", `"mode":"pass"`, `"mode":"end"`, nil,
 			func(d *ListenerSettings) { d.PassThrough = false }},
 		{"no load reports", `"source":"on_probe"`, `"source":"none"`,
 			func(s *placement.Settings) { s.LoadReports = false }, nil},
-		{"no retry times", `"retry_after":true`, `"retry_after":false`,
+		{"no Retry-After", `"retry_after":true`, `"retry_after":false`,
 			func(s *placement.Settings) { s.MaxRetryAfter = 0 }, nil},
-		{"no number of its own", `,"me":2`, ``, func(s *placement.Settings) { s.NodeNumber = -1 }, nil},
-		{"a type without an effect and a group", `"effect":"repeatable","group":"all",`, ``,
+		{"no node number", `,"me":2`, ``, func(s *placement.Settings) { s.NodeNumber = -1 }, nil},
+		{"service type without effect and group", `"effect":"repeatable","group":"all",`, ``,
 			func(s *placement.Settings) {
 				s.ServiceTypes[0].Idempotency, s.ServiceTypes[0].KeyScope = placement.AtMostOnce, placement.KeyScopeCell
 			}, nil},
@@ -113,21 +117,21 @@
 			text := goldenSettings(t)
 			changed := bytes.Replace(text, []byte(c.from), []byte(c.to), 1)
 			if bytes.Equal(changed, text) {
-				t.Fatalf("the golden settings have no %s", c.from)
+				t.Fatalf("the golden settings do not contain %s", c.from)
 			}
-			want, wantRest, err := Parse(text, 9)
+			want, wantListener, err := Parse(text, 9)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if c.settings != nil {
 				c.settings(&want)
 			}
-			if c.rest != nil {
-				c.rest(&wantRest)
+			if c.listener != nil {
+				c.listener(&wantListener)
 			}
-			got, gotRest, err := Parse(changed, 9)
-			if err != nil || !reflect.DeepEqual(got, want) || !reflect.DeepEqual(gotRest, wantRest) {
-				t.Errorf("%v, read %+v and %+v, want %+v and %+v", err, got, gotRest, want, wantRest)
+			got, gotListener, err := Parse(changed, 9)
+			if err != nil || !reflect.DeepEqual(got, want) || !reflect.DeepEqual(gotListener, wantListener) {
+				t.Errorf("error %v, read %+v and %+v, want %+v and %+v", err, got, gotListener, want, wantListener)
 			}
 		})
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,15 +9,17 @@
 	"gorseledge/placement"
 )
 
+// Invalid settings that were accepted, or valid ones that were changed, would make a node act on other settings than its
+// deployment's. Valid settings are decoded exactly, and invalid ones lead to an error that names their key.
 func TestParse(t *testing.T) {
 	cases := []struct {
 		name, text string
 		balancer   placement.Settings
 		listener   ListenerSettings
-		fails      string
+		wantKey    string
 	}{
-		{"nothing given", "{}", placement.Settings{Seed: 9, NodeNumber: -1}, ListenerSettings{}, ""},
-		{"all that is read", `{"family_info":{"message_aim_us":[50000],"mode":"pass","tells_delay":true,"tells_load":true,"tenant_quota_connections":[90]},
+		{"empty object", "{}", placement.Settings{Seed: 9, NodeNumber: -1}, ListenerSettings{}, ""},
+		{"every key", `{"family_info":{"message_aim_us":[50000],"mode":"pass","tells_delay":true,"tells_load":true,"tenant_quota_connections":[90]},
 			"granularity_us":4000,"invariants":{"ask_within_us":1e7,"cold_from":0.3,"cold_us":8e6,"fall_multiple":4,
 			"fall_us":1e6},"limits":{"dial_timeout_us":250000,"max_connects":5,"max_retry_after_us":2e6,"peers":true,"probes":true,
 			"retry_after":true},"membership_mode":"subscribe","parties":[{"name":"a"}],"reporting":{"fields":["x0"],
@@ -30,41 +32,41 @@
 					SetupObjective: seconds(5e5), MessageObjective: seconds(50000)}, {Idempotency: placement.AtMostOnce}}},
 			ListenerSettings{ReportFields: []string{"x0"}, ServiceTypes: []string{"s", "u"}, Tenants: []string{"a"}, Zones: []string{"z"},
 				DialTimeout: 0.25, MaxConnectTimeout: 3, PassThrough: true, ReportsDelay: true, ReportsLoad: true}, ""},
-		{"lists that are pushed", `{"membership_mode":"automatic"}`, placement.Settings{Seed: 9, NodeNumber: -1}, ListenerSettings{ListPushed: true}, ""},
-		{"no retry time allowed", `{"limits":{"max_retry_after_us":2e6}}`, placement.Settings{Seed: 9, NodeNumber: -1}, ListenerSettings{}, ""},
+		{"pushed lists", `{"membership_mode":"automatic"}`, placement.Settings{Seed: 9, NodeNumber: -1}, ListenerSettings{ListPushed: true}, ""},
+		{"no Retry-After allowed", `{"limits":{"max_retry_after_us":2e6}}`, placement.Settings{Seed: 9, NodeNumber: -1}, ListenerSettings{}, ""},
 		{"zeros", `{"siblings":0,"me":0,"limits":{"max_connects":0},"service_types":[{"effect":"once","memory_span_us":0}]}`,
 			placement.Settings{Seed: 9, ServiceTypes: []placement.ServiceType{{}}}, ListenerSettings{ServiceTypes: []string{""}}, ""},
-		{"keys that live for less than the setup objective", `{"me":1,"service_types":[{"effect":"by_key","memory_span_us":1e5,"setup_target_us":5e5}]}`,
+		{"key lifetime shorter than the setup objective", `{"me":1,"service_types":[{"effect":"by_key","memory_span_us":1e5,"setup_target_us":5e5}]}`,
 			placement.Settings{Seed: 9, NodeNumber: 1, ServiceTypes: []placement.ServiceType{{Idempotency: placement.IdempotentWithKey, KeyLifetime: seconds(1e5),
 				SetupObjective: 0.5}}}, ListenerSettings{ServiceTypes: []string{""}}, ""},
 		{"a negative time", `{"granularity_us":-4,"siblings":2}`, placement.Settings{}, ListenerSettings{}, "settings.granularity_us"},
 		{"a negative number of nodes", `{"siblings":-2}`, placement.Settings{}, ListenerSettings{}, "settings.siblings"},
 		{"a negative limit", `{"limits":{"max_connects":-1}}`, placement.Settings{}, ListenerSettings{}, "settings.limits.max_connects"},
-		{"a negative time of a row", `{"service_types":[{},{"memory_span_us":-1}]}`, placement.Settings{}, ListenerSettings{},
+		{"a negative time in a service type", `{"service_types":[{},{"memory_span_us":-1}]}`, placement.Settings{}, ListenerSettings{},
 			"settings.service_types[1].memory_span_us"},
 		{"a negative quota", `{"family_info":{"tenant_quota_connections":[1,-1]}}`, placement.Settings{}, ListenerSettings{},
 			"settings.family_info.tenant_quota_connections[1]"},
-		{"a negative number", `{"me":-1}`, placement.Settings{}, ListenerSettings{}, "settings.me"},
+		{"a negative node number", `{"me":-1}`, placement.Settings{}, ListenerSettings{}, "settings.me"},
 		{"an unknown effect", `{"service_types":[{"effect":"repeatable"},{"effect":"odd"}]}`, placement.Settings{}, ListenerSettings{},
 			"settings.service_types[1].effect"},
-		{"no JSON", "{{", placement.Settings{}, ListenerSettings{}, "settings"},
-		{"another shape", `{"service_types":7}`, placement.Settings{}, ListenerSettings{}, "settings.service_types"},
-		{"text for a figure", `{"limits":{"max_connects":"five"}}`, placement.Settings{}, ListenerSettings{}, "settings.limits.max_connects"},
+		{"not JSON", "{{", placement.Settings{}, ListenerSettings{}, "settings"},
+		{"a number for a list", `{"service_types":7}`, placement.Settings{}, ListenerSettings{}, "settings.service_types"},
+		{"text for a number", `{"limits":{"max_connects":"five"}}`, placement.Settings{}, ListenerSettings{}, "settings.limits.max_connects"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			balancer, listener, err := Parse([]byte(c.text), 9)
-			if !namesKey(err, c.fails) {
-				t.Errorf("error %v, want %q named", err, c.fails)
+			if !namesKey(err, c.wantKey) {
+				t.Errorf("error %v, want one with the key %q", err, c.wantKey)
 			}
 			if !reflect.DeepEqual(balancer, c.balancer) || !reflect.DeepEqual(listener, c.listener) {
-				t.Errorf("got %+v and %+v", balancer, listener)
+				t.Errorf("got %+v and %+v, want %+v and %+v", balancer, listener, c.balancer, c.listener)
 			}
 		})
 	}
 }
 
-// namesKey tells whether an error is a line that names this key, or, for an empty key, whether there is none.
+// namesKey reports whether err is a *KeyError of one line with this key or, for an empty key, whether err is nil.
 func namesKey(err error, key string) bool {
 	if err == nil || key == "" {
 		return err == nil && key == ""
