--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -9,27 +9,28 @@
 func (n *Node) answer(c *connection, reply []byte, reason Reason) {
 	c.endReason = reason
 	c.ownOutput = append(c.ownOutput, reply...)
-	c.closeAs = StreamEnded
+	c.pendingClose = StreamEnded
 	if f := c.flow; f != nil {
 		n.countFinalAnswer(f.serviceType, reply)
-		n.markOver(f)
+		n.markEnded(f)
 		n.flows.markReleasable(f)
 	}
 	n.flush(c)
 }
 
-// reject ends a flow for which a new request is harmless, after retryAfter seconds; 0 gives no time.
+// reject answers a flow that has not run at any host, so that its client may send a new request after retryAfter
+// seconds. 0 leaves the time to the client.
 func (n *Node) reject(f *flow, retryAfter float64) {
 	n.answer(f.client, line.BusyLine(retryAfter), Rejected)
 }
 
-// abort ends a flow that may have run at a host.
+// abort answers a flow that may have run at a host, so that its client must not repeat it blindly.
 func (n *Node) abort(f *flow) { n.answer(f.client, []byte(line.ErrLine), Aborted) }
 
-// migrate asks an established client to connect again and ends both sides. Whole lines that the host has sent go out
-// first. A flow that is on its way to the successor is the successor's to migrate.
+// migrate asks the client of an established flow to connect again, and ends both of its connections. Whole lines that
+// the host has already sent are forwarded first. A flow in transit to the successor is left for the successor to migrate.
 func (n *Node) migrate(f *flow, reason Reason, outcome placement.Outcome) {
-	if !f.established || f.over || f.inTransit {
+	if !f.established || f.ended || f.inTransit {
 		return
 	}
 	n.closeConnection(f.host, false)
@@ -37,17 +38,17 @@
 	n.finish(f, StreamEnded, reason, outcome)
 }
 
-// clientLeft ends a flow whose client does not wait for its answer.
+// clientLeft ends a flow whose client disconnected before its answer.
 func (n *Node) clientLeft(f *flow) {
 	n.cancelSetup(f)
-	n.countAnswered(&n.figures.Types[f.serviceType].ClientLeft)
+	n.countAnswered(&n.statistics.Types[f.serviceType].ClientLeft)
 	f.client.endReason = ClientLeft
 	n.closeConnection(f.client, false)
 }
 
-// cancelSetup gives up what goes on for a flow that is not established.
+// cancelSetup cancels a flow that is not established, with its attempt if one is under way.
 func (n *Node) cancelSetup(f *flow) {
-	n.markOver(f)
+	n.markEnded(f)
 	n.balancer.ClientLeft(f.index)
 	if f.attemptActive {
 		n.closeConnection(f.host, false)
@@ -57,14 +58,15 @@
 	n.flows.markReleasable(f)
 }
 
-// clientGone handles a client that has gone although not all that it sent is read. Its flow gets no further attempt.
+// clientGone handles a client that disconnected while some of its input is still unread. If its flow is not yet
+// established, the flow gets no further attempt.
 func (n *Node) clientGone(c *connection) {
-	if c.flow != nil && !c.flow.established && c.closeAs == StreamOpen {
+	if c.flow != nil && !c.flow.established && c.pendingClose == StreamOpen {
 		n.clientLeft(c.flow)
 	}
 }
 
-// logConnection writes the log line of a client's connection that ended.
+// logConnection emits the log record of a client's connection that has ended.
 func (n *Node) logConnection(c *connection) {
 	record := ConnectionRecord{Reason: c.endReason, Duration: n.now - c.startedAt, BytesToClient: c.bytesWritten}
 	if f := c.flow; f != nil {
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -5,7 +5,8 @@
 	"gorseledge/placement"
 )
 
-// outcomeByWord says what each word that a host may answer an opening line with means for the attempt.
+// outcomeByWord maps the first word of a host's answer to an opening line to the outcome of the attempt. Any answer but
+// the receipt (UP) ends the attempt.
 var outcomeByWord = map[line.Verb]placement.Outcome{
 	line.Bye:  placement.Served,
 	line.Move: placement.Canceled,
@@ -13,8 +14,8 @@
 	line.Busy: placement.Rejected,
 }
 
-// outcomeOf returns the outcome of an attempt that a host answered with something other than its receipt. An unknown
-// word counts as a failure, as the attempt may have run.
+// outcomeOf returns the outcome of an attempt whose host answered with a word other than its receipt (UP). An unknown
+// word counts as a failure, because the request may have run.
 func outcomeOf(word line.Verb) placement.Outcome {
 	if outcome, ok := outcomeByWord[word]; ok {
 		return outcome
@@ -22,8 +23,8 @@
 	return placement.Failed
 }
 
-// interruptedOutcome returns the outcome of an attempt that broke, ended or was never answered. It may have run if the
-// last byte of its line was written.
+// interruptedOutcome returns the outcome of an attempt whose connection ended without an answer or timed out. The
+// request may have run only if its opening line was written to the last byte.
 func interruptedOutcome(lineSent, timedOut bool) placement.Outcome {
 	switch {
 	case !lineSent:
@@ -48,7 +49,7 @@
 	f.host.flow = f
 }
 
-// attemptFailed reports to the balancer how an attempt ended that did not become a connection.
+// attemptFailed reports to the balancer the outcome of an attempt that was not established.
 func (n *Node) attemptFailed(f *flow, outcome placement.Outcome) {
 	if f.host != nil {
 		n.closeConnection(f.host, false)
@@ -61,12 +62,12 @@
 	served := outcome == placement.Served
 	n.balancer.AttemptEnded(n.now, f.index, f.attempt, outcome, served)
 	n.flows.markReleasable(f)
-	if served { // it ran to its end before it was established: nothing of it can be forwarded
+	if served { // the flow ran to its end before it was established, so its client cannot be sent any of it
 		n.answer(f.client, []byte(line.ErrLine), Served)
 	}
 }
 
-// restoreFailed ends a flow that its host did not take up again.
+// restoreFailed ends a flow that its host did not resume.
 func (n *Node) restoreFailed(f *flow, outcome placement.Outcome) {
 	f.attemptActive = false
 	n.balancer.AttemptEnded(n.now, f.index, f.attempt, outcome, true)
@@ -77,12 +78,12 @@
 	n.answer(f.client, []byte(line.ErrLine), NotRestored)
 }
 
-// establish handles a host's receipt: from here on lines are forwarded both ways.
+// establish handles a host's receipt of the opening line. From here on lines are forwarded in both directions.
 func (n *Node) establish(f *flow) {
 	f.host.clearDeadline()
 	f.established = true
 	f.setupTime = n.now - f.client.startedAt
-	n.countAnswered(&n.figures.Types[f.serviceType].Established)
+	n.countAnswered(&n.statistics.Types[f.serviceType].Established)
 	n.notifySuccessor(HandoverUpdate{Established: n.describeConnection(f)})
 	if !f.restored {
 		n.balancer.Established(f.index, f.attempt)
@@ -93,15 +94,15 @@
 	}
 }
 
-// cancelUnsuitableDials gives up attempts that are still being dialed to hosts that take no new flows any more. Nothing
-// of them is written, so each goes to another host at once. Otherwise a slow dial could end in an opening line that is
-// written to a draining host after its grace.
+// cancelUnsuitableDials cancels the attempts that are still being dialed to hosts that no longer accept new flows.
+// Nothing has been written for these attempts, so each flow goes to another host at once. Without this, a slow dial
+// could succeed after the host's drain grace and send an opening line to a draining host.
 func (n *Node) cancelUnsuitableDials() {
 	for _, f := range n.flows.byIndex {
 		if f == nil || !f.attemptActive || f.established || f.restored || f.host.connected {
 			continue
 		}
-		if !n.endpoints.hosts[f.hostIndex].takesNewFlows() {
+		if !n.endpoints.hosts[f.hostIndex].acceptsNewFlows() {
 			n.attemptFailed(f, placement.NotSent)
 		}
 	}
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -7,12 +7,12 @@
 
 const (
 	discardBufferSize = 512     // bytes
-	failedWriteGrace  = 0.1     // seconds for the read under way to say how the far side ended
-	lingerTimeout     = 1.0     // seconds for the far side to end as well, so that no reset overtakes the last bytes
-	maxDiscarded      = 1 << 14 // bytes that are read and dropped after the final answer
+	failedWriteGrace  = 0.1     // seconds after a failed write for the pending read to return how the far side ended
+	lingerTimeout     = 1.0     // seconds to wait for the far side's end, so that no reset overtakes the last bytes
+	maxDiscarded      = 1 << 14 // bytes from a client that are read and discarded after the final answer
 )
 
-// role says what a connection is for.
+// role is the purpose of a connection.
 type role uint8
 
 const (
@@ -21,42 +21,42 @@
 	healthCheckRole             // a health check of a host
 )
 
-// connection is one connection with the buffer of what was read from it.
+// connection is the state of one connection, with the buffer of its input.
 type connection struct {
 	id        ConnID
 	role      role
 	flow      *flow // nil for a health check and for a client before its opening line
-	hostIndex int   // the host that it was dialed to
+	hostIndex int   // the host that the node dialed, if role is not clientRole
 	startedAt float64
 
 	// Input.
 	buffer        *ring.Ring
-	scanned       int // bytes of buffer that were searched for a line's end
-	forwardable   int // bytes of buffer, whole lines, that may go to the other side
+	scanned       int // bytes at the front of buffer that were searched for the end of a line
+	forwardable   int // bytes at the front of buffer that form whole lines and may be forwarded to the counterpart
 	readPending   bool
-	receivedInput bool        // something was read, or a line was taken
-	farEnd        StreamState // what the far side did to its sending
-	discarding    bool        // what is read is dropped
-	discarded     int         // bytes dropped so far
+	receivedInput bool        // an opening line was handled, or input was discarded
+	inputState    StreamState // whether the far side may still send, has ended its sending or broke the connection
+	discarding    bool        // all further input is discarded
+	discarded     int         // bytes discarded so far
 
 	// Output.
-	ownOutput        []byte // the node's own lines, sent once nothing is left to be forwarded
-	writePending     int    // bytes of the write under way, 0 for none
-	writingForwarded bool   // the write under way is of forwarded lines
+	ownOutput        []byte // lines of the node itself, written after all lines to be forwarded
+	writePending     int    // bytes of the write under way, 0 if there is none
+	writingForwarded bool   // the write under way contains forwarded lines
 	bytesWritten     uint64
-	closeAs          StreamState // how to end once all is written; Open for not yet
+	pendingClose     StreamState // how to end the connection once all output is written; StreamOpen keeps it open
 	writeClosed      bool
 
 	connected        bool // accepted, or the dial succeeded
 	closed           bool
-	idle             bool // a client that asks for nothing yet, or no more
-	suspected        bool // an answer is overdue and a second wait has begun
+	idle             bool // in the idleQueue: the client has sent no opening line yet, or the node has ended its sending to it
+	suspected        bool // the host's answer is overdue, and confirmTimeout has begun
 	readinessChecked bool // the client has asked whether the node is ready
 	deadlineVersion  uint64
-	endReason        Reason // why a client's connection ends
+	endReason        Reason // logged when a client's connection is closed
 }
 
-// counterpart returns the other connection of c's flow, nil for none.
+// counterpart returns the other connection of c's flow, nil if there is none.
 func (c *connection) counterpart() *connection {
 	switch {
 	case c.flow == nil:
@@ -68,7 +68,8 @@
 	}
 }
 
-// source returns the connection whose lines go out on c, also when that one is closed already; nil for none.
+// source returns the connection whose lines are forwarded to c, even if that connection is already closed. It returns
+// nil if c's flow is not established.
 func (c *connection) source() *connection {
 	if c.flow == nil || !c.flow.established {
 		return nil
@@ -76,19 +77,22 @@
 	return c.counterpart()
 }
 
-// quiescent reports whether nothing is under way on c and nothing is left to be written to it or forwarded from it.
+// quiescent reports whether c is open, has no read or write under way, and has nothing left to be written to it or
+// forwarded from it.
 func (c *connection) quiescent() bool {
 	nothingUnderWay := !c.readPending && c.writePending == 0
 	nothingLeft := c.forwardable == 0 && len(c.ownOutput) == 0
 	return c.connected && !c.closed && nothingUnderWay && nothingLeft
 }
 
-// clientHalfClosed reports whether c's client has ended its sending while the host may still send.
+// clientHalfClosed reports whether c is a host's connection whose client has ended its sending while the host may still
+// send.
 func (c *connection) clientHalfClosed() bool {
-	return c.role == hostRole && c.closeAs == StreamEnded && !c.flow.over
+	return c.role == hostRole && c.pendingClose == StreamEnded && !c.flow.ended
 }
 
-// endBeforeOpening sets the reason for a connection that ends before its opening line, unless one is set.
+// endBeforeOpening sets the end reason of a connection that ends before its opening line, unless a reason is already
+// set. A client that has asked whether the node is ready counts as a readiness check.
 func (c *connection) endBeforeOpening(reason Reason) {
 	if c.endReason != "" {
 		return
@@ -99,7 +103,7 @@
 	}
 }
 
-// accepted takes a client's new connection.
+// accepted handles a client's new connection.
 func (n *Node) accepted(id ConnID) {
 	c := n.connections.add(id, clientRole, n.now)
 	c.connected = true
@@ -111,8 +115,9 @@
 	n.requestRead(c)
 }
 
-// dial opens a connection to a host that is to be sent output first. client is the client's connection that it is for,
-// 0 for none. The deadline of timeout seconds holds for the first answer, while the dial itself may have less.
+// dial opens a connection to a host and queues output as the first bytes to write. client is the client's connection
+// that the dial serves, 0 for a health check. The host must answer within timeout seconds, and the dial itself must
+// succeed within the shorter of timeout and the configured dial timeout.
 func (n *Node) dial(as role, host int, output []byte, timeout float64, client ConnID) *connection {
 	c := n.connections.addDialed(as, n.now)
 	c.hostIndex = host
@@ -125,8 +130,8 @@
 	return c
 }
 
-// dialDone handles the result of a dial. A localFailure is the node's own lack of something and no sign against the
-// host, so that it is reported as an attempt that was not sent.
+// dialDone handles the result of a dial. With localFailure the node itself lacked a resource, which does not count
+// against the host: the outcome is reported as NotSent.
 func (n *Node) dialDone(c *connection, err error, localFailure bool) {
 	if err == nil {
 		c.connected = true
@@ -145,7 +150,7 @@
 	}
 }
 
-// closeConnection closes a connection once; reset breaks it off.
+// closeConnection closes a connection, once. With reset, the far side gets a reset instead of an orderly end.
 func (n *Node) closeConnection(c *connection, reset bool) {
 	if c.closed {
 		return
--- a/internal/node/connection_end.go
+++ b/internal/node/connection_end.go
@@ -5,21 +5,21 @@
 	"gorseledge/placement"
 )
 
-const hostEndTimeout = 3.0 // seconds for a host to end what its client has ended
+const hostEndTimeout = 3.0 // seconds for a host to end a connection whose client has ended its sending
 
-// farSideEnded handles the end of the far side's sending in good order, and ends the other side in the same way.
+// farSideEnded handles the orderly end of the far side's sending, and ends its counterpart in the same way.
 func (n *Node) farSideEnded(c *connection) {
 	f := c.flow
 	switch {
 	case c.role == healthCheckRole:
 		n.connectionBroke(c)
-	case c.role == clientRole && (f == nil || f.over):
+	case c.role == clientRole && (f == nil || f.ended):
 		n.unservedClientEnded(c)
 	case c.role == clientRole && !f.established:
 		n.clientLeft(f)
 	case c.role == clientRole:
 		c.endReason = ClientEnded
-		f.host.closeAs = StreamEnded
+		f.host.pendingClose = StreamEnded
 		n.setDeadline(f.host, hostEndTimeout)
 		n.flush(f.host)
 	case !f.established:
@@ -29,20 +29,20 @@
 	}
 }
 
-// unservedClientEnded handles the end of a client's sending that has no flow, or none any more.
+// unservedClientEnded handles the end of the sending of a client that has no flow, or whose flow has ended.
 func (n *Node) unservedClientEnded(c *connection) {
 	c.endBeforeOpening(NoLine)
-	if c.closeAs == StreamOpen {
-		c.closeAs = StreamEnded
+	if c.pendingClose == StreamOpen {
+		c.pendingClose = StreamEnded
 	}
 	n.flush(c)
-	if c.writeClosed { // all was sent before
+	if c.writeClosed { // the node had already ended its own sending, so both directions are closed
 		n.closeConnection(c, false)
 	}
 }
 
-// hostEnded ends a flow whose host has ended it; the host's last lines go to the client first. An end in good order is
-// no sign of an overload: a host that sheds load, or dies, breaks its connections.
+// hostEnded ends a flow whose host has ended the connection. The host's last lines are forwarded to the client first.
+// An orderly end is not a sign of overload: a host that sheds load, or dies, breaks its connections.
 func (n *Node) hostEnded(f *flow) {
 	n.closeConnection(f.host, false)
 	switch {
@@ -57,14 +57,14 @@
 	}
 }
 
-// connectionBroke handles a connection that broke, or whose dial failed.
+// connectionBroke handles a connection that broke or whose dial failed.
 func (n *Node) connectionBroke(c *connection) {
 	f := c.flow
-	c.farEnd = StreamBroken
+	c.inputState = StreamBroken
 	switch {
 	case c.role == healthCheckRole:
 		n.healthCheckInterrupted(c, false)
-	case c.role == clientRole && (f == nil || f.over):
+	case c.role == clientRole && (f == nil || f.ended):
 		c.endBeforeOpening(ClientReset)
 		n.closeConnection(c, false)
 	case c.role == clientRole && !f.established:
--- a/internal/node/connection_io.go
+++ b/internal/node/connection_io.go
@@ -5,12 +5,14 @@
 	"gorseledge/internal/ring"
 )
 
-// bufferSize is the size of a connection's input buffer in bytes: a whole line always fits, and another begins.
+// bufferSize is the size of a connection's input buffer in bytes. It has space for two lines of the greatest length, so
+// that the next line can be read while a whole one waits to be forwarded.
 const bufferSize = 2 * line.MaxLength
 
-// requestRead asks for more input of c if there is space for it and none has been asked for.
+// requestRead asks for more input of c unless a read is already under way, the buffer is full, or the connection is
+// ending or being handed over.
 func (n *Node) requestRead(c *connection) {
-	if !c.connected || c.readPending || c.closed || c.farEnd != StreamOpen {
+	if !c.connected || c.readPending || c.closed || c.inputState != StreamOpen {
 		return
 	}
 	if c.flow != nil && c.flow.transferring {
@@ -27,7 +29,7 @@
 	n.emit(Read{c.id, into})
 }
 
-// readDone handles the result of a read: count bytes stand in the buffer, and end came after them.
+// readDone handles the result of a read: count bytes are in the buffer, and end is the state of the stream after them.
 func (n *Node) readDone(c *connection, count int, end StreamState) {
 	c.readPending = false
 	c.buffer.Fill(count)
@@ -36,10 +38,10 @@
 	}
 	allBeingWritten := c.writePending > 0 && len(c.ownOutput) == c.writePending
 	if count > 0 && c.role == hostRole && allBeingWritten {
-		n.markLineSent(c.flow) // the answer came before the result of the write
+		n.markLineSent(c.flow) // the host's answer arrived before the result of the write
 	}
-	c.farEnd = end
-	if c.closeAs != StreamOpen && !c.clientHalfClosed() {
+	c.inputState = end
+	if c.pendingClose != StreamOpen && !c.clientHalfClosed() {
 		n.discardInput(c, count)
 	} else {
 		n.scanLines(c)
@@ -57,9 +59,9 @@
 	}
 }
 
-// discardInput drops what comes on a connection that is being ended. A write that the far side never took may still
-// use the old buffer, so later input goes to another one. The bound keeps a client that sends on at full speed from
-// taking the loop's time.
+// discardInput discards input on a connection that is being ended. A write that the far side has not accepted may still
+// use the old buffer, so later input is read into another one. maxDiscarded keeps a client that continues to send at
+// full speed from taking up the event loop's time.
 func (n *Node) discardInput(c *connection, count int) {
 	c.discarded += count
 	if c.role == clientRole && c.discarded > maxDiscarded {
@@ -68,7 +70,7 @@
 		return
 	}
 	c.receivedInput = true
-	if c.role == clientRole && c.writeClosed && n.connections.short() {
+	if c.role == clientRole && c.writeClosed && n.connections.lowOnDescriptors() {
 		n.closeConnection(c, false)
 		return
 	}
@@ -82,7 +84,8 @@
 	c.scanned = 0
 }
 
-// flush writes what may go out on c: whole lines of the other side, then the node's own lines, then the end.
+// flush starts the next write on c: first the whole lines of its counterpart, then the node's own lines. Once all is
+// written, it ends the connection if pendingClose asks for that.
 func (n *Node) flush(c *connection) {
 	if !c.connected || c.writePending > 0 || c.closed || c.writeClosed {
 		return
@@ -95,7 +98,7 @@
 		n.write(c, c.ownOutput, false)
 		return
 	}
-	switch c.closeAs {
+	switch c.pendingClose {
 	case StreamBroken:
 		n.closeConnection(c, true)
 	case StreamEnded:
@@ -103,17 +106,17 @@
 	}
 }
 
-// write asks for a write of data, which is forwarded from the other side or c's own output.
+// write asks for a write of data: lines forwarded from c's counterpart, or else c's own output.
 func (n *Node) write(c *connection, data []byte, forwarded bool) {
 	c.writePending = len(data)
 	c.writingForwarded = forwarded
 	n.emit(Write{c.id, data})
 }
 
-// endSending ends the sending on a connection to which all is written. Where few descriptors are left, a connection
-// whose input was read does not linger.
+// endSending ends the sending on a connection to which all output is written. If few descriptors are left, a connection
+// whose input was read is closed at once instead of lingering.
 func (n *Node) endSending(c *connection) {
-	if c.farEnd != StreamOpen || c.receivedInput && n.connections.short() {
+	if c.inputState != StreamOpen || c.receivedInput && n.connections.lowOnDescriptors() {
 		n.closeConnection(c, false)
 		return
 	}
@@ -125,7 +128,7 @@
 	}
 }
 
-// writeDone handles the result of a write of which count bytes were taken.
+// writeDone handles the result of a write of which count bytes were accepted by the system.
 func (n *Node) writeDone(c *connection, count int, failed bool) {
 	source := c.source()
 	c.writePending = 0
@@ -138,7 +141,7 @@
 	} else {
 		c.ownOutput = c.ownOutput[min(count, len(c.ownOutput)):]
 	}
-	if failed { // the read under way tells how the far side ended, and brings its last bytes first
+	if failed { // the read under way returns the far side's last bytes, and then how it ended
 		c.writeClosed = true
 		n.setDeadline(c, failedWriteGrace)
 		return
--- a/internal/node/connection_table.go
+++ b/internal/node/connection_table.go
@@ -1,21 +1,21 @@
 package node
 
-// dialedStep keeps the numbers of dialed connections even.
+// dialedStep is the step between the ids of dialed connections, which keeps them even.
 const dialedStep = 2
 
 // connectionTable holds the open connections and counts descriptors.
 //
-// A descriptor is taken from the time when a connection is accepted or dialed until Closed confirms its close, so
-// closing <= descriptors always, and a connection that is being closed no longer stands in byID.
+// A descriptor counts as taken from when its connection is accepted or dialed until Closed confirms its close, so
+// closing <= descriptors always holds. A connection that is being closed is no longer in byID.
 type connectionTable struct {
 	byID        map[ConnID]*connection
-	lastDialed  ConnID // the highest number of a dialed connection; these are even
-	descriptors int    // taken by connections
-	closing     int    // of these, how many are being closed
+	lastDialed  ConnID // the highest id of a dialed connection
+	descriptors int    // descriptors taken by connections
+	closing     int    // how many of descriptors belong to connections that are being closed
 
-	limit           int // descriptors that may be used now
-	configuredLimit int // the limit while no successor has the clients
-	reserved        int // descriptors that the predecessor takes out of the same limit
+	limit           int // how many descriptors may be used now
+	configuredLimit int // the limit while no successor serves the clients
+	reserved        int // descriptors of the same limit that the predecessor uses
 }
 
 // newConnectionTable returns an empty table with a limit of descriptors.
@@ -23,7 +23,7 @@
 	return connectionTable{byID: map[ConnID]*connection{}, limit: limit, configuredLimit: limit}
 }
 
-// add takes a descriptor for a new connection.
+// add adds a new connection and counts its descriptor.
 func (t *connectionTable) add(id ConnID, as role, now float64) *connection {
 	c := &connection{id: id, role: as, startedAt: now}
 	t.byID[id] = c
@@ -31,46 +31,47 @@
 	return c
 }
 
-// addDialed adds a connection under the next number for connections that the node opens itself.
+// addDialed adds a connection under the next id for connections that the node opens itself.
 func (t *connectionTable) addDialed(as role, now float64) *connection {
 	t.lastDialed += dialedStep
 	return t.add(t.lastDialed, as, now)
 }
 
-// remove begins the close of a connection. Its descriptor is taken until descriptorFreed.
+// remove takes out a connection that is being closed. Its descriptor stays counted until descriptorFreed.
 func (t *connectionTable) remove(c *connection) {
 	delete(t.byID, c.id)
 	t.closing++
 }
 
-// descriptorFreed counts a descriptor that is free again.
+// descriptorFreed accounts for a confirmed close.
 func (t *connectionTable) descriptorFreed() {
 	t.descriptors--
 	t.closing--
 }
 
-// neverOpened accounts for a dial that failed: no descriptor is left, and the close that follows frees none.
+// neverOpened accounts for a dial that failed. The dial left no descriptor, and the close that follows, which remove
+// counts, is not confirmed.
 func (t *connectionTable) neverOpened() {
 	t.descriptors--
 	t.closing--
 }
 
-// with calls handle with the connection of that number, if it is open.
+// with calls handle with the connection of this id, if it is open.
 func (t *connectionTable) with(id ConnID, handle func(*connection)) {
 	if c := t.byID[id]; c != nil {
 		handle(c)
 	}
 }
 
-// used returns how many descriptors connections hold, without those that are being closed.
+// used returns how many descriptors open connections hold, without those of connections that are being closed.
 func (t *connectionTable) used() int { return t.descriptors - t.closing }
 
-// short reports whether only the reserve is left, which is kept for rejecting new connections.
-func (t *connectionTable) short() bool {
+// lowOnDescriptors reports whether only descriptorReserve is left, which is kept for rejecting new connections.
+func (t *connectionTable) lowOnDescriptors() bool {
 	return t.used()+1+descriptorReserve+t.reserved > t.limit
 }
 
-// setConfiguredLimit changes the limit. While a successor has the clients, the limit only falls.
+// setConfiguredLimit changes the limit. While a successor serves the clients, limit may only fall.
 func (t *connectionTable) setConfiguredLimit(limit int, clientsHandedOver bool) {
 	if limit == t.configuredLimit {
 		return
@@ -82,7 +83,7 @@
 	t.limit = limit
 }
 
-// onlyHealthChecksLeft reports whether no connection is left but health checks.
+// onlyHealthChecksLeft reports whether all open connections are health checks.
 func (t *connectionTable) onlyHealthChecksLeft() bool {
 	for _, c := range t.byID {
 		if c.role != healthCheckRole {
--- a/internal/node/connection_table_test.go
+++ b/internal/node/connection_table_test.go
@@ -29,11 +29,11 @@
 func TestReservedDescriptorsMakeShort(t *testing.T) {
 	table := newConnectionTable(descriptorReserve + 2)
 	table.add(1, clientRole, 0)
-	if table.short() {
+	if table.lowOnDescriptors() {
 		t.Error("short with one connection")
 	}
 	table.reserved = 1
-	if !table.short() {
+	if !table.lowOnDescriptors() {
 		t.Error("not short although the predecessor holds one more")
 	}
 }
--- a/internal/node/deadlines.go
+++ b/internal/node/deadlines.go
@@ -7,11 +7,10 @@
 	"gorseledge/internal/line"
 )
 
-// maxTrustedLag is the lag in seconds of the node's own timer from which on it measures nothing of hosts.
+// maxTrustedLag is the greatest lag of the node's own timer, in seconds, at which the node still measures its hosts.
 const maxTrustedLag = 0.05
 
-// deadline is a time at which a connection is to be looked at. It is stale once the connection's deadlineVersion has
-// moved on.
+// deadline is the time at which a connection times out. It is stale once the connection's deadlineVersion has changed.
 type deadline struct {
 	time       float64
 	connection ConnID
@@ -21,7 +20,7 @@
 // deadlineHeap orders deadlines by time, the earliest first, for container/heap.
 type deadlineHeap []deadline
 
-// Len, Less and Swap implement sort.Interface, as container/heap needs it.
+// Len, Less and Swap implement sort.Interface, which container/heap requires.
 func (h deadlineHeap) Len() int           { return len(h) }
 func (h deadlineHeap) Less(i, j int) bool { return h[i].time < h[j].time }
 func (h deadlineHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
@@ -37,17 +36,17 @@
 	return x
 }
 
-// timers keeps all times at which the node is to be woken, and measures how late it is woken. A flow's deadline is that
-// of one of its connections: each connection has at most one, and setting it again replaces it.
+// timers holds the times at which the node must be woken, and by how much it is woken late. A flow has no deadline of
+// its own but that of one of its connections. A connection has at most one deadline, and setting it again replaces it.
 type timers struct {
-	deadlines    deadlineHeap // with stale entries
-	balancerWake float64      // when the balancer wants to be woken, infinite for never
-	armedAt      float64      // the time of the timer asked for last, infinite for none
-	granularity  float64      // seconds by which timers are late in the ordinary way
+	deadlines    deadlineHeap // includes stale entries
+	balancerWake float64      // when the balancer asked to be woken, infinite for never
+	armedAt      float64      // the time of the last SetTimer, infinite for none
+	granularity  float64      // seconds by which timers are ordinarily late
 	lag          float64      // seconds by which this node is behind, see measureLag
 }
 
-// newTimers returns timers of which none is set. granularity is in seconds.
+// newTimers returns timers without any deadline. granularity is in seconds.
 func newTimers(granularity float64) timers {
 	return timers{balancerWake: math.Inf(1), armedAt: math.Inf(1), granularity: granularity}
 }
@@ -55,13 +54,13 @@
 // disarm notes that the timer has fired.
 func (t *timers) disarm() { t.armedAt = math.Inf(1) }
 
-// setDeadline has a connection looked at in after seconds, in place of its earlier deadline.
+// setDeadline makes a connection time out in after seconds, in place of its earlier deadline.
 func (n *Node) setDeadline(c *connection, after float64) {
 	c.deadlineVersion++
 	heap.Push(&n.timers.deadlines, deadline{n.now + after, c.id, c.deadlineVersion})
 }
 
-// clearDeadline takes back a connection's deadline.
+// clearDeadline cancels a connection's deadline.
 func (c *connection) clearDeadline() { c.deadlineVersion++ }
 
 // deadlineOwner returns the connection whose deadline d is, nil if d is stale.
@@ -83,7 +82,7 @@
 	}
 }
 
-// deadlineExpired handles a connection that waited long enough.
+// deadlineExpired handles a connection whose deadline has passed.
 func (n *Node) deadlineExpired(c *connection) {
 	switch c.role {
 	case healthCheckRole:
@@ -95,28 +94,29 @@
 	}
 }
 
-// clientDeadlineExpired handles a client that sent no line in time, or does not end.
+// clientDeadlineExpired handles a client that sent no opening line in time, whose connection lingers for too long, or
+// to which a write failed.
 func (n *Node) clientDeadlineExpired(c *connection) {
 	f := c.flow
 	switch {
-	case f != nil && f.established && !f.over:
-		n.connectionBroke(c) // what was written to it failed
-	case f == nil && c.closeAs == StreamOpen && !c.writeClosed:
-		n.dismiss(c, NoLine)
+	case f != nil && f.established && !f.ended:
+		n.connectionBroke(c) // a write to the client failed
+	case f == nil && c.pendingClose == StreamOpen && !c.writeClosed:
+		n.rejectIdle(c, NoLine)
 	default:
 		c.endBeforeOpening(NoLine)
 		n.closeConnection(c, false)
 	}
 }
 
-// hostDeadlineExpired handles a host that has not answered, or not ended, in time.
+// hostDeadlineExpired handles a host that has not answered or ended its connection in time.
 func (n *Node) hostDeadlineExpired(c *connection) {
 	f := c.flow
 	switch {
 	case !f.established:
 		n.attemptFailed(f, interruptedOutcome(f.lineSent, true))
-	case f.finalWord != line.Other || c.closeAs != StreamOpen:
-		n.hostEnded(f) // the host announced its end, or its client ended: the end itself is late
+	case f.finalWord != line.Other || c.pendingClose != StreamOpen:
+		n.hostEnded(f) // the host announced its end, or its client has ended, but the host's own end is overdue
 	case c.writeClosed:
 		n.connectionBroke(c)
 	case len(f.unansweredSince) > 0 && c.buffer.Free() > 0:
@@ -124,7 +124,7 @@
 	}
 }
 
-// nextDeadline drops stale deadlines and returns the time at which the node is to be woken next, infinite for never.
+// nextDeadline drops stale deadlines and returns the next time at which the node must be woken, infinite for never.
 func (n *Node) nextDeadline() float64 {
 	next := min(n.timers.balancerWake, n.watch.deadline(), n.live.nextOverrideExpiry)
 	if n.startup.awaitsOpening() && n.awaitsSettings() {
@@ -140,7 +140,7 @@
 	return next
 }
 
-// armTimer asks for a timer at the next deadline, unless it is armed for that time already.
+// armTimer asks for a timer at the next deadline, unless it is already armed for that time.
 func (n *Node) armTimer() {
 	next := n.nextDeadline()
 	if next == n.timers.armedAt || math.IsInf(next, 1) {
@@ -150,9 +150,9 @@
 	n.emit(SetTimer{next})
 }
 
-// measureLag measures by how much this node is behind. Its input has waited in the kernel for an unknown time, at most
-// for as long as the node's own timer waited to be handled. The figure holds until a timer fires in time. This prevents
-// a node that was held up from blaming its hosts for the delay.
+// measureLag measures by how many seconds this node is behind. An input has waited in the kernel for an unknown time,
+// but no longer than the node's own timer has been overdue, so the timer's lateness is the upper bound. The lag applies
+// until a timer fires in time. It keeps a node that was delayed itself from blaming its hosts for the delay.
 func (n *Node) measureLag(input Input) {
 	lag := max(n.now-n.timers.armedAt-n.timers.granularity, 0)
 	_, fired := input.(TimerFired)
@@ -161,8 +161,8 @@
 	}
 }
 
-// elapsedSince returns how many seconds a host took for what was sent at a time, without those by which this node is
-// behind. known is false where the node is so far behind that nothing is known.
+// elapsedSince returns how many seconds a host took to answer what was sent at the time sent, less the lag of this node.
+// known is false if the lag is too long for the result to mean anything.
 func (n *Node) elapsedSince(sent float64) (seconds float64, known bool) {
 	return max(n.now-sent-n.timers.lag, 0), n.timers.lag <= maxTrustedLag
 }
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -2,7 +2,7 @@
 
 import "gorseledge/placement"
 
-// dispatch hands an input to the method that handles it.
+// dispatch passes an input to the method that handles it.
 func (n *Node) dispatch(input Input) {
 	switch input := input.(type) {
 	case Accepted, Dialed, ReadDone, WriteDone, ClientGone, Closed:
@@ -12,7 +12,7 @@
 	case ListReceived:
 		n.listReceived(input.List)
 	case WatchAlive:
-		n.watch.noteActivity(n.now, input.MidLine)
+		n.watch.recordActivity(n.now, input.MidLine)
 	case WatchFailed:
 		n.watchEnded(placement.ListFailed, input.Reason)
 	case DiscoveryMoved:
@@ -34,7 +34,8 @@
 	}
 }
 
-// dispatchConnection hands on what happened to a connection. Results for one that is closed by now are dropped.
+// dispatchConnection passes on an input about a connection. Results for a connection that was closed in the meantime
+// are ignored.
 func (n *Node) dispatchConnection(input Input) {
 	switch input := input.(type) {
 	case Accepted:
@@ -52,7 +53,7 @@
 	}
 }
 
-// dispatchUpgrade hands on what the other process of an upgrade sent, or what became of it.
+// dispatchUpgrade passes on an input from the other process of an upgrade, or about its end.
 func (n *Node) dispatchUpgrade(input Input) {
 	switch input := input.(type) {
 	case HandoverReceived:
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -2,35 +2,35 @@
 
 import "gorseledge/internal/peers"
 
-// Effect is one thing that the node asks its owner to do.
+// Effect is an action that the node asks its owner to carry out.
 type Effect interface{ effect() }
 
-// Effects on connections. A connection has at most one Read and one Write under way; the node does not touch their
-// buffers until the result is in.
+// Effects on connections. A connection has at most one Read and one Write under way, and the node does not touch their
+// buffers until it has received the result.
 type (
-	// Dial opens a connection within Timeout seconds, answered by Dialed. For is the client's connection that it is for,
-	// 0 for none: where that client is seen to have gone, nothing is dialed, and ClientGone says so.
+	// Dial opens a connection within Timeout seconds, answered by Dialed. For is the client's connection that the dial
+	// serves, 0 for none. If the owner finds that this client has disconnected, it does not dial but reports ClientGone.
 	Dial struct {
 		Conn    ConnID
 		Address string
 		Timeout float64
 		For     ConnID
 	}
-	// Read fills some of Into, answered by ReadDone.
+	// Read reads up to len(Into) bytes into Into, answered by ReadDone.
 	Read struct {
 		Conn ConnID
 		Into []byte
 	}
-	// StopReading ends the Read under way with what it has, if anything; ReadDone answers it.
+	// StopReading ends the Read under way with whatever it has read, which may be nothing; ReadDone answers that Read.
 	StopReading struct{ Conn ConnID }
 	// Write sends all of Data, answered by WriteDone.
 	Write struct {
 		Conn ConnID
 		Data []byte
 	}
-	// CloseWrite ends the sending on a connection.
+	// CloseWrite ends the sending direction of a connection.
 	CloseWrite struct{ Conn ConnID }
-	// Close closes a connection, answered by Closed; Reset breaks it off.
+	// Close closes a connection, answered by Closed. With Reset, the far side gets a reset instead of an orderly end.
 	Close struct {
 		Conn  ConnID
 		Reset bool
@@ -39,44 +39,44 @@
 
 // Effects on discovery.
 type (
-	// Watch asks discovery for the changes after Index, and for those that follow, and replaces any earlier watch. With
-	// KeepPrevious, the oldest call that still waits for its answer is kept until one of the two calls is answered.
+	// Watch asks discovery for the changes of the endpoint list after Index, as they come, and replaces any earlier watch.
+	// With KeepPrevious, the oldest call that still waits for its answer is kept until one of the two calls is answered.
 	Watch struct {
 		Index        int64
 		KeepPrevious bool
 	}
 	// StopWatch ends the watch.
 	StopWatch struct{}
-	// MoveDiscovery says that discovery is at another address by the live settings; the empty one stands for the
-	// start's. A Watch follows.
+	// MoveDiscovery changes the address of discovery to that of the live settings. An empty Address stands for the address
+	// given at the start. A Watch follows.
 	MoveDiscovery struct{ Address string }
 )
 
 // Effects on the process and its fleet.
 type (
-	// SetTimer asks for a TimerFired at a time, in place of any before.
+	// SetTimer asks for a TimerFired at the time At, in place of any earlier timer.
 	SetTimer struct{ At float64 }
-	// WriteLog is a line of the log.
+	// WriteLog writes a line to the log.
 	WriteLog struct{ Line string }
-	// LogConnection is the log line of a client's connection that ended.
+	// LogConnection logs a client's connection that has ended.
 	LogConnection struct{ Record ConnectionRecord }
-	// OpenListener says, once, that clients can be served if the listener is opened.
+	// OpenListener asks, once, for the listener to be opened, as clients can be served from now on.
 	OpenListener struct{}
-	// CloseListener ends the accepting of clients, once those that wait are accepted.
+	// CloseListener closes the listener after accepting the connections that wait in its queue.
 	CloseListener struct{}
-	// Exit says that nothing is left to do.
+	// Exit asks the owner to end the process, as nothing is left to do or the time for a shutdown is over.
 	Exit struct{}
-	// SendGossip is the node's load reports for all other nodes.
+	// SendGossip sends the node's load reports to all other nodes.
 	SendGossip struct{ Loads []peers.HostLoad }
-	// Reply answers a Query. OK is false for a node that is not ready, or a host that is not known.
+	// Reply answers a Query. OK is false if the node is not ready, or if the host is unknown.
 	Reply struct {
 		OK            bool
-		StillDisabled bool           // to EnableHost: the live settings disable the host
-		Statistics    Statistics     // to GetStatistics
-		Handover      *HandoverState // to ClaimHandover and TakeOver
+		StillDisabled bool           // for EnableHost: the live settings still disable the host
+		Statistics    Statistics     // for GetStatistics
+		Handover      *HandoverState // for ClaimHandover and TakeOver
 	}
-	// SettingsApplied answers SettingsReceived: the revision is in force, or Err says why nothing of it is. Ignored
-	// lists its keys that have no effect here, sorted.
+	// SettingsApplied answers SettingsReceived. Either the whole revision is in force, or Err is the reason why none of it
+	// is. Ignored lists the keys of the revision that have no effect on this node, sorted.
 	SettingsApplied struct {
 		Ignored []string
 		Err     error
@@ -85,14 +85,14 @@
 
 // Effects on the other process of an upgrade.
 type (
-	// UpdatePeerProcess notifies the node's other process, if there is one.
+	// UpdatePeerProcess notifies the other process of an upgrade, if there is one.
 	UpdatePeerProcess struct{ Update HandoverUpdate }
-	// SendConnection sends a client's connection and its host's to the successor, answered by ConnectionSent.
+	// SendConnection sends the client's and the host's connection of a flow to the successor, answered by ConnectionSent.
 	SendConnection struct {
 		Conn, Host ConnID
 		Transfer   *ConnectionTransfer
 	}
-	// BindHostConnection gives the host's connection that was received with a client's its number.
+	// BindHostConnection assigns the id Conn to the host's connection that was received together with connection Client.
 	BindHostConnection struct{ Conn, Client ConnID }
 )
 
@@ -122,8 +122,8 @@
 type ConnectionRecord struct {
 	Reason          Reason
 	Type            string  // service type; empty without a flow
-	Host            string  // of the last attempt; empty for none
-	Attempts        int     // that were started
+	Host            string  // host of the last attempt; empty if there was none
+	Attempts        int     // attempts that were started
 	Duration        float64 // seconds since it was accepted
 	Setup           float64 // seconds since it was accepted until the flow was established, 0 if it never was
 	BytesFromClient uint64  // forwarded to the host
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -13,36 +13,37 @@
 const (
 	millisecondsPerSecond = 1e3
 
-	statusRemoved = "DELETED" // discovery's status of a host that is not on the list
+	statusRemoved = "DELETED" // discovery's status of a host that was removed from the list
 
-	// failedCallsUntilCached is after how many failed calls a node without a list serves by its cached one.
+	// failedCallsUntilCached is the number of failed calls to discovery after which a node that has received no list uses
+	// its cached one.
 	failedCallsUntilCached = 2
 )
 
-// endpointStates gives the balancer's state for each of discovery's. A host in any other state takes no new flows.
+// endpointStates maps discovery's statuses to the balancer's states. A host with any other status gets no new flows.
 var endpointStates = map[string]placement.EndpointState{
 	"SERVING":     placement.Ready,
 	"DRAINING":    placement.Draining,
 	statusRemoved: placement.Removed,
 }
 
-// listedHost is a host that was listed at least once.
+// listedHost is the state of a host that was listed at least once.
 type listedHost struct {
 	name      string
-	address   string        // the last one listed, empty for none ever
-	listing   endpoint.Host // as it was listed last
-	lastHeard float64       // when it last sent anything
+	address   string        // the address that was listed last, empty if no list had one
+	listing   endpoint.Host // the host's last entry in the list
+	lastHeard float64       // when the host last sent anything to this node
 
-	administrativelyDisabled bool // by an operator at the second address
-	disabledBySettings       bool // by the live settings, when that was looked at last
+	administrativelyDisabled bool // an operator has disabled the host by the admin address
+	disabledBySettings       bool // the live settings disabled the host when applyDisabled last compared them
 }
 
-// takesNewFlows reports whether a host is listed as ready and the settings do not disable it.
-func (h *listedHost) takesNewFlows() bool {
+// acceptsNewFlows reports whether a host is listed as ready and the settings do not disable it.
+func (h *listedHost) acceptsNewFlows() bool {
 	return endpointStates[h.listing.Status] == placement.Ready && !h.disabledBySettings
 }
 
-// endpointDirectory knows all hosts that were ever listed, by the balancer's index, and how current the list is. A host
+// endpointDirectory holds all hosts that were ever listed, by the balancer's index, and how current the list is. A host
 // keeps its index for the life of the process.
 type endpointDirectory struct {
 	hosts        []listedHost
@@ -50,17 +51,17 @@
 	byID         map[uint32]int // by hostID
 	zones        map[string]int
 	listIndex    int64 // discovery's index of the last list
-	listReceived bool  // discovery has sent a list since the start
-	failedCalls  int   // calls of discovery that failed since the last list
+	listReceived bool  // discovery, or the predecessor's handover, has provided a list since the start
+	failedCalls  int   // calls to discovery that have failed since the last list
 }
 
-// newEndpointDirectory returns a directory without hosts, with the zones of the settings.
+// newEndpointDirectory returns a directory without hosts that knows the zones of the settings.
 func newEndpointDirectory(zones []string) endpointDirectory {
 	return endpointDirectory{byName: map[string]int{}, byID: map[uint32]int{}, zones: indexByName(zones)}
 }
 
-// hostID returns the id that a host's name stands for: the hexadecimal number after the last hyphen, or else a hash of
-// the name. All nodes and the simulator order the list by it.
+// hostID returns the id of a host: the hexadecimal number after the last hyphen of its name, or else a hash of the name.
+// All nodes and the simulator order the list by this id.
 func hostID(name string) uint32 {
 	tail := name[strings.LastIndexByte(name, '-')+1:]
 	if id, err := strconv.ParseUint(tail, 16, 32); err == nil {
@@ -71,7 +72,7 @@
 	return hash.Sum32()
 }
 
-// indexOf returns the index of a host, which it adds as one that is not on the list if the name is new.
+// indexOf returns the index of a host. If the name is new, it adds the host as one that is not on the list.
 func (d *endpointDirectory) indexOf(name string) int {
 	index, known := d.byName[name]
 	if known {
@@ -84,7 +85,7 @@
 	return index
 }
 
-// update takes one host of a list and returns its index. A list that gives no address leaves the known one.
+// update applies one entry of a list and returns the host's index. An entry without an address keeps the known one.
 func (d *endpointDirectory) update(listing endpoint.Host) int {
 	index := d.indexOf(listing.Name)
 	host := &d.hosts[index]
@@ -96,14 +97,14 @@
 	return index
 }
 
-// removeAll marks all hosts as not on the list, before a complete list is taken.
+// removeAll marks all hosts as not on the list, before a complete list is applied.
 func (d *endpointDirectory) removeAll() {
 	for i := range d.hosts {
 		d.hosts[i].listing.Status = statusRemoved
 	}
 }
 
-// zoneOf returns the index of a zone, -1 for one that the settings do not have.
+// zoneOf returns the index of a zone, -1 for a zone that is not in the settings.
 func (d *endpointDirectory) zoneOf(name string) int {
 	if zone, known := d.zones[name]; known {
 		return zone
@@ -111,7 +112,8 @@
 	return -1
 }
 
-// stateOf returns the state in which the balancer sees a host. A host without an address cannot take new flows.
+// stateOf returns the state of a host for the balancer. A host without an address counts as draining, as no new flow can
+// be sent to it.
 func (d *endpointDirectory) stateOf(host int) placement.EndpointState {
 	state, known := endpointStates[d.hosts[host].listing.Status]
 	if !known || state == placement.Ready && d.hosts[host].address == "" {
@@ -120,16 +122,17 @@
 	return state
 }
 
-// mayServe reports whether there is a list to serve by: discovery has sent one, or is out and the cached one must do.
-func (d *endpointDirectory) mayServe() bool {
+// hasUsableList reports whether there is a list to place flows by. Discovery has sent one, or else discovery is
+// unavailable and the cached list is used instead.
+func (d *endpointDirectory) hasUsableList() bool {
 	return d.listReceived || d.failedCalls >= failedCallsUntilCached && len(d.hosts) > 0
 }
 
-// listReceived handles what discovery sent: a complete list or changes.
+// listReceived handles a list from discovery, which is complete or contains changes.
 func (n *Node) listReceived(list endpoint.List) {
 	n.endpoints.listReceived = true
 	n.endpoints.failedCalls = 0
-	n.watch.noteActivity(n.now, false)
+	n.watch.recordActivity(n.now, false)
 	kind := placement.ListChanges
 	if list.Complete {
 		kind = placement.ListFull
@@ -137,7 +140,7 @@
 	n.applyList(kind, list)
 }
 
-// applyList puts an endpoint list into effect: new flows are decided by it from here on.
+// applyList applies an endpoint list, by which new flows are placed from here on.
 func (n *Node) applyList(kind placement.ListKind, list endpoint.List) {
 	n.endpoints.listIndex = list.Index
 	if kind != placement.ListChanges {
@@ -157,7 +160,7 @@
 	n.cancelUnsuitableDials()
 }
 
-// endpointOf returns what the balancer is given of a host, as it is listed now.
+// endpointOf returns the balancer's view of a host, as it is listed now.
 func (n *Node) endpointOf(host int) placement.Endpoint {
 	listing := n.endpoints.hosts[host].listing
 	return placement.Endpoint{
@@ -171,7 +174,7 @@
 	}
 }
 
-// gossipReceived handles the load reports of another node. Of a host that was never listed here nothing is kept.
+// gossipReceived handles the load reports of another node. Reports about hosts that were never listed here are ignored.
 func (n *Node) gossipReceived(loads []peers.HostLoad) {
 	for _, report := range loads {
 		if host, known := n.endpoints.byID[report.Host]; known {
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -7,37 +7,37 @@
 	"gorseledge/placement"
 )
 
-// descriptorsPerFlow is how many descriptors an established flow takes: its client's and its host's.
+// descriptorsPerFlow is the number of descriptors of an established flow: one for the client and one for the host.
 const descriptorsPerFlow = 2
 
 // flow is one client's request for a connection to a host, from its opening line on.
 type flow struct {
-	index       int // the balancer's
-	serviceType int // index in the settings
+	index       int // the balancer's index of the flow
+	serviceType int // index of the service type in the settings
 	client      *connection
-	host        *connection // of the attempt under way, or of the last one
+	host        *connection // connection of the current or last attempt
 	openingLine []byte
-	opening     line.Opening // openingLine, parsed
-	restored    bool         // it was open at its host before this node began
+	opening     line.Opening // the parsed openingLine
+	restored    bool         // the opening line names the host at which the flow is already open
 
-	attempt       int  // number of the attempt under way, from 0; -1 before the first
+	attempt       int  // number of the current or last attempt, from 0; -1 before the first
 	hostIndex     int  // the host of that attempt
-	attemptActive bool // the balancer does not know yet how the attempt ended
+	attemptActive bool // the end of the attempt has not been reported to the balancer
 	lineSent      bool // the opening line is written to the host to its last byte
 
 	established     bool
-	over            bool
-	finalWord       line.Verb // what the host sent to announce its end
-	setupTime       float64   // seconds from the accept until the flow was established
+	ended           bool
+	finalWord       line.Verb // BYE or MOVE, with which the host announced its end; line.Other before that
+	setupTime       float64   // seconds from accepting the client until the flow was established
 	reportedLoad    float64   // the load that the host reported last
-	unansweredSince []float64 // when lines went to the host that had none back yet, oldest first
+	unansweredSince []float64 // when each line that the host has not answered yet was sent to it, oldest first
 
-	transferring      bool    // it goes over to a successor, so nothing more is read
-	transferStartedAt float64 // when that began
-	inTransit         bool    // its connections are on their way to the successor
+	transferring      bool    // the flow is being handed over to a successor, so nothing more is read from it
+	transferStartedAt float64 // when transferring was set
+	inTransit         bool    // SendConnection was emitted for the flow and its result is still awaited
 }
 
-// describe returns the flow's connection as another process is notified of it.
+// describe returns the description of the flow's connection that is sent to the other process of an upgrade.
 func (f *flow) describe(hostName string) *InheritedConnection {
 	return &InheritedConnection{
 		ID:        f.opening.ID,
@@ -51,11 +51,11 @@
 type flowTable struct {
 	byIndex     []*flow // nil where the index is free
 	freeIndices []int
-	releasable  []int // indices that the balancer may be done with
+	releasable  []int // indices that the balancer may be ready to release
 	ids         flowIDs
 }
 
-// add gives a flow its index.
+// add adds a flow and assigns its index.
 func (t *flowTable) add(f *flow) {
 	if free := len(t.freeIndices); free > 0 {
 		f.index = t.freeIndices[free-1]
@@ -68,7 +68,7 @@
 	t.ids.add(f)
 }
 
-// markReleasable notes that the balancer may be done with a flow.
+// markReleasable notes that the balancer may be ready to release a flow.
 func (t *flowTable) markReleasable(f *flow) { t.releasable = append(t.releasable, f.index) }
 
 // remove frees a flow's index and remembers its id.
@@ -78,7 +78,7 @@
 	t.freeIndices = append(t.freeIndices, f.index)
 }
 
-// count returns how many flows there are.
+// count returns the number of flows.
 func (t *flowTable) count() int {
 	count := 0
 	for _, f := range t.byIndex {
@@ -89,7 +89,7 @@
 	return count
 }
 
-// releaseFlows frees the indices of flows for which the balancer expects nothing more.
+// releaseFlows removes the flows that the balancer is ready to release.
 func (n *Node) releaseFlows() {
 	for _, index := range n.flows.releasable {
 		if f := n.flows.byIndex[index]; f != nil && n.balancer.Release(index) {
@@ -99,17 +99,17 @@
 	n.flows.releasable = n.flows.releasable[:0]
 }
 
-// describeConnection returns a flow's connection as another process is notified of it.
+// describeConnection returns the description of a flow's connection that is sent to the other process of an upgrade.
 func (n *Node) describeConnection(f *flow) *InheritedConnection {
 	return f.describe(n.endpoints.hosts[f.hostIndex].name)
 }
 
-// arrivalOf returns what the balancer is given of a new flow. A flow whose connection was the predecessor's
-// no longer counts as such.
+// arrivalOf returns the balancer's description of a new flow. If the flow's connection was inherited from the
+// predecessor, it no longer counts as inherited.
 func (n *Node) arrivalOf(f *flow) placement.Arrival {
 	tenant, known := n.tenants[f.opening.Tenant]
 	if !known {
-		tenant = len(n.listener.Tenants) // one without a quota
+		tenant = len(n.listener.Tenants) // the index of a tenant without a quota
 	}
 	arrival := placement.Arrival{
 		Type:      f.serviceType,
@@ -128,15 +128,16 @@
 	return arrival
 }
 
-// finish reports to the balancer that an established connection is over, and ends the client's side as end says.
+// finish reports the end of an established flow to the balancer, and ends the client's connection: in order with
+// StreamEnded, by a reset with StreamBroken.
 func (n *Node) finish(f *flow, end StreamState, reason Reason, outcome placement.Outcome) {
-	n.markOver(f)
+	n.markEnded(f)
 	n.endAttempt(f, outcome)
 	c := f.client
 	if c.endReason == "" {
 		c.endReason = reason
 	}
-	c.closeAs = end
+	c.pendingClose = end
 	if c.closed {
 		return
 	}
@@ -144,7 +145,7 @@
 	n.flush(c)
 }
 
-// endAttempt reports to the balancer how a flow's last attempt ended; nothing more comes of the flow.
+// endAttempt reports to the balancer the outcome of a flow's last attempt, after which the flow is not retried.
 func (n *Node) endAttempt(f *flow, outcome placement.Outcome) {
 	f.attemptActive = false
 	n.balancer.AttemptEnded(n.now, f.index, f.attempt, outcome, true)
--- a/internal/node/flow_ids.go
+++ b/internal/node/flow_ids.go
@@ -7,21 +7,22 @@
 	"gorseledge/internal/line"
 )
 
-// maxEndedIDs bounds the memory for ids: of ended flows twice as many are kept, of inherited connections this many.
+// maxEndedIDs bounds the memory for ids. The ids of up to twice as many ended flows are kept, and up to this many
+// inherited connections.
 const maxEndedIDs = 4096
 
-// flowIDs knows flows by the id in their opening line, which is new with every connection.
+// flowIDs indexes flows by the id in their opening line. Clients choose a new id for every connection.
 type flowIDs struct {
 	open      map[string]*flow
 	inherited map[string]*InheritedConnection // connections of the predecessor, by id
 
-	// Client keys by the hash of an ended flow's id, in two generations: once recentlyEnded is full it takes the place
-	// of previouslyEnded.
+	// Client keys by the hash of an ended flow's id, in two generations: once recentlyEnded is full, it replaces
+	// previouslyEnded.
 	recentlyEnded   map[uint64]uint64
 	previouslyEnded map[uint64]uint64
 }
 
-// newFlowIDs returns ids of no flow.
+// newFlowIDs returns an empty index.
 func newFlowIDs() flowIDs {
 	return flowIDs{
 		open:          map[string]*flow{},
@@ -31,8 +32,8 @@
 }
 
 // conflicts reports whether an opening line has the id of another client's flow. Hosts answer such a line with an
-// error, which would count against them although the fault is the client's. Packets of a flow that arrive by another
-// way now have the flow's id and its client key, and do not conflict.
+// error, which would count against them although the fault is the client's. The packets of a flow that changed its
+// route carry the flow's own id and client key, and do not conflict.
 func (ids *flowIDs) conflicts(opening line.Opening) bool {
 	if f := ids.open[opening.ID]; f != nil {
 		return !opening.MidFlow || opening.ClientKey != f.opening.ClientKey
@@ -48,10 +49,10 @@
 	return ended && key != opening.ClientKey
 }
 
-// add notes that a flow has begun, in place of one with the same id.
+// add adds a new flow, in place of an open one with the same id.
 func (ids *flowIDs) add(f *flow) { ids.open[f.opening.ID] = f }
 
-// remove takes out a flow that is over and remembers its id.
+// remove removes a flow that has ended and remembers its id.
 func (ids *flowIDs) remove(f *flow) {
 	if ids.open[f.opening.ID] == f {
 		delete(ids.open, f.opening.ID)
@@ -59,7 +60,7 @@
 	ids.rememberEnded(f.opening.ID, f.opening.ClientKey)
 }
 
-// rememberEnded keeps the id of a flow that is over, with its client key.
+// rememberEnded stores the client key of an ended flow by the flow's id.
 func (ids *flowIDs) rememberEnded(id string, key uint64) {
 	if len(ids.recentlyEnded) >= maxEndedIDs {
 		ids.previouslyEnded = ids.recentlyEnded
@@ -76,7 +77,7 @@
 	return all
 }
 
-// restoreEnded replaces what is remembered of ended flows.
+// restoreEnded replaces the remembered ended flows by those of the predecessor.
 func (ids *flowIDs) restoreEnded(keys map[uint64]uint64) {
 	ids.recentlyEnded = map[uint64]uint64{}
 	ids.previouslyEnded = keys
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -8,59 +8,60 @@
 	"gorseledge/placement"
 )
 
-// inFlightReserve is how many descriptors a predecessor may need beside those in use, for attempts of flows in flight.
+// inFlightReserve is the number of descriptors that a predecessor may need in addition to those in use, for the attempts
+// of flows that still wait for their answer.
 const inFlightReserve = 8
 
-// HandoverState is what a process hands over to its successor, with what its own predecessor left. The JSON names are
-// those of the handover between versions.
+// HandoverState is the state that a process hands over to its successor, including what it inherited from its own
+// predecessor. The JSON names are part of the handover protocol between versions.
 type HandoverState struct {
 	Index        int64                   `json:"Index"`  // discovery's index of the last list
 	ListReceived bool                    `json:"Heard"`  // discovery has sent a list since the start
-	Hosts        []endpoint.Host         `json:"Hosts"`  // all that were ever listed, as they were listed last
-	Balancer     placement.HandoverState `json:"Module"` // its servers are in the order of Hosts
+	Hosts        []endpoint.Host         `json:"Hosts"`  // all hosts that were ever listed, by their last entry in a list
+	Balancer     placement.HandoverState `json:"Module"` // state of the balancer, with its servers in the order of Hosts
 	Connections  []InheritedConnection   `json:"Sits"`   // open connections
 	EndedFlows   map[uint64]uint64       `json:"Spent"`  // client keys by the hash of an ended flow's id
-	Descriptors  int                     `json:"Held"`   // descriptors in use, those of the own predecessor included
+	Descriptors  int                     `json:"Held"`   // descriptors in use, including those of this process's own predecessor
 
-	// Revision is that of the live settings, nil for none. AdministrativelyDisabled lists the hosts that an operator
-	// disabled; it is empty without a revision, when Balancer says which hosts are disabled.
+	// Revision is the revision of the live settings that is in force, nil if there is none. AdministrativelyDisabled lists
+	// the hosts that an operator has disabled. Without a revision it is empty, and Balancer has the disabled hosts.
 	Revision                 *live.Revision `json:"Revision,omitempty"`
 	AdministrativelyDisabled []string       `json:"DisabledByHand,omitempty"`
 }
 
-// HandoverUpdate is what one process notifies the other of while there are two. One field is set. The JSON names are
-// those of the handover between versions.
+// HandoverUpdate is a change of which one process notifies the other while an upgrade has two of them running. Exactly
+// one field is set. The JSON names are part of the handover protocol between versions.
 type HandoverUpdate struct {
 	DisabledHost string               `json:"Out,omitempty"`  // a host that an operator disabled
 	EnabledHost  string               `json:"Back,omitempty"` // a host that an operator enabled
 	Established  *InheritedConnection `json:"Sits,omitempty"` // a flow was established
-	EndedFlow    string               `json:"Over,omitempty"` // the id of a flow that was established and is over
+	EndedFlow    string               `json:"Over,omitempty"` // the id of an established flow that has ended
 	Descriptors  int                  `json:"Held,omitempty"` // descriptors in use
 
 	Revision *live.Revision `json:"Revision,omitempty"` // of the live settings, in force
 }
 
-// upgrade is what is owed to the other process of an upgrade. A process may have a predecessor and a successor at once.
+// upgrade is the state of an upgrade to another process. A process may have a predecessor and a successor at once.
 type upgrade struct {
 	successorNotified   bool // a successor has claimed the state and is notified of changes
-	descriptorsNotified int  // the number of descriptors that it was notified of last
-	clientsHandedOver   bool // it takes the clients
+	descriptorsNotified int  // the number of descriptors that the successor was last notified of
+	clientsHandedOver   bool // the successor accepts the clients
 
-	transfers         []*flow // that are to go over to it
-	transfersInFlight int     // how many of these are on their way
+	transfers         []*flow // flows whose connections are being transferred to the successor
+	transfersInFlight int     // how many of transfers are in transit
 
-	reservedMargin  int     // descriptors that a predecessor may take beside those that it says it uses
-	pendingQueries  []Query // of operators about hosts, from before the predecessor handed over the clients
-	inheritedExpiry float64 // when connections of a predecessor that is gone no longer come again; 0 for none expected
+	reservedMargin  int     // descriptors that a predecessor may use in addition to those that it reports
+	pendingQueries  []Query // operators' DisableHost and EnableHost from before the predecessor handed over the clients
+	inheritedExpiry float64 // when inherited connections expire after the predecessor's end; 0 if none are awaited
 }
 
-// notifyFromNow notes that a successor is notified of all changes from now on.
+// notifyFromNow notes that the successor must be notified of all changes from now on.
 func (u *upgrade) notifyFromNow() {
 	u.successorNotified = true
 	u.descriptorsNotified = 0
 }
 
-// handoverState returns all that a successor is given.
+// handoverState returns the state for a successor.
 func (n *Node) handoverState() *HandoverState {
 	state := &HandoverState{
 		Index:        n.endpoints.listIndex,
@@ -73,7 +74,7 @@
 		state.Hosts = append(state.Hosts, n.endpoints.hosts[i].listing)
 	}
 	for _, f := range n.flows.byIndex {
-		if f != nil && f.established && !f.over {
+		if f != nil && f.established && !f.ended {
 			state.Connections = append(state.Connections, *n.describeConnection(f))
 		}
 	}
@@ -84,7 +85,7 @@
 	return state
 }
 
-// restore takes the state that the predecessor handed over; a second time, in place of the first.
+// restore applies the state that the predecessor handed over. A later state replaces an earlier one.
 func (n *Node) restore(state *HandoverState) {
 	indices := make([]int, len(state.Hosts))
 	for i, listing := range state.Hosts {
@@ -99,13 +100,13 @@
 		n.addInherited(&state.Connections[i])
 	}
 	n.connections.reserved = state.Descriptors + n.upgrade.reservedMargin
-	// A query may have crossed with what the predecessor says of the same host.
+	// An operator's query may have arrived here after the predecessor recorded its state, which would otherwise undo it.
 	for _, query := range n.upgrade.pendingQueries {
 		n.setAdministrativelyDisabled(query.Host, query.Question == DisableHost)
 	}
 }
 
-// restoreList takes the predecessor's endpoint list unless this process has received a newer one.
+// restoreList applies the predecessor's endpoint list unless this process has received a newer one.
 func (n *Node) restoreList(state *HandoverState) {
 	if !state.ListReceived {
 		return
@@ -118,7 +119,7 @@
 	n.applyList(placement.ListFull, endpoint.List{Index: state.Index, Complete: true, Hosts: state.Hosts})
 }
 
-// restoreBalancer gives the balancer the predecessor's state, each server under this process's index for it.
+// restoreBalancer passes the predecessor's state to the balancer, with each server under its index in this process.
 func (n *Node) restoreBalancer(state *HandoverState, indices []int) {
 	servers := n.balancer.HandoverState().Servers
 	for i, server := range state.Balancer.Servers {
@@ -133,8 +134,8 @@
 	n.balancer.Restore(state.Balancer)
 }
 
-// handOverClients leaves the flows that come from now on to a successor. The descriptors in use are kept, and a few
-// more for flows in flight; the open connections are transferred.
+// handOverClients leaves new flows to a successor from now on, and begins to transfer the established ones. This process
+// keeps only the descriptors in use and a few more for flows that still wait for their answer.
 func (n *Node) handOverClients() {
 	n.upgrade.clientsHandedOver = true
 	table := &n.connections
@@ -148,7 +149,8 @@
 	}
 }
 
-// successorGone takes the clients back, if the successor had them. A transfer on its way comes back by itself.
+// successorGone makes this process serve the clients again if the successor served them. Transfers in transit are not
+// canceled here, as ConnectionSent reports each of them as failed.
 func (n *Node) successorGone() {
 	n.upgrade.successorNotified = false
 	if !n.upgrade.clientsHandedOver {
@@ -165,14 +167,14 @@
 	n.emit(WriteLog{"the successor is gone"})
 }
 
-// notifySuccessor notifies a successor, if there is one, of what has changed here.
+// notifySuccessor notifies a successor, if there is one, of a change in this process.
 func (n *Node) notifySuccessor(update HandoverUpdate) {
 	if n.upgrade.successorNotified {
 		n.emit(UpdatePeerProcess{update})
 	}
 }
 
-// notifyDescriptors notifies a successor of how many descriptors it cannot have, when the number has changed.
+// notifyDescriptors notifies a successor of how many descriptors this process uses, whenever the number has changed.
 func (n *Node) notifyDescriptors() {
 	inUse := n.connections.used() + n.connections.reserved
 	if !n.upgrade.successorNotified || inUse == n.upgrade.descriptorsNotified || inUse <= 0 {
@@ -182,8 +184,8 @@
 	n.emit(UpdatePeerProcess{HandoverUpdate{Descriptors: inUse}})
 }
 
-// applyPeerUpdate applies what the other process of an upgrade notifies this one of. A successor's own connections do
-// not concern its predecessor.
+// applyPeerUpdate applies an update from the other process of an upgrade. A predecessor ignores updates about its
+// successor's connections and descriptors.
 func (n *Node) applyPeerUpdate(update HandoverUpdate) {
 	switch {
 	case update.DisabledHost != "":
@@ -205,7 +207,7 @@
 // applyPeerRevision applies a revision of the live settings that the other process has in force.
 func (n *Node) applyPeerRevision(revision live.Revision) {
 	if _, err := n.enforceRevision(revision); err != nil {
-		n.emit(WriteLog{fmt.Sprintf("the peer process's revision %d.%d not in force: %v", revision.Epoch,
+		n.emit(WriteLog{fmt.Sprintf("revision %d.%d of the peer process rejected: %v", revision.Epoch,
 			revision.Number, err)})
 	}
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -146,7 +146,7 @@
 	successor.deliverTransfers(third, false)
 	id := strings.Fields(openingOf(client))[1]
 	if third.unavailable() != 2 || third.node.flows.ids.inherited[id] == nil {
-		t.Errorf("%+v, %v", third.node.currentFigures(), third.node.flows.ids.inherited)
+		t.Errorf("%+v, %v", third.node.currentStatistics(), third.node.flows.ids.inherited)
 	}
 }
 
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -328,7 +328,7 @@
 }
 
 // unavailable returns how many hosts on the list take no new flows.
-func (harness *testHarness) unavailable() int { return harness.node.currentFigures().Unavailable }
+func (harness *testHarness) unavailable() int { return harness.node.currentStatistics().Unavailable }
 
 // endReasons returns the reasons of the clients' connections that have ended.
 func (harness *testHarness) endReasons() (reasons []Reason) {
@@ -354,14 +354,14 @@
 // checkedFigures returns the figures after it has checked what must hold of them after any input.
 func (harness *testHarness) checkedFigures() Statistics {
 	harness.Helper()
-	figures := harness.node.currentFigures()
+	figures := harness.node.currentStatistics()
 	sum := figures.Waiting
 	for _, counts := range figures.Types {
 		sum += counts.Established + counts.Rejected + counts.Aborted + counts.ClientLeft
 	}
 	open, waiting := 0, 0
 	for _, f := range harness.node.flows.byIndex {
-		if f == nil || f.over {
+		if f == nil || f.ended {
 			continue
 		}
 		open++
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	healthCheckTimeout = 1.0  // seconds; a host that needs longer is no use for a flow either
-	loadReportField    = "x0" // the field of a health check's answer that holds the load
+	healthCheckTimeout = 1.0  // seconds; a host that takes longer is too slow for flows as well
+	loadReportField    = "x0" // name of the field with the load in the answer to a health check
 )
 
-// noLoadReport is the report of a health check that brought none.
+// noLoadReport is the result of a health check without a load report.
 var noLoadReport = placement.LoadReport{Load: -1}
 
-// healthCheckLineFor returns what a health check sends; withReports asks for a load report as well.
+// healthCheckLineFor returns the line that a health check sends. withReports asks for a load report as well.
 func healthCheckLineFor(withReports bool) string {
 	if withReports {
 		return line.StatsLine
@@ -21,7 +21,8 @@
 	return line.PingLine
 }
 
-// checkHealth asks a host whether it serves.
+// checkHealth starts a health check of a host, or reports it as not sent if the host has no address or no descriptor is
+// available.
 func (n *Node) checkHealth(host int) {
 	if n.endpoints.hosts[host].address == "" || !n.canAffordDescriptor() {
 		n.balancer.HealthChecked(n.now, host, placement.NotSent, noLoadReport)
@@ -30,7 +31,7 @@
 	n.dial(healthCheckRole, host, []byte(n.healthCheckLine), healthCheckTimeout, 0)
 }
 
-// handleHealthCheckLine handles the answer. A host that answers anything but PONG does not serve.
+// handleHealthCheckLine handles the answer to a health check. Any answer but PONG is a failure.
 func (n *Node) handleHealthCheckLine(c *connection, text []byte) {
 	word, rest := line.Split(text)
 	if word != line.Pong {
--- a/internal/node/host_lines.go
+++ b/internal/node/host_lines.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	maxTimedLines = 64 // lines without an answer that are timed, a flow
+	maxTimedLines = 64 // unanswered lines whose answers are timed, per flow
 
-	// minReportedLoad is the load, as a share of a core, below which a figure of a host counts as a delay where hosts
-	// report both under one word: delays come in thousandths, loads in millionths.
+	// minReportedLoad is the load, as a share of a core, below which a reported value may be a delay if hosts report both
+	// under one word. Delays are reported in thousandths, loads in millionths.
 	minReportedLoad = 2e-3
 
-	delayUnit = 1e3 // a delay is reported in thousandths of a second, and read as a load in millionths
+	delayUnit = 1e3 // factor from a value parsed as a load in millionths to a delay, reported in thousandths of a second
 )
 
 // handleHostLine handles a line of a flow's host and reports whether it is to be forwarded.
@@ -40,30 +40,30 @@
 	return true
 }
 
-// reportLoad gives the balancer what a host reports of a connection: its load or, where the settings say that hosts
-// report delays too, how long a message takes there. Both come under one word. A delay that passed for a load would
-// make an overloaded host look empty.
-func (n *Node) reportLoad(f *flow, figure float64) {
-	if n.isDelay(f, figure) {
-		n.balancer.ReportDelay(n.now, f.index, figure*delayUnit)
+// reportLoad passes to the balancer the value that a host reports for a connection. It is the connection's load or, if
+// the settings say that hosts also report delays, the time that the host takes for a message. Hosts send both under one
+// word, and a delay that was taken for a load would make an overloaded host look empty.
+func (n *Node) reportLoad(f *flow, value float64) {
+	if n.isDelay(f, value) {
+		n.balancer.ReportDelay(n.now, f.index, value*delayUnit)
 		return
 	}
-	f.reportedLoad = figure
-	n.balancer.ReportLoad(f.index, figure)
+	f.reportedLoad = value
+	n.balancer.ReportLoad(f.index, value)
 }
 
-// isDelay reports whether a host's figure is a delay and no load.
-func (n *Node) isDelay(f *flow, figure float64) bool {
+// isDelay reports whether a value that a host reports is a delay rather than a load.
+func (n *Node) isDelay(f *flow, value float64) bool {
 	if !n.listener.ReportsDelay {
 		return false
 	}
 	if !n.listener.ReportsLoad {
 		return true
 	}
-	return figure < minReportedLoad && f.reportedLoad >= figure || figure < minReportedLoad/2
+	return value < minReportedLoad && f.reportedLoad >= value || value < minReportedLoad/2
 }
 
-// clientLineForwarded notes that a line goes to the host, which is expected to answer it.
+// clientLineForwarded starts the wait for the host's answer to a line of the client.
 func (n *Node) clientLineForwarded(f *flow) {
 	if len(f.unansweredSince) == 0 {
 		n.setDeadline(f.host, suspectAfter)
@@ -73,7 +73,7 @@
 	}
 }
 
-// measureDelay takes a line of the host for the answer to the oldest line without one, and measures how long it took.
+// measureDelay counts a line of the host as the answer to the oldest unanswered line, and reports how long it took.
 func (n *Node) measureDelay(f *flow) {
 	if len(f.unansweredSince) == 0 {
 		return
@@ -82,7 +82,7 @@
 		n.balancer.ReportDelay(n.now, f.index, delay)
 	}
 	f.unansweredSince = append(f.unansweredSince[:0], f.unansweredSince[1:]...)
-	if f.finalWord != line.Other || f.host.closeAs != StreamOpen {
+	if f.finalWord != line.Other || f.host.pendingClose != StreamOpen {
 		return
 	}
 	f.host.clearDeadline()
@@ -90,7 +90,7 @@
 	n.awaitAnswer(f)
 }
 
-// awaitAnswer sets the deadline for the answer to the oldest line that a host has not answered, if there is one.
+// awaitAnswer sets the deadline for the host's answer to the oldest unanswered line, if there is one.
 func (n *Node) awaitAnswer(f *flow) {
 	if len(f.unansweredSince) > 0 {
 		n.setDeadline(f.host, max(f.unansweredSince[0]+suspectAfter-n.now, 0))
--- a/internal/node/host_overrides.go
+++ b/internal/node/host_overrides.go
@@ -8,10 +8,10 @@
 	"gorseledge/internal/node/live"
 )
 
-// A host takes no new flows as long as the live settings disable it or an operator at the second address has disabled
-// it. The live settings may replace a host's listed weight as well.
+// A host gets no new flows as long as the live settings disable it, or while an operator has disabled it by the admin
+// address. The live settings may also replace a host's listed weight.
 
-// weightOf returns a host's weight: that of the live settings or else the listed one, which counts as 0 if negative.
+// weightOf returns a host's weight: that of the live settings, or else the listed one. A negative one counts as 0.
 func (n *Node) weightOf(name string, listed float64) float64 {
 	if weight := n.live.revision.Settings.Hosts[name].Weight; weight != nil {
 		return *weight
@@ -19,7 +19,7 @@
 	return max(listed, 0)
 }
 
-// applyWeights applies the weights of the hosts for which the settings have or had one.
+// applyWeights applies the weights of the hosts that the new or the previous settings name.
 func (n *Node) applyWeights(next, previous map[string]live.Host) {
 	for _, hosts := range []map[string]live.Host{next, previous} {
 		for name := range hosts {
@@ -34,7 +34,7 @@
 // isDisabledBySettings reports whether the live settings disable a host now.
 func (n *Node) isDisabledBySettings(name string) bool { return n.disabledUntil(name) > n.now }
 
-// disabledUntil returns the Unix time until which the live settings disable a host, 0 for not at all.
+// disabledUntil returns the Unix time until which the live settings disable a host, 0 if they do not disable it.
 func (n *Node) disabledUntil(name string) float64 {
 	if until := n.live.revision.Settings.Hosts[name].DisabledUntil; until != nil {
 		return *until
@@ -42,7 +42,8 @@
 	return 0
 }
 
-// applyHostOverrides disables or enables the hosts for which the live settings have changed or a time is over.
+// applyHostOverrides disables or enables each host by the live settings as of now, and notes when the next of these
+// overrides expires.
 func (n *Node) applyHostOverrides() {
 	n.live.nextOverrideExpiry = math.Inf(1)
 	for _, host := range n.live.revision.Settings.Hosts {
@@ -56,14 +57,14 @@
 	n.cancelUnsuitableDials()
 }
 
-// expireHostOverrides enables the hosts whose time is over.
+// expireHostOverrides enables the hosts whose override has expired.
 func (n *Node) expireHostOverrides() {
 	if n.now >= n.live.nextOverrideExpiry {
 		n.applyHostOverrides()
 	}
 }
 
-// applyDisabled gives the balancer whether a host is disabled.
+// applyDisabled passes to the balancer whether a host is disabled, and logs if the live settings have changed that.
 func (n *Node) applyDisabled(index int) {
 	host := &n.endpoints.hosts[index]
 	disabled := n.isDisabledBySettings(host.name)
@@ -86,9 +87,9 @@
 		revision.Number)})
 }
 
-// restoreSettings takes the predecessor's revision and the hosts that it has disabled, once the balancer has taken what
-// is known of the hosts. Where the revision does not fit this process, a host that the predecessor had disabled stays
-// so until an operator enables it: this prevents flows to it in the meantime.
+// restoreSettings applies the predecessor's revision and its disabled hosts, after the balancer was restored. If this
+// process cannot apply the revision, each host that the predecessor had disabled for any reason stays disabled until an
+// operator enables it, so that it gets no flows in the meantime.
 func (n *Node) restoreSettings(state *HandoverState, indices []int) {
 	fits := n.peerRevisionFits(state.Revision)
 	for i, index := range indices {
@@ -106,20 +107,20 @@
 	}
 }
 
-// peerRevisionFits reports whether the predecessor has a revision and this node's start allows it.
+// peerRevisionFits reports whether the predecessor has a revision and this node's start settings allow it.
 func (n *Node) peerRevisionFits(revision *live.Revision) bool {
 	if revision == nil {
 		return false
 	}
 	if err := n.checkFits(revision.Settings); err != nil {
-		n.emit(WriteLog{fmt.Sprintf("the predecessor's revision %d.%d does not fit: %v", revision.Epoch,
+		n.emit(WriteLog{fmt.Sprintf("revision %d.%d of the predecessor rejected: %v", revision.Epoch,
 			revision.Number, err)})
 		return false
 	}
 	return true
 }
 
-// addSettingsTo adds what of the live settings goes over to a successor.
+// addSettingsTo adds the revision in force and the administratively disabled hosts to the state for a successor.
 func (n *Node) addSettingsTo(state *HandoverState) {
 	if n.live.revision.IsZero() {
 		return
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -4,18 +4,19 @@
 
 const (
 	descriptorReserve     = 20                 // descriptors kept for new connections, so that they can be rejected with an answer
-	idleDescriptorDivisor = 5                  // idle connections may hold one in this many descriptors
-	firstLineGrace        = 0.1                // seconds by when an ordinary client's first line is there
-	attemptGrace          = firstLineGrace / 4 // seconds that idle clients are spared when an attempt needs a descriptor
+	idleDescriptorDivisor = 5                  // one in this many descriptors may be held by idle connections
+	firstLineGrace        = 0.1                // seconds within which an ordinary client sends its first line
+	attemptGrace          = firstLineGrace / 4 // seconds for which an idle client is kept if an attempt needs a descriptor
 )
 
-// idleQueue holds the clients' connections that ask for nothing: before their opening line, or after their end.
+// idleQueue holds the clients' connections that have no request under way: those that have sent no opening line yet,
+// and those that linger after their final answer.
 type idleQueue struct {
-	queue []ConnID // oldest first, with some that are no longer idle
-	count int      // of those that are
+	queue []ConnID // oldest first; may contain connections that are no longer idle
+	count int      // number of connections in queue that are idle
 }
 
-// add counts a client's connection among the idle ones, once.
+// add adds a client's connection unless it is already idle. Other connections are ignored.
 func (q *idleQueue) add(c *connection) {
 	if c.role != clientRole || c.idle {
 		return
@@ -25,7 +26,7 @@
 	q.queue = append(q.queue, c.id)
 }
 
-// remove takes a connection out, if it is idle. Its entry in the queue goes later.
+// remove marks a connection as no longer idle. Its entry in the queue is removed later.
 func (q *idleQueue) remove(c *connection) {
 	if !c.idle {
 		return
@@ -34,20 +35,21 @@
 	q.count--
 }
 
-// admit makes room for a connection that was accepted, or rejects it. Idle connections go first: clients that connect
-// by the hundred and send nothing must not take the descriptors of those whose first line comes at once.
+// admit frees descriptors for a connection that was accepted, or rejects it. Idle connections are closed first: clients
+// that open hundreds of connections and send nothing must not take the descriptors of clients that send their first
+// line at once.
 func (n *Node) admit(c *connection) {
 	n.idle.add(c)
 	n.limitIdle()
-	if !n.makeRoom(firstLineGrace) {
+	if !n.freeDescriptors(firstLineGrace) {
 		n.answer(c, line.BusyLine(0), NoDescriptors)
 	}
-	if n.connections.used() > n.connections.limit && !c.closed { // not even time for the answer
+	if n.connections.used() > n.connections.limit && !c.closed { // no descriptor is left for the time that the answer takes
 		n.closeConnection(c, false)
 	}
 }
 
-// limitIdle closes the oldest idle connections while idle ones hold more than their part of the descriptors.
+// limitIdle closes the oldest idle connections while idle ones hold more than their share of the descriptors.
 func (n *Node) limitIdle() {
 	most := max(n.connections.limit/idleDescriptorDivisor, 1)
 	for n.idle.count > most {
@@ -57,10 +59,10 @@
 	}
 }
 
-// makeRoom closes idle connections that are older than idleFor seconds until descriptors are not short, and reports
-// whether that could be done.
-func (n *Node) makeRoom(idleFor float64) bool {
-	for n.connections.short() {
+// freeDescriptors closes idle connections that are older than idleFor seconds until more than the reserve is left, and
+// reports whether it succeeded.
+func (n *Node) freeDescriptors(idleFor float64) bool {
+	for n.connections.lowOnDescriptors() {
 		if !n.closeOldestIdle(idleFor) {
 			return false
 		}
@@ -68,11 +70,11 @@
 	return true
 }
 
-// canAffordDescriptor reports whether one more descriptor can be had, at the cost of idle connections.
-func (n *Node) canAffordDescriptor() bool { return n.makeRoom(attemptGrace) }
+// canAffordDescriptor reports whether a descriptor is available, after closing idle connections if necessary.
+func (n *Node) canAffordDescriptor() bool { return n.freeDescriptors(attemptGrace) }
 
-// closeOldestIdle closes the oldest idle connection if that is older than idleFor seconds and has no answer to wait
-// for, and reports whether it did.
+// closeOldestIdle closes the oldest idle connection if it is older than idleFor seconds and no output waits to be
+// written to it, and reports whether it did.
 func (n *Node) closeOldestIdle(idleFor float64) bool {
 	for len(n.idle.queue) > 0 {
 		c := n.connections.byID[n.idle.queue[0]]
@@ -89,19 +91,20 @@
 	return false
 }
 
-// closeIdle closes an idle connection to make room. Its client is rejected, as by dismiss, but the node does not wait for its end.
+// closeIdle closes an idle connection to free its descriptor. Its client is rejected as by rejectIdle, but the node does
+// not wait for the client's end.
 func (n *Node) closeIdle(c *connection) {
-	if c.closeAs == StreamOpen && !c.writeClosed && c.writePending == 0 {
+	if c.pendingClose == StreamOpen && !c.writeClosed && c.writePending == 0 {
 		n.emit(Write{c.id, line.BusyLine(0)})
 	}
 	c.endBeforeOpening(NoDescriptors)
 	n.closeConnection(c, false)
 }
 
-// dismiss rejects a client that has asked for nothing. An opening line that arrives in that moment is answered so, and
-// its client may connect again.
-func (n *Node) dismiss(c *connection, reason Reason) {
+// rejectIdle rejects a client that has sent no opening line. If its opening line arrives at the same moment, the rejection
+// answers it, and the client may connect again.
+func (n *Node) rejectIdle(c *connection, reason Reason) {
 	c.endBeforeOpening(reason)
-	n.setDeadline(c, lingerTimeout) // also where nothing goes out to it any more
+	n.setDeadline(c, lingerTimeout) // also bounds a connection to which nothing can be written any more
 	n.answer(c, line.BusyLine(0), c.endReason)
 }
--- a/internal/node/inherited.go
+++ b/internal/node/inherited.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// inheritedTimeout is how many seconds the connections of a predecessor that is gone have to come again.
+// inheritedTimeout is how many seconds after the predecessor's end its clients may take to connect again.
 const inheritedTimeout = 10.0
 
-// InheritedConnection is an open connection of the predecessor, which counts against its host here as well. The JSON
-// names are those of the handover between versions.
+// InheritedConnection is an open connection of the predecessor, which counts towards its host's load in this process as
+// well. The JSON names are part of the handover protocol between versions.
 type InheritedConnection struct {
-	ID        string  `json:"ID"`  // of the flow, from its opening line
-	ClientKey uint64  `json:"Key"` // of the flow
+	ID        string  `json:"ID"`  // id of the flow, from its opening line
+	ClientKey uint64  `json:"Key"` // client key of the flow
 	Host      string  `json:"Host"`
-	Load      float64 `json:"Load"` // reported by the host or stated by the client, as a share of a core
+	Load      float64 `json:"Load"` // load reported by the host or stated by the client, as a share of a core
 
-	hostIndex int // of Host in this process
+	hostIndex int // index of Host in this process
 }
 
-// addInherited takes an open connection of the predecessor, in place of one with the same id.
+// addInherited adds an open connection of the predecessor, in place of one with the same id.
 func (n *Node) addInherited(inherited *InheritedConnection) {
 	index, known := n.endpoints.byName[inherited.Host]
 	if !known || len(n.flows.ids.inherited) >= maxEndedIDs {
@@ -28,7 +28,7 @@
 	n.balancer.AddPeerLoad(index, 1, inherited.Load)
 }
 
-// removeInherited takes out a connection that is no longer the predecessor's, as it is over or has come here.
+// removeInherited removes a connection that has ended at the predecessor, or that this process now has itself.
 func (n *Node) removeInherited(id string) {
 	inherited := n.flows.ids.inherited[id]
 	if inherited == nil {
@@ -38,14 +38,14 @@
 	n.balancer.AddPeerLoad(inherited.hostIndex, -1, -inherited.Load)
 }
 
-// removeAllInherited takes out all connections of the predecessor, in the order of their ids.
+// removeAllInherited removes all connections of the predecessor, in the order of their ids.
 func (n *Node) removeAllInherited() {
 	for _, id := range n.flows.ids.inheritedIDs() {
 		n.removeInherited(id)
 	}
 }
 
-// inheritedEnded handles the end of a connection at the predecessor; its id is remembered.
+// inheritedEnded handles the end of a connection at the predecessor, and remembers its id.
 func (n *Node) inheritedEnded(id string) {
 	inherited := n.flows.ids.inherited[id]
 	if inherited == nil {
@@ -55,15 +55,16 @@
 	n.removeInherited(inherited.ID)
 }
 
-// predecessorGone handles the end of the predecessor: its clients connect again soon, or never.
+// predecessorGone handles the end of the predecessor. Clients that do not connect again within inheritedTimeout are not
+// expected any more.
 func (n *Node) predecessorGone() {
 	n.connections.reserved = 0
 	n.upgrade.inheritedExpiry = n.now + inheritedTimeout
-	n.emit(WriteLog{fmt.Sprintf("the predecessor is gone, %d connections may come again",
+	n.emit(WriteLog{fmt.Sprintf("the predecessor is gone, %d of its clients may connect again",
 		len(n.flows.ids.inherited))})
 }
 
-// expireInherited takes out the connections of a predecessor that did not come again in time.
+// expireInherited removes the inherited connections whose clients have not connected again in time.
 func (n *Node) expireInherited() {
 	if n.upgrade.inheritedExpiry == 0 || n.now < n.upgrade.inheritedExpiry {
 		return
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -6,47 +6,48 @@
 	"gorseledge/internal/peers"
 )
 
-// ConnID identifies a connection. The owner of the core numbers accepted connections with odd numbers, and the core numbers
-// the connections that it dials with even ones. Zero stands for no connection.
+// ConnID identifies a connection. The owner of the node gives odd ids to accepted connections, and the node gives even
+// ids to the connections that it dials. Zero stands for no connection.
 type ConnID uint64
 
 // StreamState is the state of the direction of a connection in which the far side sends.
 type StreamState uint8
 
-// The states of that direction.
+// The stream states.
 const (
 	StreamOpen   StreamState = iota // the far side may send more
-	StreamEnded                     // the far side ended it without an error (EOF)
-	StreamBroken                    // a reset or another failure ended it
+	StreamEnded                     // the far side has ended its sending in order (EOF)
+	StreamBroken                    // a reset or another failure ended the connection
 )
 
-// Input is one thing that happened outside the node.
+// Input is an event outside the node.
 type Input interface{ input() }
 
 // Inputs about connections. ReadDone, WriteDone and Dialed for a connection that the node has closed are ignored.
 type (
 	// Accepted is a client's new connection.
 	Accepted struct{ Conn ConnID }
-	// Dialed is the result of a Dial. LocalFailure says that the node itself lacked something, which is no sign against
-	// the host.
+	// Dialed is the result of a Dial. LocalFailure says that the dial failed because this machine lacked a resource, which
+	// does not count against the host.
 	Dialed struct {
 		Conn         ConnID
 		Err          error
 		LocalFailure bool
 	}
-	// ReadDone is the result of a Read: Count bytes are in its buffer. State is the state of the stream after them.
+	// ReadDone is the result of a Read: Count bytes are in its buffer, and State is the state of the stream after them.
 	ReadDone struct {
 		Conn  ConnID
 		Count int
 		State StreamState
 	}
-	// WriteDone is the result of a Write: Count bytes were taken by the system.
+	// WriteDone is the result of a Write: the system accepted Count bytes.
 	WriteDone struct {
 		Conn   ConnID
 		Count  int
 		Failed bool
 	}
-	// ClientGone says that a client has ended its sending, or broke its connection, behind what is read of it so far.
+	// ClientGone says that a client has ended its sending or broken its connection, while input before that may still be
+	// unread.
 	ClientGone struct{ Conn ConnID }
 	// Closed confirms a Close: the connection's descriptor is free again.
 	Closed struct{ Conn ConnID }
@@ -54,33 +55,33 @@
 
 // Inputs from discovery.
 type (
-	// ListReceived is an endpoint list, complete or of changes.
+	// ListReceived is an endpoint list, which is complete or contains changes.
 	ListReceived struct{ List endpoint.List }
-	// WatchAlive is a sign of life of the watch: its answer has begun, or some of it came, if only an empty line.
-	// MidLine says that a line has begun and not ended yet.
+	// WatchAlive shows that the watch is alive: its answer has begun, or more of the answer was received, even if only an
+	// empty line. MidLine says that a line is incomplete.
 	WatchAlive struct{ MidLine bool }
-	// WatchFailed says that the watch, or the call for one, has failed or ended.
+	// WatchFailed says that the watch, or the call that asks for one, has failed or ended.
 	WatchFailed struct{ Reason string }
-	// DiscoveryMoved says that discovery is at another address now, and the old one about to go.
+	// DiscoveryMoved says that discovery has moved to another address and the old one is about to close.
 	DiscoveryMoved struct{}
 )
 
 // Inputs from the process and its fleet.
 type (
-	// TimerFired comes when a SetTimer is due; it may come at any time.
+	// TimerFired says that the timer of the last SetTimer has fired. Extra ones at other times are harmless.
 	TimerFired struct{}
 	// Shutdown asks for a graceful shutdown.
 	Shutdown struct{}
 	// ListenerOpened says that the listener is open.
 	ListenerOpened struct{}
-	// NodesChanged is how many nodes share the hosts now, this one included.
+	// NodesChanged says how many nodes share the hosts now, including this one.
 	NodesChanged struct{ Nodes int }
 	// SettingsReceived is a revision of the live settings, answered by SettingsApplied in the same Apply.
 	SettingsReceived struct{ Revision live.Revision }
-	// GossipReceived is the load reports of another node.
+	// GossipReceived contains the load reports of another node.
 	GossipReceived struct{ Loads []peers.HostLoad }
-	// Query is a question of the second address or of a successor, answered by Reply in the same Apply. Host is a name
-	// for DisableHost and EnableHost, and empty otherwise.
+	// Query is a request from the admin address or a successor, answered by Reply in the same Apply. Host is the name of
+	// the host for DisableHost and EnableHost, and empty otherwise.
 	Query struct {
 		Question Question
 		Host     string
@@ -89,12 +90,12 @@
 
 // Inputs from the other process of an upgrade.
 type (
-	// HandoverReceived is the state that the predecessor hands over.
+	// HandoverReceived contains the state that the predecessor hands over.
 	HandoverReceived struct{ State *HandoverState }
-	// PeerProcessChanged is what the other process notifies this one of.
+	// PeerProcessChanged contains an update from the other process.
 	PeerProcessChanged struct{ Update HandoverUpdate }
-	// ConnectionReceived is an open connection of the predecessor's, under the number of an accepted one. The number of
-	// its host's connection follows by BindHostConnection.
+	// ConnectionReceived is an open connection of the predecessor. Conn is the client's connection, with the id of an
+	// accepted one; BindHostConnection assigns the id of the host's connection.
 	ConnectionReceived struct {
 		Conn     ConnID
 		Transfer *ConnectionTransfer
@@ -134,15 +135,15 @@
 func (SuccessorGone) input()      {}
 func (PredecessorGone) input()    {}
 
-// Question is what the second address or a successor may ask.
+// Question is the kind of a Query.
 type Question uint8
 
 // The questions.
 const (
-	IsReady       Question = iota // may clients be sent here?
-	GetStatistics                 // the statistics of the node
-	DisableHost                   // the host takes no new flows from now on
-	EnableHost                    // it takes them again, if the list and the balancer allow it
-	ClaimHandover                 // the state for a successor, which is notified of changes from then on
-	TakeOver                      // the state once more: the successor takes the clients from now on
+	IsReady       Question = iota // reports whether clients may be sent to this node
+	GetStatistics                 // returns the statistics of the node
+	DisableHost                   // sends no new flows to a host from now on
+	EnableHost                    // ends DisableHost; the list, the balancer or the live settings may still exclude the host
+	ClaimHandover                 // returns the state to a successor, which is notified of changes from now on
+	TakeOver                      // returns the current state to a successor, which accepts the clients from now on
 )
--- a/internal/node/lines.go
+++ b/internal/node/lines.go
@@ -5,13 +5,13 @@
 	"gorseledge/placement"
 )
 
-// scanLines handles each whole line in c's buffer. A line that is too long ends the connection; one that is not whole
-// yet waits for the rest.
+// scanLines handles each complete line in c's buffer. A line that is too long ends the connection, and an incomplete one
+// stays in the buffer until the rest is received.
 func (n *Node) scanLines(c *connection) {
-	for !c.closed && (c.closeAs == StreamOpen || c.clientHalfClosed()) {
+	for !c.closed && (c.pendingClose == StreamOpen || c.clientHalfClosed()) {
 		if c.role == clientRole && c.flow != nil && !c.flow.established {
 			n.limitEarlyInput(c)
-			return // what follows an opening line waits until the flow is established
+			return // input after the opening line stays in the buffer until the flow is established
 		}
 		end := c.buffer.Find(c.scanned, '\n')
 		if end < 0 {
@@ -30,8 +30,8 @@
 	}
 }
 
-// limitEarlyInput ends a flow whose client fills the buffer before it is established: nothing more could be read, and
-// the end of that client would never be seen.
+// limitEarlyInput ends a flow whose client fills the buffer before the flow is established. Nothing more could be read
+// from this client, so that its disconnect would never be seen.
 func (n *Node) limitEarlyInput(c *connection) {
 	if c.buffer.Free() > 0 {
 		return
@@ -40,7 +40,7 @@
 	n.answer(c, []byte(line.ErrLine), ClientProtocolError)
 }
 
-// handleLine handles the line that ends before position end of c's buffer, and forwards or drops it.
+// handleLine handles the line that ends before position end of c's buffer, and then forwards or discards it.
 func (n *Node) handleLine(c *connection, end int) {
 	start := c.forwardable
 	c.scanned = end
@@ -64,13 +64,13 @@
 		}
 		return
 	}
-	if start == 0 { // nothing before it is still to be forwarded
+	if start == 0 { // no earlier line still waits to be forwarded
 		c.buffer.Drop(end)
 		c.scanned = 0
 	}
 }
 
-// lineTooLong ends the connection that a line longer than line.Longest came on.
+// lineTooLong ends the connection on which a line longer than line.MaxLength was received.
 func (n *Node) lineTooLong(c *connection) {
 	f := c.flow
 	switch {
--- a/internal/node/live_settings.go
+++ b/internal/node/live_settings.go
@@ -10,23 +10,23 @@
 	"gorseledge/placement"
 )
 
-// liveSettings are those of the node's settings that can change while flows go on, with the start's figures, to which a
-// key returns that a revision leaves out.
+// liveSettings holds the settings that can change while the node is running, and their values at the start. A key that a
+// revision leaves out returns to its value at the start.
 type liveSettings struct {
-	revision           live.Revision // in force
-	figures            placement.LiveSettings
-	nodes              int     // that share the hosts, by the start
-	memberCount        int     // of nodes, as counted by membership last; 0 for never
-	descriptors        int     // that connections may take, by the start
-	descriptorOverhead int     // that the process takes beside them
-	nextOverrideExpiry float64 // when the next host's override ends, infinite for none
-	awaitDeadline      float64 // the listener stays closed until then unless a revision comes; 0 for not at all
+	revision           live.Revision // the revision in force, zero for none
+	startSettings      placement.LiveSettings
+	nodes              int     // number of nodes that share the hosts, as given at the start
+	memberCount        int     // number of nodes that membership counted last; 0 if it has never counted them
+	descriptors        int     // descriptors that connections may use, as given at the start
+	descriptorOverhead int     // descriptors that the process uses in addition to its connections
+	nextOverrideExpiry float64 // when the next host's override expires, infinite for never
+	awaitDeadline      float64 // the listener stays closed until then, or until a first revision; 0 for no wait
 }
 
-// newLiveSettings returns the start's figures, without a revision.
+// newLiveSettings returns the settings of the start, without a revision.
 func newLiveSettings(now float64, start Start) liveSettings {
 	settings := liveSettings{
-		figures:            start.Settings.Live(),
+		startSettings:      start.Settings.Live(),
 		nodes:              start.Settings.Nodes,
 		descriptors:        start.MaxDescriptors,
 		descriptorOverhead: start.DescriptorOverhead,
@@ -38,7 +38,7 @@
 	return settings
 }
 
-// Revision returns the revision of the live settings that is in force, the zero Revision for none.
+// Revision returns the revision of the live settings that is in force, or the zero Revision if there is none.
 func (n *Node) Revision() live.Revision { return n.live.revision }
 
 // applyRevision puts a revision in force and emits the result.
@@ -47,12 +47,13 @@
 	n.emit(SettingsApplied{Ignored: ignored, Err: err})
 }
 
-// enforceRevision puts all of a revision in force or, with an error, nothing of it. Keys that name a tenant or service
-// type that this node does not know have no effect and are returned. A revision that is in force changes nothing.
+// enforceRevision applies the whole revision or, if it returns an error, none of it. It returns the keys that have no
+// effect on this node, such as those of an unknown tenant or service type. A revision that is already in force changes
+// nothing.
 func (n *Node) enforceRevision(revision live.Revision) (ignored []string, err error) {
 	previous := n.live.revision
 	if previous.NewerThan(revision) {
-		return nil, fmt.Errorf("revision %d.%d is in force and newer", previous.Epoch, previous.Number)
+		return nil, fmt.Errorf("newer revision %d.%d is already in force", previous.Epoch, previous.Number)
 	}
 	next := revision.Settings
 	if err := n.checkFits(next); err != nil {
@@ -63,7 +64,7 @@
 		return ignored, nil
 	}
 	n.live.revision = revision
-	n.balancer.ApplySettings(n.figuresUnder(next))
+	n.balancer.ApplySettings(n.settingsUnder(next))
 	n.applyNodeCount(next.Nodes, previous.Settings.Nodes)
 	n.applyDescriptorLimit(next.MaxDescriptors)
 	n.applyWeights(next.Hosts, previous.Settings.Hosts)
@@ -73,11 +74,11 @@
 	return ignored, nil
 }
 
-// checkFits returns an error if this node's start does not allow the settings. It names the key.
+// checkFits returns an error that names the key if this node's start settings do not allow the new ones.
 func (n *Node) checkFits(settings live.Settings) error {
-	start := n.live.figures
+	start := n.live.startSettings
 	if settings.MaxRetryAfter != nil && *settings.MaxRetryAfter > 0 && start.MaxRetryAfter <= 0 {
-		return errors.New("retry_advice_s: this node's clients follow no retry time")
+		return errors.New("retry_advice_s: must be 0, as this node's clients do not follow retry times")
 	}
 	if settings.MaxAttempts != nil && *settings.MaxAttempts > start.MaxAttempts {
 		return fmt.Errorf("limits.max_connects: %d is over the start's %d", *settings.MaxAttempts, start.MaxAttempts)
@@ -86,19 +87,19 @@
 	if settings.MaxDescriptors != nil && *settings.MaxDescriptors > mostDescriptors {
 		return fmt.Errorf("limits.sockets: %d is over the start's %d", *settings.MaxDescriptors, mostDescriptors)
 	}
-	if settings.SlowStart != (live.SlowStart{}) && !hasSlowStart(n.figuresUnder(settings)) {
-		return errors.New("slow_start: this node's start has none, so that all four figures are needed")
+	if settings.SlowStart != (live.SlowStart{}) && !hasSlowStart(n.settingsUnder(settings)) {
+		return errors.New("slow_start: all four values are needed, as this node was started without a slow start")
 	}
 	return nil
 }
 
-// hasSlowStart reports whether all figures of the slow start are set.
-func hasSlowStart(figures placement.LiveSettings) bool {
-	ramp := figures.SlowStartShare > 0 && figures.SlowStartTime > 0
-	return ramp && figures.OverloadMultiple > 0 && figures.OverloadWindow > 0
+// hasSlowStart reports whether all values of the slow start are set.
+func hasSlowStart(settings placement.LiveSettings) bool {
+	ramp := settings.SlowStartShare > 0 && settings.SlowStartTime > 0
+	return ramp && settings.OverloadMultiple > 0 && settings.OverloadWindow > 0
 }
 
-// ignoredKeys returns the keys of the settings that have no effect here, sorted.
+// ignoredKeys returns the keys of the settings that have no effect on this node, sorted.
 func (n *Node) ignoredKeys(settings live.Settings) []string {
 	var keys []string
 	for name := range settings.Tenants {
@@ -121,62 +122,62 @@
 // hasQuota reports whether a tenant is known and has a quota.
 func (n *Node) hasQuota(tenant string) bool {
 	index, known := n.tenants[tenant]
-	return known && index < len(n.live.figures.Quotas)
+	return known && index < len(n.live.startSettings.Quotas)
 }
 
-// overrideFigure replaces a figure by a setting, if there is one.
-func overrideFigure[T any](figure *T, setting *T) {
+// override replaces a value by the setting, if that is not nil.
+func override[T any](value *T, setting *T) {
 	if setting != nil {
-		*figure = *setting
+		*value = *setting
 	}
 }
 
-// figuresUnder returns the balancer's figures under the settings.
-func (n *Node) figuresUnder(settings live.Settings) placement.LiveSettings {
-	figures := n.live.figures
-	figures.Objectives = slices.Clone(figures.Objectives)
-	figures.Quotas = slices.Clone(figures.Quotas)
-	overrideFigure(&figures.MaxAttempts, settings.MaxAttempts)
-	overrideFigure(&figures.MaxRetryAfter, settings.MaxRetryAfter)
+// settingsUnder returns the balancer's effective settings: those of the start, overridden by the given ones.
+func (n *Node) settingsUnder(settings live.Settings) placement.LiveSettings {
+	effective := n.live.startSettings
+	effective.Objectives = slices.Clone(effective.Objectives)
+	effective.Quotas = slices.Clone(effective.Quotas)
+	override(&effective.MaxAttempts, settings.MaxAttempts)
+	override(&effective.MaxRetryAfter, settings.MaxRetryAfter)
 	if !n.listener.ListPushed {
-		overrideFigure(&figures.PollInterval, settings.PollInterval)
+		override(&effective.PollInterval, settings.PollInterval)
 	}
-	overrideFigure(&figures.SlowStartShare, settings.SlowStart.Share)
-	overrideFigure(&figures.SlowStartTime, settings.SlowStart.Duration)
-	overrideFigure(&figures.OverloadMultiple, settings.SlowStart.OverloadMultiple)
-	overrideFigure(&figures.OverloadWindow, settings.SlowStart.OverloadWindow)
+	override(&effective.SlowStartShare, settings.SlowStart.Share)
+	override(&effective.SlowStartTime, settings.SlowStart.Duration)
+	override(&effective.OverloadMultiple, settings.SlowStart.OverloadMultiple)
+	override(&effective.OverloadWindow, settings.SlowStart.OverloadWindow)
 	for name, serviceType := range settings.Types {
 		if index, known := n.serviceTypes[name]; known {
-			overrideFigure(&figures.Objectives[index].Setup, serviceType.SetupObjective)
-			overrideFigure(&figures.Objectives[index].Message, serviceType.MessageObjective)
+			override(&effective.Objectives[index].Setup, serviceType.SetupObjective)
+			override(&effective.Objectives[index].Message, serviceType.MessageObjective)
 		}
 	}
 	for name, tenant := range settings.Tenants {
 		if n.hasQuota(name) && tenant.Connections != nil {
-			figures.Quotas[n.tenants[name]] = float64(*tenant.Connections)
+			effective.Quotas[n.tenants[name]] = float64(*tenant.Connections)
 		}
 	}
-	return figures
+	return effective
 }
 
-// applyNodeCount applies the number of nodes that share the hosts. Where members are counted, that count holds, as
-// membership is given the setting as well.
+// applyNodeCount applies the number of nodes that share the hosts. If membership has counted the nodes, its count stays
+// in force, as membership receives the same setting.
 func (n *Node) applyNodeCount(next, previous *int) {
 	if n.live.memberCount > 0 || next == nil && previous == nil {
 		return
 	}
 	count := n.live.nodes
-	overrideFigure(&count, next)
+	override(&count, next)
 	n.balancer.SetNodes(count)
 }
 
-// setMemberCount applies the number of members, this node included.
+// setMemberCount applies the number of members, including this node.
 func (n *Node) setMemberCount(nodes int) {
 	n.live.memberCount = nodes
 	n.balancer.SetNodes(nodes)
 }
 
-// applyDescriptorLimit applies the limit of descriptors of the process, nil for the start's.
+// applyDescriptorLimit applies the limit of descriptors of the process. Nil restores the limit of the start.
 func (n *Node) applyDescriptorLimit(setting *int) {
 	limit := n.live.descriptors
 	if setting != nil {
@@ -185,11 +186,11 @@
 	n.connections.setConfiguredLimit(limit, n.upgrade.clientsHandedOver)
 }
 
-// applyDiscovery moves the watch to discovery's address, nil for that of the start.
+// applyDiscovery moves the watch to a new address of discovery. Nil stands for the address given at the start.
 func (n *Node) applyDiscovery(next, previous *string) {
 	var nextAddress, previousAddress string
-	overrideFigure(&nextAddress, next)
-	overrideFigure(&previousAddress, previous)
+	override(&nextAddress, next)
+	override(&previousAddress, previous)
 	if nextAddress == previousAddress {
 		return
 	}
--- a/internal/node/live_settings_test.go
+++ b/internal/node/live_settings_test.go
@@ -110,10 +110,11 @@
 		want  string // the beginning of the error
 	}{
 		{"retry_advice_s = 1", withoutSlowStart(settingsWithQuotas),
-			"retry_advice_s: this node's clients follow no retry time"},
+			"retry_advice_s: must be 0, as this node's clients do not follow retry times"},
 		{"limits.max_connects = 4", settingsWithQuotas, "limits.max_connects: 4 is over the start's 3"},
 		{"limits.sockets = 101", settingsWithQuotas, "limits.sockets: 101 is over the start's 100"},
-		{"slow_start.from = 0.5", withoutSlowStart(settingsWithQuotas), "slow_start: this node's start has none"},
+		{"slow_start.from = 0.5", withoutSlowStart(settingsWithQuotas),
+			"slow_start: all four values are needed, as this node was started without a slow start"},
 	} {
 		t.Run(c.text, func(t *testing.T) {
 			harness := newHarnessWith(t, c.start, "pass", 4, 100)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,17 +1,17 @@
 // Package node is the core of a load balancer process: a state machine that owns the client connections, their flows
 // and deadlines, and that drives the balancer of package placement.
 //
-// The core does no I/O, starts no goroutine and reads no clock. Its owner calls Apply with one Input at a time, from one
-// goroutine, and carries out the effects that Apply returns, in their order. Times are seconds; a time of day is a Unix
-// time in seconds.
+// A Node does no I/O, starts no goroutine and reads no clock. Its owner calls Apply with one Input at a time, from one
+// goroutine, and carries out the effects that Apply returns, in their order. Durations are in seconds, and points in time
+// are Unix times in seconds.
 //
-// A flow is one client's request for a long-lived connection to a host, from its opening line on. Where things are:
+// A flow is one client's request for a long-lived connection to a host, from its opening line on. The files are:
 //
-//   - dispatch.go: which method handles which input
+//   - dispatch.go: passes each input to the method that handles it
 //   - opening.go, attempt.go, answer.go: the life of a flow, from its opening line to its final answer
-//   - deadlines.go: the deadline of each connection and flow
-//   - endpoints.go: where a new endpoint list takes effect; watch.go: the watch that delivers it
-//   - live_settings.go: where a change of the live settings takes effect
+//   - deadlines.go: the deadline of each connection
+//   - endpoints.go: applies endpoint lists; watch.go: the watch that delivers them
+//   - live_settings.go: applies revisions of the live settings
 //   - shutdown.go: graceful shutdown
 //   - handover.go, inherited.go, transfer.go: the upgrade to another process
 package node
@@ -25,26 +25,26 @@
 	"gorseledge/placement"
 )
 
-// Start is what a node is given before its first input.
+// Start contains the parameters of a new node.
 type Start struct {
-	Settings   placement.Settings        // of the balancer; New replaces those that follow from Listener
-	Listener   settings.ListenerSettings // of the client side
-	CachedList endpoint.List             // the endpoint list as this node last had it; it may be old or empty
+	Settings   placement.Settings        // settings of the balancer; New replaces those that depend on Listener
+	Listener   settings.ListenerSettings // settings of the client side
+	CachedList endpoint.List             // the last endpoint list that this node stored; it may be outdated or empty
 
-	// MaxDescriptors is how many descriptors the connections may take, DescriptorOverhead how many the process takes
-	// beside them.
+	// MaxDescriptors is how many descriptors the connections may use, DescriptorOverhead how many the process uses in
+	// addition.
 	MaxDescriptors     int
 	DescriptorOverhead int
 
-	// NotListening says that the listener is not open yet, as a predecessor has the clients: OpenListener asks for it
-	// and ListenerOpened confirms it.
+	// NotListening says that a predecessor still accepts the clients, so that the listener is not open yet. The node emits
+	// OpenListener once it can serve, and ListenerOpened confirms that.
 	NotListening bool
 
-	// Handover is the state that a predecessor hands over; nil for none.
+	// Handover is the state that a predecessor hands over, nil if there is no predecessor.
 	Handover *HandoverState
 
-	// AwaitSettings is for how many seconds the listener stays closed at most until a first revision of the live
-	// settings comes; zero where none is to come.
+	// AwaitSettings is for how many seconds at most the listener stays closed until a first revision of the live settings
+	// is received; zero if none is expected.
 	AwaitSettings float64
 }
 
@@ -65,14 +65,14 @@
 	upgrade     upgrade
 	shutdown    shutdown
 	live        liveSettings
-	figures     Statistics
+	statistics  Statistics
 
 	serviceTypes map[string]int // the balancer's index of each service type
 	tenants      map[string]int // the balancer's index of each tenant
 
 	healthCheckLine     string
 	healthChecksEnabled bool
-	lineBuffer          []byte // the line that scanLines looks at
+	lineBuffer          []byte // the line that handleLine handles
 }
 
 // indexByName returns the position of each name.
@@ -84,7 +84,7 @@
 	return indices
 }
 
-// New returns a node at its start. The first Apply is due at once.
+// New returns a new node. Its owner must call Apply at once, with any input.
 func New(now float64, start Start) *Node {
 	completeSettings(&start, now)
 	n := &Node{
@@ -99,7 +99,7 @@
 		startup:             newStartup(start),
 		upgrade:             upgrade{reservedMargin: start.DescriptorOverhead + inFlightReserve},
 		live:                newLiveSettings(now, start),
-		figures:             newFigures(start.Listener.ServiceTypes),
+		statistics:          newStatistics(start.Listener.ServiceTypes),
 		serviceTypes:        indexByName(start.Listener.ServiceTypes),
 		tenants:             indexByName(start.Listener.Tenants),
 		healthCheckLine:     healthCheckLineFor(start.Settings.LoadReports),
@@ -108,31 +108,32 @@
 	n.applyList(placement.ListCached, start.CachedList)
 	if start.Handover != nil {
 		n.restore(start.Handover)
-		n.watch = endpointWatch{listConfirmedAt: now} // nothing can be asked for yet
+		n.watch = endpointWatch{listConfirmedAt: now} // a Watch that restore emitted would be lost before the first Apply
 	}
 	return n
 }
 
-// completeSettings sets the balancer's settings that follow from the node's start.
+// completeSettings sets the balancer's settings that depend on the other start parameters.
 func completeSettings(start *Start, now float64) {
 	balancer := &start.Settings
 	if start.Listener.ListPushed {
 		balancer.PollInterval = agentPollInterval
 	}
-	// This keeps a flow with an idempotency key from being sent again within its memory span and arriving after it.
+	// The balancer allows for the dial time, so that a flow with an idempotency key that it sends again within the host's
+	// memory span also arrives within that span.
 	balancer.DialTimeout = start.Listener.DialTimeout
 	balancer.StartedAt = now
-	balancer.WatchEndpoints = true // on sockets the list always comes by a watch
-	// Hosts answer a health check at once, also when their work piles up. Where reports state the load itself, the
-	// round trip adds nothing but noise, and would make sound hosts look overloaded.
+	balancer.WatchEndpoints = true // the node always receives the list by a watch
+	// Hosts answer health checks at once, even while their work piles up. If hosts report their load or delay themselves,
+	// the round trip only adds noise, which would make healthy hosts look overloaded.
 	balancer.TimeHealthChecks = !balancer.LoadReports && !start.Listener.ReportsDelay
 }
 
 // emit adds an effect to the result of the Apply under way.
 func (n *Node) emit(effect Effect) { n.effects = append(n.effects, effect) }
 
-// Apply handles one input at a time now and returns what to do about it, in this order. Time does not go back: an
-// earlier now counts as that of the last call. The result is valid until the next call.
+// Apply handles one input at the time now and returns the effects to carry out, in their order. Time does not go back: a
+// now before that of the last call counts as that of the last call. The result is valid until the next call.
 func (n *Node) Apply(now float64, input Input) []Effect {
 	n.now = max(now, n.now)
 	n.effects = n.effects[:0]
@@ -153,7 +154,7 @@
 	return n.effects
 }
 
-// carryOutDecisions carries out what the balancer decides until it has no more decisions.
+// carryOutDecisions carries out the balancer's decisions until it has no more.
 func (n *Node) carryOutDecisions() {
 	var gossip []peers.HostLoad
 	for {
@@ -204,11 +205,11 @@
 	n.balancer.Woken(n.now)
 }
 
-// Usage is what a node still holds; nothing once all its clients are gone.
+// Usage counts what a node still holds. All counts are zero once all its connections are closed.
 type Usage struct {
 	Flows       int
-	Connections int // open ones
-	Descriptors int // without those that are being closed
+	Connections int // open connections
+	Descriptors int // descriptors of connections that are not being closed
 }
 
 // Usage returns what the node holds now.
--- a/internal/node/opening.go
+++ b/internal/node/opening.go
@@ -8,7 +8,7 @@
 
 const (
 	firstLineTimeout = 2.0 // seconds from the accept; clients send their opening line at once
-	maxQueuedReplies = 64  // bytes of readiness answers that may wait for one client
+	maxQueuedReplies = 64  // bytes of readiness answers that may wait to be written to one client
 )
 
 // handleClientLine handles a line of a client and reports whether it is to be forwarded.
@@ -25,8 +25,8 @@
 	return false
 }
 
-// answerReadiness answers a client that asks whether the node is ready. Neither the answers nor the time of a client
-// that asks on and on may grow without bound, so the answers are limited and firstLineTimeout runs on from the accept.
+// answerReadiness answers a client that asks whether the node is ready. A client that keeps asking must not use memory
+// or a descriptor without bound: the queued answers are limited, and firstLineTimeout still counts from the accept.
 func (n *Node) answerReadiness(c *connection) {
 	c.readinessChecked = true
 	reply := line.ErrLine
@@ -40,10 +40,11 @@
 	n.flush(c)
 }
 
-// handleOpeningLine handles a client's opening line: it is refused here for what is wrong with it, or a flow begins.
+// handleOpeningLine handles a client's opening line. It answers the line itself if the line is invalid or cannot be
+// served, and otherwise begins a flow.
 func (n *Node) handleOpeningLine(c *connection, text []byte) {
 	c.clearDeadline()
-	n.idle.remove(c) // whatever comes of it, its descriptor is not taken for another client
+	n.idle.remove(c) // its descriptor must not be freed for another client, even if the line is rejected
 	c.receivedInput = true
 	opening, err := line.ParseOpening(text)
 	serviceType, known := n.serviceTypes[opening.Type]
@@ -52,7 +53,7 @@
 		n.answer(c, []byte(line.ErrLine), NoTimeout)
 	case err != nil:
 		n.answer(c, []byte(line.ErrLine), BadLine)
-	case c.buffer.Len() > len(text): // a client waits for its answer
+	case c.buffer.Len() > len(text): // clients must wait for the answer before they send more
 		n.answer(c, []byte(line.ErrLine), ClientProtocolError)
 	case n.flows.ids.conflicts(opening):
 		n.answer(c, line.BusyLine(0), DuplicateFlowID)
@@ -70,7 +71,8 @@
 	}
 }
 
-// beginFlow gives a flow to the balancer. A flow that says that it is open at a host goes to that host alone.
+// beginFlow adds a flow to the balancer. A flow that is already open at a host, by its opening line, goes to that host
+// only.
 func (n *Node) beginFlow(c *connection, f *flow) {
 	hostName := f.opening.RestoredHost
 	host, listed := n.endpoints.byName[hostName]
@@ -91,11 +93,11 @@
 	n.startAttempt(f, host, f.opening.Timeout)
 }
 
-// rejectUnplaced rejects a flow that the balancer is not given.
+// rejectUnplaced counts and rejects a flow that is not added to the balancer.
 func (n *Node) rejectUnplaced(c *connection, serviceType int, reason Reason) {
 	reply := line.BusyLine(0)
 	n.countAccepted()
 	n.countFinalAnswer(serviceType, reply)
-	n.figures.Open--
+	n.statistics.Open--
 	n.answer(c, reply, reason)
 }
--- a/internal/node/query.go
+++ b/internal/node/query.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// handleQuery answers a question of the second address or of a successor, once it has carried out what was asked.
+// handleQuery carries out a query of the admin address or of a successor, and answers it.
 func (n *Node) handleQuery(query Query) {
 	reply := Reply{OK: true}
 	switch query.Question {
 	case IsReady:
 		reply.OK = n.isReady()
 	case GetStatistics:
-		reply.Statistics = n.currentFigures()
+		reply.Statistics = n.currentStatistics()
 	case DisableHost, EnableHost:
 		reply.OK = n.handleDisableQuery(query)
 		reply.StillDisabled = query.Question == EnableHost && n.isDisabledBySettings(query.Host)
@@ -23,8 +23,8 @@
 	n.emit(reply)
 }
 
-// handleDisableQuery disables or enables a host, and reports whether that was ever listed. A call that comes while the
-// predecessor still has the clients is kept, as it may cross with the state that the predecessor hands over.
+// handleDisableQuery disables or enables a host, and reports whether it was ever listed. A query that arrives while the
+// listener is closed is also kept for restore, as the state that a predecessor hands over may have been recorded before.
 func (n *Node) handleDisableQuery(query Query) bool {
 	known := n.setAdministrativelyDisabled(query.Host, query.Question == DisableHost)
 	if n.startup.listenerClosed {
@@ -34,7 +34,7 @@
 }
 
 // setAdministrativelyDisabled disables or enables a host on behalf of an operator, and reports whether it was ever
-// listed. Nothing is kept for a name that never was.
+// listed. It does not record names that were never listed.
 func (n *Node) setAdministrativelyDisabled(name string, disabled bool) bool {
 	index, known := n.endpoints.byName[name]
 	if !known || n.endpoints.hosts[index].administrativelyDisabled == disabled {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -7,11 +7,11 @@
 
 // Times of a graceful shutdown, in seconds since it began.
 const (
-	listenerGrace   = 0.6  // new connections go on coming for a while after a node was asked to shut down
-	exitMargin      = 0.4  // between the last answer that is awaited and the exit
-	finalAnswerTime = 0.1  // of exitMargin, for the answers to what is still waiting then
-	maxDrainTime    = 3.0  // however long the connect timeouts are
-	maxHoldTime     = 30.0 // for connections in flight to end, where nobody kills the node
+	listenerGrace   = 0.6  // the listener stays open, as clients keep arriving after the node was asked to shut down
+	exitMargin      = 0.4  // between the end of the last connect timeout and the exit
+	finalAnswerTime = 0.1  // part of exitMargin that is left for the answers to flows that still wait
+	maxDrainTime    = 3.0  // upper limit for the connect timeouts that the node waits for
+	maxHoldTime     = 30.0 // for established flows to end when packets pass through, unless the node is killed before
 )
 
 // shutdown is the state of a graceful shutdown. It never goes back to not started.
@@ -22,7 +22,7 @@
 	exitRequested  bool // Exit has been emitted
 }
 
-// begin starts the shutdown, once. What was accepted is still answered.
+// begin starts the shutdown, once. Accepted flows are still answered.
 func (s *shutdown) begin(now float64) {
 	if s.started {
 		return
@@ -31,10 +31,10 @@
 	s.startedAt = now
 }
 
-// passed reports whether a shutdown has been going on for some seconds.
+// passed reports whether the given number of seconds has passed since the shutdown began.
 func (s *shutdown) passed(now, seconds float64) bool { return now >= s.startedAt+seconds }
 
-// drainTime returns for how many seconds a node that shuts down still answers what it accepted.
+// drainTime returns for how many seconds a node that shuts down still answers the flows that it has accepted.
 func (n *Node) drainTime() float64 {
 	return min(n.listener.MaxConnectTimeout, maxDrainTime) + exitMargin
 }
@@ -44,19 +44,19 @@
 	return n.shutdown.started && n.now >= n.shutdown.startedAt+n.drainTime()-finalAnswerTime
 }
 
-// refusesNewFlows reports whether the shutdown leaves no place for a new flow. Where packets pass through, flows are
-// still begun as long as they can be answered, as they outlive the node.
+// refusesNewFlows reports whether new flows are rejected because of a shutdown. If packets pass through, connections
+// outlive the node, so new flows are accepted as long as they can still be answered.
 func (n *Node) refusesNewFlows() bool {
 	return n.shutdown.started && !n.listener.PassThrough || n.tooLateForNewFlow()
 }
 
-// continueShutdown goes on with a shutdown until nothing is left or it is time to exit.
+// continueShutdown takes the next steps of a shutdown, until all connections are closed or it is time to exit.
 func (n *Node) continueShutdown() {
 	if !n.shutdown.started {
 		return
 	}
 	inFlight := n.drainFlows()
-	n.dismissIdle()
+	n.rejectIdleClients()
 	if !n.shutdown.listenerClosed && n.shutdown.passed(n.now, listenerGrace) {
 		n.shutdown.listenerClosed = true
 		n.emit(CloseListener{})
@@ -64,13 +64,13 @@
 	n.exitWhenDone(inFlight)
 }
 
-// drainFlows migrates the flows that are established, also those established meanwhile, and reports whether any stay in
-// flight. Where packets pass through, connections outlive the node, and its exit would end them: they are held until it
-// is killed. Flows that go over to a successor are left alone.
+// drainFlows migrates the established flows, including those established since the shutdown began, and reports whether
+// any remain in flight. If packets pass through, connections outlive the node but would be ended by its orderly exit, so
+// they are not migrated but held until the node is killed. Flows that are being transferred to a successor are skipped.
 func (n *Node) drainFlows() (inFlight bool) {
 	for _, f := range n.flows.byIndex {
 		switch {
-		case f == nil || f.over || f.transferring:
+		case f == nil || f.ended || f.transferring:
 		case f.established && !n.listener.PassThrough:
 			n.migrate(f, MigratedAtShutdown, placement.Canceled)
 		case !f.established && n.tooLateForNewFlow():
@@ -83,17 +83,18 @@
 	return inFlight
 }
 
-// dismissIdle rejects the clients that have asked for nothing, once it is too late for a new flow.
-func (n *Node) dismissIdle() {
+// rejectIdleClients rejects the clients that have sent no opening line, once it is too late for a new flow.
+func (n *Node) rejectIdleClients() {
 	for _, id := range n.idle.queue {
 		c := n.connections.byID[id]
-		if c != nil && c.idle && c.closeAs == StreamOpen && n.tooLateForNewFlow() {
-			n.dismiss(c, ShuttingDown)
+		if c != nil && c.idle && c.pendingClose == StreamOpen && n.tooLateForNewFlow() {
+			n.rejectIdle(c, ShuttingDown)
 		}
 	}
 }
 
-// exitWhenDone asks for the exit, once, when nothing is left or the time is over, and else for the next wake.
+// exitWhenDone asks for the exit, once, when all connections are closed or the time is over. Otherwise it schedules the
+// next wake.
 func (n *Node) exitWhenDone(inFlight bool) {
 	limit := n.drainTime()
 	if inFlight {
@@ -109,7 +110,7 @@
 	n.scheduleShutdownStep()
 }
 
-// scheduleShutdownStep wakes the node at the next time that the shutdown depends on.
+// scheduleShutdownStep schedules a wake for the next step of the shutdown.
 func (n *Node) scheduleShutdownStep() {
 	drained := n.drainTime()
 	for _, step := range []float64{listenerGrace, drained - finalAnswerTime, drained, maxHoldTime} {
--- a/internal/node/silent_host.go
+++ b/internal/node/silent_host.go
@@ -6,17 +6,17 @@
 	"gorseledge/placement"
 )
 
-// Hosts answer lines at once, so a line without an answer is a sign against the connection or its host. Times in
-// seconds since the oldest line without an answer was sent.
+// Hosts answer lines at once, so an unanswered line suggests that the connection or its host has failed. The times are in
+// seconds; suspectAfter and connectionSilentAfter count from when the oldest unanswered line was sent.
 const (
-	suspectAfter          = 0.5 // while the host sends nothing on any connection
-	confirmTimeout        = 0.2 // more, for a health check's answer and for input that came while this node was held up
-	connectionSilentAfter = 2.5 // while the host sends on other connections: this one is of no use
+	suspectAfter          = 0.5 // after this time, the node checks whether the host is silent on all its connections
+	confirmTimeout        = 0.2 // extra time for the answer to a health check, and for input that this node handles late
+	connectionSilentAfter = 2.5 // after this time, the connection is given up even if its host sends on others
 )
 
-// answerOverdue handles a connection whose host has not answered a line. Where the host sends nothing on any
-// connection, all its flows are migrated at once, as their clients would otherwise wait for seconds on a host that has
-// vanished. The silence of one connection alone is not taken for its host's.
+// answerOverdue handles a connection whose host has not answered a line. If the host sends nothing on any connection,
+// all its flows are migrated at once, as their clients would otherwise wait for seconds on a host that has failed. If
+// the host still sends on other connections, only the silent connection is migrated.
 func (n *Node) answerOverdue(c *connection) {
 	f := c.flow
 	age := n.now - f.unansweredSince[0]
@@ -38,11 +38,11 @@
 	}
 }
 
-// migrateAllFrom migrates all flows off a host that has been silent for some seconds.
+// migrateAllFrom migrates all established flows from a host that has been silent for silentFor seconds.
 func (n *Node) migrateAllFrom(host int, silentFor float64) {
 	migrated := 0
 	for _, f := range n.flows.byIndex {
-		if f != nil && f.hostIndex == host && f.established && !f.over {
+		if f != nil && f.hostIndex == host && f.established && !f.ended {
 			n.migrate(f, HostSilent, placement.ConnectionLost)
 			migrated++
 		}
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -1,10 +1,10 @@
 package node
 
-// startup says when a new process may open its listener.
+// startup is the state that decides when a new process may open its listener.
 type startup struct {
 	listenerClosed bool // the listener is not open yet
-	openRequested  bool // OpenListener has been emitted, once
-	hasPredecessor bool // another process has the clients until this one can serve
+	openRequested  bool // OpenListener has been emitted
+	hasPredecessor bool // another process serves the clients until this one can serve
 }
 
 // newStartup returns the state of a process before its first input.
@@ -15,27 +15,27 @@
 	}
 }
 
-// awaitsOpening reports whether the listener has still to be asked for.
+// awaitsOpening reports whether the listener is closed and OpenListener has not been emitted yet.
 func (s *startup) awaitsOpening() bool { return s.listenerClosed && !s.openRequested }
 
 // canServe reports whether clients can be served.
-func (n *Node) canServe() bool { return !n.shutdown.started && n.endpoints.mayServe() }
+func (n *Node) canServe() bool { return !n.shutdown.started && n.endpoints.hasUsableList() }
 
 // isReady reports whether clients may be sent to this node.
 func (n *Node) isReady() bool { return !n.startup.listenerClosed && n.canServe() }
 
-// mayOpenListener reports whether the listener may open: the live settings are not waited for, and where another
-// process has the clients until then, they can be served.
-func (n *Node) mayOpenListener() bool {
+// canOpenListener reports whether the listener may be opened: the node does not wait for live settings, and if another
+// process serves the clients until then, this node can serve them.
+func (n *Node) canOpenListener() bool {
 	if n.awaitsSettings() || n.shutdown.started {
 		return false
 	}
 	return n.canServe() || !n.startup.hasPredecessor
 }
 
-// requestListener asks for the listener to be opened as soon as it may.
+// requestListener asks for the listener to be opened as soon as that is possible.
 func (n *Node) requestListener() {
-	if !n.startup.awaitsOpening() || !n.mayOpenListener() {
+	if !n.startup.awaitsOpening() || !n.canOpenListener() {
 		return
 	}
 	n.startup.openRequested = true
@@ -48,9 +48,9 @@
 	return n.now < n.live.awaitDeadline && n.live.revision.IsZero()
 }
 
-// logStartWithoutSettings logs that clients are admitted although no revision has come in time.
+// logStartWithoutSettings logs that clients are admitted although no revision was received in time.
 func (n *Node) logStartWithoutSettings() {
 	if n.live.awaitDeadline > 0 && n.live.revision.IsZero() {
-		n.emit(WriteLog{"no live settings in time: clients are admitted by the start's settings"})
+		n.emit(WriteLog{"no live settings in time: clients are admitted under the start settings"})
 	}
 }
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	maxTransfersInFlight = 8   // connections on their way to the successor at once, as both processes hold them then
-	transferFlushTimeout = 0.5 // seconds for what was read to go out; a blocked connection stays here
+	maxTransfersInFlight = 8   // flows in transit at the same time, as both processes hold their descriptors then
+	transferFlushTimeout = 0.5 // seconds to write out the input that was read; a blocked connection is not transferred
 )
 
-// ConnectionTransfer is an open connection as it goes over to the successor, beside its two descriptors. The JSON names
-// are those of the handover between versions.
+// ConnectionTransfer is the state of an established flow that is sent to the successor together with the descriptors of
+// its two connections. The JSON names are part of the handover protocol between versions.
 type ConnectionTransfer struct {
 	OpeningLine   string    `json:"First"`
-	Host          string    `json:"Host"`  // by name
-	FromClient    []byte    `json:"Up"`    // read from the client and not forwarded yet: less than a line
-	FromHost      []byte    `json:"Down"`  // read from the host and not forwarded yet: less than a line
-	SentAt        []float64 `json:"Waits"` // when lines went to the host that had none back yet, as Unix times
-	Load          float64   `json:"Load"`  // reported by the host
-	Setup         float64   `json:"Setup"` // seconds until the flow was established
-	AcceptedAt    float64   `json:"Since"` // Unix time
+	Host          string    `json:"Host"`  // name of the host
+	FromClient    []byte    `json:"Up"`    // incomplete line that was read from the client and not forwarded yet
+	FromHost      []byte    `json:"Down"`  // incomplete line that was read from the host and not forwarded yet
+	SentAt        []float64 `json:"Waits"` // Unix times at which the lines that the host has not answered were sent to it
+	Load          float64   `json:"Load"`  // load that the host reported last
+	Setup         float64   `json:"Setup"` // seconds from accepting the client until the flow was established
+	AcceptedAt    float64   `json:"Since"` // Unix time at which the client was accepted
 	BytesToHost   uint64    `json:"Sent"`
 	BytesToClient uint64    `json:"Back"`
 }
 
-// beginTransfer begins to hand an open connection over to the successor: nothing more is read of it, and what was read
-// goes out first.
+// beginTransfer begins to hand an established flow over to the successor. Nothing more is read from its connections, and
+// the complete lines that were read are forwarded first.
 func (n *Node) beginTransfer(f *flow) {
-	if f.transferring || !f.established || f.over {
+	if f.transferring || !f.established || f.ended {
 		return
 	}
 	f.transferring = true
@@ -42,14 +42,15 @@
 	}
 }
 
-// ending reports whether a flow has begun to end on either side, so that it ends here.
+// ending reports whether a flow has begun to end on either side, so that it is not transferred but ends in this process.
 func (f *flow) ending() bool {
-	farSidesOpen := f.client.farEnd == StreamOpen && f.host.farEnd == StreamOpen
-	staysOpen := f.client.closeAs == StreamOpen && f.host.closeAs == StreamOpen
-	return f.over || !farSidesOpen || !staysOpen || f.finalWord != line.Other
+	farSidesOpen := f.client.inputState == StreamOpen && f.host.inputState == StreamOpen
+	staysOpen := f.client.pendingClose == StreamOpen && f.host.pendingClose == StreamOpen
+	return f.ended || !farSidesOpen || !staysOpen || f.finalWord != line.Other
 }
 
-// continueTransfers sends the transfers that are ready, a few at a time, and cancels those that cannot go over.
+// continueTransfers sends the transfers that are ready, up to maxTransfersInFlight at a time, and cancels those that
+// cannot be sent.
 func (n *Node) continueTransfers() {
 	remaining := n.upgrade.transfers[:0]
 	for _, f := range n.upgrade.transfers {
@@ -60,8 +61,9 @@
 	n.upgrade.transfers = remaining
 }
 
-// continueTransfer goes on with one transfer and reports whether it is to be looked at again. A connection whose output
-// is blocked is not read, so its end would never be seen: its transfer is canceled in time.
+// continueTransfer takes the next step of one transfer, and reports whether the transfer is still pending. Nothing is
+// read from a flow while it is transferring, so if its output is blocked, its end would never be seen: such a transfer
+// is canceled after transferFlushTimeout.
 func (n *Node) continueTransfer(f *flow) bool {
 	switch {
 	case f.inTransit:
@@ -103,17 +105,17 @@
 	}})
 }
 
-// cancelTransfer goes on with a connection here.
+// cancelTransfer keeps a flow in this process and resumes reading from its connections.
 func (n *Node) cancelTransfer(f *flow) {
 	f.transferring = false
 	n.requestRead(f.client)
 	n.requestRead(f.host)
-	if !f.over {
+	if !f.ended {
 		n.awaitAnswer(f)
 	}
 }
 
-// transferDone handles the result of a transfer: the connection is the successor's, or it could not be sent.
+// transferDone handles the result of a transfer. With ok, the successor has the connections; otherwise they stay here.
 func (n *Node) transferDone(c *connection, ok bool) {
 	f := c.flow
 	f.inTransit = false
@@ -123,16 +125,16 @@
 		return
 	}
 	f.transferring = false
-	n.figures.Open--
-	f.over = true
+	n.statistics.Open--
+	f.ended = true
 	n.endAttempt(f, placement.Canceled)
 	c.endReason = HandedOver
 	n.closeConnection(f.host, false)
 	n.closeConnection(c, false)
 }
 
-// adoptConnection goes on with an open connection of the predecessor's. One that the settings of this version do not
-// allow is closed.
+// adoptConnection resumes a flow that the predecessor transferred. If this version of the program cannot handle the
+// flow, its connections are closed.
 func (n *Node) adoptConnection(id ConnID, transfer *ConnectionTransfer) {
 	client := n.connections.add(id, clientRole, n.now)
 	client.connected = true
@@ -175,10 +177,11 @@
 	n.resumeFlow(f)
 }
 
-// resumeFlow goes on with an adopted flow. If a successor has the clients by now, it goes on to that.
+// resumeFlow resumes a flow that was transferred to this process. If a successor serves the clients by now, the flow is
+// transferred to that one.
 func (n *Node) resumeFlow(f *flow) {
 	n.flows.add(f)
-	n.figures.Open++
+	n.statistics.Open++
 	n.balancer.RestoreFlow(n.now, f.index, n.arrivalOf(f), f.hostIndex)
 	if f.reportedLoad > 0 {
 		n.balancer.ReportLoad(f.index, f.reportedLoad)
@@ -194,7 +197,7 @@
 	}
 }
 
-// bufferWith returns an input buffer that holds data, of at most bufferSize bytes.
+// bufferWith returns an input buffer that contains data, which may have at most bufferSize bytes.
 func bufferWith(data []byte) *ring.Ring {
 	buffer := ring.New(bufferSize)
 	buffer.Fill(copy(buffer.Space(), data))
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -131,7 +131,7 @@
 		t.Fatalf("sent %q", predecessor.written[client])
 	}
 	numbers := predecessor.deliverTransfers(successor, false)
-	if len(numbers) != 2 || successor.node.figures.Open != 1 {
+	if len(numbers) != 2 || successor.node.statistics.Open != 1 {
 		t.Fatalf("sent %v", numbers)
 	}
 	predecessor.apply(Shutdown{})
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,43 +7,43 @@
 	"gorseledge/placement"
 )
 
-// A node must act on a change within 6 s of the time when discovery has it and can be reached, or it may send flows to
-// hosts that have left. Within that time a silent watch has to be noticed, and the call that follows has to be made and
-// answered in its turn. Times in seconds.
+// A node must apply a change of the list within 6 s of when discovery has the change and can be reached, or it may send
+// flows to hosts that are no longer listed. Within that time the node has to detect that the watch is silent, and make a
+// new call, which discovery answers in its turn. Times are in seconds.
 const (
 	watchSilenceTimeout = 2.5 // a watch sends something every two seconds
-	watchAnswerTimeout  = 4.0 // for an answer to begin, as discovery works through calls in turn
+	watchAnswerTimeout  = 4.0 // until an answer begins, as discovery handles calls one after the other
 
-	// agentPollInterval is within how many seconds a new watch is asked for where lists are pushed to the machine's own
-	// agent. No other node waits for that agent, and what it has counts at once.
+	// agentPollInterval is the longest time until a new watch is asked for if lists are pushed to an agent on the same
+	// machine. No other node waits for that agent, and a list that it has is in force at once.
 	agentPollInterval = 0.5
 )
 
-// watchState says how far the watch has come.
+// watchState is the state of the watch of the endpoint list.
 type watchState uint8
 
 const (
-	watchIdle      watchState = iota // none is asked for; the balancer decides when
-	watchRequested                   // asked for, and nothing has come yet
+	watchIdle      watchState = iota // no watch; the balancer decides when to ask for one
+	watchRequested                   // a watch was asked for, and nothing has been received from it yet
 	watchActive
 )
 
-// endpointWatch knows the state of the watch of the endpoint list, and how old the list is.
+// endpointWatch is the state of the watch of the endpoint list, and the time at which the list was last confirmed.
 type endpointWatch struct {
 	state           watchState
-	lastActivity    float64 // when the watch was asked for last, or last sent anything
-	listConfirmedAt float64 // when a watch last sent a whole line, or this process began
-	lineStartedAt   float64 // since when an unfinished line has been coming; 0 for none
+	lastActivity    float64 // when the watch was last asked for or last sent anything
+	listConfirmedAt float64 // when a watch last sent a complete line, or else when this process started
+	lineStartedAt   float64 // when the first part of a line that is still incomplete was received; 0 for none
 }
 
-// deadline returns when the silence of the watch is too long, infinite where there is no watch.
+// deadline returns when the watch counts as silent for too long, infinite if there is no watch.
 func (w *endpointWatch) deadline() float64 {
 	switch w.state {
 	case watchRequested:
 		return w.lastActivity + watchAnswerTimeout
 	case watchActive:
 		silence := w.lastActivity + watchSilenceTimeout
-		if w.lineStartedAt > 0 { // a line that comes byte by byte may not go on for ever
+		if w.lineStartedAt > 0 { // a line that arrives byte by byte must not keep the watch alive for ever
 			return min(silence, w.lineStartedAt+watchAnswerTimeout)
 		}
 		return silence
@@ -51,8 +51,8 @@
 	return math.Inf(1)
 }
 
-// noteActivity notes that the watch has sent something, midLine within a line that has not ended yet.
-func (w *endpointWatch) noteActivity(now float64, midLine bool) {
+// recordActivity notes that the watch has sent something. midLine says that the last line is still incomplete.
+func (w *endpointWatch) recordActivity(now float64, midLine bool) {
 	switch {
 	case !midLine:
 		w.listConfirmedAt = now
@@ -73,11 +73,11 @@
 	w.lineStartedAt = 0
 }
 
-// age returns how many seconds ago the list was confirmed last.
+// age returns how many seconds ago the list was last confirmed.
 func (w *endpointWatch) age(now float64) float64 { return now - w.listConfirmedAt }
 
-// watchEndpoints asks for a watch of the list unless there is one, as after a move of discovery, where the balancer may
-// still decide to ask although discoveryMoved has done so.
+// watchEndpoints asks for a watch of the list unless there is one already. After a move of discovery, the balancer may
+// still ask for a watch that discoveryMoved has already requested.
 func (n *Node) watchEndpoints() {
 	if n.watch.state != watchIdle {
 		return
@@ -86,13 +86,13 @@
 	n.emit(Watch{Index: n.endpoints.listIndex})
 }
 
-// discoveryMoved asks for a watch at discovery's new address, at once: any backoff was for the old one.
+// discoveryMoved asks for a watch at discovery's new address at once, as any backoff applied to the old address.
 func (n *Node) discoveryMoved() {
 	n.watch.state = watchIdle
 	n.watchEndpoints()
 }
 
-// watchEnded handles the end of a watch, or of a call for one.
+// watchEnded handles the end of a watch, or of a call that asked for one.
 func (n *Node) watchEnded(kind placement.ListKind, reason string) {
 	n.endpoints.failedCalls++
 	n.watch.state = watchIdle
@@ -100,9 +100,9 @@
 	n.emit(WriteLog{fmt.Sprintf("discovery: %s, the list is %.1f s old", reason, n.watch.age(n.now))})
 }
 
-// checkWatchSilence ends a watch that has been silent for too long. A call that waits for its answer is not given up,
-// as at a slow discovery a new call starts again at the end of the queue: another is made beside it, in case the first
-// got lost. The machine's own agent has no queue.
+// checkWatchSilence ends a watch that has been silent for too long. A call that still waits for its answer is not
+// canceled, as a slow discovery would put a new call at the end of its queue. Instead, a second call is made in
+// parallel, in case the first was lost. An agent on the same machine has no queue, so a call to it is canceled.
 func (n *Node) checkWatchSilence() {
 	if n.now < n.watch.deadline() {
 		return
@@ -111,7 +111,7 @@
 		n.endpoints.failedCalls++
 		n.watch.lastActivity = n.now
 		n.emit(Watch{Index: n.endpoints.listIndex, KeepPrevious: true})
-		n.emit(WriteLog{fmt.Sprintf("discovery: no answer for %.0f s, asked once more beside, the list is %.1f s old",
+		n.emit(WriteLog{fmt.Sprintf("discovery: no answer for %.0f s, made a second call in parallel, the list is %.1f s old",
 			watchAnswerTimeout, n.watch.age(n.now))})
 		return
 	}
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -219,20 +219,20 @@
 		{"requested", func(watch *endpointWatch) { watch.request(now) }, now + watchAnswerTimeout},
 		{"active", func(watch *endpointWatch) {
 			watch.request(now - 1)
-			watch.noteActivity(now, false)
+			watch.recordActivity(now, false)
 		}, now + watchSilenceTimeout},
 		{"within a line", func(watch *endpointWatch) {
 			watch.request(now - 3)
-			watch.noteActivity(now-3, true)
-			watch.noteActivity(now, true)
+			watch.recordActivity(now-3, true)
+			watch.recordActivity(now, true)
 		}, now - 3 + watchAnswerTimeout},
 		{"after a line", func(watch *endpointWatch) {
 			watch.request(now - 3)
-			watch.noteActivity(now-3, true)
-			watch.noteActivity(now, false)
+			watch.recordActivity(now-3, true)
+			watch.recordActivity(now, false)
 		}, now + watchSilenceTimeout},
 		{"a late line of a watch that was given up", func(watch *endpointWatch) {
-			watch.noteActivity(now, false)
+			watch.recordActivity(now, false)
 		}, math.Inf(1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
