--- a/internal/handover/descriptors.go
+++ b/internal/handover/descriptors.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	descriptorBytes       = 4 // of one descriptor in a control message
-	maxDescriptorsPerRead = 4 // a message comes with two at most
+	descriptorBytes       = 4 // bytes of one descriptor in a control message
+	maxDescriptorsPerRead = 4 // a peer sends at most two at a time
 )
 
 var (
-	errNoDescriptor = errors.New("a descriptor has not come")
-	errNotTCP       = errors.New("the descriptor that came is no TCP socket of the expected kind")
+	errNoDescriptor = errors.New("no descriptor received")
+	errNotTCP       = errors.New("received descriptor is not a TCP socket of the expected kind")
 )
 
-// Read reads the stream of lines and keeps the descriptors that come with it. It is for the link's own scanner.
+// Read reads from the stream of lines, and keeps the descriptors that are received with the data. It is meant for the
+// link's own scanner.
 func (l *Link) Read(p []byte) (int, error) {
 	control := make([]byte, syscall.CmsgSpace(maxDescriptorsPerRead*descriptorBytes))
 	count, controlBytes, _, _, err := l.conn.ReadMsgUnix(p, control)
@@ -43,17 +44,18 @@
 	}
 }
 
-// SendSockets sends sockets, at most two, within a second. They are received with the message that follows. The caller
-// keeps its own descriptors of them.
+// SendSockets sends at most two sockets, within a second. The peer receives them before the message that is sent next.
+// The caller keeps its own descriptors of the sockets.
 func (l *Link) SendSockets(sockets ...syscall.Conn) error {
 	if err := l.sendDescriptors(nil, sockets); err != nil {
-		return fmt.Errorf("sending sockets to the other process: %w", err)
+		return fmt.Errorf("sending sockets to the peer process: %w", err)
 	}
 	return nil
 }
 
-// sendDescriptors sends descriptors and those of the sockets that remain, each held while it is in use. A copy made by
-// File instead would set the socket to blocking mode, for both processes.
+// sendDescriptors sends descriptors and, after them, those of the remaining sockets. It calls itself within Control, which
+// keeps each socket from being closed until its descriptor is sent. A copy made by File would instead set the socket to
+// blocking mode, for both processes.
 func (l *Link) sendDescriptors(descriptors []int, remaining []syscall.Conn) error {
 	if len(remaining) == 0 {
 		l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
@@ -71,7 +73,7 @@
 	return errors.Join(err, sendErr)
 }
 
-// takeFile takes the oldest descriptor that was received.
+// takeFile returns the oldest received descriptor as a file, and removes it from the link.
 func (l *Link) takeFile() (*os.File, error) {
 	if len(l.descriptors) == 0 {
 		return nil, errNoDescriptor
@@ -81,7 +83,7 @@
 	return file, nil
 }
 
-// takeSocket makes a socket of the oldest descriptor that was received, which has to be of type TCP.
+// takeSocket returns the oldest received descriptor as a socket, which must be of the type TCP.
 func takeSocket[Socket io.Closer, TCP any](link *Link, open func(*os.File) (Socket, error)) (TCP, error) {
 	var none TCP
 	file, err := link.takeFile()
@@ -96,12 +98,12 @@
 	tcp, ok := any(socket).(TCP)
 	if !ok {
 		socket.Close()
-		return none, fmt.Errorf("%w: it is a %T", errNotTCP, socket)
+		return none, fmt.Errorf("%w: got a %T", errNotTCP, socket)
 	}
 	return tcp, nil
 }
 
-// Listener returns the listening socket that was received next. The caller closes it.
+// Listener returns the oldest received socket, which must be a TCP listener. The caller closes it.
 func (l *Link) Listener() (*net.TCPListener, error) {
 	listener, err := takeSocket[net.Listener, *net.TCPListener](l, net.FileListener)
 	if err != nil {
@@ -110,7 +112,7 @@
 	return listener, nil
 }
 
-// Conn returns the connection that was received next. The caller closes it.
+// Conn returns the oldest received socket, which must be a TCP connection. The caller closes it.
 func (l *Link) Conn() (*net.TCPConn, error) {
 	conn, err := takeSocket[net.Conn, *net.TCPConn](l, net.FileConn)
 	if err != nil {
@@ -119,7 +121,7 @@
 	return conn, nil
 }
 
-// CloseReceived closes the descriptors that were received and not taken.
+// CloseReceived closes the received descriptors that neither Listener nor Conn has returned.
 func (l *Link) CloseReceived() {
 	for _, descriptor := range l.descriptors {
 		syscall.Close(descriptor)
--- a/internal/handover/handover_golden_test.go
+++ b/internal/handover/handover_golden_test.go
@@ -16,10 +16,9 @@
 	"gorseledge/placement"
 )
 
-// The files under testdata were written by revision 5fa7498, whose processes exchange these messages during an
-// upgrade. They are fixed for good: there is no flag that rewrites them. A failure here means that an upgrade from that
-// version, or back to it, breaks; the code has to change, not the file. A renamed field keeps its old name in a
-// json tag.
+// The files under testdata were written by revision 5fa7498, whose processes exchange these messages during an upgrade.
+// They never change, and no flag rewrites them. A failure here means that an upgrade from that version, or back to it,
+// breaks: the code must change, not the file. A renamed field keeps its old name in a json tag.
 
 type goldenMessage struct {
 	name    string
@@ -131,24 +130,24 @@
 
 // goldenMessages are the messages of testdata/messages.jsonl, in the order of its lines.
 func goldenMessages() []goldenMessage {
-	sitting := goldenInheritedConnection()
+	established := goldenInheritedConnection()
 	return []goldenMessage{
 		{"claim", Message{Version: 1, Request: RequestState}},
 		{"take", Message{Version: 1, Request: RequestClients}},
 		{"refusal", Message{Version: 1, Refusal: RefusalBusy}},
 		{"state", Message{Version: 1, State: goldenState()}},
-		{"news of a host taken out by hand", Message{Version: 1, Update: &node.HandoverUpdate{DisabledHost: "s-5be2a07c"}}},
-		{"news of a host put back by hand", Message{Version: 1, Update: &node.HandoverUpdate{EnabledHost: "s-77d10e42"}}},
-		{"news of a connection", Message{Version: 1, Update: &node.HandoverUpdate{Established: &sitting}}},
-		{"news of a connection's end", Message{Version: 1, Update: &node.HandoverUpdate{EndedFlow: "a1b2c3"}}},
-		{"news of descriptors", Message{Version: 1, Update: &node.HandoverUpdate{Descriptors: 77}}},
-		{"news of a revision", Message{Version: 1, Update: &node.HandoverUpdate{Revision: goldenRevision()}}},
+		{"update about a disabled host", Message{Version: 1, Update: &node.HandoverUpdate{DisabledHost: "s-5be2a07c"}}},
+		{"update about an enabled host", Message{Version: 1, Update: &node.HandoverUpdate{EnabledHost: "s-77d10e42"}}},
+		{"update about a connection", Message{Version: 1, Update: &node.HandoverUpdate{Established: &established}}},
+		{"update about a connection's end", Message{Version: 1, Update: &node.HandoverUpdate{EndedFlow: "a1b2c3"}}},
+		{"update about descriptors", Message{Version: 1, Update: &node.HandoverUpdate{Descriptors: 77}}},
+		{"update about a revision", Message{Version: 1, Update: &node.HandoverUpdate{Revision: goldenRevision()}}},
 		{"connection", Message{Version: 1, Transfer: goldenTransfer()}},
 	}
 }
 
-// goldenSparseMessages are the messages of testdata/sparse.jsonl, in the order of its lines: they pin which fields are
-// left out, and which are written although they are empty.
+// goldenSparseMessages are the messages of testdata/sparse.jsonl, in the order of its lines. They check which empty
+// fields are omitted and which are written.
 func goldenSparseMessages() []goldenMessage {
 	return []goldenMessage{
 		{"empty state", Message{Version: 1, State: &node.HandoverState{}}},
@@ -159,10 +158,11 @@
 			EndedFlows:  map[uint64]uint64{},
 			Revision:    &live.Revision{},
 		}}},
-		{"empty news", Message{Version: 1, Update: &node.HandoverUpdate{}}},
-		{"news of an empty connection", Message{Version: 1, Update: &node.HandoverUpdate{Established: &node.InheritedConnection{}}}},
-		{"news of an empty revision", Message{Version: 1, Update: &node.HandoverUpdate{Revision: &live.Revision{}}}},
-		{"news of settings with empty entries", Message{Version: 1, Update: &node.HandoverUpdate{Revision: &live.Revision{
+		{"empty update", Message{Version: 1, Update: &node.HandoverUpdate{}}},
+		{"update about an empty connection", Message{Version: 1,
+			Update: &node.HandoverUpdate{Established: &node.InheritedConnection{}}}},
+		{"update about an empty revision", Message{Version: 1, Update: &node.HandoverUpdate{Revision: &live.Revision{}}}},
+		{"update about settings with empty entries", Message{Version: 1, Update: &node.HandoverUpdate{Revision: &live.Revision{
 			Epoch: 1, Number: 2, Settings: live.Settings{
 				Tenants: map[string]live.Tenant{"acme": {}},
 				Types:   map[string]live.ServiceType{"chat": {}},
@@ -172,13 +172,13 @@
 	}
 }
 
-// fieldCheck looks for fields without a value.
+// fieldCheck checks that every field of the golden messages has a value.
 type fieldCheck struct {
 	t    *testing.T
-	seen map[string]bool // fields of the types in alternatives that had a value somewhere
+	seen map[string]bool // fields of the types in alternatives that had a value in at least one message
 }
 
-// alternatives are the types of which a message sets some fields only.
+// alternatives are the types of which each message sets only some of the fields.
 var alternatives = []reflect.Type{reflect.TypeFor[Message](), reflect.TypeFor[node.HandoverUpdate]()}
 
 func isAlternative(kind reflect.Type) bool {
@@ -190,7 +190,7 @@
 	return false
 }
 
-// value fails the test where v, or an exported field of anything in it, has no value. path names v.
+// value fails the test if v, or an exported field of any value that v contains, is zero. path names v in the failure.
 func (c *fieldCheck) value(path string, v reflect.Value) {
 	c.t.Helper()
 	if v.IsZero() {
@@ -210,7 +210,7 @@
 	case reflect.Slice:
 		c.filled(path, v)
 		if v.Type().Elem().Kind() == reflect.Uint8 {
-			return // a zero byte is a value
+			return // a zero byte counts as a value
 		}
 		for i := range v.Len() {
 			c.value(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
@@ -223,7 +223,7 @@
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
 		if !field.IsExported() {
-			continue // never leaves the process
+			continue // not encoded
 		}
 		if isAlternative(v.Type()) {
 			if v.Field(i).IsZero() {
@@ -242,7 +242,7 @@
 	}
 }
 
-// allSeen fails the test where no message set one of the alternatives' fields.
+// allSeen fails the test for each field of alternatives that no message sets.
 func (c *fieldCheck) allSeen() {
 	c.t.Helper()
 	for _, kind := range alternatives {
@@ -254,7 +254,7 @@
 	}
 }
 
-// decodeStrictly decodes a message in which every key has to be one of a field's.
+// decodeStrictly decodes a message, and fails the test if a key belongs to no field.
 func decodeStrictly(t *testing.T, line []byte) Message {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(line))
@@ -275,6 +275,7 @@
 	return text
 }
 
+// A new field that no golden message sets could change its wire form unnoticed. The golden messages set every field.
 func TestGoldenMessagesSetEveryField(t *testing.T) {
 	check := &fieldCheck{t: t, seen: map[string]bool{}}
 	for i, line := range readLines(t, "messages.jsonl") {
@@ -283,6 +284,8 @@
 	check.allSeen()
 }
 
+// A process of an older version fails to read messages whose encoding has changed, for instance by a renamed field. Each
+// message encodes to its golden line, and each golden line decodes to its message.
 func TestMessagesKeepTheirWireForm(t *testing.T) {
 	for _, file := range []struct {
 		name     string
@@ -312,8 +315,9 @@
 	}
 }
 
-// What Send writes to the socket is the golden line and its end, and Receive takes that line.
-func TestLinkCarriesGoldenLines(t *testing.T) {
+// Both versions of an upgrade must agree on the framing of messages too. Send writes exactly the golden line and a
+// newline to the socket, and Receive reads such a line.
+func TestLinkTransmitsGoldenLines(t *testing.T) {
 	lines := readLines(t, "messages.jsonl")
 	for i, c := range goldenMessages() {
 		t.Run(c.name, func(t *testing.T) {
@@ -345,8 +349,9 @@
 	}
 }
 
-// Descriptors travel with an empty line of their own, ahead of the message they belong to.
-func TestSocketsComeWithAnEmptyLine(t *testing.T) {
+// A process of another version loses sockets if they are sent in another way. Descriptors are sent with an empty line of
+// their own, before the message to which they belong.
+func TestSocketsAreSentWithAnEmptyLine(t *testing.T) {
 	receiver, sender := newLinkPair(t, Path(t.TempDir(), "127.0.0.1:5000"))
 	listener, near, far := newTCPPair(t)
 	if err := sender.SendSockets(listener); err != nil {
@@ -359,12 +364,13 @@
 		got := make([]byte, 8)
 		n, err := receiver.Read(got)
 		if err != nil || string(got[:n]) != "\n" || len(receiver.descriptors) != want {
-			t.Errorf("%q with %d descriptors, %v; want %q with %d", got[:n], len(receiver.descriptors), err, "\n", want)
+			t.Errorf("read %q with %d descriptors, %v; want %q with %d", got[:n], len(receiver.descriptors), err, "\n", want)
 		}
 	}
 	receiver.CloseReceived()
 }
 
+// A successor cannot find a predecessor of another version if the path of the socket changes.
 func TestSocketPathIsFixed(t *testing.T) {
 	for _, c := range []struct{ dir, listen, want string }{
 		{"/run/lb", "127.0.0.1:5000", "/run/lb/gorseledge-127.0.0.1-5000.sock"},
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -18,7 +18,7 @@
 
 const testTimeout = 20 * time.Second
 
-// newLinkPair returns the two ends of a link that is made by way of a path.
+// newLinkPair returns both ends of a link that is connected through a socket at a path.
 func newLinkPair(t *testing.T, path string) (predecessor, successor *Link) {
 	t.Helper()
 	listener, err := Listen(path)
@@ -29,7 +29,7 @@
 	return acceptLink(t, listener, path)
 }
 
-// acceptLink dials a path and returns both ends of the link, of which listener has to accept one.
+// acceptLink dials a path and returns both ends of the link. It fails the test unless listener accepts the connection.
 func acceptLink(t *testing.T, listener *net.UnixListener, path string) (predecessor, successor *Link) {
 	t.Helper()
 	successor, err := Dial(t.Context(), path)
@@ -51,7 +51,7 @@
 	return predecessor, successor
 }
 
-// newTCPPair returns both ends of a connection and the listener that accepted one of them.
+// newTCPPair returns both ends of a TCP connection, and the listener that accepted near.
 func newTCPPair(t *testing.T) (listener *net.TCPListener, near, far *net.TCPConn) {
 	t.Helper()
 	accepting, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,18 +81,19 @@
 	return state
 }
 
-// checkCarries checks that what is written to near is read from far.
-func checkCarries(t *testing.T, near, far net.Conn) {
+// checkConnected checks that data written to near is read from far.
+func checkConnected(t *testing.T, near, far net.Conn) {
 	t.Helper()
 	far.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(near, "M 1\n")
 	if got, err := bufio.NewReader(far).ReadString('\n'); got != "M 1\n" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("read %q, %v; wanted %q", got, err, "M 1\n")
 	}
 }
 
-// Messages come in order, with the sockets that belong to them, which stay open when the sender's copies are closed.
-func TestMessagesComeWithTheirSockets(t *testing.T) {
+// An upgrade would lose or mix up connections if sockets were matched to the wrong message, or closed together with the
+// sender's copies. Messages arrive in order with their own sockets, which stay open when the sender closes its copies.
+func TestMessagesArriveWithTheirSockets(t *testing.T) {
 	for _, c := range []struct{ name, dir, listen string }{
 		{"short path", "", "127.0.0.1:5000"},
 		{"path that is too long for a socket", strings.Repeat("long/", 40), "[::1]:5000"},
@@ -107,16 +108,16 @@
 				t.Fatal(err)
 			}
 			if m, err := predecessor.Receive(); err != nil || m.Request != RequestState {
-				t.Fatalf("%+v, %v", m, err)
+				t.Fatalf("received %+v, %v; wanted a request for the state", m, err)
 			}
-			checkHandsOver(t, predecessor, successor)
+			checkHandover(t, predecessor, successor)
 		})
 	}
 }
 
-// checkHandsOver sends a state with a listener, an update and a transfer with its connections, all before anything is
-// received, and checks that each message comes with its own sockets.
-func checkHandsOver(t *testing.T, predecessor, successor *Link) {
+// checkHandover sends a state with a listener, an update, and a transfer with its connections, all before anything is
+// received. It checks that each message arrives with its own sockets.
+func checkHandover(t *testing.T, predecessor, successor *Link) {
 	t.Helper()
 	listener, client, clientFar := newTCPPair(t)
 	_, host, hostFar := newTCPPair(t)
@@ -135,7 +136,7 @@
 	}
 	m, err := successor.Receive()
 	if err != nil || m.State == nil || m.State.Index != 7 || len(m.State.EndedFlows) != 4000 {
-		t.Fatalf("%v, %v", m.State, err)
+		t.Fatalf("received state %v, %v; wanted index 7 and 4000 ended flows", m.State, err)
 	}
 	receivedListener, err := successor.Listener()
 	if err != nil {
@@ -144,26 +145,26 @@
 	defer receivedListener.Close()
 	m, err = successor.Receive()
 	if err != nil || m.Update == nil || m.Update.DisabledHost != "s-1" {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("received %+v, %v; wanted an update about s-1", m, err)
 	}
 	m, err = successor.Receive()
 	if err != nil || string(m.Transfer.FromClient) != "M\x00 1" {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("received %+v, %v; wanted a transfer with the client's input", m, err)
 	}
 	receivedClient, receivedHost := receiveConns(t, successor)
 	listener.Close()
 	client.Close()
 	host.Close()
-	checkCarries(t, receivedClient, clientFar)
-	checkCarries(t, receivedHost, hostFar)
+	checkConnected(t, receivedClient, clientFar)
+	checkConnected(t, receivedHost, hostFar)
 	dialed, err := net.Dial("tcp", receivedListener.Addr().String())
 	if err != nil {
-		t.Fatalf("the listener is closed: %v", err)
+		t.Fatalf("dialing the received listener: %v", err)
 	}
 	dialed.Close()
 }
 
-// receiveConns returns the two connections that came, and checks that there is no third.
+// receiveConns returns the two connections that were received, and checks that there is no third.
 func receiveConns(t *testing.T, link *Link) (client, host *net.TCPConn) {
 	t.Helper()
 	client, err := link.Conn()
@@ -177,20 +178,21 @@
 	}
 	t.Cleanup(func() { host.Close() })
 	if _, err := link.Conn(); err == nil {
-		t.Error("a socket that was not sent")
+		t.Error("received a third socket, which was not sent")
 	}
 	return client, host
 }
 
-// Anything that is not the protocol is an error.
-func TestOddMessageIsAnError(t *testing.T) {
+// A process must not act on messages that it cannot understand, such as those of another program or another protocol
+// version, or of a peer that died while it was sending. Receive returns an error for each of them.
+func TestInvalidMessageIsRejected(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"half a message", `{"version":1,"legacy":{"Index":`, "parse"},
-		{"nothing", "", "EOF"},
-		{"another version", `{"version":2,"ask":"claim"}` + "\n", "another version"},
-		{"no version", `{"ask":"claim"}` + "\n", "another version"},
-		{"no JSON", "OPEN 1 2 c=chat\r\n", "parse"},
-		{"no end", strings.Repeat("x", maxMessageBytes+1), "too long"},
+		{"truncated message", `{"version":1,"legacy":{"Index":`, "parsing a handover message"},
+		{"end of stream", "", "EOF"},
+		{"another version", `{"version":2,"ask":"claim"}` + "\n", "unsupported handover protocol version: got 2, want 1"},
+		{"no version", `{"ask":"claim"}` + "\n", "unsupported handover protocol version: got 0, want 1"},
+		{"not JSON", "OPEN 1 2 c=chat\r\n", "parsing a handover message"},
+		{"line without end", strings.Repeat("x", maxMessageBytes+1), "too long"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			predecessor, successor := newLinkPair(t, Path(t.TempDir(), "a:1"))
@@ -199,55 +201,57 @@
 				successor.conn.CloseWrite()
 			}()
 			if m, err := predecessor.Receive(); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%+v, %v", m, err)
+				t.Errorf("received %+v, %v; wanted an error that contains %q", m, err, c.want)
 			}
 		})
 	}
 }
 
-// Errors on which a caller acts are found by errors.Is.
+// Callers handle another protocol version and a closed link differently from other errors, which fails if Receive hides
+// these errors. errors.Is finds both.
 func TestErrorsAreIdentified(t *testing.T) {
 	predecessor, successor := newLinkPair(t, Path(t.TempDir(), "a:1"))
 	io.WriteString(successor.conn, `{"version":2}`+"\n")
 	if _, err := predecessor.Receive(); !errors.Is(err, ErrVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("message of another version: %v", err)
 	}
 	successor.Close()
 	if _, err := predecessor.Receive(); !errors.Is(err, io.EOF) {
-		t.Errorf("a closed link: %v", err)
+		t.Errorf("closed link: %v", err)
 	}
 }
 
-// Receive does not wait for longer than the read timeout.
+// A peer that hangs would block an upgrade for ever. Receive returns an error after the read timeout.
 func TestReceiveTimesOut(t *testing.T) {
 	predecessor, _ := newLinkPair(t, Path(t.TempDir(), "a:1"))
 	predecessor.SetReadTimeout(time.Millisecond)
 	if _, err := predecessor.Receive(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error(err)
+		t.Errorf("Receive returned %v, wanted os.ErrDeadlineExceeded", err)
 	}
 }
 
-// A message that the far side could not receive is not sent.
-func TestMessageWithoutBoundIsNotSent(t *testing.T) {
+// A message over the receiver's limit would end the link in the middle of an upgrade. Send returns an error instead.
+func TestTooLongMessageIsNotSent(t *testing.T) {
 	_, successor := newLinkPair(t, Path(t.TempDir(), "a:1"))
 	transfer := &node.ConnectionTransfer{OpeningLine: strings.Repeat("x", maxMessageBytes)}
 	if err := successor.Send(Message{Transfer: transfer}); err == nil {
-		t.Error("a message without bound was sent")
+		t.Error("Send accepted a message that is too long")
 	}
 }
 
-// The process that listened last is found, and a socket that a killed process left behind is none.
+// A successor must reach the process that serves now, even though earlier processes, which may have been killed, used the
+// same path. Dial finds the process that listened last, and a socket that a process left behind counts as no process.
 func TestLastListenerIsFound(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:5000")
 	if _, err := Dial(t.Context(), path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no process: %v", err)
+		t.Errorf("dialing without a process: %v", err)
 	}
 	first, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v, %v", info.Mode(), err)
+		t.Errorf("socket has mode %v, %v; wanted 0600", info.Mode(), err)
 	}
 	second, err := Listen(path)
 	if err != nil {
@@ -258,9 +262,9 @@
 	acceptLink(t, second, path)
 	second.Close()
 	if _, err := Dial(t.Context(), path); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a stale socket: %v", err)
+		t.Errorf("dialing a stale socket: %v", err)
 	}
-	third, err := Listen(path) // in place of the stale socket
+	third, err := Listen(path) // replaces the stale socket
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +272,8 @@
 	third.Close()
 }
 
-// A path at which there cannot be a socket is an error.
+// A process that could not listen but reported no error would never be found by a successor. Listen returns an error for
+// a path at which no socket can be created.
 func TestListenAtImpossiblePathFails(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none")
 	file := filepath.Join(t.TempDir(), "file")
@@ -277,14 +282,14 @@
 	}
 	for _, c := range []struct{ name, dir string }{
 		{"no such directory", missing},
-		{"directory that takes no socket", "/proc"},
+		{"directory in which no socket can be created", "/proc"},
 		{"directory that is a file", fmt.Sprint(file, "/x")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			listener, err := Listen(Path(c.dir, "a:1"))
 			if err == nil {
 				listener.Close()
-				t.Error("it listens")
+				t.Error("Listen returned no error")
 			}
 		})
 	}
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -18,22 +18,22 @@
 	initialBufferBytes = 4096
 )
 
-var errOtherUser = errors.New("the far side of the handover belongs to another user")
+var errOtherUser = errors.New("the peer process belongs to another user")
 
-// Link is one end of the connection between two processes. One goroutine may send while another receives; what is
-// received belongs to the latter.
+// Link is one end of the connection between two processes. One goroutine may send while another receives; only the
+// receiving goroutine may use the received descriptors.
 type Link struct {
 	conn        *net.UnixConn
 	lines       *bufio.Scanner
-	descriptors []int // received and not taken yet, oldest first
+	descriptors []int // received descriptors that have not been returned yet, oldest first
 }
 
-// NewLink makes a link of a connection, which it owns from then on. The connection is closed if its far side does not
-// belong to the same user.
+// NewLink returns a link over a connection, which it owns from then on. If the peer process does not run as the same
+// user, it closes the connection and returns an error.
 func NewLink(conn *net.UnixConn) (*Link, error) {
 	if err := checkPeerUser(conn); err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("checking the user of the other process: %w", err)
+		return nil, fmt.Errorf("checking the user of the peer process: %w", err)
 	}
 	link := &Link{conn: conn}
 	link.lines = bufio.NewScanner(link)
@@ -41,7 +41,7 @@
 	return link, nil
 }
 
-// checkPeerUser returns an error unless the far side of a connection belongs to the same user.
+// checkPeerUser returns an error unless the peer process of a connection runs as the same user.
 func checkPeerUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -61,10 +61,10 @@
 	return nil
 }
 
-// Close ends the link. Descriptors that were received and not taken stay open, see CloseReceived.
+// Close closes the link's connection. Received descriptors stay open, see CloseReceived.
 func (l *Link) Close() { l.conn.Close() }
 
-// SetReadTimeout bounds the time of all that is received from now on; zero lifts the bound.
+// SetReadTimeout makes Receive fail once the timeout has passed, counted from now; zero removes the limit.
 func (l *Link) SetReadTimeout(timeout time.Duration) {
 	if timeout == 0 {
 		l.conn.SetReadDeadline(time.Time{})
@@ -73,8 +73,8 @@
 	l.conn.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// Receive returns the next message. The error is io.EOF once the far side has closed the link, os.ErrDeadlineExceeded
-// after the read timeout, and ErrVersion for a message of another version.
+// Receive returns the next message. The error is io.EOF once the peer has closed the link, os.ErrDeadlineExceeded after
+// the read timeout, and ErrVersion for a message of another protocol version.
 func (l *Link) Receive() (Message, error) {
 	var message Message
 	text, err := l.receiveLine()
@@ -82,15 +82,15 @@
 		return message, err
 	}
 	if err := json.Unmarshal(text, &message); err != nil {
-		return message, fmt.Errorf("a message that does not parse: %w", err)
+		return message, fmt.Errorf("parsing a handover message: %w", err)
 	}
 	if message.Version != protocolVersion {
-		return message, fmt.Errorf("%w: %d, this is %d", ErrVersion, message.Version, protocolVersion)
+		return message, fmt.Errorf("%w: got %d, want %d", ErrVersion, message.Version, protocolVersion)
 	}
 	return message, nil
 }
 
-// receiveLine returns the next line that is not empty. Empty ones come with descriptors.
+// receiveLine returns the next line that is not empty. Empty lines only carry descriptors.
 func (l *Link) receiveLine() ([]byte, error) {
 	for l.lines.Scan() {
 		if text := l.lines.Bytes(); len(text) > 0 {
@@ -108,7 +108,7 @@
 		return fmt.Errorf("encoding a handover message: %w", err)
 	}
 	if len(text) >= maxMessageBytes {
-		return fmt.Errorf("a handover message of %d bytes is over %d", len(text), maxMessageBytes)
+		return fmt.Errorf("encoded handover message has %d bytes, must have fewer than %d", len(text), maxMessageBytes)
 	}
 	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if _, err := l.conn.Write(append(text, '\n')); err != nil {
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -1,9 +1,9 @@
-// Package handover connects the process of a node that serves, the predecessor, with the process that takes its place,
-// the successor.
+// Package handover connects the process that serves the clients of a node, the predecessor, with the process that
+// replaces it in an upgrade, the successor.
 //
-// The two speak over a Unix socket, open to one user alone, that carries the listening socket, open connections and
-// messages of one JSON object a line. The package owns the socket and the form of the messages; what is in them, and
-// what comes of it, is decided by package node and its owner.
+// The two processes communicate over a Unix socket that only their own user may open. It transfers the listening socket,
+// open connections, and messages of one JSON object per line. The package defines the socket and the format of the
+// messages; package node and its owner decide what the messages contain and how to handle them.
 package handover
 
 import (
@@ -14,34 +14,34 @@
 
 const (
 	protocolVersion = 1
-	maxMessageBytes = 8 << 20 // of one line, with its end
+	maxMessageBytes = 8 << 20 // bytes of one line, including its newline
 )
 
-// ErrVersion says that the other process speaks another version of the protocol.
-var ErrVersion = errors.New("another version of the handover")
+// ErrVersion is returned for a message of another version of the protocol.
+var ErrVersion = errors.New("unsupported handover protocol version")
 
 // Request is what a successor asks the predecessor for.
 type Request string
 
 // The requests.
 const (
-	RequestState   Request = "claim" // the state and the listening socket
-	RequestClients Request = "take"  // the clients, and the state as it is by now
+	RequestState   Request = "claim" // asks for the state and the listening socket
+	RequestClients Request = "take"  // asks the predecessor to stop accepting clients, and for its current state
 )
 
-// Refusal says why a predecessor refuses a request.
+// Refusal is the reason why a predecessor refuses a request.
 type Refusal string
 
-// RefusalBusy refuses a request as the predecessor hands over to another process already, or has no clients to give yet.
+// RefusalBusy says that the predecessor is already handing over to another process, or does not serve clients itself yet.
 const RefusalBusy Refusal = "busy"
 
-// Message is one line. Besides Version, which Send sets, one field is set. The JSON names are those of the handover
-// between versions.
+// Message is one line of the protocol. Exactly one field is set besides Version, which Send sets. The JSON names are part
+// of the handover protocol between versions.
 type Message struct {
 	Version  int                      `json:"version"`
 	Request  Request                  `json:"ask,omitempty"`
 	Refusal  Refusal                  `json:"no,omitempty"`
 	State    *node.HandoverState      `json:"legacy,omitempty"`
 	Update   *node.HandoverUpdate     `json:"news,omitempty"`
-	Transfer *node.ConnectionTransfer `json:"parcel,omitempty"` // comes with two sockets, the client's first
+	Transfer *node.ConnectionTransfer `json:"parcel,omitempty"` // follows two sockets, the client's first
 }
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	maxPathBytes = 100 // of a socket's path, less than the system's 108
+	maxPathBytes = 100 // bytes of a socket's path, below the system's limit of 108
 	socketMode   = 0o600
 )
 
-// Path returns the path of the socket in dir by which the process that serves the address listen is found.
+// Path returns the path in dir of the handover socket of the process that serves clients on the address listen.
 func Path(dir, listen string) string {
 	name := strings.NewReplacer("/", "_", ":", "-").Replace(listen)
 	return filepath.Join(dir, "gorseledge-"+name+".sock")
 }
 
-// shorten returns a path to the same socket that is short enough for the system: a long one leads by way of its open
-// directory. It is valid until release is called.
+// shorten returns a path to the same socket that is short enough for the system. For a long path, it opens the directory
+// and returns a path through that descriptor. The path is valid until release is called.
 func shorten(path string) (short string, release func(), err error) {
 	if len(path) < maxPathBytes {
 		return path, func() {}, nil
@@ -34,15 +34,15 @@
 	return short, func() { dir.Close() }, nil
 }
 
-// Listen listens for a successor at a path, in place of any process that did so before. The socket's file stays when
-// the listener is closed, as it may be another process's by then.
+// Listen listens for a successor at a path, and replaces the socket of any process that listened there before. Closing
+// the listener does not remove the socket's file, which may belong to another process by then.
 func Listen(path string) (*net.UnixListener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	listener, err := listenAt(temporary)
 	if err != nil {
 		return nil, fmt.Errorf("listening for a successor: %w", err)
 	}
-	// The rename leaves no moment in which no process is found at the path.
+	// The rename replaces the old socket atomically, so that a successor always finds a process at the path.
 	if err := os.Rename(temporary, path); err != nil {
 		listener.Close()
 		os.Remove(temporary)
@@ -51,7 +51,7 @@
 	return listener, nil
 }
 
-// listenAt listens at a path that no other process uses, for the same user alone.
+// listenAt listens at a path that no other process uses, and gives only the same user access to the socket.
 func listenAt(path string) (*net.UnixListener, error) {
 	short, release, err := shorten(path)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return listener, nil
 }
 
-// Dial connects to the process that listens at a path. Without one the error is os.ErrNotExist or, where a process has
-// left its socket behind, syscall.ECONNREFUSED.
+// Dial connects to the process that listens at a path. If there is none, the error is os.ErrNotExist or, if a process
+// has left its socket behind, syscall.ECONNREFUSED.
 func Dial(ctx context.Context, path string) (*Link, error) {
 	short, release, err := shorten(path)
 	if err != nil {
