--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// hostAnswers returns an event in which the host takes the opening line, sends text and then does what end says.
+// hostAnswers returns an event in which the host accepts the opening line, sends text and then ends the stream as given
+// by end.
 func hostAnswers(text string, end StreamState) func(*testHarness, ConnID) {
 	return func(harness *testHarness, host ConnID) {
 		harness.completeLastDial()
@@ -15,7 +16,7 @@
 	}
 }
 
-// hostStaysSilent returns an event in which the host takes the opening line and sends nothing for some seconds.
+// hostStaysSilent returns an event in which the host accepts the opening line and then sends nothing for some seconds.
 func hostStaysSilent(seconds float64) func(*testHarness, ConnID) {
 	return func(harness *testHarness, _ ConnID) {
 		harness.completeLastDial()
@@ -27,11 +28,11 @@
 var attemptOutcomes = []struct {
 	name    string
 	event   func(harness *testHarness, host ConnID)
-	retried bool   // it never ran, so another host is tried
-	reply   string // what the client is sent; "BUSY " stands for any text that begins so
+	retried bool   // whether another host is tried, as the request cannot have run
+	reply   string // what the client is sent; "BUSY " stands for any text with this prefix
 }{
-	{"up", hostAnswers("UP 9\r\n", StreamOpen), false, "UP 9\r\n"},
-	{"served to its end before it was up", hostAnswers("BYE\r\n", StreamEnded), false, "ERR\r\n"},
+	{"established", hostAnswers("UP 9\r\n", StreamOpen), false, "UP 9\r\n"},
+	{"served before it was established", hostAnswers("BYE\r\n", StreamEnded), false, "ERR\r\n"},
 	{"migrated by a draining host", hostAnswers("MOVE\r\n", StreamEnded), false, "ERR\r\n"},
 	{"error", hostAnswers("ERR\r\n", StreamOpen), false, "ERR\r\n"},
 	{"rejected", hostAnswers("BUSY\r\n", StreamOpen), true, ""},
@@ -39,30 +40,30 @@
 	{"unknown word", hostAnswers("SYNTAX\r\n", StreamEnded), false, "ERR\r\n"},
 	{"binary", hostAnswers("\x00\xff\r\n", StreamOpen), false, "ERR\r\n"},
 	{"line too long", hostAnswers(strings.Repeat("x", 5000), StreamOpen), false, "ERR\r\n"},
-	{"refused", failDial, true, ""},
-	{"the node itself lacks a descriptor", func(harness *testHarness, host ConnID) {
+	{"connection refused", failDial, true, ""},
+	{"node has no descriptor", func(harness *testHarness, host ConnID) {
 		harness.connectionState[host] = "failed"
 		harness.apply(Dialed{host, errors.New("too many"), true})
 		if harness.node.balancer.Release(0) {
-			harness.Fatal("the flow is over")
+			harness.Fatal("the balancer has released the flow")
 		}
 	}, true, ""},
-	{"never comes up", func(harness *testHarness, host ConnID) {
+	{"dial times out", func(harness *testHarness, host ConnID) {
 		harness.advance(0.3)
 		harness.apply(TimerFired{})
 		failDial(harness, host)
 	}, true, ""},
-	{"broken before the last byte", func(harness *testHarness, host ConnID) {
+	{"connection broken before the line was sent", func(harness *testHarness, host ConnID) {
 		harness.blocked[host] = true
 		harness.completeLastDial()
 		harness.apply(WriteDone{host, 7, true})
 		harness.receive(host, "", StreamBroken)
 	}, true, ""},
-	{"broken after the last byte", hostAnswers("", StreamBroken), false, "ERR\r\n"},
-	{"ended after the last byte", hostAnswers("", StreamEnded), false, "ERR\r\n"},
-	{"half an answer", hostAnswers("UP 9", StreamEnded), false, "ERR\r\n"},
-	{"nothing", hostStaysSilent(2), false, "ERR\r\n"},
-	{"a byte at a time that never ends", func(harness *testHarness, host ConnID) {
+	{"connection broken after the line was sent", hostAnswers("", StreamBroken), false, "ERR\r\n"},
+	{"connection ended after the line was sent", hostAnswers("", StreamEnded), false, "ERR\r\n"},
+	{"incomplete answer", hostAnswers("UP 9", StreamEnded), false, "ERR\r\n"},
+	{"no answer", hostStaysSilent(2), false, "ERR\r\n"},
+	{"answer of single bytes without an end", func(harness *testHarness, host ConnID) {
 		harness.completeLastDial()
 		for range 25 {
 			harness.advance(0.1)
@@ -71,14 +72,15 @@
 			}
 		}
 	}, false, "ERR\r\n"},
-	{"nothing, and not even the line was taken", func(harness *testHarness, host ConnID) {
+	{"no answer, and the line was not accepted", func(harness *testHarness, host ConnID) {
 		harness.blocked[host] = true
 		harness.completeLastDial()
 		harness.advance(1.995)
 	}, false, "BUSY "},
 }
 
-// An attempt of a non-idempotent flow is retried only if it cannot have run.
+// A non-idempotent request that is sent to a second host after it ran at the first runs twice. An attempt is retried
+// only if it cannot have run.
 func TestAttemptOutcomeDecidesRetry(t *testing.T) {
 	for _, c := range attemptOutcomes {
 		t.Run(c.name, func(t *testing.T) {
@@ -95,19 +97,20 @@
 			}
 			state := harness.connectionState[first]
 			if c.retried && state != "closed" && state != "reset" {
-				t.Fatalf("two attempts are under way: the first is %q", state)
+				t.Fatalf("two attempts are under way: the first connection is %q", state)
 			}
 		})
 	}
 }
 
-// An opening line is forwarded unchanged but for the timeout, which says how long this attempt has.
+// A host that receives the client's full timeout on a second attempt would work for a client that no longer waits. An
+// opening line is forwarded unchanged except for its timeout, which is that of the attempt.
 func TestOpeningLineIsForwardedWithRemainingTime(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 100)
 	harness.openFlow(chatRequest + ",g=5c,r=1,zz=1")
 	first := harness.completeLastDial()
 	got := harness.written[first]
-	want := "OPEN 1003 a1 c=chat,t=acme,d=993,g=5c,r=1,zz=1\r\n" // but for the last digit of d
+	want := "OPEN 1003 a1 c=chat,t=acme,d=993,g=5c,r=1,zz=1\r\n" // the last digit of d may differ
 	if !strings.HasPrefix(got, "OPEN 1003 a1 c=chat,t=acme,d=99") || len(got) != len(want) ||
 		!strings.HasSuffix(got, ",g=5c,r=1,zz=1\r\n") {
 		t.Fatalf("the host was sent %q", got)
@@ -116,11 +119,13 @@
 	second := harness.completeLastDial()
 	sameHost := harness.dialedAddress[second] == harness.dialedAddress[first]
 	if second == first || harness.connectionState[first] != "closed" || sameHost {
-		t.Fatalf("a silent host is given up for another: %v, first %s", harness.flowDials, harness.connectionState[first])
+		t.Fatalf("a silent host was not replaced by another: dials %v, first connection %s", harness.flowDials,
+			harness.connectionState[first])
 	}
 }
 
-// A client that leaves before its answer gets no further attempt, and its descriptors are freed.
+// Attempts for clients that no longer wait would load the hosts and use up descriptors. If a client disconnects before
+// its answer, its attempt is canceled, and its descriptors are freed.
 func TestClientThatLeavesCancelsItsAttempt(t *testing.T) {
 	for _, end := range []StreamState{StreamEnded, StreamBroken} {
 		t.Run(fmt.Sprintf("end %d", end), func(t *testing.T) {
@@ -130,7 +135,7 @@
 			harness.receive(client, "", end)
 			state := harness.connectionState[host]
 			if state != "closed" || harness.written[client] != "" || len(harness.flowDials) != 1 {
-				t.Fatalf("the host's side is %q, the client was sent %q, %d dials", state, harness.written[client],
+				t.Fatalf("the host's connection is %q, the client was sent %q, %d dials", state, harness.written[client],
 					len(harness.flowDials))
 			}
 			harness.checkReleased()
@@ -141,18 +146,19 @@
 	}
 }
 
-// A flow that was open before is restored at its host and nowhere else, and the balancer is given it.
+// A flow that is already open at a host must not be opened at another one as well. A flow whose opening line names its
+// host is restored there or rejected, and the balancer counts it.
 func TestRestoredFlowStaysAtItsHost(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		event  func(harness *testHarness, host ConnID)
 		reply  string
-		reason Reason // none for a flow that is restored
+		reason Reason // empty for a flow that is restored
 	}{
-		{"taken up", hostAnswers("UP 5\r\n", StreamOpen), "UP 5\r\n", ""},
-		{"refused", failDial, "BUSY\r\n", NotRestored},
+		{"resumed", hostAnswers("UP 5\r\n", StreamOpen), "UP 5\r\n", ""},
+		{"connection refused", failDial, "BUSY\r\n", NotRestored},
 		{"error", hostAnswers("ERR\r\n", StreamOpen), "ERR\r\n", NotRestored},
-		{"nothing", hostStaysSilent(2.1), "ERR\r\n", NotRestored},
+		{"no answer", hostStaysSilent(2.1), "ERR\r\n", NotRestored},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "pass", 5, 100)
@@ -176,14 +182,15 @@
 	}
 }
 
-// A client that goes while its flow waits gets no attempt, first or further, also where its going is seen only by the
-// socket, behind bytes that are not read yet. The attempt under way is given up, and its descriptor freed.
+// A client may disconnect while bytes that it sent before are still unread, so that only the socket shows it. Without
+// ClientGone, the node would keep making attempts for this client. The attempt under way is canceled, no other follows,
+// and the descriptors are freed.
 func TestClientGoneEndsItsAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		before func(harness *testHarness, host ConnID)
 	}{
-		{"while it is dialed", func(*testHarness, ConnID) {}},
+		{"while the host is dialed", func(*testHarness, ConnID) {}},
 		{"while the host is silent", func(harness *testHarness, host ConnID) { harness.completeDial(host) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -194,10 +201,10 @@
 			harness.apply(ClientGone{client})
 			hostState, clientState := harness.connectionState[host], harness.connectionState[client]
 			if hostState != "closed" || clientState != "closed" || len(harness.flowDials) != 1 {
-				t.Errorf("the host's side is %q, the client's %q, after %d dials", hostState, clientState,
+				t.Errorf("the host's connection is %q, the client's %q, after %d dials", hostState, clientState,
 					len(harness.flowDials))
 			}
-			harness.apply(ClientGone{client}) // seen twice
+			harness.apply(ClientGone{client}) // a second report is ignored
 			harness.advance(5)
 			if got := harness.endReasons(); len(got) != 1 || got[0] != ClientLeft || len(harness.flowDials) != 1 {
 				t.Errorf("reasons %v after %d dials", got, len(harness.flowDials))
@@ -207,12 +214,13 @@
 	}
 }
 
-// The last lines of a client that has gone are still forwarded if its flow is established.
+// An established client may send its last lines and disconnect at once. Its connections must stay open on ClientGone, or
+// these lines would be lost.
 func TestClientGoneLeavesEstablishedFlow(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 100)
 	client, host := harness.establish(chatRequest)
 	harness.apply(ClientGone{client})
 	if harness.connectionState[client] != "" || harness.connectionState[host] != "" {
-		t.Error("an established connection was cut off")
+		t.Error("an established connection was closed")
 	}
 }
--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -10,9 +10,9 @@
 type connectionEnd struct {
 	name        string
 	event       func(harness *testHarness, client, host ConnID)
-	toClient    string // what the client gets after the receipt
-	toHost      string // what the host gets after the opening line
-	clientState string // how each side's connection ends
+	toClient    string // what the client is sent after the receipt
+	toHost      string // what the host is sent after the opening line
+	clientState string // final state of each connection
 	hostState   string
 	reason      Reason
 }
@@ -33,18 +33,18 @@
 	{"host ends without announcing it", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, "", StreamEnded)
 	}, "", "", "write closed", "closed", HostEnded},
-	{"host announces its end but stays", func(harness *testHarness, _, host ConnID) {
+	{"host announces its end but does not end", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, "BYE\r\n", StreamOpen)
 		harness.advance(1.01)
 	}, "BYE\r\n", "", "write closed", "closed", Served},
 	{"line too long from the host", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, strings.Repeat("q", 4097), StreamOpen)
 	}, "", "", "write closed", "reset", HostProtocolError},
-	{"host is silent while a line waits", func(harness *testHarness, client, _ ConnID) {
+	{"host is silent while a line is unanswered", func(harness *testHarness, client, _ ConnID) {
 		harness.receive(client, "M 1\r\n", StreamOpen)
 		harness.advance(suspectAfter + confirmTimeout + 0.1)
 	}, "MOVE\r\n", "M 1\r\n", "write closed", "closed", HostSilent},
-	{"host is silent in the midst of a line", func(harness *testHarness, client, host ConnID) {
+	{"host is silent after part of a line", func(harness *testHarness, client, host ConnID) {
 		harness.receive(client, "M 1\r\n", StreamOpen)
 		harness.advance(0.1)
 		harness.receive(host, "M", StreamOpen)
@@ -56,7 +56,7 @@
 	{"client ends, host answers", func(harness *testHarness, client, host ConnID) {
 		harness.receive(client, "M 1\r\n", StreamEnded)
 		if harness.connectionState[host] != "write closed" {
-			harness.Fatalf("the host's side is %q", harness.connectionState[host])
+			harness.Fatalf("the host's connection is %q", harness.connectionState[host])
 		}
 		harness.receive(host, "M 1\r\n", StreamOpen)
 		harness.receive(host, "BYE\r\n", StreamEnded)
@@ -95,7 +95,8 @@
 	}, strings.Repeat(longLine, 5) + "BYE\r\n", strings.Repeat(longLine, 5), "write closed", "closed", Served},
 }
 
-// The end of one side reaches the other in the same way, and whole lines from before it are forwarded.
+// If the end of one connection did not reach the other, a peer would wait on a dead flow; if it came too early, the last
+// lines would be lost. The end of one side ends the other in the same way, after the whole lines sent before it.
 func TestEndOfOneSideReachesTheOther(t *testing.T) {
 	for _, cases := range [][]connectionEnd{hostEnds, clientEnds, forwardedBeforeEnd} {
 		for _, c := range cases {
@@ -111,14 +112,15 @@
 	first := harness.written[host]
 	c.event(harness, client, host)
 	if got := strings.TrimPrefix(harness.written[client], "UP 77\r\n"); got != c.toClient {
-		t.Errorf("the client got %.60q, wanted %.60q", got, c.toClient)
+		t.Errorf("the client was sent %.60q, wanted %.60q", got, c.toClient)
 	}
 	if got := strings.TrimPrefix(harness.written[host], first); got != c.toHost {
-		t.Errorf("the host got %.60q, wanted %.60q", got, c.toHost)
+		t.Errorf("the host was sent %.60q, wanted %.60q", got, c.toHost)
 	}
 	clientState, hostState := harness.connectionState[client], harness.connectionState[host]
 	if clientState != c.clientState || hostState != c.hostState {
-		t.Errorf("client's side %q, host's side %q, wanted %q and %q", clientState, hostState, c.clientState, c.hostState)
+		t.Errorf("client's connection %q, host's connection %q, wanted %q and %q", clientState, hostState, c.clientState,
+			c.hostState)
 	}
 	harness.checkReleased()
 	if got := harness.endReasons(); len(got) != 1 || got[0] != c.reason {
@@ -126,17 +128,18 @@
 	}
 }
 
-// A flow that its host ends in good order is no sign of an overload there; one that breaks is.
-func TestOrderlyEndIsNoSignOfOverload(t *testing.T) {
-	for end, again := range map[StreamState]bool{StreamEnded: true, StreamBroken: false} {
+// A host that ends its flows in order would get no new ones if each end counted as an overload. Only a broken connection
+// keeps the balancer from sending the next flow to the host.
+func TestOnlyBrokenConnectionCountsAsOverload(t *testing.T) {
+	for end, usedAgain := range map[StreamState]bool{StreamEnded: true, StreamBroken: false} {
 		t.Run(fmt.Sprintf("end %d", end), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 1, 100)
 			_, host := harness.establish(chatRequest)
 			harness.receive(host, "", end)
 			harness.advance(0.1)
 			harness.openFlow(chatRequest)
-			if (len(harness.flowDials) == 2) != again {
-				t.Errorf("%d dials", len(harness.flowDials))
+			if (len(harness.flowDials) == 2) != usedAgain {
+				t.Errorf("%d dials, wanted the host to be used again %v", len(harness.flowDials), usedAgain)
 			}
 		})
 	}
--- a/internal/node/connection_io_test.go
+++ b/internal/node/connection_io_test.go
@@ -2,34 +2,35 @@
 
 import "testing"
 
-// readAll answers the reads of a connection with lines until the node reads no more, and returns how many bytes it got.
+// readAll answers the reads of a connection with lines until the node stops reading, and returns how many bytes the node
+// has read.
 func readAll(harness *testHarness, conn ConnID) int {
 	harness.Helper()
-	taken := 0
-	for harness.pendingReads[conn] != nil && taken <= 1<<20 {
+	count := 0
+	for harness.pendingReads[conn] != nil && count <= 1<<20 {
 		into := harness.pendingReads[conn]
 		delete(harness.pendingReads, conn)
 		for i := range into {
 			into[i] = 'x'
-			if (taken+i)%100 == 99 {
+			if (count+i)%100 == 99 {
 				into[i] = '\n'
 			}
 		}
-		taken += len(into)
+		count += len(into)
 		harness.apply(ReadDone{conn, len(into), StreamOpen})
 	}
-	return taken
+	return count
 }
 
-// Where a client or a host does not read, what the other side sends waits in that side's own buffers but for one
-// buffer of the node's, and other flows go on. This bounds the memory that a blocked connection takes.
-func TestBlockedSideHoldsUpItsSender(t *testing.T) {
+// A client or host that does not read must not make the node buffer without bound what the other side sends, nor delay
+// other flows. The node reads at most one buffer from the sender, and the rest stays in the sender's own buffers.
+func TestBlockedReceiverStopsItsSender(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		clientBlocked bool
 	}{
-		{"the client", true},
-		{"the host", false},
+		{"client blocked", true},
+		{"host blocked", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 100)
@@ -39,11 +40,11 @@
 				sender, blocked = host, client
 			}
 			harness.blocked[blocked] = true
-			if taken := readAll(harness, sender); taken > bufferSize {
-				t.Errorf("%d bytes were taken from the other", taken)
+			if count := readAll(harness, sender); count > bufferSize {
+				t.Errorf("%d bytes were read from the sender, wanted at most %d", count, bufferSize)
 			}
 			if other, _ := harness.establish(chatRequest); harness.written[other] != "UP 77\r\n" {
-				t.Errorf("another was sent %q", harness.written[other])
+				t.Errorf("the client of another flow was sent %q", harness.written[other])
 			}
 		})
 	}
--- a/internal/node/deadlines_test.go
+++ b/internal/node/deadlines_test.go
@@ -7,7 +7,8 @@
 	"gorseledge/internal/settings"
 )
 
-// A connection has one deadline: setting it again replaces it, and clearing it leaves none.
+// A connection would be ended too early by a deadline that was replaced or cleared. Setting a deadline replaces the
+// earlier one, and clearing it leaves none.
 func TestDeadlineIsReplaced(t *testing.T) {
 	harness := newHarness(t, "proxy", 1, 100)
 	node := harness.node
@@ -27,9 +28,9 @@
 	}
 }
 
-// An idle node wakes four times a second for its balancer alone, however many hosts are listed: where many nodes share
-// a machine, each would pay for the others' wakes.
-func TestIdleNodeWakesForItsBalancerAlone(t *testing.T) {
+// On a machine with many nodes, unnecessary wakes of idle nodes take CPU time from the others. An idle node wakes only for
+// its balancer, four times a second, however many hosts are listed.
+func TestIdleNodeWakesOnlyForItsBalancer(t *testing.T) {
 	for _, hosts := range []int{10, 60, 1000} {
 		t.Run(fmt.Sprintf("%d hosts", hosts), func(t *testing.T) {
 			harness := newHarness(t, "proxy", hosts, 1000)
@@ -54,7 +55,7 @@
 	}
 }
 
-// BenchmarkIdleSecond measures what an idle second costs, a host: compare the figures of 10, 60 and 1,000.
+// BenchmarkIdleSecond measures the cost of an idle second per host. Compare the results for 10, 60 and 1,000 hosts.
 func BenchmarkIdleSecond(b *testing.B) {
 	for _, hosts := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
--- a/internal/node/endpoint_directory_test.go
+++ b/internal/node/endpoint_directory_test.go
@@ -7,7 +7,8 @@
 	"gorseledge/placement"
 )
 
-// A host keeps its index, and its address where a list gives none.
+// The balancer would confuse hosts if their indices changed. A host keeps its index across lists, and it keeps its
+// address if a later list has none.
 func TestHostKeepsItsIndexAndAddress(t *testing.T) {
 	directory := newEndpointDirectory([]string{"a", "b"})
 	first := directory.update(endpoint.Host{Name: "s-64", Address: "h0", Status: "SERVING"})
@@ -15,17 +16,18 @@
 	directory.removeAll()
 	again := directory.update(endpoint.Host{Name: "s-64", Status: "DRAINING"})
 	if first != 0 || second != 1 || again != first {
-		t.Errorf("indices %d, %d and %d", first, second, again)
+		t.Errorf("indices %d, %d and %d, wanted 0, 1 and 0", first, second, again)
 	}
 	if directory.byID[0x64] != first || directory.byID[0x65] != second {
-		t.Errorf("by id %v", directory.byID)
+		t.Errorf("indices by id: %v", directory.byID)
 	}
 	if got := directory.hosts[first].listing.Address; got != "h0" {
-		t.Errorf("address %q", got)
+		t.Errorf("address %q, wanted h0", got)
 	}
 }
 
-// The balancer sees a host by its listed status, and never as ready without an address.
+// Flows sent to a host without an address, or of an unknown status, would fail. The balancer's state of a host follows
+// its listed status, and is never ready without an address.
 func TestStateOfHost(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -47,7 +49,7 @@
 	}
 }
 
-// Zones that the settings do not have are unknown to the balancer.
+// A host in a zone that the settings do not name must not count as a host of a known zone. Its zone has the index -1.
 func TestZoneOfHost(t *testing.T) {
 	directory := newEndpointDirectory([]string{"a", "b"})
 	for name, want := range map[string]int{"a": 0, "b": 1, "c": -1, "": -1} {
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -13,12 +13,13 @@
 	"gorseledge/internal/settings"
 )
 
-// listChange returns a change of one host in the list.
+// listChange returns a list with a change of one host.
 func listChange(index int64, host endpoint.Host) endpoint.List {
 	return endpoint.List{Index: index, Hosts: []endpoint.Host{host}}
 }
 
-// The primary is the entry at the hash of the client key, modulo the length of the list in the order of host ids.
+// Nodes that disagree on the primary of a client key send its flows to different hosts. The primary is the list's entry
+// at the hash of the client key modulo the length of the list, in the order of host ids.
 func TestPrimaryFollowsClientKeyAndHostID(t *testing.T) {
 	harness := newHarness(t, "pass", 7, 1000)
 	for _, key := range []uint64{1, 0xa1, 0x7f3a9c21e0b4d655, 0x0008cb70f96f9305} {
@@ -31,26 +32,27 @@
 	}
 }
 
-// A host's id is the hexadecimal number in its name, or a hash of the name.
+// The order of the list differs between nodes if they derive different ids. A host's id is the hexadecimal number in its
+// name, or a hash of a name without one.
 func TestHostIDIsTheNumberInTheName(t *testing.T) {
 	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "a-b-00000010": 16, "ff": 255} {
 		if got := hostID(name); got != want {
-			t.Errorf("%s is %x", name, got)
+			t.Errorf("hostID(%q) is %x, wanted %x", name, got, want)
 		}
 	}
 	if hostID("relay-one") == hostID("relay-two") {
-		t.Error("names that hold no number are alike")
+		t.Error("two names without a number have the same id")
 	}
 }
 
-// isReadyByPing asks the node as the front does whether clients may be sent to it.
+// isReadyByPing reports whether the node answers a readiness check, as load balancers in front of it send, with PONG.
 func isReadyByPing(harness *testHarness) bool {
 	client := harness.accept()
 	harness.receive(client, "PING\r\n", StreamEnded)
 	return harness.written[client] == "PONG\r\n"
 }
 
-// startWithCachedList returns a harness of a node that has a cached list and no answer of discovery yet.
+// startWithCachedList returns a harness with a node that has a cached list and no answer from discovery yet.
 func startWithCachedList(t *testing.T, cached endpoint.List) *testHarness {
 	t.Helper()
 	balancer, listener, err := settings.Parse(fmt.Appendf(nil, settingsJSON, "pass"), 7)
@@ -66,7 +68,8 @@
 	return harness
 }
 
-// The node is ready once discovery has sent a list, or when discovery is out and the cached list must do.
+// A node that is ready too early places flows by an outdated list; one that waits for a discovery which is down has
+// no clients. The node is ready once discovery has sent a list, or after two failed calls if it has a cached list.
 func TestReadyOnceThereIsAList(t *testing.T) {
 	harness := startWithCachedList(t, hostList(2))
 	if isReadyByPing(harness) || !slices.Equal(harness.watchIndices, []int64{6}) {
@@ -79,11 +82,12 @@
 	}
 	harness.apply(WatchFailed{Reason: "503"})
 	if !isReadyByPing(harness) {
-		t.Fatal("not ready on the cached list though discovery is out")
+		t.Fatal("not ready with the cached list although discovery is unavailable")
 	}
 }
 
-// A node whose cached list is empty is not ready until discovery sends a list.
+// A node without any host would reject all its clients. If the cached list is empty, the node is not ready until
+// discovery sends a list.
 func TestNotReadyWithoutAnyHost(t *testing.T) {
 	harness := startWithCachedList(t, endpoint.List{})
 	harness.apply(WatchFailed{Reason: "503"})
@@ -107,8 +111,9 @@
 	return harness.dialedAddress[harness.flowDials[before]]
 }
 
-// Flows go to hosts that are listed as serving and have an address, as lists come one after the other.
-func TestListDecidesWhereFlowsGo(t *testing.T) {
+// Flows fail at hosts that are no longer serving or have moved. As each list is received, flows go only to hosts that are
+// listed as serving and have an address, at their last listed address.
+func TestFlowsFollowTheList(t *testing.T) {
 	harness := newHarness(t, "pass", 1, 1000)
 	one := func(name, address, status string) ListReceived {
 		return ListReceived{listChange(9, endpoint.Host{Name: name, Address: address, Status: status})}
@@ -119,12 +124,12 @@
 		want  string
 	}{
 		{"as listed", TimerFired{}, "h0"},
-		{"another address", one("s-00000064", "h9", "SERVING"), "h9"},
+		{"new address", one("s-00000064", "h9", "SERVING"), "h9"},
 		{"draining", one("s-00000064", "", "DRAINING"), "BUSY"},
-		{"a status that is not known", one("s-00000064", "", "RESTING"), "BUSY"},
-		{"back, without its address", one("s-00000064", "", "SERVING"), "h9"},
+		{"unknown status", one("s-00000064", "", "RESTING"), "BUSY"},
+		{"serving again, listed without an address", one("s-00000064", "", "SERVING"), "h9"},
 		{"removed", one("s-00000064", "", "DELETED"), "BUSY"},
-		{"no address was ever listed", one("s-00000065", "", "SERVING"), "BUSY"},
+		{"host never listed with an address", one("s-00000065", "", "SERVING"), "BUSY"},
 		{"not on a complete list", ListReceived{hostList(0)}, "BUSY"},
 	} {
 		harness.apply(step.input)
@@ -134,7 +139,7 @@
 	}
 }
 
-// openFlowTo opens flows until one is dialed to an address, and returns its client and the dial. The others are ended.
+// openFlowTo opens flows until one is dialed to an address, and returns its client and its dial. It ends the other flows.
 func openFlowTo(harness *testHarness, address, serviceType string) (client, dial ConnID) {
 	harness.Helper()
 	for key := 1; ; key++ {
@@ -147,8 +152,9 @@
 	}
 }
 
-// An attempt that is still being dialed when its host takes no new flows any more goes to another host at once; one
-// whose line is written stays. This prevents a line that a slow dial writes to a draining host past the grace.
+// A slow dial could succeed after its host's drain grace, and the opening line would be written to a draining host. If
+// a host stops accepting new flows, an attempt that is still being dialed goes to another host at once, and an attempt
+// whose line is written stays.
 func TestDialToDrainingHostIsCanceled(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -157,11 +163,11 @@
 		connected   bool
 		stays       bool
 	}{
-		{"draining while it is dialed", "chat", "DRAINING", false, false},
-		{"gone while it is dialed", "chat", "DELETED", false, false},
-		{"non-idempotent, draining while it is dialed", "order", "DRAINING", false, false},
-		{"serving all the while", "chat", "SERVING", false, true},
-		{"draining once its line is written", "chat", "DRAINING", true, true},
+		{"draining during the dial", "chat", "DRAINING", false, false},
+		{"removed during the dial", "chat", "DELETED", false, false},
+		{"non-idempotent, draining during the dial", "order", "DRAINING", false, false},
+		{"still serving", "chat", "SERVING", false, true},
+		{"draining after the line was written", "chat", "DRAINING", true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 2, 1000)
@@ -179,12 +185,13 @@
 				}
 				return
 			}
-			harness.apply(Dialed{Conn: dial}) // it came up all the same
+			harness.apply(Dialed{Conn: dial}) // the dial had succeeded before it was canceled
 			if harness.connectionState[dial] != "closed" || harness.written[dial] != "" {
-				t.Errorf("%s, and sent %q", harness.connectionState[dial], harness.written[dial])
+				t.Errorf("the canceled connection is %s and was sent %q", harness.connectionState[dial],
+					harness.written[dial])
 			}
 			if len(harness.flowDials) != dials+1 || harness.dialedAddress[harness.flowDials[dials]] != "h1" {
-				t.Fatalf("not sent to the other host")
+				t.Fatalf("the flow was not sent to the other host")
 			}
 			harness.receive(harness.completeLastDial(), "UP 7\r\n", StreamOpen)
 			if harness.written[client] != "UP 7\r\n" {
@@ -194,8 +201,9 @@
 	}
 }
 
-// Lists that are wrong, empty or repeated have a stated effect, and each flow gets its answer.
-func TestOddListsHaveAStatedEffect(t *testing.T) {
+// Discovery may send lists that are empty, contradictory or out of order, which must not leave flows without an answer
+// or the watch at a wrong index. Each such list has the effect stated here.
+func TestUnusualListsAreHandled(t *testing.T) {
 	thousand := hostList(1000)
 	twice := hostList(1)
 	twice.Hosts = append(twice.Hosts, endpoint.Host{Name: twice.Hosts[0].Name, Address: "h7", Status: "SERVING"})
@@ -212,17 +220,17 @@
 		name  string
 		lists []endpoint.List
 		known int    // hosts listed at the end
-		index int64  // from which a watch is taken up again
-		to    string // a prefix of where a flow goes; BUSY for nowhere
+		index int64  // of the next watch
+		to    string // prefix of the address that a flow is sent to; BUSY for a rejected one
 	}{
-		{"an empty complete list: no host serves", []endpoint.List{{Index: 8, Complete: true}}, 0, 8, "BUSY"},
-		{"an empty change changes nothing", []endpoint.List{hostList(1), {Index: 9}}, 1, 9, "h0"},
+		{"empty complete list: no host serves", []endpoint.List{{Index: 8, Complete: true}}, 0, 8, "BUSY"},
+		{"empty change: nothing changes", []endpoint.List{hostList(1), {Index: 9}}, 1, 9, "h0"},
 		{"a thousand hosts", []endpoint.List{thousand}, 1000, 6, "h"},
-		{"one name under two addresses: the last counts", []endpoint.List{twice}, 1, 6, "h7"},
-		{"a name under a new address, listed later", []endpoint.List{hostList(1), moved(7, "h8")}, 1, 7, "h8"},
-		{"an index that goes back with a complete list", []endpoint.List{thousand, back}, 1, 2, "h0"},
-		{"an index that goes back with a change", []endpoint.List{hostList(1), moved(3, "h5")}, 1, 3, "h5"},
-		{"a name that is no number", []endpoint.List{named}, 1, 6, "h3"},
+		{"one name with two addresses: the last one counts", []endpoint.List{twice}, 1, 6, "h7"},
+		{"a later list with a new address", []endpoint.List{hostList(1), moved(7, "h8")}, 1, 7, "h8"},
+		{"complete list with a lower index", []endpoint.List{thousand, back}, 1, 2, "h0"},
+		{"change with a lower index", []endpoint.List{hostList(1), moved(3, "h5")}, 1, 3, "h5"},
+		{"a name without a number", []endpoint.List{named}, 1, 6, "h3"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 2, 1000)
@@ -233,7 +241,7 @@
 				t.Errorf("%d hosts listed, wanted %d", listed, c.known)
 			}
 			if got := placeFlow(harness); !strings.HasPrefix(got, c.to) {
-				t.Errorf("to %q, wanted %q", got, c.to)
+				t.Errorf("sent to %q, wanted %q", got, c.to)
 			}
 			harness.apply(WatchFailed{Reason: "the end"})
 			harness.advance(8)
--- a/internal/node/flow_test.go
+++ b/internal/node/flow_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A flow's index is free again once it is removed, and its id is remembered from then on.
+// The balancer's tables would grow with every flow if indices were not reused. Once a flow is removed, its index is free
+// again, and its id is remembered.
 func TestFlowIndexIsReused(t *testing.T) {
 	table := flowTable{ids: newFlowIDs()}
 	flows := []*flow{{}, {}, {}}
@@ -15,10 +16,10 @@
 	}
 	table.remove(flows[1])
 	if table.count() != 2 || table.byIndex[1] != nil || table.ids.open["b"] != nil {
-		t.Errorf("%d flows after one is removed", table.count())
+		t.Errorf("%d flows left, or the removed one is still known", table.count())
 	}
 	if len(table.ids.endedKeys()) != 1 {
-		t.Errorf("%d ids of ended flows", len(table.ids.endedKeys()))
+		t.Errorf("%d ids of ended flows, wanted 1", len(table.ids.endedKeys()))
 	}
 	next := &flow{}
 	table.add(next)
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// isReadFrom reports whether a connection is open and its far side may send something.
+// isReadFrom reports whether a connection is open and has a pending read.
 func (harness *testHarness) isReadFrom(conn ConnID) bool {
 	return harness.pendingReads[conn] != nil && harness.node.connections.byID[conn] != nil
 }
 
-// receiveInHalves has a host send text in ever smaller parts, each half of the rest, and do what end says after each.
+// receiveInHalves makes a host send text in parts, each of them half of the rest, with the stream state end after each.
 func receiveInHalves(harness *testHarness, host ConnID, text string, end StreamState) {
 	harness.Helper()
 	for rest := text; harness.isReadFrom(host); {
@@ -20,7 +20,8 @@
 	}
 }
 
-// Whatever comes in, nothing panics, and each client that is still there gets one final answer in time.
+// Malformed input from a client or a host could make the node panic, or leave a connection open for ever. After any input,
+// all connections end in time, and exactly one record with a reason is logged for the client.
 func FuzzNode(f *testing.F) {
 	f.Add([]byte("OPEN 1 a1 c=chat,t=acme,d=900\r\n"), []byte("UP 1\r\nLOAD x\r\nBYE\r\n"), uint8(3))
 	f.Add([]byte("PING\r\nOPEN 1 a1 c=order,d=1\r\nM\r\n"), []byte("BUSY\r\n"), uint8(7))
@@ -43,8 +44,8 @@
 		}
 		harness.advance(firstLineTimeout + hostEndTimeout + connectionSilentAfter)
 		for _, left := range harness.node.connections.byID {
-			if left.role != healthCheckRole { // health checks of an ejected host go on
-				t.Fatalf("a connection of role %d is left", left.role)
+			if left.role != healthCheckRole { // health checks of an ejected host continue
+				t.Fatalf("a connection of role %d is still open", left.role)
 			}
 		}
 		if len(harness.records) != 1 || harness.records[0].Reason == "" {
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -8,7 +8,7 @@
 	"gorseledge/internal/peers"
 )
 
-// newGossipHarness returns a harness of a node whose health checks bring load reports that go to other nodes.
+// newGossipHarness returns a harness with a node whose health checks return load reports, which it sends to other nodes.
 func newGossipHarness(t *testing.T) *testHarness {
 	t.Helper()
 	text := strings.Replace(settingsJSON, `"probes":true,`, `"probes":true,"peers":true,`, 1)
@@ -16,12 +16,12 @@
 	return newHarnessWith(t, text, "pass", 2, 100)
 }
 
-// The load that a health check of one node reports reaches the flows of another. Without it nodes would go on filling
-// an overloaded host, as each has a host's report only once in a minute.
-func TestGossipedLoadIsHeeded(t *testing.T) {
+// A node gets a host's report only once a minute by its own health checks, so without gossip nodes would continue to send
+// flows to an overloaded host. The load from one node's health check decides the placement of another node's flows.
+func TestGossipedLoadAffectsPlacement(t *testing.T) {
 	sender := newGossipHarness(t)
 	receiver := newGossipHarness(t)
-	for range 200 { // by its second round it has checked all hosts
+	for range 200 { // all hosts have been checked by the second round
 		sender.advance(0.25)
 		if len(sender.healthChecks) == 2 {
 			break
@@ -50,6 +50,6 @@
 		}
 	}
 	if len(receiver.flowDials) != 4 || len(receiver.gossip) > 0 {
-		t.Errorf("%d flows placed, %d reports passed on", len(receiver.flowDials), len(receiver.gossip))
+		t.Errorf("%d flows placed, %d received reports sent on", len(receiver.flowDials), len(receiver.gossip))
 	}
 }
--- a/internal/node/handover_harness_test.go
+++ b/internal/node/handover_harness_test.go
@@ -7,10 +7,11 @@
 	"gorseledge/internal/settings"
 )
 
-// firstSuccessorConn is where a successor's numbers of accepted connections begin in tests.
+// firstSuccessorConn is the first id of the connections that a successor accepts, so that they differ from the
+// predecessor's.
 const firstSuccessorConn = 1001
 
-// startSuccessor starts a process that takes over from this one; what goes over crosses as JSON.
+// startSuccessor starts a successor of this process, with the state handed over as JSON.
 func (harness *testHarness) startSuccessor(mode string) *testHarness {
 	harness.Helper()
 	balancer, listener, err := settings.Parse(fmt.Appendf(nil, settingsJSON, mode), 8)
@@ -33,7 +34,7 @@
 	return successor
 }
 
-// exchangeJSON returns what another process decodes of a value.
+// exchangeJSON returns a value as another process decodes it.
 func exchangeJSON[T any](harness *testHarness, value T) (decoded T) {
 	harness.Helper()
 	text, err := json.Marshal(value)
@@ -46,34 +47,34 @@
 	return decoded
 }
 
-// handOverTo has a successor take the clients.
+// handOverTo hands the clients over to a successor.
 func (harness *testHarness) handOverTo(successor *testHarness) {
 	harness.Helper()
 	successor.apply(HandoverReceived{exchangeJSON(harness, harness.query(TakeOver, "").Handover)})
 	successor.apply(ListenerOpened{})
 }
 
-// deliverTransfers brings the transfers and updates that a process has sent to the other, or has the transfers fail
-// where they are lost. It returns the number that each connection has at the other process.
+// deliverTransfers delivers the transfers and updates that this process has sent to the other one. With lost, the
+// transfers fail instead. It returns the id that each connection has at the other process.
 func (harness *testHarness) deliverTransfers(other *testHarness, lost bool) map[ConnID]ConnID {
 	harness.Helper()
-	numbers := map[ConnID]ConnID{}
+	ids := map[ConnID]ConnID{}
 	for ; len(harness.transfers) > 0; harness.transfers = harness.transfers[1:] {
 		sent := harness.transfers[0]
 		if harness.pendingReads[sent.Conn] != nil || harness.pendingReads[sent.Host] != nil {
-			harness.Fatal("sent a connection that is still read")
+			harness.Fatal("sent a connection that has a pending read")
 		}
 		if !lost {
 			other.lastAccepted += 2
 			other.connectionState[other.node.connections.lastDialed+2] = ""
 			other.apply(ConnectionReceived{other.lastAccepted, exchangeJSON(harness, sent.Transfer)})
-			numbers[sent.Conn] = other.lastAccepted
-			numbers[sent.Host] = other.boundHost.Conn
+			ids[sent.Conn] = other.lastAccepted
+			ids[sent.Host] = other.boundHost.Conn
 		}
 		harness.apply(ConnectionSent{sent.Conn, !lost})
 	}
 	for ; len(harness.updates) > 0; harness.updates = harness.updates[1:] {
 		other.apply(PeerProcessChanged{exchangeJSON(harness, harness.updates[0])})
 	}
-	return numbers
+	return ids
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -237,16 +237,16 @@
 func TestFiguresAddUpWhateverTheMomentOfAnUpgrade(t *testing.T) {
 	for seed := range uint64(120) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			chance := rand.New(rand.NewPCG(seed, 2))
+			random := rand.New(rand.NewPCG(seed, 2))
 			predecessor := newHarness(t, "pass", 3, 100)
-			applyRandomInputs(predecessor, chance, 60)
+			applyRandomInputs(predecessor, random, 60)
 			successor := predecessor.startSuccessor("pass")
-			applyRandomInputs(predecessor, chance, 10)
+			applyRandomInputs(predecessor, random, 10)
 			predecessor.handOverTo(successor)
 			for range 10 {
-				applyRandomInputs(predecessor, chance, 4)
-				predecessor.deliverTransfers(successor, chance.IntN(3) == 0)
-				applyRandomInputs(successor, chance, 4)
+				applyRandomInputs(predecessor, random, 4)
+				predecessor.deliverTransfers(successor, random.IntN(3) == 0)
+				applyRandomInputs(successor, random, 4)
 				successor.deliverTransfers(predecessor, false)
 			}
 			predecessor.apply(Shutdown{})
@@ -255,8 +255,8 @@
 				predecessor.deliverTransfers(successor, false)
 				successor.now = predecessor.now
 				successor.apply(TimerFired{})
-				predecessor.checkedFigures()
-				successor.checkedFigures()
+				predecessor.checkedStatistics()
+				successor.checkedStatistics()
 			}
 			successor.apply(PredecessorGone{})
 		})
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -18,13 +18,13 @@
 	{"name":"order","effect":"once","group":"all","give_up_us":2000000,"setup_target_us":300000},
 	{"name":"mail","effect":"by_key","group":"all","give_up_us":2000000,"memory_span_us":5000000}]}`
 
-// What follows the id in the opening lines of an idempotent and of a non-idempotent flow.
+// The rest of an opening line after the flow's id: that of an idempotent and that of a non-idempotent service type.
 const (
 	chatRequest  = "a1 c=chat,t=acme,d=2000"
 	orderRequest = "a1 c=order,t=acme,d=2000"
 )
 
-// testHarness stands in for the owner of a node: it carries out effects and keeps what the node has asked for.
+// testHarness acts as the owner of a node: it carries out the node's effects and records them.
 type testHarness struct {
 	*testing.T
 	node *Node
@@ -33,17 +33,17 @@
 	lastAccepted    ConnID
 	connectionState map[ConnID]string // dialed, failed, write closed, closed or reset; empty for open
 	pendingReads    map[ConnID][]byte
-	written         map[ConnID]string // all that was written
-	blocked         map[ConnID]bool   // writes to these are not taken
-	blockedWrites   []WriteDone       // what such a write would have been answered with
+	written         map[ConnID]string // everything that was written to a connection
+	blocked         map[ConnID]bool   // connections whose far side accepts no data
+	blockedWrites   []WriteDone       // the pending results of writes to blocked connections
 	flowDials       []ConnID
 	healthChecks    []ConnID
 	dialedAddress   map[ConnID]string
 	records         []ConnectionRecord
 
-	watchSilent     bool    // advance does not have the watch send anything
-	watchIndices    []int64 // of the watches asked for
-	parallelWatches int     // of these, those beside another call
+	watchSilent     bool    // advance does not make the watch send anything
+	watchIndices    []int64 // the indices of the watches that were asked for
+	parallelWatches int     // how many of these were made with KeepPrevious
 	stoppedWatches  int
 	discoveryMoves  []string
 
@@ -58,7 +58,8 @@
 	boundHost BindHostConnection
 }
 
-// newHarness returns a harness of a node that has received a list of hosts.
+// newHarness returns a harness with a node that has received a list of hosts. mode is the family's mode: "proxy" for a
+// node that terminates connections, "pass" for one that packets pass through.
 func newHarness(t *testing.T, mode string, hosts, descriptors int) *testHarness {
 	t.Helper()
 	return newHarnessWith(t, settingsJSON, mode, hosts, descriptors)
@@ -91,7 +92,7 @@
 	return harness
 }
 
-// hostList lists hosts whose ids rise with their place.
+// hostList returns a complete list of hosts, in the order of their ids.
 func hostList(hosts int) endpoint.List {
 	list := endpoint.List{Index: 6, Complete: true}
 	for i := range hosts {
@@ -106,7 +107,7 @@
 	return list
 }
 
-// apply gives the node an input and then the results of what it asks for, until it asks for nothing more.
+// apply passes an input to the node, and then the results of its effects, until there are no more results.
 func (harness *testHarness) apply(input Input) {
 	harness.Helper()
 	for pending := []Input{input}; len(pending) > 0; pending = pending[1:] {
@@ -118,7 +119,7 @@
 	}
 }
 
-// carryOut carries out an effect and returns its result, nil for none or for one that comes later.
+// carryOut carries out an effect and returns its result, nil if there is none or if the test supplies it later.
 func (harness *testHarness) carryOut(effect Effect) Input {
 	harness.Helper()
 	switch effect := effect.(type) {
@@ -137,13 +138,13 @@
 	case LogConnection:
 		harness.records = append(harness.records, effect.Record)
 	default:
-		harness.keep(effect)
+		harness.record(effect)
 	}
 	return nil
 }
 
-// keep keeps an effect that is on no connection.
-func (harness *testHarness) keep(effect Effect) {
+// record records an effect that is not on a connection.
+func (harness *testHarness) record(effect Effect) {
 	switch effect := effect.(type) {
 	case Watch:
 		harness.watchIndices = append(harness.watchIndices, effect.Index)
@@ -186,7 +187,7 @@
 func (harness *testHarness) read(read Read) {
 	harness.Helper()
 	if harness.pendingReads[read.Conn] != nil || harness.connectionState[read.Conn] == "closed" {
-		harness.Fatal("a second read on a connection, or one on a closed connection")
+		harness.Fatal("a second read on a connection, or a read on a closed connection")
 	}
 	harness.pendingReads[read.Conn] = read.Into
 }
@@ -194,7 +195,7 @@
 func (harness *testHarness) stopReading(stop StopReading) Input {
 	harness.Helper()
 	if harness.pendingReads[stop.Conn] == nil {
-		harness.Fatal("stopped reading a connection that is not read")
+		harness.Fatal("StopReading for a connection without a pending read")
 	}
 	delete(harness.pendingReads, stop.Conn)
 	return ReadDone{stop.Conn, 0, StreamOpen}
@@ -214,7 +215,7 @@
 	return done
 }
 
-// close closes a connection. A dial that failed has no descriptor to confirm.
+// close closes a connection. The close of a failed dial, which has no descriptor, is not confirmed.
 func (harness *testHarness) close(request Close) Input {
 	failed := harness.connectionState[request.Conn] == "failed"
 	harness.connectionState[request.Conn] = "closed"
@@ -227,8 +228,8 @@
 	return Closed{request.Conn}
 }
 
-// receive has the far side of a connection send text, in as many reads as the buffer needs, and then do what end says.
-// A connection that the node ends meanwhile gets no more of it.
+// receive makes the far side of a connection send text, in as many reads as the buffer requires, and then end the stream
+// as given by end. If the node closes the connection before that, the rest is not delivered.
 func (harness *testHarness) receive(conn ConnID, text string, end StreamState) {
 	harness.Helper()
 	for first := true; first || text != ""; first = false {
@@ -238,7 +239,7 @@
 			return
 		}
 		if into == nil {
-			harness.Fatalf("nothing reads %.60q on connection %d, which is %q", text, conn, state)
+			harness.Fatalf("no pending read for %.60q on connection %d, which is %q", text, conn, state)
 		}
 		delete(harness.pendingReads, conn)
 		count := copy(into, text)
@@ -251,7 +252,7 @@
 	}
 }
 
-// accept has a client connect.
+// accept makes a client connect.
 func (harness *testHarness) accept() ConnID {
 	harness.Helper()
 	harness.lastAccepted += 2
@@ -259,7 +260,7 @@
 	return harness.lastAccepted
 }
 
-// openFlow has a client connect and send its opening line.
+// openFlow makes a client connect and send its opening line.
 func (harness *testHarness) openFlow(request string) ConnID {
 	harness.Helper()
 	client := harness.accept()
@@ -267,7 +268,7 @@
 	return client
 }
 
-// establish has a client open a flow and its host confirm it.
+// establish makes a client open a flow and its host confirm it.
 func (harness *testHarness) establish(request string) (client, host ConnID) {
 	harness.Helper()
 	client = harness.openFlow(request)
@@ -279,7 +280,7 @@
 	return client, host
 }
 
-// completeLastDial has the last dial for a flow succeed and returns its connection.
+// completeLastDial makes the last dial for a flow succeed and returns its connection.
 func (harness *testHarness) completeLastDial() ConnID {
 	harness.Helper()
 	if len(harness.flowDials) == 0 {
@@ -288,7 +289,7 @@
 	return harness.completeDial(harness.flowDials[len(harness.flowDials)-1])
 }
 
-// completeDial has a dial succeed.
+// completeDial makes a dial succeed.
 func (harness *testHarness) completeDial(conn ConnID) ConnID {
 	harness.Helper()
 	harness.connectionState[conn] = ""
@@ -296,15 +297,14 @@
 	return conn
 }
 
-// failDial has a dial fail.
+// failDial makes a dial fail.
 func failDial(harness *testHarness, conn ConnID) {
 	harness.Helper()
 	harness.connectionState[conn] = "failed"
 	harness.apply(Dialed{conn, errors.New("refused"), false})
 }
 
-// advance lets time pass, with a timer as often as the node could ask for one and a sign of life of the watch every two
-// seconds.
+// advance lets time pass in steps of 10 ms, with a timer at each step and a WatchAlive every two seconds.
 func (harness *testHarness) advance(seconds float64) {
 	harness.Helper()
 	for end := harness.now + seconds; harness.now < end; harness.apply(TimerFired{}) {
@@ -316,7 +316,7 @@
 	}
 }
 
-// query asks the node a question and returns its reply.
+// query sends a query to the node and returns its reply.
 func (harness *testHarness) query(question Question, host string) Reply {
 	harness.Helper()
 	harness.reply = Reply{Statistics: Statistics{Accepted: -1}}
@@ -327,7 +327,7 @@
 	return harness.reply
 }
 
-// unavailable returns how many hosts on the list take no new flows.
+// unavailable returns how many hosts on the list get no new flows.
 func (harness *testHarness) unavailable() int { return harness.node.currentStatistics().Unavailable }
 
 // endReasons returns the reasons of the clients' connections that have ended.
@@ -338,7 +338,7 @@
 	return reasons
 }
 
-// checkReleased checks that no trace of ended connections is kept.
+// checkReleased checks that the node has no connections, descriptors or flows once the linger timeout has passed.
 func (harness *testHarness) checkReleased() {
 	harness.Helper()
 	harness.advance(lingerTimeout + 5)
@@ -346,17 +346,17 @@
 	flows := harness.node.flows.byIndex
 	isHeld := func(f *flow) bool { return f != nil }
 	if len(connections.byID) != 0 || connections.descriptors != 0 || slices.ContainsFunc(flows, isHeld) {
-		harness.Fatalf("left: %d connections, %d descriptors, flows %v", len(connections.byID),
+		harness.Fatalf("not released: %d connections, %d descriptors, flows %v", len(connections.byID),
 			connections.descriptors, flows)
 	}
 }
 
-// checkedFigures returns the figures after it has checked what must hold of them after any input.
-func (harness *testHarness) checkedFigures() Statistics {
+// checkedStatistics returns the statistics after checking the invariants that hold after any input.
+func (harness *testHarness) checkedStatistics() Statistics {
 	harness.Helper()
-	figures := harness.node.currentStatistics()
-	sum := figures.Waiting
-	for _, counts := range figures.Types {
+	statistics := harness.node.currentStatistics()
+	sum := statistics.Waiting
+	for _, counts := range statistics.Types {
 		sum += counts.Established + counts.Rejected + counts.Aborted + counts.ClientLeft
 	}
 	open, waiting := 0, 0
@@ -369,9 +369,9 @@
 			waiting++
 		}
 	}
-	if figures.Accepted != sum || figures.Open != open || figures.Waiting != waiting {
-		harness.Fatalf("accepted %d, answered, left and waiting %d; open %d, counted %d; waiting %d, counted %d",
-			figures.Accepted, sum, open, figures.Open, waiting, figures.Waiting)
+	if statistics.Accepted != sum || statistics.Open != open || statistics.Waiting != waiting {
+		harness.Fatalf("accepted %d, answered, left or waiting %d; open %d, counted %d; waiting %d, counted %d",
+			statistics.Accepted, sum, open, statistics.Open, waiting, statistics.Waiting)
 	}
-	return figures
+	return statistics
 }
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// avoidsFirstHost opens flows of several client keys and reports whether none goes to h0. A flow that does is failed by
-// its host if failing is set.
+// avoidsFirstHost opens flows of several client keys and reports whether none goes to h0. If failing is set, h0 answers
+// its flow with an error.
 func avoidsFirstHost(harness *testHarness, failing bool) bool {
 	harness.Helper()
 	for key := range 12 {
@@ -24,7 +24,7 @@
 	return true
 }
 
-// answerHealthChecks has h0 answer its health checks for twelve seconds, and returns how many there were.
+// answerHealthChecks makes h0 answer its health checks for twelve seconds, and returns how many it answered.
 func answerHealthChecks(harness *testHarness, answer string, end StreamState) int {
 	harness.Helper()
 	answered := 0
@@ -38,7 +38,7 @@
 			}
 			harness.completeDial(check)
 			if harness.written[check] != "PING\r\n" {
-				harness.Fatalf("checked with %q", harness.written[check])
+				harness.Fatalf("the health check sent %q", harness.written[check])
 			}
 			harness.receive(check, answer, end)
 			answered++
@@ -47,8 +47,9 @@
 	return answered
 }
 
-// A host that is ejected is checked, and only good answers bring it back.
-func TestHealthChecksBringEjectedHostBack(t *testing.T) {
+// An ejected host that is never checked again gets no more flows, and one that returns without a good answer fails more
+// flows. Ejected hosts are checked, and only PONG makes them available again.
+func TestHealthChecksReinstateEjectedHost(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer string
@@ -57,20 +58,20 @@
 	}{
 		{"answered", "PONG\r\n", StreamOpen, true},
 		{"answered with an error", "ERR\r\n", StreamOpen, false},
-		{"not allowed", "NO\r\n", StreamOpen, false},
-		{"ended", "", StreamEnded, false},
-		{"broken", "", StreamBroken, false},
+		{"answered with another word", "NO\r\n", StreamOpen, false},
+		{"connection ended", "", StreamEnded, false},
+		{"connection broken", "", StreamBroken, false},
 		{"line too long", strings.Repeat("x", 5000), StreamOpen, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "pass", 2, 1000)
 			avoidsFirstHost(harness, true)
 			if !avoidsFirstHost(harness, false) {
-				t.Fatal("a host that fails is not ejected")
+				t.Fatal("a failing host was not ejected")
 			}
 			checks := answerHealthChecks(harness, c.answer, c.end)
 			if checks < 2 || avoidsFirstHost(harness, false) == c.back {
-				t.Errorf("%d health checks, wanted back %v", checks, c.back)
+				t.Errorf("%d health checks, wanted the host to be used again %v", checks, c.back)
 			}
 		})
 	}
--- a/internal/node/host_lines_test.go
+++ b/internal/node/host_lines_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Hosts report loads and delays under one word. A delay that passed for a load of next to nothing would make an
+// Hosts report loads and delays under one word. A delay that is parsed as a load is close to zero, and would make an
 // overloaded host look empty.
 func TestDelayIsNotTakenForLoad(t *testing.T) {
 	for _, c := range []struct {
@@ -16,14 +16,14 @@
 		lines         string
 		hostIsAvoided bool
 	}{
-		{"a load", true, true, "LOAD 35090.7\r\n", false},
-		{"a delay", true, true, "LOAD 35090.7\r\nLOAD 383.3\r\n", true},
-		{"a delay before any load", true, true, "LOAD 383.3\r\n", true},
-		{"a long delay", true, true, "LOAD 35090.7\r\nLOAD 1431.5\r\n", true},
-		{"a delay that has become short", true, true, "LOAD 35090.7\r\nLOAD 5.1\r\n", false},
-		{"no delays are reported", false, true, "LOAD 383.3\r\n", false},
-		{"no loads are reported", true, false, "LOAD 35090.7\r\n", true},
-		{"a small load before any other", true, true, "LOAD 1431.5\r\n", false},
+		{"load", true, true, "LOAD 35090.7\r\n", false},
+		{"delay after a load", true, true, "LOAD 35090.7\r\nLOAD 383.3\r\n", true},
+		{"delay before any load", true, true, "LOAD 383.3\r\n", true},
+		{"long delay", true, true, "LOAD 35090.7\r\nLOAD 1431.5\r\n", true},
+		{"short delay", true, true, "LOAD 35090.7\r\nLOAD 5.1\r\n", false},
+		{"hosts report no delays", false, true, "LOAD 383.3\r\n", false},
+		{"hosts report no loads", true, false, "LOAD 35090.7\r\n", true},
+		{"small load before any other", true, true, "LOAD 1431.5\r\n", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 1, 100)
@@ -34,13 +34,14 @@
 			harness.advance(0.1)
 			harness.openFlow(chatRequest)
 			if (len(harness.flowDials) == 1) != c.hostIsAvoided {
-				t.Errorf("%d dials", len(harness.flowDials))
+				t.Errorf("%d dials, wanted the host to be avoided %v", len(harness.flowDials), c.hostIsAvoided)
 			}
 		})
 	}
 }
 
-// The balancer migrates some flows off a slow host, and their clients are notified between two whole lines.
+// A slow host stays slow if it keeps all its flows, and its clients lose data if MOVE is written in the middle of a line.
+// The balancer migrates some, but not all, flows from a slow host, and MOVE follows a whole line.
 func TestSlowHostLosesSomeFlows(t *testing.T) {
 	harness := newHarness(t, "proxy", 1, 1000)
 	var clients, hosts []ConnID
@@ -62,10 +63,10 @@
 		if strings.HasSuffix(got, "\r\nMOVE\r\n") && harness.connectionState[client] == "write closed" {
 			migrated++
 		} else if strings.Contains(got, "MOVE") {
-			t.Fatalf("sent %q", got)
+			t.Fatalf("a client was sent %q", got)
 		}
 	}
 	if migrated == 0 || migrated == len(clients) {
-		t.Fatalf("%d of %d migrated off a slow host", migrated, len(clients))
+		t.Fatalf("%d of %d flows migrated from a slow host, wanted some but not all", migrated, len(clients))
 	}
 }
--- a/internal/node/host_overrides_test.go
+++ b/internal/node/host_overrides_test.go
@@ -9,13 +9,14 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
-// disabledHost is a node whose settings disable one of two hosts while that has an established flow and a dial.
+// disabledHost is a node whose settings disable one of two hosts while that host has an established flow and a pending
+// dial.
 type disabledHost struct {
 	*testHarness
 	address string
-	client  ConnID  // of the established flow
-	dial    ConnID  // that is still under way
-	until   float64 // Unix time
+	client  ConnID  // client of the established flow
+	dial    ConnID  // the pending dial
+	until   float64 // Unix time at which the host is enabled again
 }
 
 func disableHostWithFlows(t *testing.T) disabledHost {
@@ -42,12 +43,12 @@
 	return disabled
 }
 
-// A host that the settings disable gets no flow from then on, nor a line on a connection that was being dialed; its
-// clients are migrated.
+// Maintenance of a host that still gets flows breaks them. From when the settings disable a host, it gets no new flow, its
+// pending dials are canceled, and its clients are migrated, until the override expires.
 func TestDisabledHostGetsNoFlowUntilItsTime(t *testing.T) {
 	host := disableHostWithFlows(t)
 	if state := host.connectionState[host.dial]; state != "closed" && state != "reset" {
-		t.Errorf("a connection that was being dialed is %q", state)
+		t.Errorf("the connection of the pending dial is %q", state)
 	}
 	began := len(host.flowDials)
 	for host.now < host.until-0.3 {
@@ -57,25 +58,25 @@
 	host.advance(host.until - 0.05 - host.now)
 	host.establish(chatRequest)
 	if dials := host.dialsTo(host.address, began); dials != 0 {
-		t.Errorf("%d attempts on a disabled host", dials)
+		t.Errorf("%d attempts at a disabled host", dials)
 	}
 	migrated := strings.HasPrefix(host.written[host.client], "UP 77\r\nMOVE")
 	if !migrated && host.connectionState[host.client] == "" {
-		t.Errorf("its client was sent %q", host.written[host.client])
+		t.Errorf("the client of the disabled host was sent %q", host.written[host.client])
 	}
 	if host.node.timers.armedAt > host.until {
-		t.Errorf("to be woken at %f, the host is enabled at %f", host.node.timers.armedAt, host.until)
+		t.Errorf("the timer is armed for %f, after the override expires at %f", host.node.timers.armedAt, host.until)
 	}
 	checkEnabledAtItsTime(t, host)
 }
 
-// checkEnabledAtItsTime checks that a disabled host is enabled by itself at the time that the settings give.
+// checkEnabledAtItsTime checks that a disabled host is enabled at the time given in the settings, without another input.
 func checkEnabledAtItsTime(t *testing.T, host disabledHost) {
 	t.Helper()
 	host.now = host.until
 	host.apply(TimerFired{})
 	if host.unavailable() != 0 {
-		t.Error("still disabled at its time")
+		t.Error("the host is still disabled after its override expired")
 	}
 	began := len(host.flowDials)
 	for range 200 {
@@ -83,11 +84,12 @@
 		host.advance(0.1)
 	}
 	if host.dialsTo(host.address, began) == 0 {
-		t.Error("it gets no flow after its time")
+		t.Error("the host gets no flow after its override expired")
 	}
 }
 
-// A host is disabled while an operator or the settings disable it, whichever came first or goes first.
+// An operator's disabled host must not be enabled by a change of the settings, nor the reverse. A host is disabled as
+// long as an operator or the settings disable it, in any order of the changes.
 func TestOperatorAndSettingsDisableIndependently(t *testing.T) {
 	const name = "s-00000064"
 	const disabled = "hosts.s-00000064.disabled_until_s = 1000000010"
@@ -95,7 +97,7 @@
 	const expired = "hosts.s-00000064.disabled_until_s = 999999999"
 	disable := func(harness *testHarness) { harness.query(DisableHost, name) }
 	enable := func(harness *testHarness) { harness.query(EnableHost, name) }
-	enableInVain := func(harness *testHarness) {
+	enableWhileDisabledBySettings := func(harness *testHarness) {
 		if reply := harness.query(EnableHost, name); !reply.OK || !reply.StillDisabled {
 			harness.Errorf("reply %+v", reply)
 		}
@@ -122,10 +124,10 @@
 		{"both, settings expire", []func(*testHarness){set(1, disabled), disable, later}, 1},
 		{"both, both enable", []func(*testHarness){disable, set(1, disabled), enable, set(2, "")}, 0},
 		{"both, operator enables, settings expire", []func(*testHarness){disable, set(1, disabled), enable, later}, 0},
-		{"settings, operator enables", []func(*testHarness){set(1, disabled), enableInVain}, 1},
-		{"settings, a new list", []func(*testHarness){set(1, disabled), newList}, 1},
-		{"settings that expired before", []func(*testHarness){set(1, expired)}, 0},
-		{"settings for longer", []func(*testHarness){set(1, disabled), set(2, disabledLonger), later}, 1},
+		{"settings, operator enables", []func(*testHarness){set(1, disabled), enableWhileDisabledBySettings}, 1},
+		{"settings, then a new list", []func(*testHarness){set(1, disabled), newList}, 1},
+		{"settings that have already expired", []func(*testHarness){set(1, expired)}, 0},
+		{"settings extended", []func(*testHarness){set(1, disabled), set(2, disabledLonger), later}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
@@ -139,8 +141,8 @@
 	}
 }
 
-// A host that the settings disable before discovery lists it is disabled from its first listing on, also at a node that
-// has just started.
+// A node that starts with a revision in force may learn of a disabled host only later, and must not send flows to it
+// then. A host that the settings disable before discovery lists it is disabled from its first listing on.
 func TestDisabledHostMayBeListedLater(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 0, 1000)
 	if err := harness.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060"); err != nil {
@@ -152,6 +154,6 @@
 	}
 	first, disabled, last := harness.dialsTo("h0", 0), harness.dialsTo("h1", 0), harness.dialsTo("h2", 0)
 	if first == 0 || disabled != 0 || last == 0 {
-		t.Errorf("%d, %d and %d attempts", first, disabled, last)
+		t.Errorf("%d, %d and %d attempts, wanted none at the second host", first, disabled, last)
 	}
 }
--- a/internal/node/live_settings_harness_test.go
+++ b/internal/node/live_settings_harness_test.go
@@ -8,7 +8,7 @@
 	"gorseledge/internal/node/live"
 )
 
-// settingsWithQuotas are settings with quotas of tenants, slow start and delays that hosts report.
+// settingsWithQuotas are settings with tenants' quotas, a slow start, and hosts that report delays.
 const settingsWithQuotas = `{"family_info":{"mode":"%s","tells_delay":true,"message_aim_us":[50000,50000],
 	"tenant_quota_connections":[20,20]},
 	"granularity_us":4000,"invariants":{"cold_from":0.1,"cold_us":30000000,"fall_multiple":3,"fall_us":2000000},
@@ -18,7 +18,7 @@
 	{"name":"mail","effect":"by_key","group":"all","give_up_us":2000000,"memory_span_us":5000000},
 	{"name":"order","effect":"once","group":"all","give_up_us":2000000,"setup_target_us":300000}]}`
 
-// newRevision returns the settings of a document under a number.
+// newRevision returns the revision of the given number with the settings of a document.
 func newRevision(t *testing.T, number uint64, text string) live.Revision {
 	t.Helper()
 	entries, err := livesettings.Parse("live.toml", []byte(text))
@@ -32,18 +32,18 @@
 	return live.Revision{Epoch: 1, Number: number, Settings: decoded}
 }
 
-// applySettings puts a document in force, or returns why it is not.
+// applySettings applies the settings of a document as a revision, and returns the node's error if it rejects them.
 func (harness *testHarness) applySettings(number uint64, text string) error {
 	harness.Helper()
 	results := len(harness.settingsResults)
 	harness.apply(SettingsReceived{newRevision(harness.T, number, text)})
 	if len(harness.settingsResults) != results+1 {
-		harness.Fatalf("%d results of a revision", len(harness.settingsResults)-results)
+		harness.Fatalf("%d results for one revision", len(harness.settingsResults)-results)
 	}
 	return harness.settingsResults[results].Err
 }
 
-// dialsTo returns how many of the dials for flows from one on went to an address.
+// dialsTo returns how many of the dials for flows, beginning with the one at index from, went to an address.
 func (harness *testHarness) dialsTo(address string, from int) int {
 	count := 0
 	for _, dial := range harness.flowDials[from:] {
@@ -54,7 +54,7 @@
 	return count
 }
 
-// retryAfterOfRejection returns the Retry-After, in milliseconds, of a flow for which no host is left.
+// retryAfterOfRejection disables all hosts, and returns the Retry-After of a rejected flow in milliseconds.
 func retryAfterOfRejection(harness *testHarness) int {
 	harness.Helper()
 	for i := range 4 {
--- a/internal/node/random_inputs_test.go
+++ b/internal/node/random_inputs_test.go
@@ -8,26 +8,26 @@
 // randomInputs draws what clients, hosts and operators of a harness do.
 type randomInputs struct {
 	*testHarness
-	chance         *rand.Rand
+	random         *rand.Rand
 	clients, hosts []ConnID
 }
 
 // applyRandomInputs applies a random sequence of inputs and checks the figures after each.
-func applyRandomInputs(harness *testHarness, chance *rand.Rand, steps int) {
+func applyRandomInputs(harness *testHarness, random *rand.Rand, steps int) {
 	harness.Helper()
-	inputs := &randomInputs{testHarness: harness, chance: chance}
+	inputs := &randomInputs{testHarness: harness, random: random}
 	for range steps {
 		inputs.applyOne()
-		harness.checkedFigures()
+		harness.checkedStatistics()
 	}
 }
 
 func (inputs *randomInputs) applyOne() {
 	inputs.Helper()
-	switch inputs.chance.IntN(9) {
+	switch inputs.random.IntN(9) {
 	case 0, 1:
 		requests := []string{chatRequest, orderRequest, "b3 c=mail,d=700", "HELLO"}
-		request := requests[inputs.chance.IntN(len(requests))]
+		request := requests[inputs.random.IntN(len(requests))]
 		inputs.clients = append(inputs.clients, inputs.openFlow(request))
 	case 2, 3:
 		inputs.completeDials()
@@ -38,11 +38,11 @@
 	case 6:
 		inputs.completeBlockedWrites()
 	case 7:
-		inputs.now += 0.3 * inputs.chance.Float64()
+		inputs.now += 0.3 * inputs.random.Float64()
 		inputs.apply(TimerFired{})
 	case 8:
-		question := []Question{DisableHost, EnableHost}[inputs.chance.IntN(2)]
-		inputs.query(question, fmt.Sprintf("s-%08x", 100+inputs.chance.IntN(4)))
+		question := []Question{DisableHost, EnableHost}[inputs.random.IntN(2)]
+		inputs.query(question, fmt.Sprintf("s-%08x", 100+inputs.random.IntN(4)))
 	}
 }
 
@@ -52,7 +52,7 @@
 		if inputs.connectionState[host] != "dialed" {
 			continue
 		}
-		inputs.blocked[host] = inputs.chance.IntN(4) == 0
+		inputs.blocked[host] = inputs.random.IntN(4) == 0
 		inputs.completeDial(host)
 		inputs.hosts = append(inputs.hosts, host)
 	}
@@ -63,13 +63,13 @@
 	if len(inputs.hosts) == 0 {
 		return
 	}
-	host := inputs.hosts[inputs.chance.IntN(len(inputs.hosts))]
+	host := inputs.hosts[inputs.random.IntN(len(inputs.hosts))]
 	if !inputs.isReadFrom(host) {
 		return
 	}
 	texts := []string{"UP 1\r\n", "UP 2\r\n", "BUSY\r\n", "ERR\r\n", "MOVE\r\n", "BYE\r\n", "U"}
-	text := texts[inputs.chance.IntN(len(texts))]
-	inputs.receive(host, text, StreamState(max(0, inputs.chance.IntN(5)-2)))
+	text := texts[inputs.random.IntN(len(texts))]
+	inputs.receive(host, text, StreamState(max(0, inputs.random.IntN(5)-2)))
 }
 
 func (inputs *randomInputs) receiveFromClient() {
@@ -77,19 +77,19 @@
 	if len(inputs.clients) == 0 {
 		return
 	}
-	client := inputs.clients[inputs.chance.IntN(len(inputs.clients))]
+	client := inputs.clients[inputs.random.IntN(len(inputs.clients))]
 	if !inputs.isReadFrom(client) {
 		return
 	}
-	text := []string{"", "M 1\r\n"}[inputs.chance.IntN(2)]
-	inputs.receive(client, text, StreamState(inputs.chance.IntN(3)))
+	text := []string{"", "M 1\r\n"}[inputs.random.IntN(2)]
+	inputs.receive(client, text, StreamState(inputs.random.IntN(3)))
 }
 
 func (inputs *randomInputs) completeBlockedWrites() {
 	inputs.Helper()
 	for _, done := range inputs.blockedWrites {
 		if inputs.node.connections.byID[done.Conn] != nil {
-			done.Failed = inputs.chance.IntN(2) == 0
+			done.Failed = inputs.random.IntN(2) == 0
 			inputs.apply(done)
 		}
 	}
--- a/internal/node/statistics_test.go
+++ b/internal/node/statistics_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// Counts of flows that were established, rejected, aborted and left by their client.
+// Expected counts of flows that were established, rejected, aborted and left by their client.
 const (
 	noFlow         = "0 0 0 0"
 	oneEstablished = "1 0 0 0"
 )
 
-// countedFlows are flows, and junk that is no flow, with how each is counted.
+// countedFlows are flows, and input that does not start a flow, with the expected counts.
 var countedFlows = []struct {
 	name       string
 	event      func(harness *testHarness)
@@ -20,7 +20,7 @@
 	dispatched int
 	open       int
 }{
-	{"nothing came", func(harness *testHarness) {}, noFlow, 0, 0},
+	{"no client", func(harness *testHarness) {}, noFlow, 0, 0},
 	{"established", func(harness *testHarness) { harness.establish(chatRequest) }, oneEstablished, 1, 1},
 	{"established and ended", func(harness *testHarness) {
 		client, host := harness.establish(chatRequest)
@@ -37,13 +37,13 @@
 		harness.openFlow(orderRequest)
 		harness.receive(harness.completeLastDial(), "ERR\r\n", StreamOpen)
 	}, "0 0 1 0", 1, 0},
-	{"nothing was reached", func(harness *testHarness) {
+	{"no host was reached", func(harness *testHarness) {
 		harness.openFlow(chatRequest)
 		for range 3 {
 			failDial(harness, harness.flowDials[len(harness.flowDials)-1])
 		}
 	}, "0 1 0 0", 0, 0},
-	{"a line that is not written to its end", func(harness *testHarness) {
+	{"opening line written only in part", func(harness *testHarness) {
 		harness.openFlow(orderRequest)
 		host := harness.flowDials[0]
 		harness.blocked[host] = true
@@ -51,20 +51,20 @@
 		harness.apply(WriteDone{host, 5, true})
 		harness.receive(host, "", StreamBroken)
 	}, noFlow, 0, 1},
-	{"the answer comes before the result of the write", func(harness *testHarness) {
+	{"host answers before the result of the write", func(harness *testHarness) {
 		harness.openFlow(orderRequest)
 		host := harness.flowDials[0]
 		harness.blocked[host] = true
 		harness.completeDial(host)
 		harness.receive(host, "ERR\r\n", StreamOpen)
 	}, "0 0 1 0", 1, 0},
-	{"the client does not wait", func(harness *testHarness) {
+	{"client disconnects before its answer", func(harness *testHarness) {
 		harness.receive(harness.openFlow(chatRequest), "", StreamEnded)
 	}, "0 0 0 1", 0, 0},
-	{"the client sends more than a buffer holds", func(harness *testHarness) {
+	{"client sends more than a buffer holds", func(harness *testHarness) {
 		harness.receive(harness.openFlow(chatRequest), fmt.Sprintf("%5000d%5000d", 1, 2), StreamOpen)
 	}, "0 0 1 0", 0, 0},
-	{"junk", func(harness *testHarness) {
+	{"input that starts no flow", func(harness *testHarness) {
 		for _, text := range []string{
 			"HELLO\r\n",
 			"OPEN 1 a1 c=chat\r\n",
@@ -75,12 +75,12 @@
 		}
 		harness.receive(harness.accept(), "PING\r\n", StreamOpen)
 	}, noFlow, 0, 0},
-	{"the id of another client's flow", func(harness *testHarness) {
+	{"id of another client's flow", func(harness *testHarness) {
 		harness.establish(chatRequest)
 		client := harness.accept()
 		harness.receive(client, fmt.Sprintf("OPEN %x b2 c=chat,d=900\r\n", 0x1000+harness.lastAccepted-2), StreamOpen)
 	}, oneEstablished, 1, 1},
-	{"no descriptor for its host", func(harness *testHarness) {
+	{"no descriptor for the host's connection", func(harness *testHarness) {
 		client := harness.accept()
 		harness.node.connections.limit = descriptorReserve
 		harness.receive(client, "OPEN 1 "+chatRequest+"\r\n", StreamOpen)
@@ -90,45 +90,47 @@
 	}, "0 1 0 0", 0, 0},
 }
 
-// Each flow is counted once, by its answer, and junk is no flow.
+// Operators see wrong error rates if a flow is counted twice or not at all, or if invalid input counts as a flow. Each
+// flow is counted exactly once, by its answer.
 func TestFlowIsCountedByItsAnswer(t *testing.T) {
 	for _, c := range countedFlows {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 100)
 			c.event(harness)
-			figures := harness.checkedFigures()
+			statistics := harness.checkedStatistics()
 			var sum FlowCounts
-			for _, counts := range figures.Types {
+			for _, counts := range statistics.Types {
 				sum.Established += counts.Established
 				sum.Rejected += counts.Rejected
 				sum.Aborted += counts.Aborted
 				sum.ClientLeft += counts.ClientLeft
 			}
 			got := fmt.Sprint(sum.Established, sum.Rejected, sum.Aborted, sum.ClientLeft)
-			if got != c.answers || len(figures.Types) != 3 {
-				t.Errorf("%s of %d types, wanted %s", got, len(figures.Types), c.answers)
+			if got != c.answers || len(statistics.Types) != 3 {
+				t.Errorf("counted %s for %d types, wanted %s for 3", got, len(statistics.Types), c.answers)
 			}
-			if figures.Dispatched != c.dispatched || figures.Open != c.open {
-				t.Errorf("%d dispatched, %d open; wanted %d, %d", figures.Dispatched, figures.Open, c.dispatched, c.open)
+			if statistics.Dispatched != c.dispatched || statistics.Open != c.open {
+				t.Errorf("%d dispatched, %d open; wanted %d, %d", statistics.Dispatched, statistics.Open, c.dispatched, c.open)
 			}
 		})
 	}
 }
 
-// The figures add up after every step of a random sequence of inputs, also during a shutdown.
-func TestFiguresAddUpAfterAnyInput(t *testing.T) {
+// A path that ends a flow without counting it would make the statistics drift apart. They stay consistent after every
+// step of a random sequence of inputs, also during a shutdown, and no flow waits for ever.
+func TestStatisticsAreConsistentAfterAnyInput(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			harness := newHarness(t, []string{"proxy", "pass"}[seed%2], 3, 100)
-			chance := rand.New(rand.NewPCG(seed, 1))
-			applyRandomInputs(harness, chance, 120)
+			random := rand.New(rand.NewPCG(seed, 1))
+			applyRandomInputs(harness, random, 120)
 			if seed%3 == 0 {
 				harness.apply(Shutdown{})
-				applyRandomInputs(harness, chance, 40)
+				applyRandomInputs(harness, random, 40)
 			}
 			harness.advance(12)
-			if f := harness.checkedFigures(); f.Waiting != 0 {
-				t.Fatalf("%d wait for ever", f.Waiting)
+			if f := harness.checkedStatistics(); f.Waiting != 0 {
+				t.Fatalf("%d flows still wait for their answer", f.Waiting)
 			}
 		})
 	}
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -25,30 +25,30 @@
 			predecessor.receive(host, c.fromHost, StreamOpen)
 			successor := predecessor.startSuccessor("pass")
 			predecessor.handOverTo(successor)
-			numbers := predecessor.deliverTransfers(successor, false)
-			if len(numbers) != 2 || !predecessor.node.connections.onlyHealthChecksLeft() {
-				t.Fatalf("%d sent, %d left", len(numbers), len(predecessor.node.connections.byID))
+			ids := predecessor.deliverTransfers(successor, false)
+			if len(ids) != 2 || !predecessor.node.connections.onlyHealthChecksLeft() {
+				t.Fatalf("%d sent, %d left", len(ids), len(predecessor.node.connections.byID))
 			}
 			clientState, hostState := predecessor.connectionState[client], predecessor.connectionState[host]
 			if clientState != "closed" || hostState != "closed" {
 				t.Errorf("at the predecessor they are %s and %s", clientState, hostState)
 			}
-			successor.receive(numbers[client], c.laterFromClient, StreamOpen)
-			successor.receive(numbers[host], c.laterFromHost, StreamOpen)
-			got := predecessor.written[host][openingBytes:] + successor.written[numbers[host]]
+			successor.receive(ids[client], c.laterFromClient, StreamOpen)
+			successor.receive(ids[host], c.laterFromHost, StreamOpen)
+			got := predecessor.written[host][openingBytes:] + successor.written[ids[host]]
 			if want := c.fromClient + c.laterFromClient; got != want {
 				t.Errorf("the host got %.80q, wanted %.80q", got, want)
 			}
-			got = predecessor.written[client] + successor.written[numbers[client]]
+			got = predecessor.written[client] + successor.written[ids[client]]
 			if want := "UP 77\r\n" + c.fromHost + c.laterFromHost; got != want {
 				t.Errorf("the client got %.80q, wanted %.80q", got, want)
 			}
-			predecessor.checkedFigures()
-			if f := successor.checkedFigures(); f.Open != 1 || f.Accepted != 0 {
+			predecessor.checkedStatistics()
+			if f := successor.checkedStatistics(); f.Open != 1 || f.Accepted != 0 {
 				t.Errorf("the successor's figures are %+v", f)
 			}
-			successor.receive(numbers[client], "", StreamEnded)
-			successor.receive(numbers[host], "", StreamEnded)
+			successor.receive(ids[client], "", StreamEnded)
+			successor.receive(ids[host], "", StreamEnded)
 			predecessor.checkReleased()
 			successor.checkReleased()
 		})
@@ -82,9 +82,9 @@
 			c.event(predecessor, client, host)
 			successor := predecessor.startSuccessor("pass")
 			predecessor.handOverTo(successor)
-			numbers := predecessor.deliverTransfers(successor, c.lost)
-			if stays := len(numbers) == 0; stays != c.stays {
-				t.Errorf("sent %v", numbers)
+			ids := predecessor.deliverTransfers(successor, c.lost)
+			if stays := len(ids) == 0; stays != c.stays {
+				t.Errorf("sent %v", ids)
 				return
 			}
 			if c.stays {
@@ -117,7 +117,7 @@
 			t.Errorf("the client got %q", predecessor.written[client])
 		}
 	}
-	predecessor.checkedFigures()
+	predecessor.checkedStatistics()
 }
 
 // A flow in flight is answered where it was accepted, and goes over once it is established.
@@ -130,9 +130,9 @@
 	if predecessor.written[client] != "UP 5\r\n" {
 		t.Fatalf("sent %q", predecessor.written[client])
 	}
-	numbers := predecessor.deliverTransfers(successor, false)
-	if len(numbers) != 2 || successor.node.statistics.Open != 1 {
-		t.Fatalf("sent %v", numbers)
+	ids := predecessor.deliverTransfers(successor, false)
+	if len(ids) != 2 || successor.node.statistics.Open != 1 {
+		t.Fatalf("sent %v", ids)
 	}
 	predecessor.apply(Shutdown{})
 	if !predecessor.exited {
@@ -152,10 +152,10 @@
 	successor := predecessor.startSuccessor("proxy")
 	predecessor.handOverTo(successor)
 	predecessor.apply(Shutdown{})
-	numbers := predecessor.deliverTransfers(successor, false)
+	ids := predecessor.deliverTransfers(successor, false)
 	got := predecessor.written[client]
-	if len(numbers) != 2 || strings.Contains(got, "MOVE") || predecessor.exited {
-		t.Fatalf("sent %v, the client was sent %q, exited %v", numbers, got, predecessor.exited)
+	if len(ids) != 2 || strings.Contains(got, "MOVE") || predecessor.exited {
+		t.Fatalf("sent %v, the client was sent %q, exited %v", ids, got, predecessor.exited)
 	}
 	predecessor.advance(1)
 	predecessor.blocked[blockedClient] = false
