--- a/internal/node/handover_golden_test.go
+++ b/internal/node/handover_golden_test.go
@@ -12,9 +12,9 @@
 	"gorseledge/internal/settings"
 )
 
-// testdata/inherited.json is the state that a process of revision 5fa7498 hands over, and testdata/handed-on.json what a
-// process of that revision hands on after it has taken this and nothing else. Both are fixed for good: there is no
-// flag that rewrites them.
+// testdata/inherited.json is the state that a process of revision 5fa7498 hands over. testdata/handed-on.json is the state
+// that a process of that revision hands on after it has inherited the former and received no other input. The files never
+// change, and no flag rewrites them.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -50,10 +50,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New(1700000100, Start{Settings: settings, Listener: rest, MaxDescriptors: 900, DescriptorOverhead: 20, NotListening: true, Handover: state})
+	return New(1700000100, Start{
+		Settings: settings, Listener: rest, MaxDescriptors: 900, DescriptorOverhead: 20, NotListening: true, Handover: state,
+	})
 }
 
-// claimedState returns the node's answer to a successor that claims its state, as JSON.
+// claimedState returns, as JSON, the state that a successor receives when it claims the node's state.
 func claimedState(t *testing.T, n *Node) []byte {
 	t.Helper()
 	for _, effect := range n.Apply(1700000100, Query{Question: ClaimHandover}) {
@@ -65,10 +67,12 @@
 			return text
 		}
 	}
-	t.Fatal("no answer")
+	t.Fatal("no reply to ClaimHandover")
 	return nil
 }
 
+// In a chain of upgrades, a process that drops part of its inherited state loses it for all its successors. The golden
+// state is handed on as a process of revision 5fa7498 hands it on.
 func TestInheritedStateIsHandedOn(t *testing.T) {
 	got, want := claimedState(t, inheritingNode(t)), readGolden(t, "handed-on.json")
 	if !bytes.Equal(got, want) {
@@ -76,16 +80,17 @@
 	}
 }
 
-// Each kind of news, as it crosses from another process, does at a successor what it did at revision 5fa7498.
+// A successor that misreads an update of an older process has wrong disabled hosts, connections or limits. Each kind of
+// update, in its encoding of revision 5fa7498, changes the successor's state as it did at that revision.
 func TestGoldenUpdateIsApplied(t *testing.T) {
-	for _, c := range []struct{ name, news, before, after string }{
-		{"host taken out", `{"Out":"s-77d10e42"}`, `"DisabledByHand":["s-5be2a07c"]`,
+	for _, c := range []struct{ name, update, before, after string }{
+		{"host disabled", `{"Out":"s-77d10e42"}`, `"DisabledByHand":["s-5be2a07c"]`,
 			`"DisabledByHand":["s-5be2a07c","s-77d10e42"]`},
-		{"host put back", `{"Back":"s-5be2a07c"}`, `,"DisabledByHand":["s-5be2a07c"]`, ``},
-		{"connection that began", `{"Sits":{"ID":"a1b2c3","Key":5,"Host":"s-77d10e42","Load":0.5}}`,
+		{"host enabled", `{"Back":"s-5be2a07c"}`, `,"DisabledByHand":["s-5be2a07c"]`, ``},
+		{"connection established", `{"Sits":{"ID":"a1b2c3","Key":5,"Host":"s-77d10e42","Load":0.5}}`,
 			`{"ID":"a1b2c3","Key":18446744073709551615,"Host":"s-5be2a07c","Load":0.28125}`,
 			`{"ID":"a1b2c3","Key":5,"Host":"s-77d10e42","Load":0.5}`},
-		{"connection that ended", `{"Over":"a1b2c3"}`,
+		{"connection ended", `{"Over":"a1b2c3"}`,
 			`[{"ID":"a1b2c3","Key":18446744073709551615,"Host":"s-5be2a07c","Load":0.28125}]`, `null`},
 		{"descriptors", `{"Held":77}`, `"Held":349`, `"Held":105`},
 		{"revision", `{"Revision":{"epoch":6,"revision":1,"settings":{"nodes":4}}}`, `"Revision":{"epoch":5,`,
@@ -94,35 +99,36 @@
 		t.Run(c.name, func(t *testing.T) {
 			n := inheritingNode(t)
 			if before := claimedState(t, n); !strings.Contains(string(before), c.before) {
-				t.Fatalf("no %s before, in %s", c.before, before)
+				t.Fatalf("the state before the update does not contain %s: %s", c.before, before)
 			}
-			var news HandoverUpdate
-			if err := json.Unmarshal([]byte(c.news), &news); err != nil {
+			var update HandoverUpdate
+			if err := json.Unmarshal([]byte(c.update), &update); err != nil {
 				t.Fatal(err)
 			}
-			n.Apply(1700000100, PeerProcessChanged{news})
+			n.Apply(1700000100, PeerProcessChanged{update})
 			after := string(claimedState(t, n))
 			if !strings.Contains(after, c.after) || strings.Contains(after, c.before) {
-				t.Errorf("%s and no %s expected, in %s", c.after, c.before, after)
+				t.Errorf("the state after the update must contain %s and not %s: %s", c.after, c.before, after)
 			}
 		})
 	}
 }
 
-// The golden connection is adopted with everything that crosses beside its descriptors.
+// A successor that misreads the transfer of an older process loses the state of an open connection. The golden connection
+// is adopted with everything that is transferred in addition to its descriptors.
 func TestGoldenConnectionIsAdopted(t *testing.T) {
-	var parcel ConnectionTransfer
-	if err := json.Unmarshal(readGolden(t, "connection.json"), &parcel); err != nil {
+	var transfer ConnectionTransfer
+	if err := json.Unmarshal(readGolden(t, "connection.json"), &transfer); err != nil {
 		t.Fatal(err)
 	}
 	n := startedNode(t, nil)
-	n.Apply(1700000100, ConnectionReceived{Conn: 1001, Transfer: &parcel})
+	n.Apply(1700000100, ConnectionReceived{Conn: 1001, Transfer: &transfer})
 	if len(n.flows.byIndex) != 1 || n.flows.byIndex[0] == nil {
-		t.Fatal("not adopted")
+		t.Fatal("the connection was not adopted")
 	}
 	f := n.flows.byIndex[0]
-	got := fmt.Sprint(f.opening.ID, " ", f.opening.Type, " ", n.endpoints.hosts[f.hostIndex].name, " ", f.reportedLoad, " ", f.setupTime, " ", f.unansweredSince,
-		" ", f.client.startedAt, " ", f.client.bytesWritten, " ", f.host.bytesWritten)
+	got := fmt.Sprint(f.opening.ID, " ", f.opening.Type, " ", n.endpoints.hosts[f.hostIndex].name, " ", f.reportedLoad,
+		" ", f.setupTime, " ", f.unansweredSince, " ", f.client.startedAt, " ", f.client.bytesWritten, " ", f.host.bytesWritten)
 	const want = "1 chat s-77d10e42 0.40625 0.125 [1.7000000995e+09 1.70000009975e+09] 1.7000000335e+09 4099 4097"
 	if got != want {
 		t.Errorf("adopted %s, want %s", got, want)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -10,8 +10,8 @@
 	"gorseledge/placement"
 )
 
-// handOverWithBlockedClient starts a predecessor and a successor that has taken its clients. The connection of client is
-// blocked, so it stays at the predecessor. One of three hosts is disabled.
+// handOverWithBlockedClient starts a predecessor and a successor to which it has handed over its clients. The connection
+// of client is blocked, so it stays at the predecessor. One of three hosts is disabled.
 func handOverWithBlockedClient(t *testing.T) (predecessor, successor *testHarness, client ConnID) {
 	t.Helper()
 	predecessor = newHarness(t, "pass", 3, 100)
@@ -25,32 +25,32 @@
 	return predecessor, successor, client
 }
 
-// openingOf returns the beginning of an opening line with the id of a client's flow.
+// openingOf returns the beginning of an opening line, up to the id of a client's flow.
 func openingOf(client ConnID) string { return fmt.Sprintf("OPEN %x ", 0x1000+client) }
 
-// oneNodeCases are what two processes that are one node know of each other.
+// oneNodeCases check the state that the two processes of one node share.
 var oneNodeCases = []struct {
 	name  string
 	check func(t *testing.T, predecessor, successor *testHarness, client ConnID)
 }{
-	{"ready at once, from the predecessor's list", checkReadyFromPredecessorsList},
+	{"successor is ready at once with the predecessor's list", checkReadyFromPredecessorsList},
 	{"disabled hosts stay disabled", checkDisabledHostsStayDisabled},
-	{"a query at the successor reaches the predecessor", checkQueryReachesPredecessor},
-	{"a query at the predecessor reaches the successor, and comes to rest", checkQueryReachesSuccessor},
-	{"the id of a flow at the predecessor is refused", checkInheritedIDIsRefused},
-	{"packets that come by the successor find their host", checkPacketsFindTheirHost},
-	{"what the predecessor holds counts against the limit, until it is gone", checkReservedDescriptors},
-	{"connections that did not come are forgotten in time", checkInheritedExpires},
-	{"the end of a flow at the predecessor is notified", checkEndAtPredecessor},
-	{"a third process learns all of both", checkThirdProcess},
-	{"a successor that is gone gives the clients back", checkSuccessorGone},
+	{"query at the successor reaches the predecessor", checkQueryReachesPredecessor},
+	{"query at the predecessor reaches the successor, and is not sent back", checkQueryReachesSuccessor},
+	{"successor rejects the id of a flow at the predecessor", checkInheritedIDIsRejected},
+	{"packets that arrive at the successor go to their host", checkPacketsReachTheirHost},
+	{"predecessor's descriptors count towards the limit until it exits", checkReservedDescriptors},
+	{"inherited connections expire after the predecessor's exit", checkInheritedExpires},
+	{"successor is notified of a flow's end at the predecessor", checkEndAtPredecessor},
+	{"third process receives the state of both", checkThirdProcess},
+	{"predecessor serves the clients again after the successor's exit", checkSuccessorGone},
 }
 
 func checkReadyFromPredecessorsList(t *testing.T, _, successor *testHarness, _ ConnID) {
 	ready := successor.query(IsReady, "").OK
 	watches := successor.watchIndices
 	if !ready || successor.listenerRequests != 1 || len(watches) > 1 || len(watches) == 1 && watches[0] != 6 {
-		t.Errorf("ready %v, listener asked for %d times, watches %v", ready, successor.listenerRequests, watches)
+		t.Errorf("ready %v, %d requests for the listener, watches %v", ready, successor.listenerRequests, watches)
 	}
 }
 
@@ -65,7 +65,7 @@
 	successor.query(DisableHost, "s-00000065")
 	successor.deliverTransfers(predecessor, false)
 	if predecessor.unavailable() != 1 || successor.unavailable() != 1 || len(predecessor.updates) == 0 {
-		t.Errorf("%d and %d unavailable, %v", predecessor.unavailable(), successor.unavailable(), predecessor.updates)
+		t.Errorf("%d and %d unavailable, updates %v", predecessor.unavailable(), successor.unavailable(), predecessor.updates)
 	}
 }
 
@@ -76,12 +76,12 @@
 	predecessor.deliverTransfers(successor, false)
 	updates := len(predecessor.updates) + len(successor.updates)
 	if predecessor.unavailable() != 2 || successor.unavailable() != 2 || updates != 0 {
-		t.Errorf("%d and %d unavailable, %v %v", predecessor.unavailable(), successor.unavailable(),
+		t.Errorf("%d and %d unavailable, updates %v and %v", predecessor.unavailable(), successor.unavailable(),
 			predecessor.updates, successor.updates)
 	}
 }
 
-func checkInheritedIDIsRefused(t *testing.T, _, successor *testHarness, client ConnID) {
+func checkInheritedIDIsRejected(t *testing.T, _, successor *testHarness, client ConnID) {
 	other := successor.accept()
 	successor.receive(other, openingOf(client)+"b2 c=chat,d=900\r\n", StreamOpen)
 	if successor.written[other] != "BUSY\r\n" {
@@ -89,15 +89,15 @@
 	}
 }
 
-func checkPacketsFindTheirHost(t *testing.T, predecessor, successor *testHarness, client ConnID) {
+func checkPacketsReachTheirHost(t *testing.T, predecessor, successor *testHarness, client ConnID) {
 	want := predecessor.dialedAddress[predecessor.flowDials[0]]
 	for attempt := range 2 {
 		successor.receive(successor.accept(), openingOf(client)+"a1 c=chat,t=acme,d=900,mid=1\r\n", StreamOpen)
 		if got := successor.dialedAddress[successor.flowDials[attempt]]; got != want {
-			t.Errorf("sent to %s, its host is %s", got, want)
+			t.Errorf("sent to %s, wanted the flow's host %s", got, want)
 		}
 		if len(successor.node.flows.ids.inherited) != 0 {
-			t.Error("it still counts as the predecessor's")
+			t.Error("the connection still counts as inherited")
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	successor.apply(PredecessorGone{})
 	if successor.node.connections.reserved != 0 {
-		t.Errorf("%d reserved for no process", successor.node.connections.reserved)
+		t.Errorf("%d reserved after the predecessor's exit", successor.node.connections.reserved)
 	}
 }
 
@@ -117,25 +117,25 @@
 	successor.apply(PredecessorGone{})
 	successor.advance(inheritedTimeout / 2)
 	if len(successor.node.flows.ids.inherited) != 1 {
-		t.Error("forgotten too soon")
+		t.Error("the inherited connection expired too soon")
 	}
 	successor.advance(inheritedTimeout)
 	if len(successor.node.flows.ids.inherited) != 0 {
-		t.Error("not forgotten")
+		t.Error("the inherited connection has not expired")
 	}
 }
 
 func checkEndAtPredecessor(t *testing.T, predecessor, successor *testHarness, client ConnID) {
-	predecessor.advance(1) // a blocked connection is not waited for
+	predecessor.advance(1) // the transfer of a blocked connection is canceled
 	predecessor.receive(client, "", StreamBroken)
 	predecessor.deliverTransfers(successor, false)
 	if len(successor.node.flows.ids.inherited) != 0 {
-		t.Error("it still counts as open")
+		t.Error("the ended flow still counts as inherited")
 	}
 	other := successor.accept()
 	successor.receive(other, openingOf(client)+"b2 c=chat,d=900\r\n", StreamOpen)
 	if successor.written[other] != "BUSY\r\n" {
-		t.Errorf("its id is free for others: %q", successor.written[other])
+		t.Errorf("the ended flow's id was not rejected for another client: sent %q", successor.written[other])
 	}
 }
 
@@ -146,7 +146,7 @@
 	successor.deliverTransfers(third, false)
 	id := strings.Fields(openingOf(client))[1]
 	if third.unavailable() != 2 || third.node.flows.ids.inherited[id] == nil {
-		t.Errorf("%+v, %v", third.node.currentStatistics(), third.node.flows.ids.inherited)
+		t.Errorf("statistics %+v, inherited %v", third.node.currentStatistics(), third.node.flows.ids.inherited)
 	}
 }
 
@@ -158,7 +158,8 @@
 	}
 }
 
-// The predecessor and the successor act as one node while there are two processes.
+// During an upgrade two processes serve the clients of one node. If they disagreed on hosts, flow ids or descriptors,
+// clients would see errors that no single process makes. Each process learns of the other's changes.
 func TestPredecessorAndSuccessorActAsOneNode(t *testing.T) {
 	for _, c := range oneNodeCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -168,19 +169,21 @@
 	}
 }
 
-// A query that crosses with the predecessor's state is not undone by it.
-func TestQueryThatCrossesWithHandoverStands(t *testing.T) {
+// An operator's query may reach the successor after the predecessor recorded its state, but before that state arrives.
+// The state must not undo the query.
+func TestQueryBeforeHandoverStateIsKept(t *testing.T) {
 	predecessor := newHarness(t, "pass", 3, 100)
 	successor := predecessor.startSuccessor("pass")
-	state := predecessor.query(TakeOver, "").Handover // from before the query below
+	state := predecessor.query(TakeOver, "").Handover // recorded before the query below
 	successor.query(DisableHost, "s-00000065")
 	successor.apply(HandoverReceived{exchangeJSON(predecessor, state)})
 	if successor.unavailable() != 1 {
-		t.Error("enabled by the predecessor's earlier state")
+		t.Error("the host was enabled by the predecessor's earlier state")
 	}
 }
 
-// A successor of a node that had no list yet waits for its own.
+// A successor that took over without any list would reject all clients. If its predecessor had no list, the successor
+// asks for the listener only once it has received its own.
 func TestSuccessorWithoutListWaitsForItsOwn(t *testing.T) {
 	predecessor := newHarness(t, "pass", 0, 100)
 	predecessor.node.endpoints.listReceived = false
@@ -190,15 +193,15 @@
 	}
 	successor.apply(ListReceived{hostList(2)})
 	if successor.listenerRequests != 1 || successor.query(IsReady, "").OK {
-		t.Fatal("could not serve, or was ready before its listener was open")
+		t.Fatal("the listener was not requested once, or the node was ready before it was open")
 	}
 	successor.apply(ListenerOpened{})
 	if !successor.query(IsReady, "").OK {
-		t.Fatal("not ready")
+		t.Fatal("not ready after the listener was opened")
 	}
 }
 
-// setSlowStart gives a balancer a long slow start in which a host bears little.
+// setSlowStart configures a long slow start in which only a small share of a host's capacity is available.
 func setSlowStart(balancer *placement.Balancer) {
 	balancer.SlowStartTime = 100
 	balancer.SlowStartShare = 0.1
@@ -206,7 +209,8 @@
 	balancer.OverloadMultiple = 2
 }
 
-// Both processes together never send a host in slow start more than one process would: the predecessor's part is spent.
+// Two processes of one node could together overload a host in slow start. If the predecessor has used up the node's
+// budget for the host, its successor sends the host no further flow.
 func TestSlowStartBudgetIsShared(t *testing.T) {
 	predecessor := newHarness(t, "pass", 0, 1000)
 	started := endpoint.Host{
@@ -214,7 +218,7 @@
 	}
 	predecessor.apply(ListReceived{endpoint.List{Index: 9, Complete: true, Hosts: []endpoint.Host{started}}})
 	setSlowStart(predecessor.node.balancer)
-	predecessor.node.balancer.StartedAt = 0 // a window before this one at the least; its successor begins within it
+	predecessor.node.balancer.StartedAt = 0 // at least one window before this one, in which the successor starts
 	successor := predecessor.startSuccessor("pass")
 	setSlowStart(successor.node.balancer)
 	for range 40 {
@@ -228,12 +232,13 @@
 	}
 	after := len(predecessor.flowDials) - before
 	if before == 0 || after != 0 || len(successor.flowDials) != 0 {
-		t.Errorf("%d attempts before; after it %d at the predecessor, %d at the successor", before, after,
+		t.Errorf("%d attempts before the handover; after it %d at the predecessor, %d at the successor", before, after,
 			len(successor.flowDials))
 	}
 }
 
-// The figures add up at both processes whatever the moment of an upgrade in a random sequence of inputs.
+// An upgrade in an unforeseen state could count a flow twice or not at all. The statistics of both processes stay
+// consistent during and after an upgrade at any point of a random sequence of inputs.
 func TestFiguresAddUpWhateverTheMomentOfAnUpgrade(t *testing.T) {
 	for seed := range uint64(120) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/internal/node/idle_test.go
+++ b/internal/node/idle_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// An idle client that has to make room is rejected, so that what it asks for in just that moment is not lost.
+// An opening line may arrive just when the node closes the idle connection to free its descriptor. Without an answer the
+// request would be lost, so the client is rejected and may connect again.
 func TestIdleClientIsRejectedBeforeItMakesRoom(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 60)
 	var idle []ConnID
@@ -15,35 +16,38 @@
 		harness.now += 0.11
 		idle = append(idle, harness.accept())
 	}
-	ended := 0
+	closed := 0
 	for _, client := range idle {
 		if harness.connectionState[client] != "closed" {
 			continue
 		}
-		ended++
+		closed++
 		if harness.written[client] != "BUSY\r\n" {
-			t.Errorf("made room for others, sent %q", harness.written[client])
+			t.Errorf("an idle client was closed after it was sent %q", harness.written[client])
 		}
 	}
-	if ended < 30 {
-		t.Errorf("%d of 60 made room", ended)
+	if closed < 30 {
+		t.Errorf("%d of 60 idle connections were closed, wanted at least 30", closed)
 	}
 }
 
-// An idle client that is still there at the end of a shutdown is rejected as well.
+// A client that connects late in a shutdown would see its connection end without an answer. A client that is still idle
+// just before the exit is rejected.
 func TestIdleClientIsRejectedBeforeTheExit(t *testing.T) {
 	harness := newHarness(t, "pass", 3, 60)
-	harness.establish(chatRequest) // it stays in flight, so the node does not exit
+	harness.establish(chatRequest) // stays in flight, so that the node does not exit
 	harness.apply(Shutdown{})
 	harness.advance(harness.node.drainTime() - finalAnswerTime - 0.5)
 	client := harness.accept()
 	harness.advance(0.6)
 	if harness.written[client] != "BUSY\r\n" || harness.connectionState[client] != "write closed" {
-		t.Errorf("sent %q, and its side is %q", harness.written[client], harness.connectionState[client])
+		t.Errorf("the client was sent %q, and its connection is %q", harness.written[client],
+			harness.connectionState[client])
 	}
 }
 
-// A client that does not take its answer, or breaks off meanwhile, is closed in time all the same.
+// A client that does not read its answer could hold its descriptor for ever. Its connection is closed in time, also if
+// the write fails.
 func TestBlockedClientIsClosedInTime(t *testing.T) {
 	for _, failed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("write failed %v", failed), func(t *testing.T) {
@@ -57,14 +61,15 @@
 			}
 			harness.advance(firstLineTimeout + lingerTimeout + 0.1)
 			if harness.connectionState[client] != "closed" {
-				t.Errorf("its side is %q", harness.connectionState[client])
+				t.Errorf("the client's connection is %q, wanted it closed", harness.connectionState[client])
 			}
 			harness.checkReleased()
 		})
 	}
 }
 
-// Clients that connect by the hundred and send nothing take no descriptor from those that send their opening line.
+// Clients that open hundreds of connections and send nothing could use up all descriptors. Clients that send their
+// opening line are still served, and the reserve stays free.
 func TestIdleClientsLeaveDescriptorsToOthers(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 240)
 	for range 10 {
@@ -79,7 +84,8 @@
 	}
 }
 
-// Clients for which no descriptor is left are rejected, established flows go on, and the limit always holds.
+// Beyond its limit, the process would fail to accept or dial anything. Clients for which no descriptor is left are
+// rejected, and the number of descriptors never exceeds the limit.
 func TestDescriptorsNeverExceedTheLimit(t *testing.T) {
 	const limit = 60
 	harness := newHarness(t, "proxy", 3, limit)
@@ -110,7 +116,7 @@
 	if established < 14 || rejected == 0 || !slices.Contains(harness.endReasons(), NoDescriptors) {
 		t.Fatalf("%d established, %d rejected: %v", established, rejected, harness.endReasons())
 	}
-	for range 300 { // more than there are descriptors for
+	for range 300 { // more clients than descriptors
 		harness.now += 1e-4
 		harness.accept()
 		checkLimit()
@@ -123,7 +129,8 @@
 	harness.checkReleased()
 }
 
-// An idle connection counts once, and only clients' connections do.
+// A wrong count of idle connections would close too many or too few of them. A connection counts once, and only clients'
+// connections count.
 func TestIdleConnectionCountsOnce(t *testing.T) {
 	var queue idleQueue
 	client := &connection{id: 1, role: clientRole}
@@ -136,6 +143,6 @@
 	queue.remove(client)
 	queue.remove(client)
 	if queue.count != 0 {
-		t.Errorf("%d idle after the only one is removed", queue.count)
+		t.Errorf("%d idle after the only one was removed", queue.count)
 	}
 }
--- a/internal/node/live_settings_test.go
+++ b/internal/node/live_settings_test.go
@@ -9,7 +9,7 @@
 	"gorseledge/internal/node/live"
 )
 
-// liveKeys have for each key of the live settings a decision that it changes.
+// liveKeys contains, for each key of the live settings, a decision that the key changes.
 var liveKeys = []struct {
 	name     string
 	text     string
@@ -28,24 +28,24 @@
 	{"discovery", `discovery = "127.0.0.1:9"`, func(harness *testHarness) any {
 		return fmt.Sprint(harness.discoveryMoves, len(harness.watchIndices))
 	}},
-	{"share at the begin of slow start", "slow_start = {from = 1.0}", countFlowsOnWarmingHost},
+	{"initial share of slow start", "slow_start = {from = 1.0}", countFlowsOnWarmingHost},
 	{"duration of slow start", "slow_start = {for_s = 0.1}", countFlowsOnWarmingHost},
 	{"overload multiple", "slow_start = {fall_multiple = 20}", countFlowsOnWarmingHost},
 	{"overload window", "slow_start = {fall_for_s = 60}", countFlowsOnWarmingHost},
-	{"a tenant's quota", "tenants.acme.connections = 0", func(harness *testHarness) any {
+	{"tenant's quota", "tenants.acme.connections = 0", func(harness *testHarness) any {
 		return harness.node.balancer.Quotas[0]
 	}},
-	{"a setup objective", "service_types.chat.setup_target_s = 1.8", countAttemptsOnSilentHost},
-	{"a message objective", "service_types.mail.message_target_s = 0.01", func(harness *testHarness) any {
+	{"setup objective", "service_types.chat.setup_target_s = 1.8", countAttemptsOnSilentHost},
+	{"message objective", "service_types.mail.message_target_s = 0.01", func(harness *testHarness) any {
 		return harness.node.balancer.ServiceTypes[1].MessageObjective
 	}},
-	{"a disabled host", "hosts.s-00000065.disabled_until_s = 1000000060", func(harness *testHarness) any {
+	{"disabled host", "hosts.s-00000065.disabled_until_s = 1000000060", func(harness *testHarness) any {
 		for range 40 {
 			harness.openFlow(chatRequest)
 		}
 		return harness.dialsTo("h1", 0) > 0
 	}},
-	{"a host's weight", "hosts.s-00000065.weight = 99", func(harness *testHarness) any {
+	{"host's weight", "hosts.s-00000065.weight = 99", func(harness *testHarness) any {
 		for key := range 24 {
 			harness.openFlow(fmt.Sprintf("%x g=%x,c=chat,t=acme,d=2000", key+1, key+1))
 		}
@@ -53,16 +53,16 @@
 	}},
 }
 
-// decideAfterWaitingFlow has a flow wait for its answer and applies settings meanwhile, none if text is empty. It
-// returns after how many seconds that flow is answered, and the decision that follows.
+// decideAfterWaitingFlow opens a flow and applies the settings of text, unless it is empty, while the flow waits for its
+// answer. It returns after how many seconds the flow is answered, and the decision that is made next.
 func decideAfterWaitingFlow(t *testing.T, text string, decision func(*testHarness) any) (seconds float64, decided any) {
 	t.Helper()
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 60)
 	harness.apply(NodesChanged{0})
-	harness.node.live.memberCount = 0 // no member is counted
+	harness.node.live.memberCount = 0 // as if membership had never counted the nodes
 	began := harness.now
 	waiting := harness.openFlow(orderRequest)
-	harness.completeLastDial() // the host takes the line and is silent
+	harness.completeLastDial() // the host accepts the line and sends nothing
 	harness.advance(0.1)
 	if text != "" {
 		err := harness.applySettings(1, text)
@@ -78,17 +78,18 @@
 	return seconds, decision(harness)
 }
 
-// Each live key changes the next decision; a flow that waits since before keeps its deadline.
-func TestLiveKeyDecidesNextFlow(t *testing.T) {
+// A key that is parsed but not applied would change nothing, and one that is applied too widely would change flows that
+// already wait. Each key changes the next decision, and a flow that was already waiting keeps its deadline.
+func TestLiveKeyAffectsOnlyLaterFlows(t *testing.T) {
 	for _, c := range liveKeys {
 		t.Run(c.name, func(t *testing.T) {
 			secondsWithout, decidedWithout := decideAfterWaitingFlow(t, "", c.decision)
 			seconds, decided := decideAfterWaitingFlow(t, c.text, c.decision)
 			if decided == decidedWithout {
-				t.Errorf("%v with and without", decided)
+				t.Errorf("the decision is %v with and without the key", decided)
 			}
 			if seconds != secondsWithout || seconds > 2 || seconds < 1.9 {
-				t.Errorf("the flow that waited was answered after %g s, and after %g s with the change",
+				t.Errorf("the waiting flow was answered after %g s, and after %g s with the change",
 					secondsWithout, seconds)
 			}
 		})
@@ -102,12 +103,13 @@
 		`"invariants":{"cold_from":0.1,"cold_us":30000000,"fall_multiple":3,"fall_us":2000000},`, "")
 }
 
-// Of a revision that does not fit the node nothing is in force, and the one before stays.
-func TestRevisionThatDoesNotFitIsRefusedWhole(t *testing.T) {
+// A revision that is applied only in part leaves the node with settings that no operator configured. If the start settings do
+// not allow one key, none of the revision is applied, and the previous one stays in force.
+func TestInvalidRevisionIsRejectedWhole(t *testing.T) {
 	for _, c := range []struct {
 		text  string
 		start string
-		want  string // the beginning of the error
+		want  string // beginning of the error
 	}{
 		{"retry_advice_s = 1", withoutSlowStart(settingsWithQuotas),
 			"retry_advice_s: must be 0, as this node's clients do not follow retry times"},
@@ -123,38 +125,40 @@
 			}
 			err := harness.applySettings(2, c.text+"\nhosts.s-00000064.disabled_until_s = 1000000060\nnodes = 9")
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%v, wanted %s", err, c.want)
+				t.Errorf("error %v, wanted %s", err, c.want)
 			}
 			checkSettings(t, harness, 1, 2, 0)
 			if harness.node.balancer.Nodes != 2 {
-				t.Errorf("%d nodes", harness.node.balancer.Nodes)
+				t.Errorf("%d nodes, wanted 2", harness.node.balancer.Nodes)
 			}
 		})
 	}
 }
 
-// An older revision does not replace a newer one, the same one again changes nothing, and a later epoch replaces it.
-func TestOlderRevisionIsRefused(t *testing.T) {
+// Revisions may arrive late or more than once. An older revision does not replace a newer one, the revision in force has
+// no effect when it is received again, and a later epoch replaces it.
+func TestOlderRevisionIsRejected(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 	maxAttempts := func() int { return harness.node.balancer.MaxAttempts }
 	if err := harness.applySettings(5, "limits.max_connects = 2"); err != nil {
 		t.Fatal(err)
 	}
 	if err := harness.applySettings(4, "limits.max_connects = 1"); err == nil || maxAttempts() != 2 {
-		t.Errorf("%v, %d attempts", err, maxAttempts())
+		t.Errorf("older revision: error %v, %d attempts, wanted an error and 2", err, maxAttempts())
 	}
 	updates := len(harness.updates)
 	if err := harness.applySettings(5, "limits.max_connects = 2"); err != nil || len(harness.updates) != updates {
-		t.Errorf("%v, %d updates to the peer process", err, len(harness.updates)-updates)
+		t.Errorf("same revision: error %v, %d updates to the peer process", err, len(harness.updates)-updates)
 	}
 	harness.apply(SettingsReceived{live.Revision{Epoch: 2, Number: 1}})
 	last := harness.settingsResults[len(harness.settingsResults)-1]
 	if last.Err != nil || maxAttempts() != 3 {
-		t.Errorf("a later epoch: %v, %d attempts", last.Err, maxAttempts())
+		t.Errorf("later epoch: error %v, %d attempts, wanted 3", last.Err, maxAttempts())
 	}
 }
 
-// A key that a revision leaves out returns to the start's figure.
+// A key that is removed from the settings must not keep its last value. Each key that a revision leaves out returns to
+// its value at the start.
 func TestOmittedKeyReturnsToStart(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 	balancer := harness.node.balancer
@@ -169,7 +173,7 @@
 		t.Fatal(err)
 	}
 	if reflect.DeepEqual(balancer.Settings.Live(), start) {
-		t.Fatalf("%+v as at the start", start)
+		t.Fatalf("the settings are still those of the start: %+v", start)
 	}
 	if harness.node.connections.limit != 50 || balancer.Nodes != 9 || harness.unavailable() != 1 {
 		t.Fatalf("%d descriptors, %d nodes, %d unavailable", harness.node.connections.limit, balancer.Nodes,
@@ -179,18 +183,19 @@
 		t.Fatal(err)
 	}
 	if got := balancer.Settings.Live(); !reflect.DeepEqual(got, start) {
-		t.Errorf("%+v, wanted %+v", got, start)
+		t.Errorf("settings %+v, wanted %+v", got, start)
 	}
 	if harness.node.connections.limit != limit || balancer.Nodes != 2 || harness.unavailable() != 0 {
 		t.Errorf("%d descriptors, %d nodes, %d unavailable", harness.node.connections.limit, balancer.Nodes,
 			harness.unavailable())
 	}
 	if got := fmt.Sprint(harness.discoveryMoves); got != "[127.0.0.1:9 ]" {
-		t.Errorf("discovery at %s", got)
+		t.Errorf("discovery moved to %s, wanted its address and back", got)
 	}
 }
 
-// Keys that name a tenant or service type that this node does not know have no effect, and are reported.
+// A revision for all nodes may name a tenant or service type that one of them does not have, and must not be rejected for
+// that. These keys have no effect and are reported, and the others are applied.
 func TestUnknownNamesAreIgnored(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 	text := "tenants.nobody.connections = 1\nservice_types.none.setup_target_s = 1\nlimits.max_connects = 1"
@@ -203,16 +208,18 @@
 	}
 }
 
-// Where members are counted, they are the number of nodes, whatever the settings say.
+// A configured number of nodes that is outdated would give each node a wrong share of the hosts. Once membership has
+// counted the nodes, its count overrides the setting.
 func TestMemberCountOverridesSetting(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 100)
 	harness.apply(NodesChanged{7})
 	if err := harness.applySettings(1, "nodes = 100"); err != nil || harness.node.balancer.Nodes != 7 {
-		t.Errorf("%v, %d nodes", err, harness.node.balancer.Nodes)
+		t.Errorf("error %v, %d nodes, wanted 7", err, harness.node.balancer.Nodes)
 	}
 }
 
-// A limit of descriptors below those in use ends no connection that is established.
+// Lowering the limit of descriptors below the number in use must not disconnect clients. New clients are rejected, and
+// established connections stay open.
 func TestFewerDescriptorsEndNoConnection(t *testing.T) {
 	harness := newHarnessWith(t, settingsWithQuotas, "pass", 4, 200)
 	var clients, hosts []ConnID
@@ -225,7 +232,7 @@
 		t.Fatal(err)
 	}
 	if next := harness.accept(); harness.connectionState[next] != "closed" {
-		t.Errorf("a further client's connection is %q", harness.connectionState[next])
+		t.Errorf("the connection of a new client is %q, wanted it closed", harness.connectionState[next])
 	}
 	harness.advance(3)
 	for i := range clients {
--- a/internal/node/random_inputs_test.go
+++ b/internal/node/random_inputs_test.go
@@ -5,14 +5,14 @@
 	"math/rand/v2"
 )
 
-// randomInputs draws what clients, hosts and operators of a harness do.
+// randomInputs generates the inputs of clients, hosts and operators for a harness.
 type randomInputs struct {
 	*testHarness
 	random         *rand.Rand
 	clients, hosts []ConnID
 }
 
-// applyRandomInputs applies a random sequence of inputs and checks the figures after each.
+// applyRandomInputs applies a random sequence of inputs and checks the statistics after each of them.
 func applyRandomInputs(harness *testHarness, random *rand.Rand, steps int) {
 	harness.Helper()
 	inputs := &randomInputs{testHarness: harness, random: random}
--- a/internal/node/reasons_golden_test.go
+++ b/internal/node/reasons_golden_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The codes stand in the log's "ended" lines and in docs/oncall.md, as revision 5fa7498 has them. They are fixed for good.
+// Operators' tools search the log's "ended" lines for these codes, which docs/oncall.md lists. They stay as they were at
+// revision 5fa7498 and must never change.
 func TestReasonCodesAreFixed(t *testing.T) {
 	for code, reason := range map[string]Reason{
 		"served":        Served,
--- a/internal/node/settings_handover_test.go
+++ b/internal/node/settings_handover_test.go
@@ -8,9 +8,10 @@
 	"gorseledge/internal/settings"
 )
 
-// A successor has the predecessor's revision before it takes a client, each process notifies the other of later ones,
-// and a host that either has disabled takes no flow at either.
-func TestRevisionGoesOverToSuccessor(t *testing.T) {
+// A successor that started without the predecessor's revision would send flows to disabled hosts until it received one.
+// It has the revision before it serves clients, each process notifies the other of later revisions, and a host that
+// either process has disabled gets no flow from either.
+func TestRevisionIsHandedOver(t *testing.T) {
 	const disabled = "hosts.s-00000065.disabled_until_s = 1000000060\n"
 	predecessor := newHarness(t, "pass", 3, 100)
 	if err := predecessor.applySettings(1, disabled+"limits.max_connects = 2"); err != nil {
@@ -35,7 +36,7 @@
 	if toDisabled != 0 || successor.dialsTo("h0", 0) == 0 {
 		t.Error("a disabled host got a flow")
 	}
-	if err := successor.applySettings(3, ""); err != nil { // the process that has the clients follows from here on
+	if err := successor.applySettings(3, ""); err != nil { // the process that serves the clients receives the revisions now
 		t.Fatal(err)
 	}
 	successor.deliverTransfers(predecessor, false)
@@ -61,8 +62,9 @@
 	}
 }
 
-// A revision that does not fit the successor leaves no time in which a host that the predecessor disabled takes flows.
-func TestUnfitRevisionKeepsHostsDisabled(t *testing.T) {
+// If a successor's start settings do not allow the predecessor's revision, the hosts that the revision disables would
+// get flows until another revision arrives. They stay disabled instead.
+func TestRejectedRevisionKeepsHostsDisabled(t *testing.T) {
 	predecessor := newHarness(t, "pass", 3, 100)
 	text := "hosts.s-00000065.disabled_until_s = 1000000060\nlimits.max_connects = 2"
 	if err := predecessor.applySettings(1, text); err != nil {
@@ -80,7 +82,7 @@
 	})
 	successor.apply(TimerFired{})
 	if !successor.node.Revision().IsZero() {
-		t.Errorf("%+v in force", successor.node.Revision())
+		t.Errorf("revision %+v is in force, wanted none", successor.node.Revision())
 	}
 	checkSettings(t, successor, 0, 1, 1)
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -10,8 +10,8 @@
 type shuttingDown struct {
 	*testHarness
 	established ConnID
-	waiting     ConnID // its answer came after the shutdown began
-	late        ConnID // it came after the shutdown began
+	waiting     ConnID // client of a flow whose host answers after the shutdown began
+	late        ConnID // client that connects after the shutdown began
 }
 
 func beginShutdown(t *testing.T, mode string) shuttingDown {
@@ -28,7 +28,7 @@
 	return shuttingDown{harness, established, waiting, late}
 }
 
-// checkWritten checks what the three clients were sent, and that the node is neither ready nor gone.
+// checkWritten checks what the three clients were sent, and that the node is not ready but has not exited.
 func (s shuttingDown) checkWritten(established, waiting, late string) {
 	s.Helper()
 	if s.written[s.established] != established || s.written[s.late] != late ||
@@ -39,12 +39,12 @@
 	ping := s.accept()
 	s.receive(ping, "PING\r\n", StreamEnded)
 	if s.written[ping] != "ERR\r\n" {
-		s.Fatalf("ready although it shuts down: %q", s.written[ping])
+		s.Fatalf("ready during the shutdown: sent %q", s.written[ping])
 	}
 }
 
-// checkExited checks whether the node has exited before and after its drain time, which is two seconds, the longest
-// connect timeout, and the margin.
+// checkExited checks whether the node has exited, both shortly before and after its drain time. The drain time is the
+// longest connect timeout, two seconds, and exitMargin.
 func (s shuttingDown) checkExited(want bool) {
 	s.Helper()
 	s.advance(1.3)
@@ -57,7 +57,8 @@
 	}
 }
 
-// A node that shuts down answers what it accepted, migrates what is established and exits.
+// Clients lose their requests if a node exits before it has answered them. A node that shuts down answers the flows that
+// it accepted, migrates the established ones unless packets pass through it, and exits.
 func TestShutdownAnswersAcceptedFlows(t *testing.T) {
 	t.Run("proxy", func(t *testing.T) {
 		node := beginShutdown(t, "proxy")
@@ -69,12 +70,12 @@
 		node.checkWritten("UP 77\r\n", "UP 8\r\n", "")
 		node.checkExited(false)
 		if node.written[node.late] == "" {
-			t.Fatal("a flow that was accepted got no answer")
+			t.Fatal("an accepted flow got no answer")
 		}
 		if late := node.openFlow(chatRequest); node.written[late] != "BUSY\r\n" {
-			t.Fatalf("one that comes too late is sent %q", node.written[late])
+			t.Fatalf("a client that connects too late was sent %q", node.written[late])
 		}
-		node.advance(5) // an exit would end what goes on elsewhere when the node is killed
+		node.advance(5) // an exit would end the connections, which outlive a node that is killed
 		if state := node.connectionState[node.established]; node.exited || state != "" {
 			t.Fatalf("exited %v, a connection in flight is %q", node.exited, state)
 		}
@@ -82,13 +83,14 @@
 		node.receive(node.waiting, "", StreamBroken)
 		node.advance(0.1)
 		if !node.exited {
-			t.Fatal("nothing is in flight, and it does not exit")
+			t.Fatal("the node does not exit although nothing is in flight")
 		}
 	})
 }
 
-// A signal that asks for a shutdown or a new configuration while discovery is out leaves a waiting flow its answer.
-func TestSignalWhileDiscoveryIsOutLeavesFlowItsAnswer(t *testing.T) {
+// A signal for a shutdown or a new configuration may arrive while discovery is unavailable. A flow that is waiting then
+// must still get its host's answer.
+func TestSignalDuringDiscoveryOutageKeepsWaitingFlow(t *testing.T) {
 	for _, input := range []Input{DiscoveryMoved{}, Shutdown{}} {
 		t.Run(fmt.Sprintf("%T", input), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 1, 100)
@@ -97,13 +99,13 @@
 			harness.apply(input)
 			harness.receive(harness.completeLastDial(), "UP 5\r\n", StreamOpen)
 			if want := "UP 5\r\n"; !strings.HasPrefix(harness.written[client], want) {
-				t.Errorf("sent %q", harness.written[client])
+				t.Errorf("the client was sent %q, wanted %q first", harness.written[client], want)
 			}
 		})
 	}
 }
 
-// A shutdown begins once, whatever asks for it again.
+// A second signal would extend the shutdown if it began again. Its times count from the first request.
 func TestShutdownBeginsOnce(t *testing.T) {
 	var s shutdown
 	s.begin(10)
@@ -112,6 +114,6 @@
 		t.Errorf("started %v at %g", s.started, s.startedAt)
 	}
 	if s.passed(10.5, 1) || !s.passed(11, 1) {
-		t.Error("the time since the begin is wrong")
+		t.Error("passed does not count from the beginning of the shutdown")
 	}
 }
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -7,7 +7,7 @@
 	"gorseledge/internal/settings"
 )
 
-// startAwaitingSettings returns a harness of a node without a predecessor that waits a second for its live settings.
+// startAwaitingSettings returns a harness with a node that has no predecessor and waits a second for its live settings.
 func startAwaitingSettings(t *testing.T) *testHarness {
 	t.Helper()
 	balancer, listener, err := settings.Parse(fmt.Appendf(nil, settingsWithQuotas, "pass"), 7)
@@ -23,27 +23,29 @@
 	return harness
 }
 
-// A node that awaits its live settings opens its listener once it has a first revision.
+// A node that serves clients before its first revision could send them to disabled hosts. Its listener stays closed until
+// the revision is received.
 func TestListenerAwaitsSettings(t *testing.T) {
 	harness := startAwaitingSettings(t)
 	harness.apply(ListReceived{hostList(4)})
 	if harness.listenerRequests != 0 || harness.query(IsReady, "").OK {
-		t.Error("opens before the settings are known")
+		t.Error("the listener was requested before the first revision")
 	}
 	err := harness.applySettings(1, "hosts.s-00000065.disabled_until_s = 1000000060")
 	if err != nil || harness.listenerRequests != 1 {
-		t.Errorf("%v, asked for the listener %d times", err, harness.listenerRequests)
+		t.Errorf("error %v, %d requests for the listener, wanted 1", err, harness.listenerRequests)
 	}
 }
 
-// A node that awaits its live settings opens its listener without them once the time is over.
+// If the configuration is unavailable, a node that waited for it without a limit would never serve. The listener is
+// opened without a revision once the time is over.
 func TestListenerOpensWithoutSettingsInTime(t *testing.T) {
 	harness := startAwaitingSettings(t)
 	if harness.node.timers.armedAt > harness.now+1 {
-		t.Errorf("woken at %f at the earliest, %f wanted", harness.node.timers.armedAt, harness.now+1)
+		t.Errorf("the timer is armed for %f, wanted %f or earlier", harness.node.timers.armedAt, harness.now+1)
 	}
 	harness.advance(1)
 	if harness.listenerRequests != 1 {
-		t.Errorf("asked for the listener %d times without any settings", harness.listenerRequests)
+		t.Errorf("%d requests for the listener after the time was over, wanted 1", harness.listenerRequests)
 	}
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -12,8 +12,8 @@
 
 const balancerTick = 0.25 // seconds between two ticks of the balancer
 
-// timeUntilWatch has the watch send nothing until the node asks for another, and returns how many seconds that took,
-// infinitely many if it is more than most.
+// timeUntilWatch makes the watch send nothing until the node asks for another one. It returns how many seconds that took,
+// or infinity if it took more than most.
 func (harness *testHarness) timeUntilWatch(most float64) float64 {
 	harness.Helper()
 	harness.watchSilent = true
@@ -33,7 +33,8 @@
 	return ListReceived{listChange(9, endpoint.Host{Name: "s-00000064", Status: status})}
 }
 
-// Discovery that moves is asked again at once, whether or not it was being watched, and only once.
+// After a move of discovery, a node that waits for a backoff has an outdated list, and one that asks twice adds to the
+// load of discovery. The node asks for a watch at the new address at once, and only once, whether or not it had a watch.
 func TestMovedDiscoveryIsWatchedAtOnce(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 100)
 	for _, input := range []Input{DiscoveryMoved{}, WatchFailed{Reason: "gone"}, DiscoveryMoved{}} {
@@ -42,21 +43,22 @@
 	if want := []int64{5, 6, 6}; !slices.Equal(harness.watchIndices, want) {
 		t.Fatalf("watched from %v, wanted %v", harness.watchIndices, want)
 	}
-	harness.advance(5) // in which the balancer decides to ask, because of the failure
+	harness.advance(5) // time in which the balancer decides to ask for a watch because of the failure
 	if len(harness.watchIndices) != 3 {
 		t.Fatalf("watched from %v", harness.watchIndices)
 	}
 }
 
-// A watch that ends at once, again and again, is not asked for as often, whether or not it sends a list.
-func TestWatchThatEndsAtOnceIsNotHammered(t *testing.T) {
+// A discovery that ends every watch at once would be overloaded by the calls of all nodes. The node backs off, whether or
+// not the watch sends a list before it ends.
+func TestWatchThatEndsAtOnceIsRetriedWithBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		sendsList bool
 		most      int // watches in a minute
 	}{
 		{"refused", false, 70},
-		{"a list, then its end", true, 250},
+		{"list, then end of the watch", true, 250},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 1, 100)
@@ -74,14 +76,14 @@
 				harness.apply(WatchFailed{Reason: "the end"})
 			}
 			if watches := len(harness.watchIndices); watches < 4 || watches > c.most {
-				t.Errorf("%d watches in a minute", watches)
+				t.Errorf("%d watches in a minute, wanted 4 to %d", watches, c.most)
 			}
 		})
 	}
 }
 
-// A watch that falls silent or ends is renewed in time for the list to stay current, and late enough for a slow
-// discovery to come to the call.
+// A node whose watch is silent places flows by an outdated list, and one that renews the watch too early loses its place
+// in the queue of a slow discovery. A watch that is silent or ends is renewed between these two times.
 func TestSilentWatchIsRenewed(t *testing.T) {
 	moved := DiscoveryMoved{}
 	alive := WatchAlive{}
@@ -95,15 +97,15 @@
 		tolerance      float64
 		stoppedWatches int
 	}{
-		{"a call without an answer", []Input{moved}, watchAnswerTimeout, balancerTick, 0},
-		{"an answer with nothing in it", []Input{moved, alive}, watchSilenceTimeout, balancerTick, 1},
-		{"after a list", []Input{moved, serving}, watchSilenceTimeout, balancerTick, 1},
-		{"between lines", []Input{moved, serving, alive, alive}, watchSilenceTimeout, balancerTick, 1},
+		{"call without an answer", []Input{moved}, watchAnswerTimeout, balancerTick, 0},
+		{"empty answer", []Input{moved, alive}, watchSilenceTimeout, balancerTick, 1},
+		{"silent after a list", []Input{moved, serving}, watchSilenceTimeout, balancerTick, 1},
+		{"silent between lines", []Input{moved, serving, alive, alive}, watchSilenceTimeout, balancerTick, 1},
 		{"reset", []Input{moved, reset}, balancerTick / 2, 1.5 * balancerTick, 0},
 		{"reset after a list", []Input{moved, serving, reset}, balancerTick / 2, 1.5 * balancerTick, 0},
 		{"refused twice", []Input{moved, refused, refused}, balancerTick, 3 * balancerTick, 0},
-		{"moved while it is waited for", []Input{refused, moved}, watchAnswerTimeout, balancerTick, 0},
-		{"moved while it is silent", []Input{serving, moved}, watchAnswerTimeout, balancerTick, 0},
+		{"moved during the backoff", []Input{refused, moved}, watchAnswerTimeout, balancerTick, 0},
+		{"moved while the watch is active", []Input{serving, moved}, watchAnswerTimeout, balancerTick, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 100)
@@ -112,7 +114,7 @@
 			}
 			most := c.least + c.tolerance
 			if took := harness.timeUntilWatch(10); took < c.least-0.01 || took > most+0.02 {
-				t.Errorf("asked anew after %.2f s, wanted %.2f to %.2f s", took, c.least, most)
+				t.Errorf("asked for a new watch after %.2f s, wanted %.2f to %.2f s", took, c.least, most)
 			}
 			if harness.stoppedWatches != c.stoppedWatches {
 				t.Errorf("%d watches stopped, wanted %d", harness.stoppedWatches, c.stoppedWatches)
@@ -124,7 +126,7 @@
 	}
 }
 
-// checkWatchedAfterAnswerTimeout checks that the next watches are asked for after watchAnswerTimeout each.
+// checkWatchedAfterAnswerTimeout checks that each of the next watches is asked for after watchAnswerTimeout.
 func checkWatchedAfterAnswerTimeout(t *testing.T, harness *testHarness, times int) {
 	t.Helper()
 	for range times {
@@ -135,49 +137,50 @@
 	}
 }
 
-// A call that is not answered keeps its turn, and another is made beside it, however often: a discovery that needs
-// longer for a call would never answer a node that starts again, and a call that got lost would hold up the next.
+// A discovery that takes longer than watchAnswerTimeout would never answer a node that cancels its call, and a lost call
+// would block a node that only waits. An unanswered call is kept in its queue, and further calls are made in parallel.
 func TestUnansweredCallIsKeptAndRepeatedBeside(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 100)
 	harness.apply(DiscoveryMoved{})
 	checkWatchedAfterAnswerTimeout(t, harness, 20)
 	if harness.stoppedWatches != 0 || harness.parallelWatches != 20 {
-		t.Errorf("%d calls given up, %d made beside, wanted 0 and 20", harness.stoppedWatches, harness.parallelWatches)
+		t.Errorf("%d calls canceled, %d made in parallel, wanted 0 and 20", harness.stoppedWatches, harness.parallelWatches)
 	}
 	harness.apply(WatchAlive{})
 	harness.timeUntilWatch(5)
 	if harness.stoppedWatches != 1 {
-		t.Errorf("%d watches stopped, wanted the one that was answered", harness.stoppedWatches)
+		t.Errorf("%d watches stopped, wanted only the one that was answered", harness.stoppedWatches)
 	}
 	if took := harness.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*balancerTick {
 		t.Errorf("waited %.2f s after an answer, wanted %.0f s", took, watchAnswerTimeout)
 	}
 }
 
-// The machine's own agent gets no second call beside the first.
-func TestUnansweredCallOfAgentIsGivenUp(t *testing.T) {
+// An agent on the same machine has no queue of calls, so calls that are kept would only pile up. An unanswered call is
+// canceled before the next one.
+func TestUnansweredCallToAgentIsCanceled(t *testing.T) {
 	text := strings.Replace(settingsJSON, "{", `{"membership_mode":"automatic",`, 1)
 	harness := newHarnessWith(t, text, "proxy", 3, 100)
 	harness.apply(DiscoveryMoved{})
 	for range 5 {
 		if took := harness.timeUntilWatch(100); math.Abs(took-watchAnswerTimeout) > 2*balancerTick {
-			t.Fatalf("waited %.2f s for an agent, wanted %.0f s", took, watchAnswerTimeout)
+			t.Fatalf("waited %.2f s for the agent, wanted %.0f s", took, watchAnswerTimeout)
 		}
 	}
 	if harness.stoppedWatches != 5 || harness.parallelWatches != 0 {
-		t.Errorf("%d calls given up, %d made beside, wanted 5 and 0", harness.stoppedWatches, harness.parallelWatches)
+		t.Errorf("%d calls canceled, %d made in parallel, wanted 5 and 0", harness.stoppedWatches, harness.parallelWatches)
 	}
 }
 
-// A line that comes byte by byte and never ends is given up like a call without an answer, one that ends is not: the
-// list would get old behind a watch which seems alive.
+// A line that arrives byte by byte and never ends would keep a watch alive while the list becomes outdated. Such a watch
+// is ended after watchAnswerTimeout, and one whose lines end in time is not.
 func TestEndlessLineEndsTheWatch(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		t.Run(fmt.Sprintf("line that ends %v", ends), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 100)
 			for i := range 60 {
 				harness.advance(0.2)
-				lineEnds := ends && i%15 == 14 // after three seconds
+				lineEnds := ends && i%15 == 14 // every three seconds
 				harness.apply(WatchAlive{MidLine: !lineEnds})
 			}
 			if stopped := harness.stoppedWatches > 0; stopped == ends {
@@ -187,17 +190,17 @@
 	}
 }
 
-// A watch that sends something every two seconds is never given up.
-func TestWatchThatIsAliveGoesOn(t *testing.T) {
+// Renewing a healthy watch puts needless load on discovery. A watch that sends something every two seconds is kept.
+func TestLiveWatchIsKept(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 100)
 	harness.advance(60)
 	if harness.stoppedWatches != 0 || !slices.Equal(harness.watchIndices, []int64{5}) {
-		t.Fatalf("%d watches stopped, asked from %v", harness.stoppedWatches, harness.watchIndices)
+		t.Fatalf("%d watches stopped, watched from %v", harness.stoppedWatches, harness.watchIndices)
 	}
 }
 
-// A list that a watch still sends after it was given up counts.
-func TestLateListCounts(t *testing.T) {
+// Ignoring a list that arrives from a stopped watch would leave the node with an older one. The late list is applied.
+func TestLateListIsApplied(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 100)
 	harness.advance(60)
 	harness.timeUntilWatch(10)
@@ -207,7 +210,8 @@
 	}
 }
 
-// The deadline of a watch depends on what it has sent so far.
+// A watch with a wrong deadline is ended too early or kept while it is silent. Its deadline depends on its state and on
+// what it has sent so far.
 func TestWatchDeadline(t *testing.T) {
 	const now = 100.0
 	for _, c := range []struct {
@@ -221,17 +225,17 @@
 			watch.request(now - 1)
 			watch.recordActivity(now, false)
 		}, now + watchSilenceTimeout},
-		{"within a line", func(watch *endpointWatch) {
+		{"incomplete line", func(watch *endpointWatch) {
 			watch.request(now - 3)
 			watch.recordActivity(now-3, true)
 			watch.recordActivity(now, true)
 		}, now - 3 + watchAnswerTimeout},
-		{"after a line", func(watch *endpointWatch) {
+		{"complete line", func(watch *endpointWatch) {
 			watch.request(now - 3)
 			watch.recordActivity(now-3, true)
 			watch.recordActivity(now, false)
 		}, now + watchSilenceTimeout},
-		{"a late line of a watch that was given up", func(watch *endpointWatch) {
+		{"late line of a stopped watch", func(watch *endpointWatch) {
 			watch.recordActivity(now, false)
 		}, math.Inf(1)},
 	} {
