--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -18,13 +18,13 @@
 	n.flush(c)
 }
 
-// reject answers a flow that has not run at any host, so that its client may send a new request after retryAfter
-// seconds. 0 leaves the time to the client.
+// reject answers a flow whose client may safely send a new request, because none has run yet or repeating it is
+// harmless. The answer asks the client to wait for retryAfter seconds; 0 leaves the time to the client.
 func (n *Node) reject(f *flow, retryAfter float64) {
 	n.answer(f.client, line.BusyLine(retryAfter), Rejected)
 }
 
-// abort answers a flow that may have run at a host, so that its client must not repeat it blindly.
+// abort answers a flow that may have run at a host, without the promise that a new request is safe.
 func (n *Node) abort(f *flow) { n.answer(f.client, []byte(line.ErrLine), Aborted) }
 
 // migrate asks the client of an established flow to connect again, and ends both of its connections. Whole lines that
--- a/internal/node/connection_io.go
+++ b/internal/node/connection_io.go
@@ -9,8 +9,8 @@
 // that the next line can be read while a whole one waits to be forwarded.
 const bufferSize = 2 * line.MaxLength
 
-// requestRead asks for more input of c unless a read is already under way, the buffer is full, or the connection is
-// ending or being handed over.
+// requestRead asks for more input of c. It does nothing if c is not open, its input has ended, a read is already under
+// way, the buffer is full, or the flow is being handed over.
 func (n *Node) requestRead(c *connection) {
 	if !c.connected || c.readPending || c.closed || c.inputState != StreamOpen {
 		return
--- a/internal/node/connection_table.go
+++ b/internal/node/connection_table.go
@@ -66,7 +66,8 @@
 // used returns how many descriptors open connections hold, without those of connections that are being closed.
 func (t *connectionTable) used() int { return t.descriptors - t.closing }
 
-// lowOnDescriptors reports whether only descriptorReserve is left, which is kept for rejecting new connections.
+// lowOnDescriptors reports whether one more descriptor would not leave descriptorReserve, which is kept for rejecting
+// new connections.
 func (t *connectionTable) lowOnDescriptors() bool {
 	return t.used()+1+descriptorReserve+t.reserved > t.limit
 }
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -60,7 +60,7 @@
 	WriteLog struct{ Line string }
 	// LogConnection logs a client's connection that has ended.
 	LogConnection struct{ Record ConnectionRecord }
-	// OpenListener asks, once, for the listener to be opened, as clients can be served from now on.
+	// OpenListener asks, once, for the listener to be opened that was kept closed at the start.
 	OpenListener struct{}
 	// CloseListener closes the listener after accepting the connections that wait in its queue.
 	CloseListener struct{}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -150,7 +150,7 @@
 }
 
 // successorGone makes this process serve the clients again if the successor served them. Transfers in transit are not
-// canceled here, as ConnectionSent reports each of them as failed.
+// canceled here, as ConnectionSent reports the result of each.
 func (n *Node) successorGone() {
 	n.upgrade.successorNotified = false
 	if !n.upgrade.clientsHandedOver {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -5,9 +5,9 @@
 	"gorseledge/placement"
 )
 
-// Times of a graceful shutdown, in seconds since it began.
+// Times of a graceful shutdown, in seconds.
 const (
-	listenerGrace   = 0.6  // the listener stays open, as clients keep arriving after the node was asked to shut down
+	listenerGrace   = 0.6  // until the listener is closed, as clients keep arriving after the request to shut down
 	exitMargin      = 0.4  // between the end of the last connect timeout and the exit
 	finalAnswerTime = 0.1  // part of exitMargin that is left for the answers to flows that still wait
 	maxDrainTime    = 3.0  // upper limit for the connect timeouts that the node waits for
