--- a/internal/configfeed/digest_golden_test.go
+++ b/internal/configfeed/digest_golden_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// The files in testdata/golden were written by the build of revision 5fa7498, which is in service. They are fixed for
-// good: servers and nodes of that version compare digests with later ones. There is no way to rewrite them on purpose.
+// The files in testdata/golden were written by the build of revision 5fa7498, which is in service. They must not change,
+// because servers and nodes of that version compare digests with later ones. The tests deliberately have no option to
+// rewrite them.
 const goldenDirectory = "testdata/golden"
 
 // requireGolden fails unless got is byte for byte the content of a golden file.
@@ -51,7 +52,8 @@
 	}
 }
 
-// The digest of a state, its JSON form and its verification are the same in all versions.
+// A change to the digest or to the JSON form of a state would make servers and nodes of different versions reject each
+// other's states. Both have to match the golden file.
 func TestDigestsMatchGoldenFile(t *testing.T) {
 	var text bytes.Buffer
 	for i, entries := range digestCases() {
@@ -68,6 +70,8 @@
 	requireGolden(t, "digests.txt", text.Bytes())
 }
 
+// A state that was encoded by the version in service has to pass verification and keep its JSON form when it is decoded and
+// encoded again.
 func TestGoldenStatesAreVerified(t *testing.T) {
 	for line := range strings.Lines(string(readGolden(t, "digests.txt"))) {
 		digest, encoded, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
@@ -87,7 +91,7 @@
 	}
 }
 
-// Servers of different versions have to agree on what they take.
+// A server with lower limits would reject what a server of another version accepted, so the limits are fixed.
 func TestLimitsAreFixed(t *testing.T) {
 	for name, limit := range map[string]struct{ got, want int }{
 		"MaxStateBytes":    {MaxStateBytes, 1048576},
--- a/internal/configfeed/errors.go
+++ b/internal/configfeed/errors.go
@@ -3,12 +3,13 @@
 import "errors"
 
 var (
-	// ErrTooLarge is the error of a state beyond MaxStateBytes.
+	// ErrTooLarge is returned for a state that exceeds MaxStateBytes.
 	ErrTooLarge = errors.New("too large")
-	// ErrMismatch is the error of a state that does not have its digest or whose entries are not in order, and of a
-	// delta that does not lead on from a state. A follower asks for a snapshot then.
+	// ErrMismatch is returned for a state whose digest does not match its entries or whose entries are not sorted by
+	// distinct keys, and for a delta that cannot be applied to a state. A follower that could not apply a delta asks for
+	// a snapshot.
 	ErrMismatch = errors.New("does not fit")
-	// ErrRevisionNotFound is the error for a version that a log does not hold: it is older than the log's base, or
-	// there was no such version.
-	ErrRevisionNotFound = errors.New("the log holds no such revision")
+	// ErrRevisionNotFound is returned for a version that a log does not hold: the version is older than the log's base
+	// state, or it never existed.
+	ErrRevisionNotFound = errors.New("revision not found in the log")
 )
--- a/internal/configfeed/fleet_test.go
+++ b/internal/configfeed/fleet_test.go
@@ -9,11 +9,11 @@
 	fleetServers    = 5
 	fleetNodes      = 860
 	zoneNodes       = 107
-	nodeBudget      = 15000 // bytes a second
-	observedSeconds = 8     // seconds that are looked at after a change
+	nodeBudget      = 15000 // bytes per second sent and received by a node
+	observedSeconds = 8     // seconds of simulated time after a change
 )
 
-// newFleet returns a fleet of full size with 200 settings in force.
+// newFleet returns a fleet of fleetServers servers and fleetNodes nodes with 200 settings in force.
 func newFleet(t testing.TB, seed uint64) *simulation {
 	s := newSimulation(seed, rules{})
 	s.startAll(fleetServers, fleetNodes)
@@ -25,12 +25,13 @@
 	s.propose(p, nil)
 	took := s.lastInForce(inForceWithin)
 	if took > inForceWithin || len(s.accepted) == 0 {
-		t.Fatalf("no state in force at the start: %v", s.writer().core.notReady())
+		t.Fatalf("no state in force everywhere after the start; writer not ready: %q", s.writer().core.notReady())
 	}
 	return s
 }
 
-// A change that is proposed in the midst of a fault is in force in time at all nodes that can be reached.
+// A fault before or right after a proposal could delay the change beyond its deadline, for example because followers keep
+// polling a failed server. The change has to be in force in time at all running nodes.
 func TestFleetHasChangeInForceInTime(t *testing.T) {
 	restart := func(s *simulation, nodes []*simNode, within float64) {
 		for _, n := range nodes {
@@ -42,13 +43,13 @@
 	}
 	cases := []struct {
 		name   string
-		before func(*simulation) // ahead of the change
-		during func(*simulation) // right after it was proposed
+		before func(*simulation) // runs before the change is proposed
+		during func(*simulation) // runs once the change is on the writer's disk and before any other server has it
 	}{
-		{"at rest", func(*simulation) {}, func(*simulation) {}},
-		{"2% restarting", func(s *simulation) { restart(s, s.nodes[:fleetNodes/50], 3) }, func(*simulation) {}},
-		{"107 restarting at once", func(s *simulation) { restart(s, s.nodes[:zoneNodes], 0.01) }, func(*simulation) {}},
-		{"107 restarting at once with empty disks", func(s *simulation) {
+		{"no fault", func(*simulation) {}, func(*simulation) {}},
+		{"2% of the nodes restarting", func(s *simulation) { restart(s, s.nodes[:fleetNodes/50], 3) }, func(*simulation) {}},
+		{"107 nodes restarting at once", func(s *simulation) { restart(s, s.nodes[:zoneNodes], 0.01) }, func(*simulation) {}},
+		{"107 nodes restarting at once with empty disks", func(s *simulation) {
 			restart(s, s.nodes[:zoneNodes], 0.01)
 			for _, n := range s.nodes[:zoneNodes] {
 				s.clock.After(0.02, func() { n.state = State{} })
@@ -70,14 +71,14 @@
 			c.before(s)
 			s.runFor(0.5)
 			s.propose(s.newProposal("change"), nil)
-			s.clock.After(latency+0.0015, func() { c.during(s) }) // the writer's disk has it, nobody else
+			s.clock.After(latency+0.0015, func() { c.during(s) }) // only the writer's disk has the change
 			took := s.lastInForce(observedSeconds)
 			if len(s.accepted) != 2 {
 				t.Fatal("the change was not accepted")
 			}
 			t.Logf("last in force after %.2f s", took)
 			if took > inForceWithin {
-				t.Errorf("last in force after %.2f s, want %g at most; behind: %.3v", took, inForceWithin,
+				t.Errorf("last in force after %.2f s, want at most %g s; nodes behind: %.3v", took, inForceWithin,
 					s.behind(s.writer().disk.State.Version))
 			}
 			s.requireNoViolation(t)
@@ -85,8 +86,9 @@
 	}
 }
 
-// All servers are killed as soon as a change is on the writer's disk. The next change is proposed from their start on
-// until it is accepted.
+// A restart of all servers could lose a change that only the writer had saved, or leave the writer not ready for long. All
+// servers are killed as soon as a change is on the writer's disk. After their start the next change is proposed until it is
+// accepted; both changes have to be in force in time.
 func TestFleetHasChangeInForceAfterAllServersRestarted(t *testing.T) {
 	s := newFleet(t, 2)
 	s.propose(s.newProposal("before"), nil)
@@ -108,14 +110,16 @@
 	took := s.lastInForce(observedSeconds)
 	t.Logf("last in force %.2f s after the servers' start", took)
 	if took > inForceWithin {
-		t.Errorf("last in force after %.2f s; not ready: %q", took, s.writer().core.notReady())
+		t.Errorf("last in force after %.2f s; writer not ready: %q", took, s.writer().core.notReady())
 	}
 	if revision := s.writer().disk.State.Version.Revision; revision != 3 {
-		t.Errorf("revision %d, want 3 with the changes before and after", revision)
+		t.Errorf("revision %d, want 3: the initial state and the changes before and after the restart", revision)
 	}
 	s.requireNoViolation(t)
 }
 
+// A region that was cut off while a change was made could receive the change late, because its servers and nodes have long
+// backoffs by then. It must get the change in time after the cut ends, and not before.
 func TestRegionHasChangeInForceInTimeAfterItsReturn(t *testing.T) {
 	for _, region := range []string{"south", "west"} {
 		t.Run(region, func(t *testing.T) {
@@ -131,7 +135,7 @@
 			}
 			s.setRegionCut(region, false)
 			took := s.lastInForce(observedSeconds)
-			t.Logf("last in force %.2f s after the return", took)
+			t.Logf("last in force %.2f s after the cut ended", took)
 			if took > inForceWithin {
 				t.Errorf("last in force after %.2f s", took)
 			}
@@ -140,6 +144,8 @@
 	}
 }
 
+// Polls and updates that are too frequent or too large would exceed the bandwidth budget of a node: without a change, in a
+// burst of changes, or while a region is cut off and its followers retry.
 func TestFleetStaysWithinItsBandwidthBudget(t *testing.T) {
 	s := newFleet(t, 4)
 	measure := func(name string, seconds float64) {
@@ -153,13 +159,13 @@
 			most = max(most, n.bytes)
 			sum += n.bytes
 		}
-		t.Logf("%s: %.0f bytes a second and node, most %.0f", name, float64(sum)/seconds/fleetNodes,
+		t.Logf("%s: %.0f bytes per second and node on average, %.0f at most", name, float64(sum)/seconds/fleetNodes,
 			float64(most)/seconds)
 		if float64(most)/seconds > nodeBudget {
-			t.Errorf("%s: %.0f bytes a second at a node, want %d at most", name, float64(most)/seconds, nodeBudget)
+			t.Errorf("%s: %.0f bytes per second at a node, want at most %d", name, float64(most)/seconds, nodeBudget)
 		}
 	}
-	measure("at rest", 30)
+	measure("no changes", 30)
 	for i := range 10 { // ten changes in ten seconds
 		s.clock.After(float64(i), func() { s.propose(s.newProposal(fmt.Sprint("burst", i)), nil) })
 	}
@@ -169,7 +175,8 @@
 	s.requireNoViolation(t)
 }
 
-// The followers of a region that was without its servers for a while return to them.
+// Followers of a region whose servers failed switch to other regions. Without the retry of the preferred server they would
+// stay there after the servers of their region are back.
 func TestFollowersReturnToTheirRegion(t *testing.T) {
 	s := newFleet(t, 5)
 	s.servers[1].kill()
--- a/internal/configfeed/follower.go
+++ b/internal/configfeed/follower.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// followerStream is the stream of the random numbers of a follower's seed.
+	// followerStream selects the random number stream of a follower's seed.
 	followerStream = 17
-	// fullTimeoutOdds is in how many first polls, on average, one takes the full timeout while all servers fail.
+	// fullTimeoutOdds sets how many first polls use the full timeout while all servers fail: on average one in this
+	// number.
 	fullTimeoutOdds = 4
 )
 
-// openPoll is a poll that is not answered yet.
+// openPoll is a poll that has not been answered yet.
 type openPoll struct {
 	request  uint64
 	have     Version
@@ -23,9 +24,9 @@
 	deadline float64
 }
 
-// Follower keeps one state up to date from the control servers. It has one poll open at one server at a time. The first
-// poll at a server asks for an answer at once, so that a dead server costs little time; the next ones are held there
-// until there is something new. After each call, Next says anew when Tick is due.
+// Follower keeps one state up to date from the control servers. It has at most one poll open, at one server. The first
+// poll at a server asks for an immediate answer and has a shorter timeout, so that a dead server is detected quickly. The
+// server holds the next polls until it has a newer version. Each call may change the time that Next returns.
 type Follower struct {
 	config      FollowerConfig
 	random      *rand.Rand
@@ -36,17 +37,17 @@
 	state         State
 	inForceSince  float64
 	lastHeard     float64
-	newest        Version  // that any server has reported
-	refusal       *Refusal // of a version newer than the one in force, or nil
-	needsSnapshot bool     // a delta did not lead on from the state
-	unresponsive  bool     // the last poll got no answer
+	newest        Version  // newest version that has been reported to the follower
+	refusal       *Refusal // refusal of a version newer than the one in force, or nil
+	needsSnapshot bool     // the last delta could not be applied to the state
+	unresponsive  bool     // the last poll was not answered
 
-	poll       *openPoll // or nil
-	installing *Install  // that the caller has not reported on, or nil
+	poll       *openPoll // nil if no poll is open
+	installing *Install  // install whose result the caller has not reported yet, or nil
 }
 
-// NewFollower returns a follower that starts with a state in force, or with the zero State. A state that does not have
-// its own digest is ignored.
+// NewFollower returns a follower that starts with the given state in force, or with the zero State if there is none. A
+// state that does not match its digest is ignored.
 func NewFollower(now float64, c FollowerConfig, have State) *Follower {
 	c = c.withDefaults()
 	if have.Verify() != nil {
@@ -65,7 +66,7 @@
 	}
 }
 
-// Next returns when Tick is due, in seconds; infinity while there is nothing to wait for.
+// Next returns when Tick is due, in seconds, or infinity if the follower has no servers or waits for an install.
 func (f *Follower) Next() float64 {
 	switch {
 	case len(f.config.Servers) == 0 || f.installing != nil:
@@ -76,7 +77,7 @@
 	return f.servers.pollAt
 }
 
-// Tick does what is due: it gives up a poll whose time is over, and sends the next one.
+// Tick carries out what is due: it cancels a poll whose deadline has passed, and sends the next poll.
 func (f *Follower) Tick(now float64) []FollowerEffect {
 	var effects []FollowerEffect
 	if f.poll != nil && now >= f.poll.deadline {
@@ -89,7 +90,7 @@
 	return effects
 }
 
-// send opens a poll at the server whose turn it is.
+// send opens a poll at the selected server.
 func (f *Follower) send(now float64) SendPoll {
 	f.servers.returnToPreferred(now)
 	p := Poll{
@@ -113,8 +114,9 @@
 	return SendPoll{Request: f.poll.request, Server: f.servers.current(), Poll: p, Timeout: timeout}
 }
 
-// usesFullTimeout reports whether the first poll at a server may take as long as any: its answer may be large. While all
-// servers fail this is chosen at random, as a server that cannot be reached looks like one that needs longer.
+// usesFullTimeout reports whether the first poll at a server has the timeout of a held poll. It has if the answer may be
+// large, because a complete state is needed. While all servers fail, the choice is random, because a server that needs
+// longer to answer cannot be distinguished from one that cannot be reached.
 func (f *Follower) usesFullTimeout() bool {
 	if f.state.Version == (Version{}) || f.needsSnapshot {
 		return true
@@ -122,7 +124,7 @@
 	return f.servers.allFailed() && f.random.IntN(fullTimeoutOdds) == 0
 }
 
-// Failed reports that a poll got no answer.
+// Failed reports that a poll was not answered.
 func (f *Follower) Failed(now float64, request uint64) []FollowerEffect {
 	if f.awaits(request) {
 		f.giveUpPoll(now)
@@ -130,10 +132,10 @@
 	return f.Tick(now)
 }
 
-// awaits reports whether a request is the open poll.
+// awaits reports whether the open poll has the given request.
 func (f *Follower) awaits(request uint64) bool { return f.poll != nil && f.poll.request == request }
 
-// giveUpPoll gives up the open poll and its server.
+// giveUpPoll abandons the open poll and switches to another server.
 func (f *Follower) giveUpPoll(now float64) {
 	f.poll = nil
 	f.unresponsive = true
@@ -143,7 +145,7 @@
 // switchServer selects another server for the next poll, with a backoff.
 func (f *Follower) switchServer(now float64) { f.servers.advance(now, f.rules.neverSwitchServer) }
 
-// Answered reports the answer to a poll. The answer to a poll that was given up is ignored.
+// Answered reports the answer to a poll. The answer to an abandoned poll is ignored.
 func (f *Follower) Answered(now float64, request uint64, u Update) []FollowerEffect {
 	if !f.awaits(request) {
 		return f.Tick(now)
@@ -162,8 +164,8 @@
 	case u.Kind != Unchanged || u.Isolated:
 		f.switchServer(now)
 	case now-poll.sentAt < poll.wait/2:
-		// The server answered sooner than agreed because another process polls under the same name: without a
-		// backoff the two would end each other's polls in a loop.
+		// The server answered well before the end of the wait because another process polls under the same name.
+		// Without a backoff the two processes would end each other's polls in a loop.
 		f.servers.retry(now)
 	default:
 		f.servers.keep(now)
@@ -171,9 +173,10 @@
 	return f.Tick(now)
 }
 
-// acceptUpdate returns what is to be put in force after an update, or nil. It also decides on the next poll.
+// acceptUpdate returns the state to be put in force after an update, or nil if there is none. It also sets the server and
+// time of the next poll.
 func (f *Follower) acceptUpdate(now float64, poll *openPoll, u Update) *Install {
-	if poll.have != f.state.Version { // another state was adopted since the poll was sent
+	if poll.have != f.state.Version { // another state was adopted after the poll was sent
 		f.servers.keep(now)
 		return nil
 	}
@@ -217,11 +220,11 @@
 	return next, f.rules.verify(next)
 }
 
-// hasRefused reports whether a version is the one that was refused last.
+// hasRefused reports whether a version is the last refused one.
 func (f *Follower) hasRefused(v Version) bool { return f.refusal != nil && f.refusal.Version == v }
 
-// Installed reports that the state of an Install is in force. Only then the next poll is sent, so that the version of a
-// poll is always in force.
+// Installed reports that the state of an Install is in force. The next poll is sent only after this call, so that a poll
+// always reports a version that is in force.
 func (f *Follower) Installed(now float64, v Version) []FollowerEffect {
 	if f.installing != nil && f.installing.State.Version == v {
 		f.adopt(now, f.installing.State)
@@ -239,8 +242,8 @@
 	f.installing = nil
 }
 
-// Refuse reports that a state could not be put in force. The follower keeps the one that it has and does not ask for the
-// refused version again; the next polls carry the refusal.
+// Refuse reports that a state could not be put in force. The follower keeps the state that it has and does not install the
+// refused version later. Its next polls carry the refusal.
 func (f *Follower) Refuse(now float64, r Refusal) []FollowerEffect {
 	if f.installing != nil && f.installing.State.Version == r.Version {
 		r.Reason = r.Reason[:min(len(r.Reason), MaxReasonBytes)]
@@ -251,13 +254,13 @@
 	return f.Tick(now)
 }
 
-// abandon drops a state that was to be put in force without refusing it; the next poll is sent after a backoff.
+// abandon cancels an install without refusing the version. The next poll is sent after a backoff.
 func (f *Follower) abandon(now float64) {
 	f.installing = nil
 	f.servers.retry(now)
 }
 
-// View returns what the follower knows. The caller must not change what it points to.
+// View returns the follower's current view. The caller must not modify the data that it points to.
 func (f *Follower) View() FollowerView {
 	v := FollowerView{
 		Version:      f.state.Version,
--- a/internal/configfeed/follower_test.go
+++ b/internal/configfeed/follower_test.go
@@ -7,12 +7,12 @@
 
 var testServers = []ServerAddress{{"c0", "c0", "north"}, {"c1", "c1", "north"}, {"c2", "c2", "south"}}
 
-// newTestFollower returns a follower of testServers in the region north.
+// newTestFollower returns a follower in the region north that may poll testServers.
 func newTestFollower(have State) *Follower {
 	return NewFollower(0, FollowerConfig{Name: "n", Region: "north", Servers: testServers, Seed: 1}, have)
 }
 
-// nextPoll returns when the follower sends its next poll, and that poll.
+// nextPoll advances to the follower's next poll, and returns its time and the poll.
 func nextPoll(t *testing.T, f *Follower) (float64, SendPoll) {
 	t.Helper()
 	for range 4 {
@@ -27,7 +27,7 @@
 	return 0, SendPoll{}
 }
 
-// mustState returns a state of the first epoch.
+// mustState returns a state of epoch 1.
 func mustState(t *testing.T, revision uint64, entries ...Entry) State {
 	t.Helper()
 	s, err := NewState(Version{Epoch: 1, Revision: revision}, entries)
@@ -37,18 +37,20 @@
 	return s
 }
 
-// leadingTo returns the update that leads from one state to another.
-func leadingTo(from, to State) Update {
+// updateBetween returns the update that leads from one state to another.
+func updateBetween(from, to State) Update {
 	d := Delta{From: from.Version, To: to.Version, Digest: to.Digest}
 	d.Set, d.Delete = difference(from.Entries, to.Entries)
 	return Update{Kind: Changes, Version: to.Version, Deltas: []Delta{d}}
 }
 
+// A poll that is sent before a state is in force would report a version that the node does not have yet, or lead to the same
+// update again.
 func TestNextPollWaitsUntilTheStateIsInForce(t *testing.T) {
 	first, second := mustState(t, 1, Entry{"a", "1"}, Entry{"b", "1"}), mustState(t, 2, Entry{"b", "2"}, Entry{"c", "1"})
 	f := newTestFollower(first)
 	at, poll := nextPoll(t, f)
-	effects := f.Answered(at, poll.Request, leadingTo(first, second))
+	effects := f.Answered(at, poll.Request, updateBetween(first, second))
 	assertEqual(t, len(effects), 1)
 	assertEqual(t, effects[0].(Install).State, second)
 	assertEqual(t, effects[0].(Install).Changed, []string{"a", "b", "c"})
@@ -59,9 +61,10 @@
 	assertEqual(t, f.View().InForceSince, at+100)
 }
 
-func TestDeltaThatDoesNotFitIsFollowedByAPollForASnapshot(t *testing.T) {
+// A follower that cannot apply a delta would never reach the newest state if it kept asking for deltas.
+func TestDeltaThatCannotBeAppliedIsFollowedByAPollForASnapshot(t *testing.T) {
 	first, second := mustState(t, 1, Entry{"a", "1"}), mustState(t, 2, Entry{"a", "2"})
-	good := leadingTo(first, second).Deltas[0]
+	good := updateBetween(first, second).Deltas[0]
 	wrongDigest, wrongFrom, missing, old := good, good, good, good
 	wrongDigest.Digest++
 	wrongFrom.From.Revision = 7
@@ -81,13 +84,15 @@
 	}
 }
 
+// A server whose disk was restored from a backup, or a corrupt answer, could make a follower go back or install wrong
+// entries. The follower keeps its state and switches to another server.
 func TestFollowerIgnoresOlderAndInvalidStates(t *testing.T) {
 	have := mustState(t, 5, Entry{"a", "1"})
 	older, same, bad := mustState(t, 4, Entry{"a", "2"}), mustState(t, 5, Entry{"a", "2"}), mustState(t, 6, Entry{"a", "2"})
 	bad.Digest++
-	beyond := mustState(t, 6, Entry{"a", "2"})
-	beyond.Version.Epoch = MaxEpoch + 1
-	for name, state := range map[string]State{"older": older, "same": same, "digest": bad, "epoch": beyond} {
+	tooHigh := mustState(t, 6, Entry{"a", "2"})
+	tooHigh.Version.Epoch = MaxEpoch + 1
+	for name, state := range map[string]State{"older": older, "same": same, "digest": bad, "epoch": tooHigh} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestFollower(have)
 			at, poll := nextPoll(t, f)
@@ -99,22 +104,26 @@
 	}
 }
 
+// A follower that accepted a refused version again would try to install it with every poll. It reports the refusal instead
+// and installs the next version.
 func TestRefusedVersionIsReportedAndNotAcceptedAgain(t *testing.T) {
 	first, second, third := mustState(t, 1, Entry{"a", "1"}), mustState(t, 2, Entry{"a", "2"}), mustState(t, 3, Entry{"a", "3"})
 	f := newTestFollower(first)
 	at, poll := nextPoll(t, f)
-	f.Answered(at, poll.Request, leadingTo(first, second))
+	f.Answered(at, poll.Request, updateBetween(first, second))
 	r := Refusal{Version: second.Version, Reason: "unknown key"}
 	sent := f.Refuse(at, r)[0].(SendPoll)
 	assertEqual(t, sent.Poll.Refused, &r)
 	assertEqual(t, sent.Poll.Have, first.Version)
-	assertEqual(t, len(f.Answered(at+2, sent.Request, leadingTo(first, second))), 0)
+	assertEqual(t, len(f.Answered(at+2, sent.Request, updateBetween(first, second))), 0)
 	at, poll = nextPoll(t, f)
-	effects := f.Answered(at, poll.Request, leadingTo(first, third))
+	effects := f.Answered(at, poll.Request, updateBetween(first, third))
 	assertEqual(t, effects[0].(Install).State, third)
 	assertEqual(t, f.Installed(at, third.Version)[0].(SendPoll).Poll.Refused, nil)
 }
 
+// A follower that did not return after a failure of its region's servers would load the links between regions for good. It
+// polls the servers of its region first, and tries the preferred one again after minPreferredRetryDelay.
 func TestFollowerPrefersAndReturnsToItsRegion(t *testing.T) {
 	f := newTestFollower(mustState(t, 1, Entry{"a", "1"}))
 	var order []string
@@ -136,6 +145,7 @@
 	assertEqual(t, at > begin+minPreferredRetryDelay, true)
 }
 
+// A long first poll or backoff at each failed server would delay a change beyond its deadline.
 func TestFirstPollAtAServerIsShortAndBackoffIsBounded(t *testing.T) {
 	f := newTestFollower(mustState(t, 1, Entry{"a", "1"}))
 	at, poll := nextPoll(t, f)
@@ -150,12 +160,13 @@
 		at, poll = nextPoll(t, f)
 		f.Failed(at, poll.Request)
 		if gap := f.Next() - at; gap > maxBackoff {
-			t.Errorf("the next poll is %g s later", gap)
+			t.Errorf("the next poll is %g s later, want at most maxBackoff", gap)
 		}
 	}
 }
 
-// A server answers two processes of one name in turn, since the poll of each ends the other's. Backoff bounds the rate.
+// Two processes with the same name end each other's polls at the server, and would poll in a tight loop. The backoff after
+// an early answer bounds their rate.
 func TestTwoFollowersOfOneNameDoNotPollInALoop(t *testing.T) {
 	f := newTestFollower(mustState(t, 1, Entry{"a", "1"}))
 	at, poll := nextPoll(t, f)
@@ -163,16 +174,17 @@
 	begin, polls := at, 0
 	request := f.poll.request
 	for at < begin+60 {
-		f.Answered(at, request, Update{Kind: Unchanged}) // at once, although the server may hold it
+		f.Answered(at, request, Update{Kind: Unchanged}) // immediately, although the server may hold the poll
 		at, poll = nextPoll(t, f)
 		request = poll.Request
 		polls++
 	}
 	if polls > 150 {
-		t.Errorf("%d polls in a minute", polls)
+		t.Errorf("%d polls in a minute, want at most 150", polls)
 	}
 }
 
+// An isolated server may never receive the newest version, so a follower that stayed with it would fall behind.
 func TestFollowerSwitchesFromIsolatedServer(t *testing.T) {
 	f := newTestFollower(mustState(t, 1, Entry{"a", "1"}))
 	at, poll := nextPoll(t, f)
@@ -181,13 +193,15 @@
 	assertEqual(t, next.Server != poll.Server, true)
 }
 
+// A state that was corrupted on disk would count as the current version and never be replaced by the correct entries.
 func TestFollowerIgnoresCorruptStateAtItsStart(t *testing.T) {
 	bad := mustState(t, 1, Entry{"a", "1"})
 	bad.Entries = []Entry{{"a", "2"}}
 	assertEqual(t, newTestFollower(bad).View().Version, Version{})
 }
 
-func TestApplyLeadsToTheSameStateAsTheEntries(t *testing.T) {
+// A fault in merging a delta would leave a follower with other entries than the writer.
+func TestApplyingADeltaResultsInTheTargetState(t *testing.T) {
 	var before, after []Entry
 	for i := range 20 {
 		key := fmt.Sprintf("k%02d", i)
@@ -199,7 +213,7 @@
 		}
 	}
 	from, to := mustState(t, 1, before...), mustState(t, 2, after...)
-	got, err := from.Apply(leadingTo(from, to).Deltas[0])
+	got, err := from.Apply(updateBetween(from, to).Deltas[0])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/configfeed/helpers_test.go
+++ b/internal/configfeed/helpers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// readyServer returns the writer of three servers, which has heard a second one and has one revision on disk.
+// readyServer returns the writer of three servers, to which a second server has reported and which has saved one revision.
 func readyServer(t *testing.T) *Server {
 	t.Helper()
 	s := newTestServer(Stored{})
@@ -14,13 +14,13 @@
 	return s
 }
 
-// newTestServer returns the writer of three servers, which has not heard the others.
+// newTestServer returns the writer of three servers, to which no other server has reported yet.
 func newTestServer(stored Stored) *Server {
 	servers := []ServerAddress{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	return NewServer(0, ServerConfig{Name: "a", Servers: servers, Writer: "a"}, stored)
 }
 
-// proposeAndSave has a proposal accepted.
+// proposeAndSave proposes, completes the save and returns the version of the accepted proposal.
 func proposeAndSave(t *testing.T, s *Server, p Proposal) Version {
 	t.Helper()
 	p.IfVersion = s.State().Version
@@ -30,11 +30,11 @@
 			return answer.Outcome.Version
 		}
 	}
-	t.Fatal("not accepted")
+	t.Fatal("the proposal was not accepted")
 	return Version{}
 }
 
-// saveOf returns the Save among effects, and ends the test if there is none.
+// saveOf returns the Save among effects, and fails the test if there is none.
 func saveOf(t *testing.T, effects []ServerEffect) Save {
 	t.Helper()
 	for _, effect := range effects {
--- a/internal/configfeed/history.go
+++ b/internal/configfeed/history.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// HistoryRevisions is how many revisions a server keeps. A follower that is further behind is sent a snapshot, and a
-// proposal that is repeated after so many others is not recognized.
+// HistoryRevisions is the number of revisions that a server keeps. A follower that is further behind is sent a snapshot,
+// and a retry of a proposal whose revision is no longer kept is not recognized as a retry.
 const HistoryRevisions = 2048
 
 // history holds the newest revisions.
@@ -16,14 +16,14 @@
 	proposals      map[string]Version // versions of the applied proposals, by ID
 }
 
-// newHistory returns the history of the revisions that the disk held with a state.
+// newHistory returns the history of the revisions that were stored on disk with a state.
 func newHistory(revisions []Revision, have State) *history {
 	h := &history{proposals: map[string]Version{}}
 	h.append(revisions, have)
 	return h
 }
 
-// append adds revisions, which lead to the state that the server has now.
+// append adds revisions, which lead to the server's current state.
 func (h *history) append(revisions []Revision, have State) {
 	h.revisions = append(h.revisions, revisions...)
 	for _, r := range revisions {
@@ -48,7 +48,7 @@
 	h.contiguousFrom = max(h.contiguousFrom-count, 0)
 }
 
-// contiguousStart returns the index from which the revisions before end lead to a state without a gap.
+// contiguousStart returns the index from which the revisions before index end lead to a state without a gap.
 func (h *history) contiguousStart(end int, have State) int {
 	start := end
 	version := have.Version
@@ -66,14 +66,14 @@
 	return start
 }
 
-// revisionPath is what the history knows of the way from one version to the server's.
+// revisionPath is the path from one version to the server's version, as far as the history has it.
 type revisionPath struct {
 	found      bool       // the history reaches back to the version
-	revisions  []Revision // that lead on from it, oldest first
-	sameDigest bool       // the version had the given digest here; set as well where that is not known
+	revisions  []Revision // that follow the version, oldest first
+	sameDigest bool       // the version had the given digest in this history; also true if its digest is not known
 }
 
-// since returns the path from a version with a digest to the server's version.
+// since returns the path from a version with the given digest to the server's version.
 func (h *history) since(v Version, d Digest) revisionPath {
 	contiguous := h.revisions[h.contiguousFrom:]
 	start := sort.Search(len(contiguous), func(i int) bool { return contiguous[i].Delta.From.Compare(v) >= 0 })
--- a/internal/configfeed/mutants_test.go
+++ b/internal/configfeed/mutants_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Each safety rule has a scenario that needs it: a fleet with all rules passes, and a mutant without the rule violates
-// what the simulation checks.
+// A simulation whose checks miss a fault proves nothing. For each safety rule there is a scenario that a fleet with all
+// rules passes, and in which a mutant without the rule causes the expected violation.
 func TestScenariosDetectMutants(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -14,8 +14,8 @@
 		scenario  func(*simulation)
 		violation string
 	}{
-		{"follower accepts an older version", rules{acceptOlder: true}, restoreOldServerDisk, "goes back"},
-		{"digests are not compared", rules{skipDigest: true}, followTwoHistories, "never were accepted"},
+		{"follower accepts an older version", rules{acceptOlder: true}, restoreOldServerDisk, "replaced version"},
+		{"digests are not compared", rules{skipDigest: true}, followTwoHistories, "that were never saved"},
 		{"proposal is accepted before it is saved", rules{answerUnsaved: true}, killWriterBeforeSave, "is lost"},
 		{"writer does not wait for a majority", rules{skipMajority: true}, restoreOldWriterDisk, "is lost"},
 		{"retried proposal is applied again", rules{forgetProposals: true}, repeatProposal, "more than once"},
@@ -26,13 +26,13 @@
 			runScenario(rules{}, c.scenario).requireNoViolation(t)
 			violations := runScenario(c.mutant, c.scenario).violations
 			if !strings.Contains(strings.Join(violations, "\n"), c.violation) {
-				t.Errorf("the mutant is not detected by %q: %q", c.violation, violations)
+				t.Errorf("the mutant is not detected: want a violation with %q, got %q", c.violation, violations)
 			}
 		})
 	}
 }
 
-// runScenario runs a scenario under rules on a fleet with one revision, and the checks after it.
+// runScenario runs a scenario on a fleet that follows the given rules and has one revision, then the final checks.
 func runScenario(r rules, scenario func(*simulation)) *simulation {
 	s := newSimulation(1, r)
 	s.startAll(5, 9)
@@ -44,7 +44,7 @@
 	return s
 }
 
-// restoreOldServerDisk restores an older state of a server's disk while the server reaches no other one.
+// restoreOldServerDisk restores a server's disk from an older backup while the server can reach no other server.
 func restoreOldServerDisk(s *simulation) {
 	s.servers[1].backUpDisk()
 	s.propose(s.newProposal("second"), nil)
@@ -57,8 +57,8 @@
 	s.runFor(60)
 }
 
-// followTwoHistories has a node see a revision of a history that is abandoned by restoring older disks, and return to a
-// fleet that has continued with other revisions.
+// followTwoHistories suspends a node that has installed a revision. The disks of all servers and other nodes are restored
+// from before that revision, other revisions follow, and then the node resumes.
 func followTwoHistories(s *simulation) {
 	for _, server := range s.servers {
 		server.backUpDisk()
@@ -86,7 +86,7 @@
 	s.runFor(1)
 }
 
-// killWriterBeforeSave kills the writer after a proposal and before its save.
+// killWriterBeforeSave kills the writer after it received a proposal and before the save ends.
 func killWriterBeforeSave(s *simulation) {
 	s.writer().saveDuration = 0.5
 	s.propose(s.newProposal("second"), nil)
@@ -94,7 +94,7 @@
 	s.writer().kill()
 }
 
-// restoreOldWriterDisk restores an older state of the writer's disk and proposes at once.
+// restoreOldWriterDisk restores the writer's disk from an older backup and proposes immediately after the restart.
 func restoreOldWriterDisk(s *simulation) {
 	s.writer().backUpDisk()
 	s.propose(s.newProposal("second"), nil)
@@ -105,7 +105,8 @@
 	s.runFor(1)
 }
 
-// repeatProposal repeats a proposal under the present version, as a caller does that got no answer.
+// repeatProposal retries an accepted proposal under the version that it created, as a client does that received no answer
+// and then read the newest state.
 func repeatProposal(s *simulation) {
 	s.propose(s.newProposal("second"), nil)
 	s.runFor(1)
@@ -115,11 +116,11 @@
 	s.runFor(1)
 }
 
-// stopOneServer stops a server: a change has to reach its followers by another one.
+// stopOneServer suspends a server, so that its followers have to get a change from another server.
 func stopOneServer(s *simulation) {
 	s.servers[4].stop()
 	s.propose(s.newProposal("second"), nil)
 	if s.lastInForce(inForceWithin) > inForceWithin {
-		s.violated("not in force with a server stopped: %v", s.behind(s.writer().disk.State.Version))
+		s.recordViolation("not in force with a server stopped: %v", s.behind(s.writer().disk.State.Version))
 	}
 }
--- a/internal/configfeed/peer.go
+++ b/internal/configfeed/peer.go
@@ -1,21 +1,22 @@
 package configfeed
 
-// foreignRevisionReason is why a writer that has written since its start takes nothing from other servers: only it
-// creates revisions, so whatever is newer comes from another history and would undo what the writer accepted.
-const foreignRevisionReason = "the writer gave out revisions since its start, and this is none of them"
+// foreignRevisionReason is the reason with which a writer that has accepted revisions since its start refuses those of
+// other servers: only the writer creates revisions, so a newer one comes from another history and would undo what the
+// writer accepted.
+const foreignRevisionReason = "the writer has accepted revisions since its start, and this is not one of them"
 
-// peer is another control server: what it has, and the follower by which this server follows it.
+// peer is another control server, with the version that it reported and the follower with which this server follows it.
 type peer struct {
 	ServerAddress
 	follower        *Follower
-	have            Version  // as of its last poll or answer
-	lastHeard       float64  // time of its last poll or answer
-	heardSinceStart bool     // have and lastHeard are set
-	divergedAt      Version  // this server's version when the two were found to differ; zero for never
-	offer           *Install // that the follower asks for, or nil
+	have            Version  // as of the peer's last poll or answer
+	lastHeard       float64  // time of the peer's last poll or answer
+	heardSinceStart bool     // the peer has polled or answered since this server's start, so have and lastHeard are set
+	divergedAt      Version  // this server's version under which the peer has different entries; zero if none
+	offer           *Install // newer state that the follower asks to install, or nil
 }
 
-// newPeer returns a peer that is polled at once.
+// newPeer returns a peer whose first poll is due immediately.
 func newPeer(now float64, s *Server, address ServerAddress, seed uint64, lastRequest *uint64) *peer {
 	config := FollowerConfig{
 		Name:    s.config.Name,
@@ -30,7 +31,7 @@
 	return &peer{ServerAddress: address, follower: f}
 }
 
-// status returns what operators are shown of the peer, at a server that has a version.
+// status returns the peer's status as shown to operators; have is this server's version.
 func (p *peer) status(have Version) PeerStatus {
 	return PeerStatus{
 		Name:         p.Name,
@@ -42,7 +43,7 @@
 	}
 }
 
-// diverged reports whether the peer was found to have other entries under a version that this server still has.
+// diverged reports whether the peer was found to have different entries under this server's current version, have.
 func (p *peer) diverged(have Version) bool { return have != (Version{}) && p.divergedAt == have }
 
 // peerNamed returns the other server with a name, or nil.
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// peerOfPoll returns the peer at which a poll of this server is open, or nil.
+// peerOfPoll returns the peer at which this server's poll with the given request is open, or nil.
 func (s *Server) peerOfPoll(request uint64) *peer {
 	for _, p := range s.peers {
 		if p.follower.awaits(request) {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// Answered reports another server's answer to a poll of this one. The answer to a poll that was given up is ignored.
+// Answered reports another server's answer to a poll of this server. The answer to a canceled poll is ignored.
 func (s *Server) Answered(now float64, request uint64, u Update) []ServerEffect {
 	if p := s.peerOfPoll(request); p != nil {
 		s.recordPeerVersion(now, p, u.Version)
@@ -79,7 +80,7 @@
 	return s.takeEffects()
 }
 
-// Failed reports that a poll of this server at another one got no answer.
+// Failed reports that a poll of this server was not answered by the other server.
 func (s *Server) Failed(now float64, request uint64) []ServerEffect {
 	if p := s.peerOfPoll(request); p != nil {
 		s.carryOut(now, p, p.follower.Failed(now, request))
@@ -88,7 +89,7 @@
 	return s.takeEffects()
 }
 
-// recordPeerVersion records the version that a peer has reported.
+// recordPeerVersion records the version that a peer reported.
 func (s *Server) recordPeerVersion(now float64, p *peer, v Version) {
 	p.have = v
 	p.lastHeard = now
@@ -96,7 +97,8 @@
 	s.observeVersion(v)
 }
 
-// carryOut passes on the effects of a peer's follower. A state that is to be installed becomes an offer to this server.
+// carryOut handles the effects of a peer's follower. Polls are passed on to the caller; a state to be installed becomes
+// the peer's offer, which is saved before it is used.
 func (s *Server) carryOut(now float64, p *peer, effects []FollowerEffect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -111,7 +113,7 @@
 	}
 }
 
-// bestOffer returns the peer that offers the newest state, or nil, and drops the offers that are of no use any more.
+// bestOffer returns the peer that offers the newest state, or nil. It removes the offers that this server cannot use.
 func (s *Server) bestOffer(now float64) *peer {
 	var best *peer
 	for _, p := range s.peers {
@@ -128,14 +130,15 @@
 	return best
 }
 
-// refuseOffer refuses a peer's offer for good.
+// refuseOffer refuses a peer's offer, so that the follower does not accept the same version again.
 func (s *Server) refuseOffer(now float64, p *peer) {
 	refusal := Refusal{Version: p.offer.State.Version, Reason: foreignRevisionReason}
 	p.offer = nil
 	s.carryOut(now, p, p.follower.Refuse(now, refusal))
 }
 
-// dropOffer drops an offer that does not lead on from this server's state.
+// dropOffer drops an offer that does not start from this server's state. The follower continues with this server's state
+// if that is newer than its own.
 func (s *Server) dropOffer(now float64, p *peer) {
 	p.offer = nil
 	p.follower.abandon(now)
@@ -144,7 +147,7 @@
 	}
 }
 
-// isUseful reports whether an offer leads from this server's state to a newer one.
+// isUseful reports whether an offer is newer than this server's state and either is complete or starts from that state.
 func (s *Server) isUseful(offer *Install) bool {
 	if !s.rules.mayReplace(s.state.Version, offer.State.Version) {
 		return false
@@ -155,8 +158,8 @@
 // majority returns the smallest number of servers, this one included, that is more than half of them.
 func (s *Server) majority() int { return (len(s.peers)+1)/2 + 1 }
 
-// checkIsolation determines whether this server reaches a majority. When it ceases to, its followers are answered at
-// once, so that they select another server.
+// checkIsolation determines whether this server reaches a majority of the servers. When it becomes isolated, it answers
+// its followers immediately, so that they switch to another server.
 func (s *Server) checkIsolation() {
 	reached := 1 // this server itself
 	for _, p := range s.peers {
--- a/internal/configfeed/pending.go
+++ b/internal/configfeed/pending.go
@@ -5,15 +5,15 @@
 	"math"
 )
 
-// pendingPoll is a poll that is held until there is something new or its deadline has come.
+// pendingPoll is a poll that is held until the server has a newer version or the deadline has passed.
 type pendingPoll struct {
 	request  uint64
 	poll     Poll
 	deadline float64
-	index    int // in the queue
+	index    int // in deadlineQueue
 }
 
-// pendingPolls indexes the polls that are held by request, by follower and by deadline. There is at most one for each
+// pendingPolls is the set of held polls, indexed by request, by follower and by deadline. At most one poll is held per
 // follower.
 type pendingPolls struct {
 	queue      deadlineQueue
@@ -21,19 +21,19 @@
 	byFollower map[string]*pendingPoll
 }
 
-// newPendingPolls returns an index without polls.
+// newPendingPolls returns an empty set.
 func newPendingPolls() *pendingPolls {
 	return &pendingPolls{byRequest: map[uint64]*pendingPoll{}, byFollower: map[string]*pendingPoll{}}
 }
 
-// add holds a poll of a follower that has none.
+// add adds a poll. The follower must not have a held poll.
 func (h *pendingPolls) add(p *pendingPoll) {
 	h.byRequest[p.request] = p
 	h.byFollower[p.poll.Follower] = p
 	heap.Push(&h.queue, p)
 }
 
-// remove ends the holding of a poll.
+// remove removes a held poll.
 func (h *pendingPolls) remove(p *pendingPoll) {
 	delete(h.byRequest, p.request)
 	delete(h.byFollower, p.poll.Follower)
@@ -48,7 +48,7 @@
 	return h.queue[0]
 }
 
-// nextDeadline returns the earliest deadline, in seconds; infinity without polls.
+// nextDeadline returns the earliest deadline, in seconds, or infinity if no poll is held.
 func (h *pendingPolls) nextDeadline() float64 {
 	if first := h.earliest(); first != nil {
 		return first.deadline
@@ -56,14 +56,15 @@
 	return math.Inf(1)
 }
 
-// removeAll removes and returns all polls, in an order that only the calls before determine.
+// removeAll removes and returns all polls. Their order is determined by the earlier calls alone, so that runs can be
+// reproduced.
 func (h *pendingPolls) removeAll() []*pendingPoll {
 	all := h.queue
 	*h = *newPendingPolls()
 	return all
 }
 
-// deadlineQueue is a heap by deadline. Its methods are those of heap.Interface.
+// deadlineQueue is a heap ordered by deadline. It implements heap.Interface.
 type deadlineQueue []*pendingPoll
 
 func (q deadlineQueue) Len() int           { return len(q) }
--- a/internal/configfeed/polls.go
+++ b/internal/configfeed/polls.go
@@ -3,20 +3,20 @@
 import "slices"
 
 const (
-	maxPollWait       = 30.0 // seconds for which a poll is held at most
-	maxFollowers      = 4096 // whose status is kept
-	followerStatusAge = 3600 // seconds for which a follower is shown after its last poll
+	maxPollWait       = 30.0 // maximum seconds for which a poll is held
+	maxFollowers      = 4096 // maximum number of followers whose status is kept
+	followerStatusAge = 3600 // seconds after its last poll for which a follower is shown in the status
 )
 
 // updateKey identifies the followers that are sent the same update.
 type updateKey struct {
 	have     Version
-	server   bool // the update has revisions in place of deltas
-	snapshot bool // then the other fields are zero: all followers are sent the same snapshot
+	server   bool // the follower is a server, whose update has revisions instead of deltas
+	snapshot bool // the other fields are zero then, since all followers are sent the same snapshot
 }
 
-// Polled takes a follower's poll, which an AnswerPoll answers at once or later. An older poll of the same follower is
-// answered at once, since only one is held.
+// Polled handles a follower's poll. An AnswerPoll effect, of this or a later call, carries the answer. If an older poll of
+// the same follower is held, it is answered immediately, since only one poll is held per follower.
 func (s *Server) Polled(now float64, request uint64, p Poll) []ServerEffect {
 	if p.Follower == "" || len(p.Follower) > MaxNameBytes {
 		s.answerPoll(request, s.unchangedUpdate())
@@ -44,7 +44,7 @@
 	return s.takeEffects()
 }
 
-// recordFollower records what a poll reports of its follower.
+// recordFollower updates the status of a follower from its poll.
 func (s *Server) recordFollower(now float64, p Poll) {
 	f := s.followers[p.Follower]
 	if f == nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// evictOldestFollower removes the follower that was not heard for the longest time; of several, the first by name.
+// evictOldestFollower removes the follower with the oldest last poll, or of several such followers the first by name.
 func (s *Server) evictOldestFollower() {
 	var oldest *FollowerStatus
 	for _, f := range s.followers {
@@ -78,7 +78,7 @@
 	delete(s.followers, oldest.Name)
 }
 
-// heardBefore orders followers by the time of their last poll, and by name.
+// heardBefore orders followers by the time of their last poll, then by name.
 func heardBefore(a, b *FollowerStatus) bool {
 	if a.LastHeard != b.LastHeard {
 		return a.LastHeard < b.LastHeard
@@ -86,7 +86,7 @@
 	return a.Name < b.Name
 }
 
-// detectDivergence records whether another server has other entries under this server's version.
+// detectDivergence records whether another server has different entries under this server's version.
 func (s *Server) detectDivergence(peer *peer, p Poll) {
 	if p.Have != s.state.Version {
 		return
@@ -98,27 +98,27 @@
 	}
 }
 
-// Closed reports that the caller of a held poll has gone. The poll is not answered any more.
+// Closed reports that the client of a held poll has disconnected. The poll is dropped without an answer.
 func (s *Server) Closed(_ float64, request uint64) {
 	if p := s.pending.byRequest[request]; p != nil {
 		s.pending.remove(p)
 	}
 }
 
-// answerPoll answers a poll.
+// answerPoll emits the answer to a poll.
 func (s *Server) answerPoll(request uint64, u Update) {
 	s.emit(AnswerPoll{Request: request, Update: u})
 }
 
-// unchangedUpdate returns the answer that has nothing new.
+// unchangedUpdate returns the update for a follower for which the server has nothing newer.
 func (s *Server) unchangedUpdate() Update { return s.newUpdate(Unchanged) }
 
-// newUpdate returns an update of a kind with the fields that all updates have.
+// newUpdate returns an update of a kind, with the fields that are set in every update.
 func (s *Server) newUpdate(kind UpdateKind) Update {
 	return Update{Kind: kind, Server: s.config.Name, Version: s.state.Version, Isolated: s.isolated}
 }
 
-// answer is the update for a poll, and whether it has to be sent at once.
+// answer is the update for a poll, and whether it is to be sent immediately.
 type answer struct {
 	update Update
 	ready  bool // false while the poll may be held
@@ -138,7 +138,8 @@
 	}
 	path := s.history.since(p.Have, p.Digest)
 	sameHistory := path.sameDigest || s.rules.skipDigest
-	// A newer epoch replaces any history of an older one, so a server that differs there is sent a snapshot.
+	// A newer epoch replaces the history of older ones, so a server whose history differs in an older epoch is sent a
+	// snapshot.
 	if !sameHistory && p.Server && p.Have.Epoch == s.state.Version.Epoch {
 		return answer{update: s.newUpdate(Diverged), ready: true}
 	}
@@ -149,7 +150,7 @@
 	return answer{update: s.sharedUpdate(key, path.revisions), ready: true}
 }
 
-// sharedUpdate returns the update of a key, which is made once for each version.
+// sharedUpdate returns the update for a key. It is built once per version of this server and then shared.
 func (s *Server) sharedUpdate(key updateKey, revisions []Revision) Update {
 	u, found := s.updates[key]
 	if !found {
@@ -160,8 +161,9 @@
 	return u
 }
 
-// updateToCurrent returns an update that leads to this server's version: by deltas, or by the complete state where that
-// is smaller. Servers are sent revisions up to the size of the largest state, as they pass the history on.
+// updateToCurrent returns an update that leads to this server's version. Nodes are sent deltas, or a snapshot if that is
+// smaller. Servers need the history, which they pass on to others, and so are sent revisions unless these exceed
+// MaxStateBytes.
 func (s *Server) updateToCurrent(key updateKey, revisions []Revision) Update {
 	limit := s.state.bytes()
 	if key.server {
@@ -188,7 +190,8 @@
 	return u
 }
 
-// answerPendingPolls answers the held polls for which there is something new, servers first, since others follow them.
+// answerPendingPolls answers the held polls whose answer is ready, and all of them if this server is isolated. Servers are
+// answered first, since other followers depend on them.
 func (s *Server) answerPendingPolls() {
 	all := s.pending.removeAll()
 	for _, servers := range []bool{true, false} {
--- a/internal/configfeed/polls_test.go
+++ b/internal/configfeed/polls_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// A follower that reconnects would leave its old poll behind, and held polls would accumulate. An older poll is answered, and
+// a closed one is dropped.
 func TestOnePollIsHeldPerFollower(t *testing.T) {
 	s := readyServer(t)
 	poll := Poll{Follower: "n", Have: s.State().Version, Digest: s.State().Digest, Wait: 2}
@@ -32,17 +34,17 @@
 		poll Poll
 		want UpdateKind
 	}{
-		{"the same", Poll{Have: third.Version, Digest: third.Digest}, Unchanged},
+		{"same version", Poll{Have: third.Version, Digest: third.Digest}, Unchanged},
 		{"no state", Poll{}, Snapshot},
 		{"two behind", Poll{Have: first.Version, Digest: first.Digest, Server: true}, Changes},
-		{"two behind, snapshot is smaller", Poll{Have: first.Version, Digest: first.Digest}, Snapshot},
+		{"two behind, and a snapshot is smaller", Poll{Have: first.Version, Digest: first.Digest}, Snapshot},
 		{"one behind", Poll{Have: second.Version, Digest: second.Digest}, Changes},
 		{"one behind after a mismatch", Poll{Have: second.Version, Digest: second.Digest, NeedsSnapshot: true}, Snapshot},
 		{"one behind in another history", Poll{Have: second.Version, Digest: 1}, Snapshot},
 		{"server in another history", Poll{Have: second.Version, Digest: 1, Server: true}, Diverged},
-		{"other entries", Poll{Have: third.Version, Digest: 1}, Diverged},
-		{"ahead", Poll{Have: Version{Epoch: 1, Revision: 4}}, Behind},
-		{"the newest is refused", Poll{Have: second.Version, Digest: second.Digest, Refused: refused}, Unchanged},
+		{"different entries under the same version", Poll{Have: third.Version, Digest: 1}, Diverged},
+		{"newer version", Poll{Have: Version{Epoch: 1, Revision: 4}}, Behind},
+		{"newest version refused", Poll{Have: second.Version, Digest: second.Digest, Refused: refused}, Unchanged},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -54,6 +56,7 @@
 	}
 }
 
+// Without the bound the history would grow forever. A follower whose version is no longer in it needs a snapshot.
 func TestFollowerBeyondBoundedHistoryGetsSnapshot(t *testing.T) {
 	s := readyServer(t)
 	first := s.State()
@@ -69,6 +72,7 @@
 	assertEqual(t, u.Kind, Snapshot)
 }
 
+// Building an update per follower would cost memory and time for each of hundreds of followers.
 func TestFollowersOfTheSameVersionShareAnUpdate(t *testing.T) {
 	s := readyServer(t)
 	poll := Poll{Have: s.State().Version, Digest: s.State().Digest, Wait: 2}
@@ -84,6 +88,7 @@
 	}
 }
 
+// Followers with ever new names would exhaust the memory of a server. The oldest statuses are evicted.
 func TestFollowerStatusesAreBounded(t *testing.T) {
 	s := readyServer(t)
 	for i := range maxFollowers + 10 {
@@ -93,7 +98,7 @@
 	assertEqual(t, s.followers["n0"] == nil, true)
 }
 
-// BenchmarkPoll measures an idle poll of one of 172 followers, held and answered.
+// BenchmarkPoll measures a poll by one of 172 followers that is held until its deadline and then answered.
 func BenchmarkPoll(b *testing.B) {
 	s := newTestServer(Stored{})
 	s.peers = nil
--- a/internal/configfeed/properties_test.go
+++ b/internal/configfeed/properties_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// fault is a fault or a proposal that is injected into a simulation.
+// fault is a fault, or another event such as a proposal, that is injected into a simulation.
 type fault struct {
-	after  float64 // seconds since the one before
+	after  float64 // seconds after the previous fault
 	name   string
 	inject func(*simulation)
 }
 
-// drawFault draws a fault; the number makes the identifiers of its proposals unique.
-func drawFault(t *rapid.T, s *simulation, number int) fault {
+// generateFault returns a random fault. The number makes the IDs of its proposals unique.
+func generateFault(t *rapid.T, s *simulation, number int) fault {
 	server := s.servers[rapid.IntRange(0, len(s.servers)-1).Draw(t, "server")]
 	node := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
 	other := s.servers[rapid.IntRange(0, len(s.servers)-1).Draw(t, "other")]
@@ -29,7 +29,7 @@
 		{name: "repeat a proposal", inject: func(s *simulation) {
 			p := s.newProposal(fmt.Sprint("p", number))
 			s.propose(p, nil)
-			s.clock.After(0.3, func() { // as a caller does that got no answer and reads what is in force
+			s.clock.After(0.3, func() { // as a client does that received no answer and reads the newest state
 				again := s.newProposal(p.ID)
 				again.Entries = append(again.Entries, Entry{Key: "again." + p.ID, Value: "1"})
 				s.propose(again, nil)
@@ -39,9 +39,9 @@
 		{name: "start " + server.name, inject: func(*simulation) { server.startIfDown() }},
 		{name: "stop " + server.name, inject: func(*simulation) { server.stop() }},
 		{name: "continue " + server.name, inject: func(*simulation) { server.resume() }},
-		{name: "copy disk of " + server.name, inject: func(*simulation) { server.backUpDisk() }},
-		{name: "put back disk of " + server.name, inject: func(*simulation) { server.killAndRestoreDisk(); server.start() }},
-		{name: "wipe " + server.name, inject: func(*simulation) { server.killAndWipeDisk(); server.start() }},
+		{name: "back up disk of " + server.name, inject: func(*simulation) { server.backUpDisk() }},
+		{name: "restore disk of " + server.name, inject: func(*simulation) { server.killAndRestoreDisk(); server.start() }},
+		{name: "wipe disk of " + server.name, inject: func(*simulation) { server.killAndWipeDisk(); server.start() }},
 		{name: "fail saves of " + server.name, inject: func(*simulation) { server.failSaves = on }},
 		{name: "slow saves of " + server.name, inject: func(*simulation) { server.saveDuration = 0.5 }},
 		{name: "cut " + server.name + " " + other.name, inject: func(s *simulation) { s.setLinkCut(server.name, other.name, on) }},
@@ -59,14 +59,14 @@
 	return chosen
 }
 
-// startIfDown starts a server that does not run.
+// startIfDown starts a server that is not running.
 func (n *simServer) startIfDown() {
 	if !n.up {
 		n.start()
 	}
 }
 
-// endFaults ends all faults, and starts or resumes what does not run.
+// endFaults ends all faults, and starts or resumes all processes that are down or stopped.
 func (s *simulation) endFaults() {
 	s.loss = 0
 	clear(s.cutLinks)
@@ -83,8 +83,9 @@
 	}
 }
 
-// endFaultsAndCheck ends all faults and checks that the writer's state is in force everywhere in time, if necessary after
-// a new epoch; that it holds every accepted proposal, once; and that a further proposal is accepted and put in force.
+// endFaultsAndCheck ends all faults and checks the properties of a healthy fleet: the writer's state is in force everywhere
+// in time, if necessary after a new epoch; it holds every accepted proposal exactly once; and another proposal is accepted
+// and put in force in time.
 func (s *simulation) endFaultsAndCheck() {
 	s.endFaults()
 	took := s.lastInForce(inForceWithin)
@@ -93,18 +94,19 @@
 		took = s.lastInForce(inForceWithin)
 	}
 	if took > inForceWithin {
-		s.violated("not in force within %g s after the faults: %v", inForceWithin, s.behind(s.writer().disk.State.Version))
+		s.recordViolation("not in force everywhere within %g s after the faults; nodes behind: %v", inForceWithin,
+			s.behind(s.writer().disk.State.Version))
 	}
 	s.checkAcceptedProposals()
 	before := len(s.accepted)
 	s.propose(s.newProposal("final"), func(o Outcome) {
 		if o.Kind != Accepted {
-			s.violated("after all faults a proposal is answered %s: %s", o.Kind, o.Detail)
+			s.recordViolation("a proposal after all faults has the outcome %s: %s", o.Kind, o.Detail)
 		}
 	})
 	took = s.lastInForce(inForceWithin)
 	if took > inForceWithin || len(s.accepted) == before {
-		s.violated("the last change is not in force: %v", s.behind(s.writer().disk.State.Version))
+		s.recordViolation("the final change is not in force everywhere; nodes behind: %v", s.behind(s.writer().disk.State.Version))
 	}
 }
 
@@ -112,27 +114,27 @@
 func (s *simulation) checkAcceptedProposals() {
 	for _, p := range s.accepted {
 		if !s.writer().stores(p) {
-			s.violated("%s was accepted as %s and is lost", p.id, p.version)
+			s.recordViolation("proposal %s was accepted as %s and is lost", p.id, p.version)
 		}
 	}
 	applied := map[string]int{}
 	for _, r := range s.writer().disk.History {
 		applied[r.Proposal]++
 		if r.Proposal != "" && applied[r.Proposal] > 1 {
-			s.violated("%s was applied more than once", r.Proposal)
+			s.recordViolation("proposal %s was applied more than once", r.Proposal)
 		}
 	}
 }
 
-// runWithDrawnFaults draws faults, injects them and runs the checks after them.
-func runWithDrawnFaults(t *rapid.T, r rules) *simulation {
+// runWithRandomFaults injects random faults into a simulation and runs the final checks.
+func runWithRandomFaults(t *rapid.T, r rules) *simulation {
 	s := newSimulation(rapid.Uint64().Draw(t, "seed"), r)
 	s.startAll(5, 9)
 	s.runFor(1)
 	s.propose(s.newProposal("first"), nil)
 	s.runFor(1)
 	for number := range rapid.IntRange(1, 40).Draw(t, "steps") {
-		next := drawFault(t, s, number)
+		next := generateFault(t, s, number)
 		s.runFor(next.after)
 		t.Logf("%.2f s: %s", s.clock.Now-simStart, next.name)
 		next.inject(s)
@@ -141,11 +143,12 @@
 	return s
 }
 
-// No node goes back or holds half a change, no accepted proposal is lost while the writer's disk is not, and the newest
-// state is in force everywhere in time after the faults.
-func TestSafetyAndConvergenceUnderDrawnFaults(t *testing.T) {
+// Combinations of faults could make a node go back to an older version or install entries that the writer never saved, lose
+// an accepted proposal although the disks that hold it survive, or prevent the newest state from being in force everywhere
+// after the faults.
+func TestSafetyAndConvergenceUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if s := runWithDrawnFaults(t, rules{}); len(s.violations) > 0 {
+		if s := runWithRandomFaults(t, rules{}); len(s.violations) > 0 {
 			t.Fatalf("%d violations, first: %s", len(s.violations), s.violations[0])
 		}
 	})
--- a/internal/configfeed/proposals_test.go
+++ b/internal/configfeed/proposals_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// A proposal that is accepted, or sent to followers, before it is saved is lost if the writer crashes.
 func TestProposalIsAcceptedOnlyOnceItIsSaved(t *testing.T) {
 	s := readyServer(t)
 	p := Proposal{ID: "second", IfVersion: s.State().Version, Entries: []Entry{{"a", "2"}}}
@@ -20,7 +21,8 @@
 	assertEqual(t, u.Deltas[0].Set, []Entry{{"a", "2"}})
 }
 
-func TestFailedSaveLeavesTheStateAsItIs(t *testing.T) {
+// A server that adopted a state despite a failed save would distribute a revision that a restart loses.
+func TestFailedSaveLeavesTheStateUnchanged(t *testing.T) {
 	s := readyServer(t)
 	before := s.State()
 	save := saveOf(t, s.Propose(3, 2, Proposal{ID: "second", IfVersion: before.Version, Entries: []Entry{{"a", "2"}}}))
@@ -29,6 +31,8 @@
 	proposeAndSave(t, s, Proposal{ID: "second", Entries: []Entry{{"a", "2"}}})
 }
 
+// Two proposals on the same version would overwrite each other if both were accepted. The second one conflicts, and a retry
+// of the first shares its outcome.
 func TestProposalsAreSavedOneAtATimeAndConflict(t *testing.T) {
 	s := readyServer(t)
 	v := s.State().Version
@@ -38,6 +42,7 @@
 	assertEqual(t, outcomes(s.Saved(3, save.ID, nil)), map[uint64]OutcomeKind{2: Accepted, 3: Conflict, 4: Accepted})
 }
 
+// A client retries a proposal whose answer was lost. Applied again, it would undo the proposals accepted in between.
 func TestRetriedProposalIsAppliedOnceEvenAfterRestart(t *testing.T) {
 	s := readyServer(t)
 	v := proposeAndSave(t, s, Proposal{ID: "second", Entries: []Entry{{"a", "2"}}})
@@ -47,7 +52,8 @@
 	assertEqual(t, effects, []ServerEffect{AnswerProposal{7, Outcome{Kind: Accepted, Version: v}}})
 }
 
-func TestUnusableProposalsAreRejected(t *testing.T) {
+// Invalid or too large entries would be distributed to every node if the writer accepted them.
+func TestInvalidProposalsAreRejected(t *testing.T) {
 	big := strings.Repeat("x", MaxChangeBytes)
 	cases := []struct {
 		name    string
@@ -69,12 +75,15 @@
 	}
 }
 
+// Two servers that both accept proposals would create two histories.
 func TestOnlyWriterAcceptsProposals(t *testing.T) {
 	s := newTestServer(Stored{})
 	s.config.Writer = "b"
 	assertEqual(t, s.Propose(1, 2, Proposal{ID: "x"}), []ServerEffect{AnswerProposal{2, Outcome{Kind: NotWriter, Writer: "b"}}})
 }
 
+// A writer whose disk was restored from an older backup would number revisions again that already exist. It accepts
+// proposals only once a majority of the servers has reported, and while no newer or different version is known.
 func TestWriterAcceptsProposalsOnlyWhileItHasTheNewestVersion(t *testing.T) {
 	stored := readyServer(t).State()
 	proposal := Proposal{ID: "x", IfVersion: stored.Version, Entries: []Entry{{"a", "2"}}}
@@ -85,15 +94,15 @@
 		polls []Poll
 		want  OutcomeKind
 	}{
-		{"nobody heard", nil, NotReady},
-		{"only a node heard", []Poll{{Follower: "n", Have: stored.Version, Digest: stored.Digest}}, NotReady},
-		{"a node under a server's name", []Poll{{Follower: "b", Have: stored.Version, Digest: stored.Digest}}, NotReady},
-		{"a majority heard", []Poll{same}, ""},
-		{"a server is ahead", []Poll{same, {Follower: "c", Server: true, Have: newer}}, NotReady},
-		{"a node is ahead", []Poll{same, {Follower: "n", Have: newer}}, NotReady},
-		{"a server knows of a node ahead", []Poll{same, {Follower: "c", Server: true, Newest: newer}}, NotReady},
-		{"a server has other entries", []Poll{same, {Follower: "c", Server: true, Have: stored.Version, Digest: 1}}, NotReady},
-		{"a nonsensical epoch", []Poll{same, {Follower: "n", Have: Version{Epoch: MaxEpoch + 1}}}, ""},
+		{"no report", nil, NotReady},
+		{"report of a node only", []Poll{{Follower: "n", Have: stored.Version, Digest: stored.Digest}}, NotReady},
+		{"report of a node with a server's name", []Poll{{Follower: "b", Have: stored.Version, Digest: stored.Digest}}, NotReady},
+		{"reports of a majority", []Poll{same}, ""},
+		{"newer version at a server", []Poll{same, {Follower: "c", Server: true, Have: newer}}, NotReady},
+		{"newer version at a node", []Poll{same, {Follower: "n", Have: newer}}, NotReady},
+		{"newer version reported to another server", []Poll{same, {Follower: "c", Server: true, Newest: newer}}, NotReady},
+		{"different entries at a server", []Poll{same, {Follower: "c", Server: true, Have: stored.Version, Digest: 1}}, NotReady},
+		{"epoch above MaxEpoch", []Poll{same, {Follower: "n", Have: Version{Epoch: MaxEpoch + 1}}}, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,13 +112,14 @@
 			}
 			assertEqual(t, outcomes(s.Propose(2, 99, proposal))[99], c.want)
 			if status := s.Status(2); (status.NotReady != "") != (c.want == NotReady) {
-				t.Errorf("status says %q", status.NotReady)
+				t.Errorf("status shows not ready %q, want outcome %q", status.NotReady, c.want)
 			}
 		})
 	}
 }
 
-func TestNewEpochIsAboveAnySeen(t *testing.T) {
+// Followers ignore an epoch that is not above their own, so a new epoch has to be above every reported one.
+func TestNewEpochIsAboveAnyReported(t *testing.T) {
 	s := readyServer(t)
 	s.Polled(1, 2, Poll{Follower: "n", Have: Version{Epoch: 5, Revision: 3}})
 	assertEqual(t, outcomes(s.BeginEpoch(2, 3, 5, "operator", "")), map[uint64]OutcomeKind{3: Invalid})
@@ -122,6 +132,7 @@
 	assertEqual(t, u.Kind, Snapshot)
 }
 
+// A newer revision of another history, as after a restored backup, would undo what the writer has accepted since its start.
 func TestWriterThatHasWrittenRefusesOtherHistories(t *testing.T) {
 	s := readyServer(t)
 	other, err := NewState(Version{Epoch: 1, Revision: 9}, []Entry{{"b", "1"}})
@@ -137,7 +148,7 @@
 	for _, effect := range s.Answered(3, poll.Request, Update{Kind: Snapshot, Version: other.Version, State: &other}) {
 		send, _ := effect.(SendPoll)
 		if refusal := send.Poll.Refused; refusal == nil || refusal.Version != other.Version {
-			t.Errorf("want a poll that refuses the other history, got %+v", effect)
+			t.Errorf("got %+v, want a poll that refuses version %s", effect, other.Version)
 		}
 	}
 	assertEqual(t, s.State().Version, Version{Epoch: 1, Revision: 1})
--- a/internal/configfeed/revise.go
+++ b/internal/configfeed/revise.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// newRevision is a revision that is to be saved, with the state that it leads to.
+// newRevision is a revision to be saved, with the resulting state.
 type newRevision struct {
 	revision Revision
 	state    State
 }
 
-// revise returns the revision of a change, or the outcome of a change that leads to none.
+// revise returns the revision for a change, or the outcome if the change is rejected or needs no revision.
 func (s *Server) revise(now float64, c *change) (newRevision, *Outcome) {
 	if c.proposal == nil {
 		return s.reviseEpoch(now, c.epoch)
@@ -37,7 +37,7 @@
 	return newRevision{revision: revision, state: next}, nil
 }
 
-// checkProposal returns the outcome of a proposal whatever its entries are, or nil where these decide.
+// checkProposal returns the outcome of a proposal if it does not depend on the proposal's entries, and otherwise nil.
 func (s *Server) checkProposal(p *Proposal) *Outcome {
 	if v, applied := s.history.proposals[p.ID]; applied && !s.rules.forgetProposals {
 		return &Outcome{Kind: Accepted, Version: v}
@@ -51,19 +51,19 @@
 	return nil
 }
 
-// checkDelta returns the outcome of a delta that changes nothing or too much, or nil.
+// checkDelta returns the outcome of a delta that is empty or exceeds MaxChangeBytes, and otherwise nil.
 func checkDelta(d Delta) *Outcome {
 	if len(d.Set) == 0 && len(d.Delete) == 0 {
 		return &Outcome{Kind: NoChange}
 	}
 	if size := d.bytes(); size > MaxChangeBytes {
-		return &Outcome{Kind: TooLarge, Detail: fmt.Sprintf("change of %d bytes, at most %d", size, MaxChangeBytes)}
+		return &Outcome{Kind: TooLarge, Detail: fmt.Sprintf("change must be at most %d bytes, got %d", MaxChangeBytes, size)}
 	}
 	return nil
 }
 
-// reviseEpoch returns the revision that begins an epoch with the present entries, or the outcome where its number cannot
-// be used.
+// reviseEpoch returns the revision that begins an epoch with the current entries, or the outcome if the requested epoch is
+// not higher than every reported one or exceeds MaxEpoch.
 func (s *Server) reviseEpoch(now float64, e epochRequest) (newRevision, *Outcome) {
 	if e.number == 0 {
 		e.number = s.newest.Epoch + 1
--- a/internal/configfeed/rules.go
+++ b/internal/configfeed/rules.go
@@ -1,17 +1,17 @@
 package configfeed
 
-// rules switch single safety rules off. The zero value is in use: only tests, and the mutant build with the tag oneserver
-// for the rig's tests, set a field, to show that their checks detect the fault.
+// rules disables individual safety rules. Production uses the zero value. Only tests set a field, and the mutant build
+// with the tag oneserver for the rig's tests, to verify that their checks detect the fault.
 type rules struct {
-	acceptOlder       bool // a server that is behind sends its state, and a follower accepts it
-	skipDigest        bool // neither side compares digests, nor does a follower compare where a delta starts
-	answerUnsaved     bool // a proposal is accepted before it is saved
-	skipMajority      bool // the writer does not wait for the other servers' versions
-	forgetProposals   bool // a repeated proposal is applied again
-	neverSwitchServer bool // a follower polls a single server
+	acceptOlder       bool // a server that is behind the follower sends its state, and the follower accepts it
+	skipDigest        bool // digests are not compared, nor is the version from which a delta starts
+	answerUnsaved     bool // a proposal is answered with Accepted before it is saved
+	skipMajority      bool // the writer does not wait until a majority of the servers has reported its versions
+	forgetProposals   bool // a retried proposal is applied again
+	neverSwitchServer bool // a follower polls the same server even after failures
 }
 
-// mayReplace reports whether a version in force may be replaced by another.
+// mayReplace reports whether the version next may replace the version have.
 func (r rules) mayReplace(have, next Version) bool {
 	if next.Epoch > MaxEpoch {
 		return false
@@ -22,7 +22,7 @@
 	return next.Compare(have) > 0
 }
 
-// verify returns an error unless a state is valid and has its digest.
+// verify returns an error unless a state is valid and its digest matches its entries.
 func (r rules) verify(s State) error {
 	if r.skipDigest {
 		return nil
@@ -30,7 +30,7 @@
 	return s.Verify()
 }
 
-// apply returns a state after a delta, without the check of the digest.
+// apply returns the state after a delta, without verifying its digest.
 func (r rules) apply(s State, d Delta) (State, error) {
 	if r.skipDigest {
 		s.Version = d.From
--- a/internal/configfeed/rules_any_server.go
+++ b/internal/configfeed/rules_any_server.go
@@ -2,5 +2,5 @@
 
 package configfeed
 
-// singleServerBuild is false in every build but the mutant of the rig's tests.
+// singleServerBuild is true only in the mutant build for the rig's tests.
 const singleServerBuild = false
--- a/internal/configfeed/rules_single_server.go
+++ b/internal/configfeed/rules_single_server.go
@@ -2,5 +2,6 @@
 
 package configfeed
 
-// singleServerBuild makes this a mutant build, whose followers poll a single server: the rig's tests have to detect it.
+// singleServerBuild marks the mutant build, in which a follower never switches its server. The rig's tests have to
+// detect this fault.
 const singleServerBuild = true
--- a/internal/configfeed/saves.go
+++ b/internal/configfeed/saves.go
@@ -1,13 +1,14 @@
 package configfeed
 
-// saveInProgress is the save that the caller has not reported on. Either change or peer is set.
+// saveInProgress is a save whose result the caller has not reported yet. Either change or peer is set.
 type saveInProgress struct {
 	save   Save
-	change *change // that is saved, or nil
-	peer   *peer   // whose offer is saved, or nil
+	change *change // change that is being saved, or nil
+	peer   *peer   // peer whose offer is being saved, or nil
 }
 
-// startNextSave starts the next save if none is in progress: of what another server offers, else of the next change.
+// startNextSave starts the next save if none is in progress. The newest offer of another server precedes the queued
+// changes.
 func (s *Server) startNextSave(now float64) {
 	for s.saving == nil {
 		if p := s.bestOffer(now); p != nil {
@@ -23,7 +24,7 @@
 	}
 }
 
-// saveChange starts the save of a change, or answers a change that leads to no revision.
+// saveChange starts the save of a change, or answers the change if it needs no save.
 func (s *Server) saveChange(now float64, c *change) {
 	next, refused := s.revise(now, c)
 	if refused != nil {
@@ -36,7 +37,7 @@
 	}
 }
 
-// startSave asks the caller for a save.
+// startSave emits a Save effect.
 func (s *Server) startSave(next saveInProgress) {
 	s.lastSave++
 	next.save.ID = s.lastSave
@@ -44,8 +45,8 @@
 	s.emit(next.save)
 }
 
-// Saved reports the result of a Save. Only after it a proposal is accepted, and followers are answered with the new
-// state. After an error the state stays as it is.
+// Saved reports the result of a Save. A proposal is accepted, and followers are answered with the new state, only after
+// the save succeeded. After an error the state is unchanged.
 func (s *Server) Saved(now float64, save uint64, err error) []ServerEffect {
 	if s.saving == nil || s.saving.save.ID != save {
 		return nil
@@ -61,7 +62,7 @@
 	return s.takeEffects()
 }
 
-// saveFailed answers the change of a save that failed, or drops the peer's offer.
+// saveFailed answers the change whose save failed, or drops the peer's offer whose save failed.
 func (s *Server) saveFailed(now float64, done *saveInProgress, err error) {
 	if done.change != nil {
 		s.answerChange(done.change, Outcome{Kind: Failed, Detail: err.Error()})
@@ -72,7 +73,7 @@
 	}
 }
 
-// commitSave adopts a state that is on disk: followers are answered with it, servers first.
+// commitSave adopts a state that was saved, answers the followers with it, servers first, and then the change.
 func (s *Server) commitSave(now float64, done *saveInProgress) {
 	s.state = done.save.State
 	s.history.append(done.save.Revisions, s.state)
--- a/internal/configfeed/server.go
+++ b/internal/configfeed/server.go
@@ -15,61 +15,61 @@
 	Seed    uint64          // of the server's random choices
 }
 
-// Stored is what the disk held at the start. The zero value is an empty disk.
+// Stored is the content of the disk at the start. The zero value is an empty disk.
 type Stored struct {
 	State   State
 	History []Revision // oldest first
 }
 
-// PeerStatus is what a server knows of another one.
+// PeerStatus is what a server knows about another server.
 type PeerStatus struct {
 	Name         string  `json:"name"`
 	Region       string  `json:"region,omitempty"`
-	Have         Version `json:"have"`               // as of its last poll or answer
-	LastHeard    float64 `json:"heard_s"`            // Unix seconds of its last poll or answer; zero for none since the start
-	Unresponsive bool    `json:"silent,omitempty"`   // it did not answer this server's last poll
-	Diverged     bool    `json:"diverged,omitempty"` // it has other entries under a version that this server has too
+	Have         Version `json:"have"`               // as of the peer's last poll or answer
+	LastHeard    float64 `json:"heard_s"`            // Unix seconds of its last poll or answer; zero if none since the start
+	Unresponsive bool    `json:"silent,omitempty"`   // the peer did not answer this server's last poll
+	Diverged     bool    `json:"diverged,omitempty"` // the peer has different entries under this server's version
 }
 
-// ServerStatus is what a server shows to operators.
+// ServerStatus is the status of a server as shown to operators.
 type ServerStatus struct {
 	Name      string           `json:"name"`
 	Region    string           `json:"region,omitempty"`
 	Writer    string           `json:"writer"`              // name of the server that accepts proposals
 	Version   Version          `json:"version"`             // of the state on disk
 	Digest    Digest           `json:"digest,string"`       // of the state on disk
-	Newest    Version          `json:"newest"`              // that any server or follower has reported
-	Isolated  bool             `json:"isolated,omitempty"`  // it does not reach a majority of the servers
-	NotReady  string           `json:"not_ready,omitempty"` // why the writer takes no proposals; empty at other servers
-	Peers     []PeerStatus     `json:"peers"`               // the other servers, by name
-	Followers []FollowerStatus `json:"followers"`           // that poll this server, by name, servers included
+	Newest    Version          `json:"newest"`              // newest version that any server or follower has reported
+	Isolated  bool             `json:"isolated,omitempty"`  // the server does not reach a majority of the servers
+	NotReady  string           `json:"not_ready,omitempty"` // why the writer cannot accept proposals; always empty at other servers
+	Peers     []PeerStatus     `json:"peers"`               // the other servers, sorted by name
+	Followers []FollowerStatus `json:"followers"`           // that poll this server, servers included, sorted by name
 }
 
-// Server is one control server. It has a poll open at each other server, so that a revision reaches it by any way that
-// is left, and holds the polls of its followers until it has something newer for them. After each call, Next says anew
-// when Tick is due.
+// Server is one control server. It keeps a poll open at each other server, so that a revision reaches it as long as any
+// server that has the revision can be reached. It holds the polls of its followers until it has a newer version for them.
+// Each call may change the time that Next returns.
 type Server struct {
 	config    ServerConfig
 	rules     rules
-	state     State // as it is on disk
+	state     State // newest saved state
 	history   *history
-	newest    Version // that any server or follower has reported
+	newest    Version // newest version that any server or follower has reported
 	peers     []*peer
 	followers map[string]*FollowerStatus // by name
 	pending   *pendingPolls
-	updates   map[updateKey]Update // that lead to state
-	isolated  bool                 // it does not reach a majority of the servers
+	updates   map[updateKey]Update // updates that lead to state, for reuse
+	isolated  bool                 // the server does not reach a majority of the servers
 
-	saving     *saveInProgress // or nil
-	lastSave   uint64
-	queue      []*change // that wait for the save in progress
-	hasWritten bool      // it has accepted a proposal or an epoch since its start
+	saving     *saveInProgress // nil if no save is in progress
+	lastSave   uint64          // ID of the latest save
+	queue      []*change       // changes that wait for the save in progress
+	hasWritten bool            // the server has accepted a proposal or an epoch since its start
 
-	effects []ServerEffect // of the call in progress
+	effects []ServerEffect // effects of the call in progress
 }
 
-// NewServer returns a server that starts with what its disk held. A state that does not have its own digest is ignored,
-// with the history.
+// NewServer returns a server that starts with the content of its disk. If the stored state does not match its digest, both
+// the state and the history are ignored.
 func NewServer(now float64, c ServerConfig, stored Stored) *Server {
 	if stored.State.Verify() != nil {
 		stored = Stored{}
@@ -104,7 +104,8 @@
 	return next
 }
 
-// Tick does what is due: it answers the polls that were held long enough, and sends the polls at other servers.
+// Tick carries out what is due: it answers the held polls whose deadline has passed, and ends or sends polls at other
+// servers.
 func (s *Server) Tick(now float64) []ServerEffect {
 	for now >= s.pending.nextDeadline() {
 		first := s.pending.earliest()
@@ -118,17 +119,18 @@
 	return s.takeEffects()
 }
 
-// takeEffects returns the effects of the call in progress, for the caller to carry out.
+// takeEffects returns and clears the effects of the call in progress, which the caller is to carry out.
 func (s *Server) takeEffects() []ServerEffect {
 	effects := s.effects
 	s.effects = nil
 	return effects
 }
 
-// emit adds an effect of the call in progress.
+// emit adds an effect to those of the call in progress.
 func (s *Server) emit(e ServerEffect) { s.effects = append(s.effects, e) }
 
-// observeVersion records a version that a server or follower has reported. The next polls pass on the newest one.
+// observeVersion records a version that a server or follower has reported. This server's next polls report the newest
+// one to the other servers.
 func (s *Server) observeVersion(v Version) {
 	s.newest = newest(s.newest, v)
 	if s.newest != v {
@@ -142,10 +144,10 @@
 // History returns the revisions that the server keeps, oldest first. The caller must not change them.
 func (s *Server) History() []Revision { return slices.Clip(s.history.revisions) }
 
-// State returns the state that the server has on disk. The caller must not change it.
+// State returns the server's newest saved state. The caller must not change it.
 func (s *Server) State() State { return s.state }
 
-// Status returns what the server knows. Followers that have not polled for an hour are left out.
+// Status returns the server's status. It omits followers that have not polled for an hour.
 func (s *Server) Status(now float64) ServerStatus {
 	status := ServerStatus{
 		Name:     s.config.Name,
--- a/internal/configfeed/server_selection.go
+++ b/internal/configfeed/server_selection.go
@@ -7,30 +7,32 @@
 	"slices"
 )
 
-// Times of the return to the preferred server, in seconds. The delay doubles each time that the preferred server fails.
+// Delay until the preferred server is polled again after a failure, in seconds. It doubles with each failure of the
+// preferred server.
 const (
 	minPreferredRetryDelay = 15.0
 	maxPreferredRetryDelay = 300.0
 )
 
-// preferredRetryJitter is the width of the range over which the delay is spread, as a share of the delay.
+// preferredRetryJitter is the width of the range from which the actual delay is chosen at random, as a share of the delay.
 const preferredRetryJitter = 0.5
 
-// serverSelection decides which server a follower polls, and when. The first server is the preferred one. After a
-// failure the next server's turn comes with a backoff; the preferred one is tried again after a delay.
+// serverSelection decides which server a follower polls, and when. The first server is the preferred one. After a failure
+// the next server is polled, with a backoff. While another server is polled, the preferred one is tried again after a
+// delay.
 type serverSelection struct {
-	servers  []ServerAddress // in the order in which they are tried
+	servers  []ServerAddress // in the order in which they are polled
 	random   *rand.Rand
-	index    int     // of the server that is polled
-	answered bool    // the server at index answered the last poll
-	failures int     // in a row
+	index    int     // of the current server
+	answered bool    // the current server answered the last poll
+	failures int     // consecutive failures
 	pollAt   float64 // when the next poll is due
 
-	preferredRetryAt    float64 // when the preferred server is tried again; infinite while it is polled
+	preferredRetryAt    float64 // when the preferred server is tried again; infinity while it is the current server
 	preferredRetryDelay float64
 }
 
-// newServerSelection returns a selection whose first poll is due within startSpread.
+// newServerSelection returns a selection whose first poll is due at a random time within startSpread.
 func newServerSelection(now float64, servers []ServerAddress, region string, random *rand.Rand) serverSelection {
 	return serverSelection{
 		servers:             orderServers(servers, region, random),
@@ -41,8 +43,8 @@
 	}
 }
 
-// orderServers returns the servers in the order in which a follower tries them: those of its region first, in a random
-// order within each part.
+// orderServers returns the servers in the order in which a follower polls them: first those of its region, then the
+// others, each group in random order.
 func orderServers(servers []ServerAddress, region string, random *rand.Rand) []ServerAddress {
 	order := slices.Clone(servers)
 	random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
@@ -68,8 +70,8 @@
 	s.answered = false
 }
 
-// advance selects the next server after a failure of the current one, with a backoff. A build with stay set remains at
-// the current server.
+// advance selects the next server after a failure of the current one, and delays the next poll by a backoff. If stay is
+// set, as the rule neverSwitchServer requires, the current server is kept.
 func (s *serverSelection) advance(now float64, stay bool) {
 	if s.index == 0 {
 		s.preferredRetryDelay = min(2*s.preferredRetryDelay, maxPreferredRetryDelay)
@@ -88,7 +90,7 @@
 	s.pollAt = now + backoff(s.random, s.failures)
 }
 
-// keep records a good answer of the current server, whose next poll is due at once.
+// keep records a successful answer of the current server. Its next poll is due immediately.
 func (s *serverSelection) keep(now float64) {
 	s.failures = 0
 	s.answered = true
@@ -104,5 +106,5 @@
 	}
 }
 
-// allFailed reports whether so many polls failed in a row that each server had one.
+// allFailed reports whether at least as many consecutive polls failed as there are servers, so that each was tried.
 func (s *serverSelection) allFailed() bool { return s.failures >= len(s.servers) }
--- a/internal/configfeed/server_selection_test.go
+++ b/internal/configfeed/server_selection_test.go
@@ -11,6 +11,7 @@
 	return newServerSelection(0, testServers, "north", rand.New(rand.NewPCG(1, 1)))
 }
 
+// A selection that skipped a server could leave a follower without one although a server is available.
 func TestSelectionAdvancesThroughAllServers(t *testing.T) {
 	s := newTestSelection()
 	var regions []string
@@ -23,6 +24,7 @@
 	assertEqual(t, s.allFailed(), true)
 }
 
+// The mutant build must not switch its server, or the rig's tests would detect nothing.
 func TestSelectionThatMustStayKeepsItsServer(t *testing.T) {
 	s := newTestSelection()
 	s.advance(0, true)
@@ -30,6 +32,7 @@
 	assertEqual(t, s.failures, 1)
 }
 
+// Without the return, a follower would stay at a server of another region after a short failure of its own server.
 func TestSelectionReturnsToPreferredServerAfterDelay(t *testing.T) {
 	s := newTestSelection()
 	s.advance(0, false)
@@ -46,6 +49,7 @@
 	assertEqual(t, s.answered, false)
 }
 
+// A delay that doubles without a bound would keep a follower away from its region long after the preferred server is back.
 func TestSelectionBoundsDelayOfPreferredServer(t *testing.T) {
 	s := newTestSelection()
 	for range 20 * len(testServers) {
--- a/internal/configfeed/sim_node_test.go
+++ b/internal/configfeed/sim_node_test.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// simNode is a node's simulated process. Its state is on disk and outlives it.
+// simNode is the simulated process of a node. Its state is on disk and survives a restart.
 type simNode struct {
 	process
 	sim           *simulation
@@ -23,7 +23,7 @@
 	n.schedule()
 }
 
-// schedule arranges for Tick to be called when it is due.
+// schedule sets a timer for the next call of Tick.
 func (n *simNode) schedule() {
 	next := n.core.Next()
 	if n.timer > n.sim.clock.Now && n.timer <= next {
@@ -51,7 +51,7 @@
 	n.schedule()
 }
 
-// poll sends a poll to its server.
+// poll sends a poll to the selected server.
 func (n *simNode) poll(p SendPoll) {
 	text, err := json.Marshal(p.Poll)
 	if err != nil {
@@ -65,7 +65,8 @@
 	})
 }
 
-// install puts a state in force after a delay, as a node does, and checks that the node may have it.
+// install puts a state in force after a delay, as a node does. It records a violation if the state is not newer than the
+// one before or was never saved by the writer.
 func (n *simNode) install(i Install) {
 	n.sim.runAfter(0.005, &n.process, func() {
 		if n.refusalReason != nil {
@@ -75,18 +76,18 @@
 			}
 		}
 		if i.State.Version.Compare(n.state.Version) <= 0 {
-			n.sim.violated("%s goes back from %s to %s", n.name, n.state.Version, i.State.Version)
+			n.sim.recordViolation("%s replaced version %s by %s", n.name, n.state.Version, i.State.Version)
 		}
 		if !n.sim.wasSaved(i.State) {
-			n.sim.violated("%s has entries under %s that never were accepted", n.name, i.State.Version)
+			n.sim.recordViolation("%s has entries under %s that were never saved", n.name, i.State.Version)
 		}
 		n.state, n.inForceSince = i.State, n.sim.clock.Now
 		n.carryOut(n.core.Installed(n.sim.clock.Now, i.State.Version))
 	})
 }
 
-// poll delivers a poll to a server and its answer to the sender. Either answered or failed is called once, or neither
-// where a message is lost.
+// poll delivers a poll to a server and the answer to the sender. It calls either answered or failed once, or neither if a
+// message is lost.
 func (s *simulation) poll(from *process, p SendPoll, answered func(Update), failed func()) {
 	for _, server := range s.servers {
 		if server.name != p.Server.Name {
--- a/internal/configfeed/sim_server_test.go
+++ b/internal/configfeed/sim_server_test.go
@@ -7,16 +7,16 @@
 	"slices"
 )
 
-// simServer is a server's simulated process and its disk.
+// simServer is the simulated process of a server, with its disk.
 type simServer struct {
 	process
 	sim          *simulation
 	config       ServerConfig
 	core         *Server
 	disk         Stored
-	backup       Stored // a copy of the disk to be put back
-	failSaves    bool
-	saveDuration float64 // zero for one millisecond
+	backup       Stored  // a copy of the disk, to be restored later
+	failSaves    bool    // saves return an error
+	saveDuration float64 // in seconds; zero selects one millisecond
 	requests     uint64
 	pollers      map[uint64]func(Update)  // by request
 	callers      map[uint64]func(Outcome) // by request
@@ -33,7 +33,7 @@
 	isolated bool
 }
 
-// start starts the process with what its disk holds.
+// start starts the process with the content of its disk.
 func (n *simServer) start() {
 	n.markRunning()
 	n.pollers, n.callers = map[uint64]func(Update){}, map[uint64]func(Outcome){}
@@ -47,7 +47,7 @@
 	n.schedule()
 }
 
-// backUpDisk keeps a copy of the disk.
+// backUpDisk copies the disk for a later restore.
 func (n *simServer) backUpDisk() {
 	n.backup = Stored{State: n.disk.State, History: slices.Clone(n.disk.History)}
 }
@@ -65,8 +65,9 @@
 	n.killAndRestoreDisk()
 }
 
-// dropLostProposals drops the accepted proposals that may be lost now that a disk was: those that the writer's disk does
-// not hold, and that so few other disks hold that a majority, the writer included, may lack them.
+// dropLostProposals removes the accepted proposals that may be lost after the loss of a disk, so that the checks do not
+// require them: those that are not on the writer's disk and on so few other disks that a majority of the servers, the
+// writer included, may lack them.
 func (s *simulation) dropLostProposals() {
 	s.accepted = slices.DeleteFunc(s.accepted, func(p acceptedProposal) bool {
 		holders := 0
@@ -85,7 +86,7 @@
 	return slices.ContainsFunc(n.disk.State.Entries, func(e Entry) bool { return e.Key == "mark."+p.id })
 }
 
-// schedule arranges for Tick to be called when it is due.
+// schedule sets a timer for the next call of Tick.
 func (n *simServer) schedule() {
 	next := n.core.Next()
 	if n.timer > n.sim.clock.Now && n.timer <= next {
@@ -123,7 +124,7 @@
 	n.schedule()
 }
 
-// poll sends this server's poll to another one.
+// poll sends this server's poll to another server.
 func (n *simServer) poll(p SendPoll) {
 	n.sim.poll(&n.process, p, func(u Update) {
 		n.carryOut(n.core.Answered(n.sim.clock.Now, p.Request, u))
@@ -132,7 +133,8 @@
 	})
 }
 
-// save writes to the disk after a delay, and reports it after another one.
+// save writes to the disk after saveDuration, and reports the result after the same time again, so that the server can be
+// killed between the two.
 func (n *simServer) save(save Save) {
 	took := n.saveDuration
 	if took == 0 {
@@ -154,7 +156,7 @@
 	})
 }
 
-// polled passes a poll to the core; answer is called with the answer and its size in bytes.
+// polled passes a poll to the server. It calls answer with the update and its size in bytes.
 func (n *simServer) polled(p Poll, answer func(Update, int)) {
 	n.requests++
 	n.pollers[n.requests] = func(u Update) {
@@ -163,7 +165,7 @@
 	n.carryOut(n.core.Polled(n.sim.clock.Now, n.requests, p))
 }
 
-// size returns the size of an answer in bytes; equal updates are encoded once.
+// size returns the size of an answer in bytes, with its HTTP header. Equal updates are encoded only once.
 func (n *simServer) size(p Poll, u Update) int {
 	key := encodedKey{kind: u.Kind, version: u.Version, server: p.Server, isolated: u.Isolated}
 	if len(u.Deltas) > 0 {
@@ -182,7 +184,7 @@
 	return n.encoded[key]
 }
 
-// propose sends a proposal to the writer and records that it was accepted.
+// propose sends a proposal to the writer if it runs, and records the proposal once it is accepted.
 func (s *simulation) propose(p Proposal, answered func(Outcome)) {
 	n := s.writer()
 	if !n.up {
@@ -210,8 +212,8 @@
 	n.carryOut(n.core.BeginEpoch(s.clock.Now, n.requests, 0, "operator", "after faults"))
 }
 
-// newProposal returns a proposal that adds a key of its own to the writer's entries, and sets a key that all proposals
-// set.
+// newProposal returns a proposal that adds its own key to the writer's entries, and sets a key that is common to all
+// proposals.
 func (s *simulation) newProposal(id string) Proposal {
 	state := s.writer().core.State()
 	entries := map[string]string{}
--- a/internal/configfeed/sim_test.go
+++ b/internal/configfeed/sim_test.go
@@ -12,22 +12,22 @@
 
 const (
 	simStart          = 1e6  // virtual Unix time at which a simulation begins
-	latency           = 0.01 // seconds one way within a region, and three times that between regions
-	headerBytes       = 300  // of an HTTP request or answer beside its body, as reckoned
-	inForceWithin     = 6.0
-	maxStepsPerSecond = 200 // of a process, at the most
+	latency           = 0.01 // seconds one way within a region; three times as long between regions
+	headerBytes       = 300  // assumed size of the HTTP header of a request or answer
+	inForceWithin     = 6.0  // seconds within which a change has to be in force everywhere
+	maxStepsPerSecond = 200  // maximum steps per second and process
 )
 
-// simulation runs servers and nodes on a virtual clock, with faults of processes, disks and the network.
+// simulation runs servers and nodes on a virtual clock, and injects faults of processes, disks and the network.
 type simulation struct {
 	clock      virtual.Clock
 	random     *rand.Rand
 	rules      rules
 	servers    []*simServer
 	nodes      []*simNode
-	cutLinks   map[[2]string]bool // from, to
-	loss       float64
-	saved      map[Version][]State // every state that the writer's disk ever held
+	cutLinks   map[[2]string]bool  // from, to
+	loss       float64             // probability with which a message is lost
+	saved      map[Version][]State // every state that was ever on the writer's disk, by version
 	accepted   []acceptedProposal
 	violations []string
 }
@@ -38,7 +38,7 @@
 	version Version
 }
 
-// process is a simulated process, which may be killed, or stopped and resumed. While it is stopped its input waits.
+// process is a simulated process, which can be killed, or stopped and resumed. Its input is queued while it is stopped.
 type process struct {
 	name, region string
 	up, stopped  bool
@@ -55,10 +55,10 @@
 	return s
 }
 
-// serverRegions are the regions of the five servers: 2, 2 and 1.
+// serverRegions are the regions of the servers, in order.
 var serverRegions = []string{"north", "north", "south", "south", "west"}
 
-// startAll starts that many servers and nodes.
+// startAll creates and starts the given numbers of servers and nodes.
 func (s *simulation) startAll(servers, nodes int) {
 	var addresses []ServerAddress
 	for i := range servers {
@@ -84,22 +84,22 @@
 	}
 }
 
-// runFor advances the virtual clock. It panics after more steps than any run should take, since that is a loop.
+// runFor advances the virtual clock. It panics if the processes exceed maxStepsPerSecond, which indicates an endless loop.
 func (s *simulation) runFor(seconds float64) {
 	limit := s.clock.Steps + int((seconds+1)*maxStepsPerSecond)*len(s.processes())
 	for end := s.clock.Now + seconds; s.clock.Step(end); {
 		if s.clock.Steps > limit {
-			panic("more steps than any run should take")
+			panic("the processes exceed maxStepsPerSecond")
 		}
 	}
 }
 
-// violated records that a property does not hold.
-func (s *simulation) violated(format string, args ...any) {
+// recordViolation records a violation of a property.
+func (s *simulation) recordViolation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%.2f s: ", s.clock.Now-simStart)+fmt.Sprintf(format, args...))
 }
 
-// runAfter runs a function in a process after some seconds, unless the process has ended by then.
+// runAfter runs a function in a process after a delay in seconds, unless the process has ended by then.
 func (s *simulation) runAfter(after float64, p *process, run func()) {
 	generation := p.generation
 	var step func()
@@ -115,8 +115,8 @@
 	s.clock.After(after, step)
 }
 
-// send delivers a message: arrived runs in the receiver, or refused in the sender where the receiver does not run. A
-// message that is lost has neither effect.
+// send delivers a message. It runs arrived in the receiver, or refused in the sender if the receiver is down. If the
+// message is lost, it runs neither.
 func (s *simulation) send(from, to *process, arrived, refused func()) {
 	if s.drops(from, to) {
 		return
@@ -131,7 +131,7 @@
 	})
 }
 
-// drops reports whether a message is lost.
+// drops reports whether a message is lost, because the link is cut or by chance.
 func (s *simulation) drops(from, to *process) bool {
 	if s.cutLinks[[2]string{from.name, to.name}] {
 		return true
@@ -139,7 +139,7 @@
 	return s.loss > 0 && s.random.Float64() < s.loss
 }
 
-// delay draws the seconds that a message takes.
+// delay returns a random delivery time of a message, in seconds.
 func (s *simulation) delay(from, to *process) float64 {
 	delay := latency * (0.5 + s.random.Float64())
 	if from.region != to.region {
@@ -186,7 +186,7 @@
 // stop suspends the process if it runs.
 func (p *process) stop() { p.stopped = p.up }
 
-// resume continues a process that was stopped, with the input that has waited.
+// resume continues a stopped process, which first handles the queued input.
 func (p *process) resume() {
 	p.stopped = false
 	backlog := p.backlog
@@ -196,7 +196,7 @@
 	}
 }
 
-// writer is the server that takes proposals.
+// writer returns the server that accepts proposals.
 func (s *simulation) writer() *simServer { return s.servers[0] }
 
 // serverNamed returns the server with a name.
@@ -205,7 +205,7 @@
 	return s.servers[index]
 }
 
-// behind describes the running nodes that do not have a version.
+// behind describes the running nodes that do not have the given version in force.
 func (s *simulation) behind(v Version) (names []string) {
 	for _, n := range s.nodes {
 		if n.up && n.state.Version != v {
@@ -215,8 +215,8 @@
 	return names
 }
 
-// lastInForce advances the clock and returns after how many seconds the last running node had the writer's version in
-// force; infinity if one has not.
+// lastInForce advances the clock by the given seconds. It returns after how many seconds the last running node put the
+// writer's version in force, or infinity if a running node does not have it in force.
 func (s *simulation) lastInForce(seconds float64) (took float64) {
 	begin := s.clock.Now
 	s.runFor(seconds)
@@ -232,7 +232,7 @@
 	return took
 }
 
-// requireNoViolation ends the test unless all checked properties hold.
+// requireNoViolation fails the test if a violation was recorded.
 func (s *simulation) requireNoViolation(t testing.TB) {
 	t.Helper()
 	if len(s.violations) > 0 {
@@ -240,7 +240,7 @@
 	}
 }
 
-// wasSaved reports whether the writer's disk ever held exactly this state.
+// wasSaved reports whether exactly this state was ever on the writer's disk.
 func (s *simulation) wasSaved(state State) bool {
 	return slices.ContainsFunc(s.saved[state.Version], func(known State) bool {
 		return slices.Equal(known.Entries, state.Entries)
--- a/internal/configfeed/state.go
+++ b/internal/configfeed/state.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest is a hash of a state's entries: equal entries have the same digest at every server and node.
+// Digest is a hash of a state's entries. Equal entries have the same digest at every server and node.
 type Digest uint64
 
 // Entry is one setting: a dotted key and its value as compact JSON.
@@ -20,24 +20,24 @@
 }
 
 // State is a complete configuration with its version. Entries are sorted by key, and no key occurs twice. The zero state
-// stands for "nothing yet" and is valid. States share their entries: they must not be changed.
+// is valid and means that there is no configuration yet. States share their entries, so these must not be modified.
 type State struct {
 	Version Version `json:"version"`
 	Entries []Entry `json:"entries"`
 	Digest  Digest  `json:"digest,string"` // of Entries
 }
 
-// Delta leads from one version to a newer one. Set and Delete are sorted by key.
+// Delta is the difference between a version and a newer one. Set and Delete are sorted by key.
 type Delta struct {
 	From   Version  `json:"from"`
 	To     Version  `json:"to"`
 	Set    []Entry  `json:"set,omitempty"`
 	Delete []string `json:"delete,omitempty"` // keys
-	Digest Digest   `json:"digest,string"`    // of the entries after the delta
+	Digest Digest   `json:"digest,string"`    // of the entries after the delta is applied
 }
 
-// NewState returns a state of entries that come in any order. The error is ErrMismatch where a key is empty or occurs
-// twice, and ErrTooLarge where the entries take more than MaxStateBytes.
+// NewState returns a state with the given entries, which may be in any order. The error wraps ErrMismatch if a key is
+// empty or occurs twice, and ErrTooLarge if the entries exceed MaxStateBytes.
 func NewState(v Version, entries []Entry) (State, error) {
 	sorted := slices.SortedFunc(slices.Values(entries), compareEntries)
 	if err := checkEntries(sorted); err != nil {
@@ -46,8 +46,8 @@
 	return State{Version: v, Entries: sorted, Digest: digest(sorted)}, nil
 }
 
-// Verify returns an error unless the state's entries are sorted, within MaxStateBytes and have its digest. The error is
-// ErrMismatch or ErrTooLarge. The zero state is valid.
+// Verify returns an error unless the state's entries are sorted by distinct keys, within MaxStateBytes and match the
+// digest. The error wraps ErrMismatch or ErrTooLarge. The zero state is valid.
 func (s State) Verify() error {
 	if s.Version == (Version{}) && len(s.Entries) == 0 {
 		return nil
@@ -61,8 +61,9 @@
 	return nil
 }
 
-// Apply returns the state after a delta. The error is ErrMismatch where the delta starts from another version, does not
-// lead to a newer one, or leads to entries without the delta's digest, and ErrTooLarge where these are too large.
+// Apply returns the state after a delta. The error wraps ErrMismatch if the delta does not start from the state's version,
+// does not lead to a newer one, or results in entries that do not match the delta's digest. It wraps ErrTooLarge if the
+// resulting entries exceed MaxStateBytes.
 func (s State) Apply(d Delta) (State, error) {
 	next, err := s.apply(d)
 	if err != nil {
@@ -71,10 +72,10 @@
 	return next, next.Verify()
 }
 
-// apply is Apply without the check of the digest.
+// apply is Apply without the verification of the resulting state.
 func (s State) apply(d Delta) (State, error) {
 	if d.From != s.Version || d.To.Compare(d.From) <= 0 {
-		return State{}, fmt.Errorf("delta from %s to %s at version %s: %w", d.From, d.To, s.Version, ErrMismatch)
+		return State{}, fmt.Errorf("delta from version %s to %s does not apply to version %s: %w", d.From, d.To, s.Version, ErrMismatch)
 	}
 	entries, err := merge(s.Entries, d.Set, d.Delete)
 	if err != nil {
@@ -83,7 +84,8 @@
 	return State{Version: d.To, Entries: entries, Digest: d.Digest}, nil
 }
 
-// merge returns the entries with some set and others deleted. All lists are sorted by key.
+// merge returns the entries after the entries in set are set and the keys in deleted are removed. All lists are sorted
+// by key.
 func merge(entries, set []Entry, deleted []string) ([]Entry, error) {
 	merged := make([]Entry, 0, len(entries)+len(set))
 	for _, e := range entries {
@@ -102,12 +104,13 @@
 		}
 	}
 	if len(deleted) > 0 {
-		return nil, fmt.Errorf("delta deletes %q: %w", deleted[0], ErrMismatch)
+		return nil, fmt.Errorf("delta deletes key %q, which the state does not have: %w", deleted[0], ErrMismatch)
 	}
 	return append(merged, set...), nil
 }
 
-// difference returns what leads from one list of entries to another one, both sorted by key.
+// difference returns the entries to set and the keys to delete that turn one list of entries into another. Both lists are
+// sorted by key.
 func difference(before, after []Entry) (set []Entry, deleted []string) {
 	for len(before) > 0 || len(after) > 0 {
 		switch {
@@ -128,7 +131,7 @@
 	return set, deleted
 }
 
-// changedKeys returns the keys that differ between two lists of entries, sorted.
+// changedKeys returns the keys that were set, changed or deleted between two lists of entries, sorted.
 func changedKeys(before, after []Entry) []string {
 	set, keys := difference(before, after)
 	for _, e := range set {
@@ -138,10 +141,10 @@
 	return keys
 }
 
-// bytes returns the size of the state's keys and values.
+// bytes returns the total size of the state's keys and values, in bytes.
 func (s State) bytes() int { return entryBytes(s.Entries) }
 
-// bytes returns the size of the keys and values that the delta sets, and of the keys that it deletes.
+// bytes returns the total size of the keys and values that the delta sets and of the keys that it deletes, in bytes.
 func (d Delta) bytes() int {
 	sum := entryBytes(d.Set)
 	for _, key := range d.Delete {
@@ -150,7 +153,7 @@
 	return sum
 }
 
-// entryBytes returns the size of the keys and values of entries.
+// entryBytes returns the total size of the keys and values of entries, in bytes.
 func entryBytes(entries []Entry) int {
 	sum := 0
 	for _, e := range entries {
@@ -173,12 +176,12 @@
 		}
 	}
 	if size := entryBytes(entries); size > MaxStateBytes {
-		return fmt.Errorf("state of %d bytes, at most %d: %w", size, MaxStateBytes, ErrTooLarge)
+		return fmt.Errorf("state must be at most %d bytes, got %d: %w", MaxStateBytes, size, ErrTooLarge)
 	}
 	return nil
 }
 
-// digest hashes sorted entries. The length of each string precedes it, so that no two lists hash the same bytes.
+// digest hashes sorted entries. Each string is preceded by its length, so that different lists never hash the same bytes.
 func digest(entries []Entry) Digest {
 	hash := xxhash.New()
 	var length [8]byte
