--- a/internal/configfeed/feedstore/check.go
+++ b/internal/configfeed/feedstore/check.go
@@ -12,12 +12,12 @@
 
 const (
 	firstDataPage = 2      // after the two meta pages
-	freePage      = "free" // the type of a page that is not in use, as bbolt names it
+	freePage      = "free" // bbolt's name for the type of an unused page
 )
 
-// Check reads every page and record of the log in a directory, and returns an error for the first that is damaged. A
-// directory without a log is valid. On a damaged file the library may end the process or not return at all, so Check is
-// meant for a process of its own, and for a file that no process has open.
+// Check reads every page and record of the log in a directory, and returns an error for the first damaged one. A
+// directory without a log is valid. On a damaged file bbolt may end the process or never return, so Check has to run in a
+// separate process. No other process may have the file open.
 func Check(directory string) error {
 	path := filepath.Join(directory, fileName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// checkFile opens and checks a file.
+// checkFile opens and checks the file of a log.
 func checkFile(path string) error {
 	db, err := openFile(path, &bbolt.Options{Timeout: lockWait, ReadOnly: true, PreLoadFreelist: true})
 	if err != nil {
@@ -50,8 +50,8 @@
 	})
 }
 
-// checkStructure runs the library's own check and returns its first error. It reads all errors, since the check reads the
-// file until then.
+// checkStructure runs bbolt's own check and returns its first error. It receives all errors, since bbolt reads the file
+// until the last error is received.
 func checkStructure(tx *bbolt.Tx) error {
 	var first error
 	for err := range tx.Check() {
@@ -63,20 +63,20 @@
 	return nil
 }
 
-// checkPages returns an error for a page that states that it reaches beyond the file. This prevents the library's check
-// from counting billions of pages.
+// checkPages returns an error for a page whose overflow count extends beyond the end of the file. Without it, bbolt's own
+// check could iterate over billions of pages.
 func checkPages(tx *bbolt.Tx) error {
 	for id := firstDataPage; ; id++ {
 		page, err := tx.Page(id)
 		if page == nil || err != nil {
 			return err
 		}
-		if page.Type == freePage { // its header is left over
+		if page.Type == freePage { // the header of an unused page is obsolete
 			continue
 		}
 		last := id + page.OverflowCount
 		if lastPage, _ := tx.Page(last); lastPage == nil {
-			return fmt.Errorf("%w: page %d reaches to page %d", errDamaged, id, last)
+			return fmt.Errorf("%w: page %d extends to page %d, beyond the end of the file", errDamaged, id, last)
 		}
 		id = last
 	}
--- a/internal/configfeed/feedstore/feedstore.go
+++ b/internal/configfeed/feedstore/feedstore.go
@@ -1,7 +1,7 @@
-// Package feedstore keeps the log of a control server in one bbolt file: a base state and the revisions that lead on
-// from it. The newest state, the history and the identifiers of applied proposals all follow from these.
+// Package feedstore stores the log of a control server in one bbolt file: a base state and the revisions that are applied
+// to it. The newest state, the history and the IDs of applied proposals are all derived from these.
 //
-// The package owns the format of the file and makes writes durable. It does not decide which revisions are accepted.
+// The package defines the format of the file and makes writes durable. It does not decide which revisions are accepted.
 package feedstore
 
 import (
@@ -20,17 +20,18 @@
 
 const (
 	fileName = "configuration.db"
-	fileMode = 0o600 // a log is readable by the server's user alone
-	lockWait = time.Second
+	fileMode = 0o600       // only the server's user may read the log
+	lockWait = time.Second // how long to wait for another process to release the file
 
-	// compactedRevisions is how many revisions become part of the base at once, so that the base is rarely written.
+	// compactedRevisions is the number of revisions that a compaction merges into the base. It is large because each
+	// compaction writes the complete base.
 	compactedRevisions = 256
 )
 
 var (
 	bucketName = []byte("log")
 	baseKey    = []byte("base")
-	// historyPrefix precedes the position of a revision, 8 bytes in big endian.
+	// historyPrefix is the prefix of a revision's key. The position of the revision follows, as 8 bytes in big endian.
 	historyPrefix = []byte("revision ")
 )
 
@@ -39,15 +40,15 @@
 	errDamaged       = errors.New("the file is damaged")
 )
 
-// Store is an open log. At may be called by several goroutines, Save by one at a time.
+// Store is an open log. At is safe for concurrent use; Save may be called by only one goroutine at a time.
 type Store struct {
 	db     *bbolt.DB
-	newest configfeed.Version // that is on disk
+	newest configfeed.Version // newest version on disk
 }
 
-// Open opens the log in a directory, or creates both, and returns what the log holds. A file that is truncated or damaged
-// is an error that names the file, as far as that can be found without the risks of Check. The log is locked: a second
-// process gets an error.
+// Open opens the log in a directory and returns its content. It creates the directory and the log if they do not exist.
+// For a truncated or damaged file it returns an error with the path, but it detects only the damage that can be found
+// without the risks of Check. The file is locked: Open fails while another process has the log open.
 func Open(directory string) (*Store, configfeed.Stored, error) {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return nil, configfeed.Stored{}, fmt.Errorf("creating the directory of the log: %w", err)
@@ -61,8 +62,8 @@
 	return store, stored, nil
 }
 
-// open opens a file and reads all records before anything relies on them. After an error nothing is open. Where pages are
-// damaged, the library may panic, or read beyond the end of the file: both become errors here.
+// open opens a file, checks all records and loads them. After an error the file is closed. If pages are damaged, bbolt may
+// panic or read beyond the end of the file; open converts both into errors.
 func (s *Store) open(path string) (stored configfeed.Stored, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -94,7 +95,7 @@
 	return db, err
 }
 
-// prepare checks the size and all records, and creates what a new file lacks.
+// prepare checks the size of the file and all records, and creates the bucket in a new file.
 func (s *Store) prepare(path string) error {
 	if err := checkSize(s.db, path); err != nil {
 		return err
@@ -112,7 +113,7 @@
 	return syncDirectory(filepath.Dir(path))
 }
 
-// syncDirectory makes the name of a new file durable.
+// syncDirectory syncs a directory, so that the entry of a new file in it is durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return directory.Sync()
 }
 
-// checkSize returns an error where the file is shorter than its meta page states.
+// checkSize returns an error if the file is shorter than its meta page states.
 func checkSize(db *bbolt.DB, path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -130,7 +131,7 @@
 	}
 	return db.View(func(tx *bbolt.Tx) error {
 		if info.Size() < tx.Size() {
-			return fmt.Errorf("the file is cut short: it has %d bytes of %d", info.Size(), tx.Size())
+			return fmt.Errorf("the file is truncated: got %d of %d bytes", info.Size(), tx.Size())
 		}
 		return nil
 	})
--- a/internal/configfeed/feedstore/feedstore_test.go
+++ b/internal/configfeed/feedstore/feedstore_test.go
@@ -12,7 +12,7 @@
 	"gorseledge/internal/configfeed"
 )
 
-// writer makes successive revisions, each of which sets one key.
+// writer creates consecutive revisions, each of which sets the same key.
 type writer struct {
 	t     *testing.T
 	state configfeed.State
@@ -34,7 +34,7 @@
 	return state, r
 }
 
-// openStore opens a log, which is closed with the test.
+// openStore opens a log and closes it at the end of the test.
 func openStore(t *testing.T, directory string) (*Store, configfeed.Stored) {
 	t.Helper()
 	store, stored, err := Open(directory)
@@ -45,7 +45,7 @@
 	return store, stored
 }
 
-// save saves that many revisions, each by itself.
+// save saves the given number of revisions, one per call of Save.
 func (w *writer) save(store *Store, count int) {
 	w.t.Helper()
 	for range count {
@@ -56,6 +56,7 @@
 	}
 }
 
+// A server that does not load all saved revisions after a restart would lose accepted proposals.
 func TestSavedStateAndHistoryAreLoadedAfterReopening(t *testing.T) {
 	directory := t.TempDir()
 	store, stored := openStore(t, directory)
@@ -72,21 +73,24 @@
 	store.Close()
 	_, stored = openStore(t, directory)
 	if !reflect.DeepEqual(stored.State, third) || len(stored.History) != 5 || !reflect.DeepEqual(stored.History[4], r3) {
-		t.Fatalf("%+v, wanted %+v", stored, third)
+		t.Fatalf("loaded %+v, want %+v and 5 revisions", stored, third)
 	}
 }
 
+// A log with a gap between revisions cannot be replayed.
 func TestSaveRejectsRevisionsWithGap(t *testing.T) {
 	store, _ := openStore(t, t.TempDir())
 	w := &writer{t: t}
 	w.save(store, 2)
 	w.next()
-	state, r := w.next() // without the one before
+	state, r := w.next() // the revision before this one is not saved
 	if err := store.Save(state, []configfeed.Revision{r}); err == nil {
-		t.Error("a revision was saved without the one before it")
+		t.Error("a revision was saved without the revision before it")
 	}
 }
 
+// An operator who returns to an earlier revision must get exactly its state, or an error if the log no longer reaches back to
+// it.
 func TestEarlierStatesAreReplayedBackToBase(t *testing.T) {
 	directory := t.TempDir()
 	store, _ := openStore(t, directory)
@@ -102,9 +106,9 @@
 		}
 	}
 	if _, err := at(5); !errors.Is(err, configfeed.ErrRevisionNotFound) {
-		t.Errorf("a revision to come: %v", err)
+		t.Errorf("a revision that does not exist yet: %v, want %v", err, configfeed.ErrRevisionNotFound)
 	}
-	// A snapshot replaces the base: states before it can no longer be replayed.
+	// A snapshot replaces the base, so earlier states can no longer be replayed.
 	for range 6 {
 		w.next()
 	}
@@ -112,18 +116,20 @@
 		t.Fatal(err)
 	}
 	w.save(store, 1)
-	for revision, reached := range map[uint64]bool{4: false, 9: false, 10: true, 11: true} {
-		if _, err := at(revision); errors.Is(err, configfeed.ErrRevisionNotFound) == reached {
+	for revision, available := range map[uint64]bool{4: false, 9: false, 10: true, 11: true} {
+		if _, err := at(revision); errors.Is(err, configfeed.ErrRevisionNotFound) == available {
 			t.Errorf("revision %d after a snapshot: %v", revision, err)
 		}
 	}
 	store.Close()
 	_, stored := openStore(t, directory)
 	if !reflect.DeepEqual(stored.State, w.state) || len(stored.History) != 5 {
-		t.Errorf("%+v, wanted %+v and 5 revisions", stored, w.state)
+		t.Errorf("loaded %+v, want %+v and 5 revisions", stored, w.state)
 	}
 }
 
+// Without compaction the file would grow with every revision. The base, the newest revisions and the states between them have
+// to survive it.
 func TestHistoryIsBounded(t *testing.T) {
 	directory := t.TempDir()
 	store, _ := openStore(t, directory)
@@ -143,29 +149,30 @@
 	store.Close()
 	store, stored := openStore(t, directory)
 	if len(stored.History) != configfeed.HistoryRevisions || !reflect.DeepEqual(stored.State, w.state) {
-		t.Fatalf("%d revisions, %+v, wanted %+v", len(stored.History), stored.State, w.state)
+		t.Fatalf("%d revisions, %+v, want %d, %+v", len(stored.History), stored.State, configfeed.HistoryRevisions, w.state)
 	}
 	if last := stored.History[len(stored.History)-1]; last.Delta.To != w.state.Version {
-		t.Errorf("the last revision is %+v", last.Delta.To)
+		t.Errorf("the last revision is %+v, want %+v", last.Delta.To, w.state.Version)
 	}
 	if _, err := store.At(configfeed.Version{Epoch: 1, Revision: 1}); !errors.Is(err, configfeed.ErrRevisionNotFound) {
-		t.Errorf("a revision that was compacted: %v", err)
+		t.Errorf("a compacted revision: %v", err)
 	}
 	if _, err := store.At(stored.History[0].Delta.To); err != nil {
-		t.Errorf("the oldest revision that is kept: %v", err)
+		t.Errorf("the oldest kept revision: %v", err)
 	}
 }
 
+// Two servers that write to the same log, as after a start by mistake, would corrupt it.
 func TestSecondOpenOfLockedLogFails(t *testing.T) {
 	directory := t.TempDir()
 	openStore(t, directory)
 	_, _, err := Open(directory)
 	if err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("%v", err)
+		t.Errorf("opening a locked log: %v", err)
 	}
 }
 
-// fileOfRevisions returns the bytes of the file of a log with that many revisions.
+// fileOfRevisions returns the content of the file of a log with the given number of revisions.
 func fileOfRevisions(t *testing.T, count int) []byte {
 	t.Helper()
 	directory := t.TempDir()
@@ -179,7 +186,7 @@
 	return text
 }
 
-// openBytes opens a log whose file has these bytes.
+// openBytes opens a log whose file has the given content. An error has to be one line that names the file.
 func openBytes(t *testing.T, text []byte) (configfeed.Stored, error) {
 	t.Helper()
 	directory := t.TempDir()
@@ -191,11 +198,13 @@
 	if err == nil {
 		store.Close()
 	} else if !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("not one line that names the file: %v", err)
+		t.Errorf("want an error of one line that names the file, got %v", err)
 	}
 	return stored, err
 }
 
+// A file that was truncated, as by a full disk or an incomplete copy, must not be loaded as a shorter history: a server would
+// then lose accepted proposals without notice.
 func TestTruncatedFileIsRejected(t *testing.T) {
 	text := fileOfRevisions(t, 40)
 	complete, err := openBytes(t, text)
@@ -206,7 +215,7 @@
 	for size := 1; size < len(text); size += page / 2 {
 		stored, err := openBytes(t, text[:size])
 		if err == nil && !reflect.DeepEqual(stored, complete) {
-			t.Errorf("%d of %d bytes were taken for %d revisions", size, len(text), len(stored.History))
+			t.Errorf("a file truncated to %d of %d bytes was loaded with %d revisions", size, len(text), len(stored.History))
 		}
 	}
 }
--- a/internal/configfeed/feedstore/log.go
+++ b/internal/configfeed/feedstore/log.go
@@ -10,12 +10,13 @@
 	"gorseledge/internal/configfeed"
 )
 
-// historyKey returns the key of the revision at a position, which counts all revisions from 1 on.
+// historyKey returns the key of the revision at a position. Positions count all revisions of the log, from 1.
 func historyKey(position uint64) []byte {
 	return binary.BigEndian.AppendUint64(bytes.Clone(historyPrefix), position)
 }
 
-// forEachRevision calls visit with every revision of the log and its key, oldest first, until that fails.
+// forEachRevision calls visit with the key and the value of every revision of the log, oldest first. It stops at the first
+// error.
 func forEachRevision(bucket *bbolt.Bucket, visit func(key []byte, r configfeed.Revision) error) error {
 	cursor := bucket.Cursor()
 	for key, value := cursor.Seek(historyPrefix); bytes.HasPrefix(key, historyPrefix); key, value = cursor.Next() {
@@ -30,7 +31,7 @@
 	return nil
 }
 
-// loadBase returns the state that the oldest revision after it is applied to.
+// loadBase returns the base: the state to which the revisions newer than it are applied. It is the zero state in a new log.
 func loadBase(bucket *bbolt.Bucket) (configfeed.State, error) {
 	value := bucket.Get(baseKey)
 	if value == nil {
@@ -46,7 +47,7 @@
 	return state, nil
 }
 
-// replayNewest returns the newest state of the log. Revisions from before the base are history only.
+// replayNewest returns the newest state of the log. Revisions that are older than the base are only kept as history.
 func replayNewest(bucket *bbolt.Bucket) (configfeed.State, error) {
 	state, err := loadBase(bucket)
 	if err != nil {
@@ -76,20 +77,20 @@
 	return state, err
 }
 
-// applyNewer applies a revision to a state, unless the state has it already.
+// applyNewer applies a revision to a state, unless the state is at least as new as the revision.
 func applyNewer(state *configfeed.State, r configfeed.Revision) error {
 	if r.Delta.To.Compare(state.Version) <= 0 {
 		return nil
 	}
 	next, err := state.Apply(r.Delta)
 	if err != nil {
-		return fmt.Errorf("revision %d does not follow: %w", r.Delta.To.Revision, err)
+		return fmt.Errorf("applying revision %d: %w", r.Delta.To.Revision, err)
 	}
 	*state = next
 	return nil
 }
 
-// load returns all that the log holds, with the newest revisions of the history.
+// load returns the newest state of the log and the newest configfeed.HistoryRevisions revisions.
 func (s *Store) load() (configfeed.Stored, error) {
 	var stored configfeed.Stored
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -110,8 +111,8 @@
 	return stored, err
 }
 
-// At returns the state as it was at a version; the zero version stands for the newest one. The error is
-// configfeed.ErrRevisionNotFound for a version that the log does not reach.
+// At returns the state at a version; the zero version selects the newest state. The error is
+// configfeed.ErrRevisionNotFound if the version is older than the base or not in the log.
 func (s *Store) At(v configfeed.Version) (configfeed.State, error) {
 	var state configfeed.State
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -127,11 +128,11 @@
 	return state, err
 }
 
-// Save makes a state durable: by the revisions that lead to it from the newest state, or as a new base where there are
-// none. The file is synced when it returns without an error.
+// Save makes a state durable. It appends the revisions that lead to the state from the newest one, or replaces the base by
+// the state if there are no revisions. When it returns without an error, the file is synced.
 func (s *Store) Save(state configfeed.State, added []configfeed.Revision) error {
 	if !leadsTo(s.newest, state.Version, added) {
-		return fmt.Errorf("the revisions do not lead from %v to %v", s.newest, state.Version)
+		return fmt.Errorf("saving revisions: they do not lead from version %v to %v", s.newest, state.Version)
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketName)
@@ -146,8 +147,8 @@
 	return err
 }
 
-// leadsTo reports whether revisions lead from one version to another. Without any it does, since the state replaces the
-// one before.
+// leadsTo reports whether revisions lead from one version to another without a gap. It returns true if there are none,
+// since the state replaces the base then.
 func leadsTo(from, to configfeed.Version, added []configfeed.Revision) bool {
 	if len(added) == 0 {
 		return true
@@ -161,7 +162,7 @@
 	return from == to
 }
 
-// appendRevisions writes revisions after those of the log.
+// appendRevisions appends revisions to the log, and compacts the log if necessary.
 func appendRevisions(bucket *bbolt.Bucket, added []configfeed.Revision) error {
 	for _, r := range added {
 		position, err := bucket.NextSequence()
@@ -175,7 +176,8 @@
 	return compact(bucket)
 }
 
-// compact makes the oldest revisions part of the base, once there are enough beyond the history that is kept.
+// compact merges the oldest revisions into the base, once the log has compactedRevisions more than
+// configfeed.HistoryRevisions.
 func compact(bucket *bbolt.Bucket) error {
 	cursor := bucket.Cursor()
 	oldest, _ := cursor.Seek(historyPrefix)
@@ -199,7 +201,7 @@
 	return putRecord(bucket, baseKey, state)
 }
 
-// moveToBase removes the revision at a position and applies it to the base.
+// moveToBase applies the revision at a position to the base and deletes the revision.
 func moveToBase(bucket *bbolt.Bucket, position uint64, base *configfeed.State) error {
 	key := historyKey(position)
 	var r configfeed.Revision
--- a/internal/configfeed/feedstore/log_golden_test.go
+++ b/internal/configfeed/feedstore/log_golden_test.go
@@ -14,12 +14,12 @@
 	"gorseledge/internal/configfeed"
 )
 
-// The files in testdata/golden were written by the build of revision 5fa7498, which is in service: the log directory of
-// a server, and what it holds. They are fixed for good: later versions open logs that this one wrote, and it opens theirs
-// after a rollback. There is no way to rewrite them on purpose.
+// The files in testdata/golden were written by the build of revision 5fa7498, which is in service: the log directory of a
+// server, and the content of the log in text form. They must not change, because later versions open logs that this
+// version wrote, and after a rollback it opens theirs. The tests deliberately have no option to rewrite the files.
 const (
 	goldenDirectory = "testdata/golden"
-	goldenLog       = "log" // the directory of a server
+	goldenLog       = "log" // the log directory of a server
 )
 
 // requireGolden fails unless got is byte for byte the content of a golden file.
@@ -40,7 +40,7 @@
 	return text
 }
 
-// copyGoldenLog copies the golden log to a directory of the test.
+// copyGoldenLog copies the golden log to a temporary directory.
 func copyGoldenLog(t *testing.T) (directory string) {
 	t.Helper()
 	directory = t.TempDir()
@@ -57,7 +57,7 @@
 	revisions []configfeed.Revision
 }
 
-// logWriter collects the saves that make up the golden log.
+// logWriter collects the saves of which the golden log consists.
 type logWriter struct {
 	t     *testing.T
 	state configfeed.State
@@ -90,7 +90,7 @@
 	w.saves = append(w.saves, save{state: next, revisions: []configfeed.Revision{revision}})
 }
 
-// replace adds a snapshot that takes the place of the log before it.
+// replace adds a save of a snapshot, which replaces the base.
 func (w *logWriter) replace(version configfeed.Version, entries ...configfeed.Entry) {
 	w.t.Helper()
 	next, err := configfeed.NewState(version, entries)
@@ -105,7 +105,8 @@
 	return configfeed.Version{Epoch: epoch, Revision: revision}
 }
 
-// goldenSaves returns the saves of the golden log: two revisions, a snapshot, a revision, two more epochs.
+// goldenSaves returns the saves of the golden log: two revisions, a snapshot, another revision, and two more epochs with
+// their revisions.
 func goldenSaves(t *testing.T) []save {
 	t.Helper()
 	w := &logWriter{t: t}
@@ -128,7 +129,7 @@
 	return w.saves
 }
 
-// records returns the records of a log that nobody has open, one a line: key, checksum and JSON text.
+// records returns the records of a log, one per line: key, checksum and JSON text. The log must not be open.
 func records(t *testing.T, directory string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(directory, "configuration.db"), 0o600, &bbolt.Options{ReadOnly: true})
@@ -152,8 +153,8 @@
 	return text.Bytes()
 }
 
-// requireStored fails unless what a log holds is encoded as a golden file, and the file decoded and encoded again is
-// the same.
+// requireStored fails unless the content of a log has the encoded form in a golden file, and the file is the same after
+// it is decoded and encoded again.
 func requireStored(t *testing.T, name string, stored configfeed.Stored) {
 	t.Helper()
 	encode := func(stored configfeed.Stored) []byte {
@@ -179,6 +180,8 @@
 	requireGolden(t, name, encode(decoded))
 }
 
+// After an upgrade a server that cannot read its log would lose the configuration. The log of the version in service has to
+// be loaded completely.
 func TestGoldenLogIsOpened(t *testing.T) {
 	directory := copyGoldenLog(t)
 	if err := Check(directory); err != nil {
@@ -199,7 +202,8 @@
 	requireStates(t, store, "states.txt")
 }
 
-// requireStates compares the state as of each version, and which versions are out of reach, with a golden file.
+// requireStates compares the state at each version with a golden file. Versions that cannot be replayed are marked there as
+// out of reach.
 func requireStates(t *testing.T, store *Store, name string) {
 	t.Helper()
 	var text bytes.Buffer
@@ -222,7 +226,8 @@
 	requireGolden(t, name, text.Bytes())
 }
 
-// A server that opens the log of the version in service goes on with it, and that version can read what was added.
+// After an upgrade a server appends to the log of the version in service. After a rollback that version has to read the
+// appended records, so these have to match the golden file too.
 func TestGoldenLogIsAppendedTo(t *testing.T) {
 	directory := copyGoldenLog(t)
 	store, stored := openStore(t, directory)
@@ -246,7 +251,8 @@
 	requireStored(t, "stored_appended.json", stored)
 }
 
-// The same saves to a new directory give the same records.
+// A log that a later version creates has to be readable by the version in service, so the same saves to a new directory have
+// to result in the same records.
 func TestNewLogHasGoldenRecords(t *testing.T) {
 	directory := t.TempDir()
 	writeGoldenLog(t, directory)
--- a/internal/configfeed/feedstore/record.go
+++ b/internal/configfeed/feedstore/record.go
@@ -9,10 +9,10 @@
 	"go.etcd.io/bbolt"
 )
 
-// checksumBytes is the length of the checksum that precedes a record, in bytes.
+// checksumBytes is the size of the checksum that precedes a record, in bytes.
 const checksumBytes = 8
 
-// checkRecords returns an error unless every record has its checksum. A log without a bucket is valid.
+// checkRecords returns an error unless every record matches its checksum. A log without a bucket is valid.
 func checkRecords(tx *bbolt.Tx) error {
 	bucket := tx.Bucket(bucketName)
 	if bucket == nil {
@@ -24,15 +24,15 @@
 	})
 }
 
-// verifyChecksum returns what follows the checksum in a value, or an error where that has another checksum.
+// verifyChecksum returns the record that follows the checksum in a value, or an error if the two do not match.
 func verifyChecksum(value []byte) ([]byte, error) {
 	if len(value) < checksumBytes || binary.BigEndian.Uint64(value) != xxhash.Sum64(value[checksumBytes:]) {
-		return nil, fmt.Errorf("%w: a record has another checksum", errDamaged)
+		return nil, fmt.Errorf("%w: a record does not match its checksum", errDamaged)
 	}
 	return value[checksumBytes:], nil
 }
 
-// putRecord writes a record in JSON, after its checksum.
+// putRecord writes a record as JSON, preceded by its checksum.
 func putRecord(bucket *bbolt.Bucket, key []byte, record any) error {
 	text, err := json.Marshal(record)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return bucket.Put(key, append(value, text...))
 }
 
-// decodeRecord decodes a record into the value that record points to.
+// decodeRecord verifies the checksum of a stored value and decodes it into the value that record points to.
 func decodeRecord(value []byte, record any) error {
 	text, err := verifyChecksum(value)
 	if err != nil {
