--- a/internal/configfeed/controlfile/controlfile.go
+++ b/internal/configfeed/controlfile/controlfile.go
@@ -1,5 +1,5 @@
-// Package controlfile reads the file that a control server is started with and that the commands of an operator use. It
-// owns the keys of the file and what they may hold; it does not read anything else that the file names.
+// Package controlfile reads the control file, with which a control server is started and which the operators' commands use.
+// It defines the keys of the file and their valid values. It does not read other files or directories that the file names.
 package controlfile
 
 import (
@@ -19,26 +19,26 @@
 
 // Server is one control server of the fleet.
 type Server struct {
-	Name    string `toml:"name"`    // unique, 1 to configfeed.MaxNameBytes long
-	Address string `toml:"address"` // numeric, with a TCP port; unique
-	Region  string `toml:"region"`  // 1 to configfeed.MaxNameBytes long
+	Name    string `toml:"name"`    // unique, 1 to configfeed.MaxNameBytes bytes long
+	Address string `toml:"address"` // IP address and TCP port; unique
+	Region  string `toml:"region"`  // 1 to configfeed.MaxNameBytes bytes long
 }
 
 // Config is the control file of one server.
 type Config struct {
-	Fleet     string            `toml:"fleet"`     // identifier; requests of another fleet are rejected
-	Name      string            `toml:"name"`      // of this server, among Servers
-	Key       string            `toml:"key"`       // hexadecimal, fleetkey.MinBytes or more; authenticates requests and answers
-	OldKey    string            `toml:"old_key"`   // accepted as well while the key is being changed; may be empty
-	Directory string            `toml:"directory"` // of this server's log
+	Fleet     string            `toml:"fleet"`     // identifier of the fleet; requests of another fleet are rejected
+	Name      string            `toml:"name"`      // name of this server, which has to be in Servers
+	Key       string            `toml:"key"`       // in hexadecimal, at least fleetkey.MinBytes; authenticates requests and answers
+	OldKey    string            `toml:"old_key"`   // also accepted while the key is being changed; may be empty
+	Directory string            `toml:"directory"` // directory of this server's log
 	Writer    string            `toml:"writer"`    // name of the server that accepts proposals
-	Servers   []Server          `toml:"server"`    // all servers, this one included; an odd number
-	Via       map[string]string `toml:"via"`       // address to dial in place of an address
-	Keys      [][]byte          `toml:"-"`         // decoded from Key and OldKey, the one to sign with first
+	Servers   []Server          `toml:"server"`    // all servers, this one included; their number must be odd
+	Via       map[string]string `toml:"via"`       // address to dial instead, by address of a server
+	Keys      [][]byte          `toml:"-"`         // decoded from Key and OldKey; the first one signs
 }
 
-// Read reads and checks a control file. The error is one line with the path, and for a mistake in the file with the line
-// and the key. Unknown keys are errors.
+// Read reads and checks a control file. The error is one line with the path. For a mistake in the file it also has the line
+// number and the key. Unknown keys are errors.
 func Read(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,26 +82,27 @@
 	return c, nil
 }
 
-// checkName returns an error unless a text can be the name of a fleet, server or region.
+// checkName returns an error unless a text is a valid name of a fleet, server or region.
 func checkName(key, name string) error {
 	switch {
 	case name == "":
 		return fmt.Errorf("%s: is missing", key)
 	case len(name) > configfeed.MaxNameBytes:
-		return fmt.Errorf("%s: %d bytes, and %d are allowed", key, len(name), configfeed.MaxNameBytes)
+		return fmt.Errorf("%s: must be between 1 and %d bytes, got %d", key, configfeed.MaxNameBytes, len(name))
 	case strings.ContainsFunc(name, isSpaceOrUnprintable):
 		return fmt.Errorf("%s: %q contains a space or an unprintable character", key, name)
 	}
 	return nil
 }
 
-// isSpaceOrUnprintable reports whether a character may not be in a name.
+// isSpaceOrUnprintable reports whether a character is not allowed in a name.
 func isSpaceOrUnprintable(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
 
 // namedSetting is a setting whose value is a name.
 type namedSetting struct{ key, name string }
 
-// checkSelf checks the settings that concern this server alone. A check returns the place of the mistake with the error.
+// checkSelf checks the settings that concern only this server. Like the other checks, it returns an error together with the
+// place of the mistake.
 func checkSelf(c Config) (strict.Place, error) {
 	settings := []namedSetting{{"fleet", c.Fleet}, {"name", c.Name}, {"writer", c.Writer}}
 	for _, named := range settings {
@@ -132,9 +133,9 @@
 		case err != nil:
 			return place("address"), fmt.Errorf("address: %w", err)
 		case names[s.Name]:
-			return place("name"), fmt.Errorf("name: there are two servers %s", s.Name)
+			return place("name"), fmt.Errorf("name: two servers are named %s", s.Name)
 		case addresses[address]:
-			return place("address"), fmt.Errorf("address: two servers have %s", s.Address)
+			return place("address"), fmt.Errorf("address: two servers have the address %s", s.Address)
 		}
 		names[s.Name] = true
 		addresses[address] = true
@@ -142,15 +143,15 @@
 	return strict.Place{}, nil
 }
 
-// checkRoles checks that this server and the writer are listed, and that the number of servers is odd: an even number
-// survives no more failures than the odd one below it.
+// checkRoles checks that this server and the writer are among the servers, and that the number of servers is odd: an even
+// number tolerates no more failures than the next smaller odd number.
 func checkRoles(c Config) (strict.Place, error) {
 	if len(c.Servers)%2 == 0 {
-		return strict.Place{Table: "server"}, fmt.Errorf("server: there are %d, and an odd number is wanted", len(c.Servers))
+		return strict.Place{Table: "server"}, fmt.Errorf("server: the number of servers must be odd, got %d", len(c.Servers))
 	}
 	for _, named := range []namedSetting{{"name", c.Name}, {"writer", c.Writer}} {
 		if _, found := c.Server(named.name); !found {
-			return strict.Place{Key: named.key}, fmt.Errorf("%s: there is no server %s", named.key, named.name)
+			return strict.Place{Key: named.key}, fmt.Errorf("%s: server %s is not listed", named.key, named.name)
 		}
 	}
 	return strict.Place{}, nil
--- a/internal/configfeed/controlfile/controlfile_golden_test.go
+++ b/internal/configfeed/controlfile/controlfile_golden_test.go
@@ -11,9 +11,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The files in testdata/golden are control files that the build of revision 5fa7498, which is in service, reads as the
-// tests say. They are fixed for good: operators keep their files over an upgrade. There is no way to rewrite them on
-// purpose.
+// The files in testdata/golden are control files. The build of revision 5fa7498, which is in service, reads them with the
+// values that the tests expect. The files must not change, because operators keep their files during an upgrade. The tests
+// deliberately have no option to rewrite them.
 const goldenDirectory = "testdata/golden"
 
 // requireGolden fails unless got is byte for byte the content of a golden file.
@@ -34,8 +34,8 @@
 	return text
 }
 
-// requireEveryFieldSet fails for each field, element or map value that is zero, at any depth. Without it, a field that
-// is left out of the encoded form when empty could change its name unnoticed.
+// requireEveryFieldSet fails for each field, element or map value that is zero, at any depth. Without it, a field that is
+// omitted from the encoded form when it is empty could be renamed without a test failure.
 func requireEveryFieldSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
@@ -63,7 +63,7 @@
 	}
 }
 
-// goldenConfig returns what control.toml holds, with every field set.
+// goldenConfig returns the content of control.toml, in which every field is set.
 func goldenConfig() Config {
 	return Config{
 		Fleet:     "lima-norte",
@@ -85,6 +85,7 @@
 	}
 }
 
+// A key that is renamed or read differently would break the control files of operators at an upgrade.
 func TestControlFileMatchesGoldenFile(t *testing.T) {
 	config, err := Read(filepath.Join(goldenDirectory, "control.toml"))
 	if err != nil {
@@ -105,7 +106,8 @@
 	}
 }
 
-// A file as an operator writes it, with comments and without what may be left out.
+// A file with comments and without the optional keys, as operators write it, has to be read without errors and with zero
+// values for the omitted keys.
 func TestSparseControlFileMatchesGoldenFile(t *testing.T) {
 	config, err := Read(filepath.Join(goldenDirectory, "sparse.toml"))
 	if err != nil {
