--- a/internal/strict/leaves.go
+++ b/internal/strict/leaves.go
@@ -10,13 +10,13 @@
 
 // Leaf is one value of a document, or an empty table.
 type Leaf struct {
-	Key   []string // the parts of its dotted key
-	Value any      // as the TOML library decodes it; an array is one value
-	Line  int      // at which the key stands, from 1 on
+	Key   []string // parts of the dotted key
+	Value any      // as decoded by the TOML library; an array is one value
+	Line  int      // line number of the key, from 1
 }
 
-// Leaves returns all values of a document whose keys are not known beforehand, in the order of their lines. The error of
-// a text that is not TOML has the path and the line; the path is used for nothing else.
+// Leaves returns all values of a document, whose keys need not be known in advance, in the order of their lines. If the text
+// is not valid TOML, the error has the path and the line number. The path is only used in errors.
 func Leaves(path string, text []byte) ([]Leaf, error) {
 	var document map[string]any
 	if err := Decode(path, text, &document); err != nil {
@@ -30,7 +30,7 @@
 	return leaves, nil
 }
 
-// appendLeaves appends the leaves of the value with a key, in any order.
+// appendLeaves appends the leaves of a value that has the given dotted key, in no particular order.
 func appendLeaves(leaves []Leaf, lines map[string]int, key []string, value any) []Leaf {
 	table, isTable := value.(map[string]any)
 	isDocument := len(key) == 0
@@ -44,10 +44,10 @@
 	return leaves
 }
 
-// lineKey returns the key of keyLines for a dotted key.
+// lineKey returns the form of a dotted key that is used as a key of the map keyLines returns.
 func lineKey(key []string) string { return strings.Join(key, "\x00") }
 
-// keyLines returns the first line of each key, by lineKey, of a document that parses.
+// keyLines returns the first line number of each key of a valid document, by lineKey.
 func keyLines(text []byte) map[string]int {
 	finder := newKeyFinder(text)
 	var parser unstable.Parser
@@ -64,13 +64,13 @@
 	return finder.lines
 }
 
-// keyFinder records the first lines of keys.
+// keyFinder records the first line number of each key.
 type keyFinder struct {
 	lines    map[string]int // by lineKey
 	lineEnds []int          // offsets of the line feeds
 }
 
-// newKeyFinder returns a finder of keys in a text.
+// newKeyFinder returns a keyFinder for a text.
 func newKeyFinder(text []byte) *keyFinder {
 	finder := &keyFinder{lines: map[string]int{}}
 	for offset, c := range text {
@@ -81,13 +81,13 @@
 	return finder
 }
 
-// lineAt returns the line of an offset, from 1 on.
+// lineAt returns the line number of an offset, from 1.
 func (f *keyFinder) lineAt(offset int) int {
 	before, _ := slices.BinarySearch(f.lineEnds, offset)
 	return before + 1
 }
 
-// addKey records a dotted key below a table, with each table on the way, and returns the complete key.
+// addKey records a dotted key relative to a table, and each table on the path to it. It returns the complete key.
 func (f *keyFinder) addKey(table []string, parts unstable.Iterator) []string {
 	key := slices.Clone(table)
 	for parts.Next() {
@@ -100,7 +100,7 @@
 	return key
 }
 
-// addPair records a key and, if its value is an inline table, the keys in that.
+// addPair records the key of a key/value pair and, if the value is an inline table, the keys in that table.
 func (f *keyFinder) addPair(table []string, pair *unstable.Node) {
 	key := f.addKey(table, pair.Key())
 	if pair.Value().Kind != unstable.InlineTable {
--- a/internal/strict/leaves_test.go
+++ b/internal/strict/leaves_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// All values of a document are returned in the order of their lines, however their keys are written.
+// A value that is missing, or has the wrong line number, would be ignored or reported in the wrong line of an operator's
+// document. Keys may be dotted or quoted, and in tables, inline tables and arrays of tables.
 func TestLeavesReturnsValuesInOrderOfLines(t *testing.T) {
 	const text = `# a comment
 top = 1
@@ -34,12 +35,12 @@
 	want := []string{"2 top 1", "3 a/b x", "6 table/dotted.key 2.5", "7 table/inline/one 1", "8 table/inline/two/three [1 2]",
 		"9 table/empty map[]", "11 rows [map[name:first] map[name:second]]"}
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
-		t.Errorf("%s\nwanted\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 	if _, err := Leaves("some.toml", []byte("a = 1\na = 2\n")); err == nil || !strings.HasPrefix(err.Error(), "some.toml:2: ") {
-		t.Error(err)
+		t.Errorf("a key that occurs twice: got error %v, want one for line 2", err)
 	}
 	if leaves, err := Leaves("some.toml", nil); err != nil || len(leaves) != 0 {
-		t.Errorf("%v, %v", leaves, err)
+		t.Errorf("an empty document: got %v, %v, want no values", leaves, err)
 	}
 }
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files in which unknown keys are errors. Every error is one line with the path of the file and
-// the line of the text that is wrong. The package does no I/O: callers pass the text.
+// Package strict decodes TOML files and treats unknown keys as errors. Every error is one line with the path of the file and
+// the line number of the mistake. The package does no I/O: callers pass the text.
 package strict
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes a text into the value that target points to. It is an error where the text has a key that the value's
-// type does not have. The path is only used for the error.
+// Decode decodes a text into the value that target points to. It returns an error if the text has a key that the type of
+// the value does not have. The path is only used in errors.
 func Decode(path string, text []byte, target any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 	if err == nil {
@@ -32,19 +32,20 @@
 	return fmt.Errorf("%s:1: %w", path, err)
 }
 
-// Place is a key in a file. The zero value is the file itself.
+// Place is the position of a key or table in a file. The zero value is the file itself.
 type Place struct {
-	Table string // name of an array of tables; empty for the top of the file
-	Index int    // of the table in the array, from 0 on
-	Key   string // in the table; empty for the table itself
+	Table string // name of a table or an array of tables; empty for the top level of the file
+	Index int    // index of the table in the array, from 0
+	Key   string // key in the table; empty for the table itself
 }
 
-// Wrap adds to an error the path and the line of the place that it is about.
+// Wrap adds the path and the line number of the place to an error.
 func (p Place) Wrap(path string, text []byte, err error) error {
 	return fmt.Errorf("%s:%d: %w", path, p.line(text), err)
 }
 
-// line returns the line of the place in a text: that of the table if the key is missing, and 1 if both are.
+// line returns the line number of the place in a text. If the key is missing, it is that of the table's header; if the
+// table is missing too, it is 1.
 func (p Place) line(text []byte) int {
 	found := 1
 	index := -1
@@ -72,7 +73,7 @@
 	return found
 }
 
-// tableName returns the name in the header of a table.
+// tableName returns the name in a line that is the header of a table.
 func tableName(line string) string {
 	header, _, _ := strings.Cut(line, "#")
 	return strings.Trim(strings.TrimSpace(header), "[] ")
