--- a/internal/livesettings/documented_test.go
+++ b/internal/livesettings/documented_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The operators' page has one row for each key, with its unit and range, and no other rows.
+// Operators would use a wrong unit or range if the page and the code disagreed. The page has to have exactly one row for each
+// key, with its unit and range.
 func TestEveryKeyIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operating.md")
 	if err != nil {
@@ -16,7 +17,7 @@
 	_, section, found := strings.Cut(string(page), "## Live settings\n")
 	section, _, _ = strings.Cut(section, "\n## ")
 	if !found {
-		t.Fatal("the page has no such section")
+		t.Fatal("the page has no section \"Live settings\"")
 	}
 	rows := 0
 	for _, line := range strings.Split(section, "\n") {
@@ -25,7 +26,7 @@
 		}
 	}
 	if rows != len(keys) {
-		t.Errorf("%d rows, %d keys", rows, len(keys))
+		t.Errorf("the page has %d rows for %d keys", rows, len(keys))
 	}
 	for _, k := range keys {
 		name := strings.NewReplacer("hosts.*", "hosts.ID", "*", "NAME").Replace(k.pattern)
@@ -34,7 +35,7 @@
 			row = fmt.Sprintf("| `%s` | host:port | port 1 to %d", name, MaxPort)
 		}
 		if !strings.Contains(section, row) {
-			t.Errorf("no row %q", row)
+			t.Errorf("the page has no row that begins with %q", row)
 		}
 	}
 }
--- a/internal/livesettings/key.go
+++ b/internal/livesettings/key.go
@@ -13,27 +13,27 @@
 	"unicode/utf8"
 )
 
-// wildcard stands for a name in a pattern.
+// wildcard is the part of a pattern that matches any name.
 const wildcard = "*"
 
-// jsonNull is the JSON value that json.Unmarshal accepts for any type; no key takes it.
+// jsonNull is rejected for every key, although json.Unmarshal accepts it for any type.
 const jsonNull = "null"
 
-// key is one key of the document. A key without a unit takes an address, the others a number.
+// key describes a key of the document. The value of a key without a unit is an address; that of any other key is a number.
 type key struct {
-	pattern string  // dotted; the wildcard stands for the name of a tenant, service type or host
-	unit    string  // of its values
-	min     float64 // smallest value
-	max     float64 // largest value
-	integer bool    // only whole numbers are accepted
+	pattern string  // dotted key, with the wildcard in place of the name of a tenant, service type or host
+	unit    string  // unit of the values
+	min     float64 // smallest valid value
+	max     float64 // largest valid value
+	integer bool    // only whole numbers are valid
 
-	// Either setNumber or setText is set. It stores a valid value in the settings, under the name in the key.
+	// setNumber or setText, of which only one is set, stores a valid value in the settings, under the name in the key.
 	setNumber func(s *Settings, name string, value float64)
 	setText   func(s *Settings, value string)
 }
 
-// match reports whether a key has the pattern, and which name stands for the wildcard; empty without one. A name may
-// have dots.
+// match reports whether a dotted key matches the pattern, and returns the name in place of the wildcard, which may contain
+// dots. The name is empty if the pattern has no wildcard.
 func (k key) match(text string) (name string, matches bool) {
 	before, after, named := strings.Cut(k.pattern, wildcard)
 	if !named {
@@ -48,13 +48,13 @@
 	return text[len(before) : len(text)-len(after)], true
 }
 
-// set checks a value, given as compact JSON, and stores it in the settings.
+// set checks a name and a value in compact JSON, and stores the value in the settings.
 func (k key) set(s *Settings, name, value string) error {
 	if err := checkName(name); err != nil {
 		return err
 	}
 	if !isCompactJSON(value) {
-		return errors.New("the value is no compact JSON")
+		return errors.New("the value is not compact JSON")
 	}
 	if k.setText != nil {
 		address, err := parseAddress(value)
@@ -72,19 +72,19 @@
 	return nil
 }
 
-// checkName returns an error unless a name can be that of a tenant, service type or host. A key without a wildcard has
-// the empty name.
+// checkName returns an error unless a name is valid for a tenant, service type or host. It accepts the empty name, which
+// the keys without a wildcard have.
 func checkName(name string) error {
 	switch {
 	case len(name) > MaxNameBytes:
-		return fmt.Errorf("a name of %d bytes, and at most %d are allowed", len(name), MaxNameBytes)
+		return fmt.Errorf("the name must be between 1 and %d bytes, got %d", MaxNameBytes, len(name))
 	case !utf8.ValidString(name) || strings.ContainsFunc(name, unicode.IsControl):
-		return errors.New("a name with control characters")
+		return errors.New("the name must be valid UTF-8 without control characters")
 	}
 	return nil
 }
 
-// isCompactJSON reports whether a text is JSON without insignificant space.
+// isCompactJSON reports whether a text is valid JSON without insignificant white space.
 func isCompactJSON(text string) bool {
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, []byte(text)); err != nil {
@@ -93,28 +93,28 @@
 	return compact.String() == text
 }
 
-// parseNumber returns a number of the key's kind and range.
+// parseNumber parses a number and checks it against the key's type and range.
 func (k key) parseNumber(value string) (float64, error) {
 	var number float64
 	err := json.Unmarshal([]byte(value), &number)
 	if err != nil || value == jsonNull {
-		return 0, fmt.Errorf("wanted %s", k.kind())
+		return 0, fmt.Errorf("must be %s", k.kind())
 	}
 	if k.integer && !isInteger(value, number) {
-		return 0, fmt.Errorf("wanted %s", k.kind())
+		return 0, fmt.Errorf("must be %s", k.kind())
 	}
 	if number < k.min || number > k.max {
-		return 0, fmt.Errorf("%s is not between %s and %s %s", value, formatNumber(k.min), formatNumber(k.max), k.unit)
+		return 0, fmt.Errorf("must be between %s and %s %s, got %s", formatNumber(k.min), formatNumber(k.max), k.unit, value)
 	}
 	return number, nil
 }
 
-// isInteger reports whether a number is whole and written without a fraction or an exponent.
+// isInteger reports whether a number is whole and its text has neither a fraction nor an exponent.
 func isInteger(text string, number float64) bool {
 	return number == math.Trunc(number) && !strings.ContainsAny(text, ".eE")
 }
 
-// kind describes the values of the key.
+// kind describes the type of the key's values for errors.
 func (k key) kind() string {
 	if k.integer {
 		return "a whole number"
@@ -122,23 +122,23 @@
 	return "a number"
 }
 
-// formatNumber returns a number without an exponent.
+// formatNumber formats a number without an exponent.
 func formatNumber(number float64) string { return strconv.FormatFloat(number, 'f', -1, 64) }
 
-// parseAddress returns the host and port of a JSON string.
+// parseAddress parses a JSON string that has the form HOST:PORT.
 func parseAddress(value string) (string, error) {
 	var address string
 	err := json.Unmarshal([]byte(value), &address)
 	if err != nil || value == jsonNull {
-		return "", errors.New("wanted an address in quotes")
+		return "", errors.New("must be an address in quotes")
 	}
 	if !isAddress(address) {
-		return "", fmt.Errorf("wanted HOST:PORT with a port from 1 to %d", MaxPort)
+		return "", fmt.Errorf("must be HOST:PORT with a port between 1 and %d", MaxPort)
 	}
 	return address, nil
 }
 
-// isAddress reports whether a text is a host and a port.
+// isAddress reports whether a text has the form HOST:PORT, a valid port and at most MaxAddressBytes.
 func isAddress(text string) bool {
 	if len(text) > MaxAddressBytes {
 		return false
--- a/internal/livesettings/keys.go
+++ b/internal/livesettings/keys.go
@@ -4,9 +4,9 @@
 	"gorseledge/internal/node/live"
 )
 
-// Ranges of the values. They reject values that are most likely mistakes.
+// Ranges of the values. Values outside of them are most likely mistakes.
 const (
-	// MaxRetryAfter bounds the Retry-After advice, in seconds. The smallest is 0.
+	// MaxRetryAfter is the maximum Retry-After advice, in seconds. The minimum is 0.
 	MaxRetryAfter = 600
 
 	// MinPollInterval and MaxPollInterval bound the time between two polls of the endpoint list, in seconds.
@@ -17,19 +17,19 @@
 	MinNodes = 1
 	MaxNodes = 100_000
 
-	// MinAttempts and MaxAttempts bound the connection attempts for one flow.
+	// MinAttempts and MaxAttempts bound the number of connection attempts for one flow.
 	MinAttempts = 1
 	MaxAttempts = 64
 
-	// MinDescriptors and MaxDescriptors bound the file descriptors of a node.
+	// MinDescriptors and MaxDescriptors bound the number of file descriptors of a node.
 	MinDescriptors = 32
 	MaxDescriptors = 4 << 20
 
-	// MinSlowStartShare and MaxSlowStartShare bound the share of its capacity with which a host starts.
+	// MinSlowStartShare and MaxSlowStartShare bound the share of its capacity with which a host begins a slow start.
 	MinSlowStartShare = 0.001
 	MaxSlowStartShare = 1
 
-	// MinSlowStartDuration and MaxSlowStartDuration bound the time of a slow start, in seconds.
+	// MinSlowStartDuration and MaxSlowStartDuration bound the duration of a slow start, in seconds.
 	MinSlowStartDuration = 0.1
 	MaxSlowStartDuration = 3600
 
@@ -37,11 +37,11 @@
 	MinOverloadMultiple = 1
 	MaxOverloadMultiple = 20
 
-	// MinOverloadWindow and MaxOverloadWindow bound the time after which an overloaded host fails, in seconds.
+	// MinOverloadWindow and MaxOverloadWindow bound the time for which a host is overloaded until it fails, in seconds.
 	MinOverloadWindow = 0.01
 	MaxOverloadWindow = 60
 
-	// MaxConnections bounds the open connections of a tenant at all nodes together. The smallest number is 0.
+	// MaxConnections is the maximum limit of the open connections of a tenant, over all nodes. The minimum is 0.
 	MaxConnections = 1_000_000_000
 
 	// MinSetupObjective and MaxSetupObjective bound the latency objective of a setup, in seconds.
@@ -52,24 +52,24 @@
 	MinMessageObjective = 0.0001
 	MaxMessageObjective = 60
 
-	// MaxDisabledUntil bounds the time until which a host is disabled, in Unix seconds: the year 2100.
+	// MaxDisabledUntil is the latest time until which a host can be disabled: the beginning of the year 2100, in Unix seconds.
 	MaxDisabledUntil = 4_102_444_800
 
-	// MinWeight and MaxWeight bound the weight of a host, which is relative to the other hosts' weights.
+	// MinWeight and MaxWeight bound the weight of a host, which is relative to the weights of the other hosts.
 	MinWeight = 0.001
 	MaxWeight = 1_000_000
 
-	// MaxNameBytes bounds the name of a tenant, service type or host, in bytes.
+	// MaxNameBytes is the maximum length of the name of a tenant, service type or host, in bytes.
 	MaxNameBytes = 128
 
-	// MaxAddressBytes bounds the address of discovery, in bytes.
+	// MaxAddressBytes is the maximum length of the address of discovery, in bytes.
 	MaxAddressBytes = 255
 
-	// MaxPort is the highest port of an address. The lowest is 1.
+	// MaxPort is the highest valid port of an address. The lowest is 1.
 	MaxPort = 65535
 )
 
-// keys are all keys of the document.
+// keys lists all keys of the document.
 var keys = []key{
 	{pattern: "retry_advice_s", unit: "s", max: MaxRetryAfter,
 		setNumber: func(s *Settings, _ string, value float64) { s.MaxRetryAfter = &value }},
@@ -113,13 +113,13 @@
 		}},
 }
 
-// integerValue returns a whole number in the form of the settings.
+// integerValue converts a whole number to the type of an integer setting.
 func integerValue(value float64) *int {
 	integer := int(value)
 	return &integer
 }
 
-// editRow edits the row of a name in a table. It makes the table with its first row.
+// editRow edits the row with a name in a table, and creates the table and the row if they do not exist.
 func editRow[Row any](table *map[string]Row, name string, edit func(*Row)) {
 	if *table == nil {
 		*table = map[string]Row{}
--- a/internal/livesettings/livesettings.go
+++ b/internal/livesettings/livesettings.go
@@ -1,9 +1,9 @@
-// Package livesettings reads the live configuration: what of a node's configuration can change while flows go on. It is a
-// TOML document that is checked strictly, distributed as sorted entries of one key and value each, and passed to nodes as
-// typed settings.
+// Package livesettings reads the live configuration: the part of a node's configuration that can change without a restart,
+// while flows are open. Operators write it as a TOML document, in which unknown keys are errors. It is distributed as sorted
+// entries of one key and value each, and passed to nodes as typed settings.
 //
-// The package owns the keys of the document with their units and ranges. It does no I/O, and it does not decide what a
-// node does with the settings. Its functions may be called by several goroutines.
+// The package defines the keys of the document with their units and ranges. It does no I/O, and it does not decide what a
+// node does with the settings. Its functions are safe for concurrent use.
 package livesettings
 
 import (
@@ -19,19 +19,19 @@
 	"gorseledge/internal/strict"
 )
 
-// MaxDocumentBytes bounds a document with its comments, in bytes.
+// MaxDocumentBytes is the maximum size of a document, including its comments, in bytes.
 const MaxDocumentBytes = 4 << 20
 
-// Settings are the values of a document with their types. What the document does not name is nil or absent.
+// Settings holds the typed values of a document. A setting that the document does not have is nil or absent.
 type Settings = live.Settings
 
-// KeyError is the error of a key that is rejected, or whose value is.
+// KeyError is returned for a key that is rejected, or whose value is rejected.
 type KeyError struct {
-	Key    string // dotted
+	Key    string // dotted key
 	Reason string
 }
 
-// Error returns the key and the reason in one line.
+// Error returns the key and the reason in one line. It quotes a key that contains control characters.
 func (e *KeyError) Error() string {
 	if strings.ContainsFunc(e.Key, unicode.IsControl) {
 		return strconv.Quote(e.Key) + ": " + e.Reason
@@ -39,11 +39,11 @@
 	return e.Key + ": " + e.Reason
 }
 
-// Parse reads a document and returns its entries, sorted by key. The error is one line with the path, the line, the key
-// and the reason, of the first line that is wrong; it wraps a *KeyError where a key or its value is rejected.
+// Parse reads a document and returns its entries, sorted by key. The error is one line with the path, the line number, the
+// key and the reason of the first mistake. It wraps a *KeyError if a key or its value is rejected.
 func Parse(path string, text []byte) ([]configfeed.Entry, error) {
 	if len(text) > MaxDocumentBytes {
-		return nil, fmt.Errorf("%s:1: %d bytes, and at most %d are allowed", path, len(text), MaxDocumentBytes)
+		return nil, fmt.Errorf("%s:1: the document must be at most %d bytes, got %d", path, MaxDocumentBytes, len(text))
 	}
 	leaves, err := strict.Leaves(path, text)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return entries, nil
 }
 
-// parseLeaves returns the entries of a document's values, in the order of their lines. Keys with dots in quotes can
-// occur twice although TOML keeps them apart.
+// parseLeaves returns the entries of a document's values, in the order of their lines. It rejects a dotted key that occurs
+// twice: TOML distinguishes a quoted key that contains dots from a dotted one, but entries do not.
 func parseLeaves(path string, leaves []strict.Leaf) ([]configfeed.Entry, error) {
 	entries := make([]configfeed.Entry, 0, len(leaves))
 	lines := map[string]int{} // by key
@@ -79,7 +79,7 @@
 	return entries, nil
 }
 
-// entryOf returns the entry of a value of the document, if it is valid.
+// entryOf returns the entry of a value of the document, or an error if its key or value is not valid.
 func entryOf(leaf strict.Leaf) (configfeed.Entry, error) {
 	key := strings.Join(leaf.Key, ".")
 	if table, ok := leaf.Value.(map[string]any); ok && len(table) == 0 {
@@ -87,13 +87,13 @@
 	}
 	value, err := json.Marshal(leaf.Value)
 	if err != nil {
-		value = []byte("null") // nan and inf have no form in JSON; null is rejected with the key's kind of value
+		value = []byte("null") // JSON cannot represent nan and inf; null is rejected with an error that names the valid type
 	}
 	entry := configfeed.Entry{Key: key, Value: string(value)}
 	return entry, setEntry(&Settings{}, entry)
 }
 
-// emptyTableError returns why a table without keys is rejected.
+// emptyTableError returns the error for a table without keys.
 func emptyTableError(key []string) *KeyError {
 	dotted := strings.Join(key, ".")
 	if isLiveTable(key) {
@@ -102,7 +102,7 @@
 	return &KeyError{Key: dotted, Reason: rejectionReason(dotted)}
 }
 
-// isLiveTable reports whether a table may have live keys in it.
+// isLiveTable reports whether a table may contain live keys.
 func isLiveTable(key []string) bool {
 	for _, k := range keys {
 		pattern := strings.Split(k.pattern, ".")
@@ -113,15 +113,15 @@
 	return false
 }
 
-// Check returns an error unless a node could apply the entries: they have to be sorted, with each key known and set once,
-// each value of its key's type and in its range, and all within configfeed.MaxStateBytes. The error is a *KeyError for
-// the first key that is wrong, and another one for the size.
+// Check returns an error unless a node could apply the entries: they have to be sorted, each key has to be known and set
+// once, each value has to have its key's type and be in its range, and all together must not exceed
+// configfeed.MaxStateBytes. The error is a *KeyError for the first rejected entry, but not if the size is exceeded.
 func Check(entries []configfeed.Entry) error {
 	_, err := Decode(entries)
 	return err
 }
 
-// Decode returns the settings of entries. The errors are those of Check.
+// Decode converts entries to settings. It returns the same errors as Check.
 func Decode(entries []configfeed.Entry) (Settings, error) {
 	if size := entryBytes(entries); size > configfeed.MaxStateBytes {
 		return Settings{}, tooLargeError(size)
@@ -138,7 +138,7 @@
 	return s, nil
 }
 
-// entryBytes returns the size of the entries' keys and values.
+// entryBytes returns the total size of the entries' keys and values, in bytes.
 func entryBytes(entries []configfeed.Entry) int {
 	size := 0
 	for _, entry := range entries {
@@ -147,12 +147,12 @@
 	return size
 }
 
-// tooLargeError returns the error of entries beyond configfeed.MaxStateBytes.
+// tooLargeError returns the error for entries that exceed configfeed.MaxStateBytes.
 func tooLargeError(size int) error {
-	return fmt.Errorf("%d bytes of keys and values, and at most %d are allowed", size, configfeed.MaxStateBytes)
+	return fmt.Errorf("keys and values must be at most %d bytes, got %d", configfeed.MaxStateBytes, size)
 }
 
-// setEntry applies one entry to the settings. The error is a *KeyError.
+// setEntry stores the value of an entry in the settings. The error is a *KeyError.
 func setEntry(s *Settings, entry configfeed.Entry) error {
 	for _, k := range keys {
 		name, matches := k.match(entry.Key)
--- a/internal/livesettings/livesettings_golden_test.go
+++ b/internal/livesettings/livesettings_golden_test.go
@@ -13,9 +13,9 @@
 	"gorseledge/internal/node/live"
 )
 
-// The files in testdata/golden were written by the build of revision 5fa7498, which is in service, or are read by it as
-// the tests say. They are fixed for good: documents outlive versions, and entries and settings go between versions.
-// There is no way to rewrite them on purpose.
+// The files in testdata/golden were written by the build of revision 5fa7498, which is in service, or are read by it with
+// the values that the tests expect. They must not change, because documents are kept over upgrades, and because processes
+// of different versions exchange entries and settings. The tests deliberately have no option to rewrite them.
 const goldenDirectory = "testdata/golden"
 
 // requireGolden fails unless got is byte for byte the content of a golden file.
@@ -36,8 +36,8 @@
 	return text
 }
 
-// requireEveryFieldSet fails for each field, element or map value that is zero, at any depth. Without it, a field that
-// is left out of the encoded form when empty could change its name unnoticed.
+// requireEveryFieldSet fails for each field, element or map value that is zero, at any depth. Without it, a field that is
+// omitted from the encoded form when it is empty could be renamed without a test failure.
 func requireEveryFieldSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
@@ -67,7 +67,7 @@
 
 func pointer[T any](value T) *T { return &value }
 
-// goldenSettings returns what every_key.toml says.
+// goldenSettings returns the settings in every_key.toml.
 func goldenSettings() Settings {
 	return Settings{
 		MaxRetryAfter:  pointer(12.5),
@@ -111,7 +111,8 @@
 	}
 }
 
-// A document with every key becomes the golden entries, and these the golden settings.
+// A change to the form of entries or settings would be rejected or misread by processes of other versions. A document with
+// every key has to become the golden entries, and these the golden settings.
 func TestDocumentWithEveryKeyMatchesGoldenFiles(t *testing.T) {
 	entries, err := Parse("every_key.toml", readGolden(t, "every_key.toml"))
 	if err != nil {
@@ -151,7 +152,7 @@
 	requireGolden(t, "settings.json", encode(t, decodedSettings))
 }
 
-// A revision goes from a process to the one that takes over from it.
+// A process passes its revision to its successor, which may have another version, so the encoded form is fixed.
 func TestRevisionMatchesGoldenFile(t *testing.T) {
 	state := json.RawMessage(`{"version":{"epoch":2,"revision":17},"entries":[{"key":"nodes","value":"860"}],"digest":"10311620094392125544"}`)
 	revision := live.Revision{Epoch: 2, Number: 17, Settings: goldenSettings(), State: state}
@@ -174,7 +175,8 @@
 	requireGolden(t, "revision.json", again)
 }
 
-// The keys, the units and the ranges are those that documents rely on. A new key gets a line of its own.
+// A renamed key, another unit or a narrower range would invalidate existing documents. A new key gets its own line in the
+// golden file.
 func TestKeysMatchGoldenFile(t *testing.T) {
 	var text bytes.Buffer
 	for _, k := range keys {
@@ -184,7 +186,8 @@
 	requireGolden(t, "keys.txt", text.Bytes())
 }
 
-// Keys that only a start takes, and those that a start knows by another name, are told from unknown ones.
+// Operators would look for a typing error if a key of the startup configuration were rejected as unknown. Keys that need a
+// restart, or have another name in the document, have to be rejected with their own reasons.
 func TestKeysThatAreNotLiveMatchGoldenFile(t *testing.T) {
 	var text bytes.Buffer
 	for _, key := range []string{"name", "listen", "admin_addr", "peer_addr", "peers", "seed", "fleet", "known", "settings",
--- a/internal/livesettings/rejection.go
+++ b/internal/livesettings/rejection.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// Reasons for which a key is rejected that is not one of the document.
+// Reasons for the rejection of a key that a document cannot have.
 const (
 	needsRestart = "needs a restart"
 	unknownKey   = "unknown key"
 )
 
-// restartKeys are patterns of the keys that only the configuration of a node's start has. Each stands for the keys below
-// it as well.
+// restartKeys are the patterns of keys that exist only in the startup configuration of a node. Each also covers the keys
+// below it.
 var restartKeys = []string{
 	"name", "listen", "admin_addr", "peer_addr", "peers", "seed", "fleet", "known", "settings",
 	"limits.cores", "limits.memory_mb", "limits.dial_timeout_us", "limits.peers", "limits.probes", "limits.retry_after",
@@ -18,8 +18,8 @@
 	"service_types.*.memory_span_us",
 }
 
-// startNames are keys that the configuration of a node's start has under another name than the document.
-var startNames = []struct{ pattern, liveKey string }{
+// renamedKeys are the patterns of keys that have another name in the startup configuration of a node than in the document.
+var renamedKeys = []struct{ pattern, liveKey string }{
 	{"siblings", "nodes"},
 	{"limits.max_retry_after_us", "retry_advice_s"},
 	{"invariants.ask_within_us", "ask_within_s"},
@@ -30,7 +30,7 @@
 	{"service_types.*.setup_target_us", "service_types.*.setup_target_s"},
 }
 
-// isAtOrBelow reports whether a key has a pattern, or is below one that has it.
+// isAtOrBelow reports whether a key matches a pattern or is below a key that equals the pattern.
 func isAtOrBelow(pattern, text string) bool {
 	if text == pattern || strings.HasPrefix(text, pattern+".") {
 		return true
@@ -39,11 +39,11 @@
 	return ok && strings.Contains(pattern, wildcard)
 }
 
-// rejectionReason returns why a key is rejected that is not one of the document.
+// rejectionReason returns the reason for the rejection of a key that is not a key of the document.
 func rejectionReason(text string) string {
-	for _, other := range startNames {
-		if isAtOrBelow(other.pattern, text) {
-			return needsRestart + "; the live key is " + other.liveKey
+	for _, renamed := range renamedKeys {
+		if isAtOrBelow(renamed.pattern, text) {
+			return needsRestart + "; the live key is " + renamed.liveKey
 		}
 	}
 	for _, pattern := range restartKeys {
