--- a/cmd/gorseledge-config/epoch_test.go
+++ b/cmd/gorseledge-config/epoch_test.go
@@ -48,7 +48,8 @@
 	copyDirectory(t, backup, s.config.Directory)
 	s.start()
 	eventually(t, "the writer knows that there was a later revision", func() bool { return s.status().Servers[0].NotReady != "" })
-	if r := s.command("apply", document(t, "nodes = 3\n"), "--if-revision", "1"); !r.oneLine(exitRefused, "not ready: version 1.2 was seen") {
+	if r := s.command("apply", document(t, "nodes = 3\n"), "--if-revision", "1"); !r.oneLine(exitRefused,
+		"not ready: version 1.2 was reported, but this server has version 1.1") {
 		t.Errorf("%+v", r)
 	}
 	if v := node.View().Version; v != revision(2) {
