--- a/internal/configfeed/effects.go
+++ b/internal/configfeed/effects.go
@@ -22,7 +22,7 @@
 	Install struct {
 		State     State
 		Changed   []string   // keys whose entries differ from the state in force, sorted
-		revisions []Revision // that lead to State; only set if the follower is a server and the update had revisions
+		revisions []Revision // revisions that lead to State, if the follower is a server and the update had them
 	}
 	// AnswerPoll asks the caller to answer a poll that was passed to Polled. Two updates of one server are equal if they
 	// have the same Kind, Version, Isolated and From of the first delta, and both have Deltas or both have Revisions.
--- a/internal/configfeed/follower.go
+++ b/internal/configfeed/follower.go
@@ -20,8 +20,8 @@
 	request  uint64
 	have     Version
 	wait     float64 // seconds
-	sentAt   float64
-	deadline float64
+	sentAt   float64 // time at which the poll was sent
+	deadline float64 // time at which the poll is abandoned
 }
 
 // Follower keeps one state up to date from the control servers. It has at most one poll open, at one server. The first
@@ -35,8 +35,8 @@
 	rules       rules
 
 	state         State
-	inForceSince  float64
-	lastHeard     float64
+	inForceSince  float64  // time at which state was put in force
+	lastHeard     float64  // time of the last answer
 	newest        Version  // newest version that has been reported to the follower
 	refusal       *Refusal // refusal of a version newer than the one in force, or nil
 	needsSnapshot bool     // the last delta could not be applied to the state
--- a/internal/configfeed/follower_config.go
+++ b/internal/configfeed/follower_config.go
@@ -45,7 +45,7 @@
 // FollowerView is a snapshot of what a follower knows. Times are in seconds of the caller's clock.
 type FollowerView struct {
 	Version      Version  // version in force; zero if there is none
-	Digest       Digest   // of the entries in force
+	Digest       Digest   // digest of the entries in force
 	InForceSince float64  // when Version was put in force, or when the follower started with it
 	LastHeard    float64  // when a server last answered; zero if none has
 	Server       string   // name of the server that is polled
--- a/internal/configfeed/history.go
+++ b/internal/configfeed/history.go
@@ -69,7 +69,7 @@
 // revisionPath is the path from one version to the server's version, as far as the history has it.
 type revisionPath struct {
 	found      bool       // the history reaches back to the version
-	revisions  []Revision // that follow the version, oldest first
+	revisions  []Revision // revisions that follow the version, oldest first
 	sameDigest bool       // the version had the given digest in this history; also true if its digest is not known
 }
 
--- a/internal/configfeed/messages.go
+++ b/internal/configfeed/messages.go
@@ -69,8 +69,8 @@
 	Name      string   `json:"name"`
 	Server    bool     `json:"server,omitempty"` // the follower is a control server itself
 	Region    string   `json:"region,omitempty"`
-	Have      Version  `json:"have"`              // as of the last poll
+	Have      Version  `json:"have"`              // version in the last poll
 	HaveSince float64  `json:"since_s"`           // Unix seconds of the first poll with Have
 	LastHeard float64  `json:"heard_s"`           // Unix seconds of the last poll
-	Refused   *Refusal `json:"refused,omitempty"` // as of the last poll; nil for none
+	Refused   *Refusal `json:"refused,omitempty"` // refusal in the last poll, or nil
 }
--- a/internal/configfeed/peer.go
+++ b/internal/configfeed/peer.go
@@ -9,7 +9,7 @@
 type peer struct {
 	ServerAddress
 	follower        *Follower
-	have            Version  // as of the peer's last poll or answer
+	have            Version  // version in the peer's last poll or answer
 	lastHeard       float64  // time of the peer's last poll or answer
 	heardSinceStart bool     // the peer has polled or answered since this server's start, so have and lastHeard are set
 	divergedAt      Version  // this server's version under which the peer has different entries; zero if none
@@ -137,8 +137,8 @@
 	s.carryOut(now, p, p.follower.Refuse(now, refusal))
 }
 
-// dropOffer drops an offer that does not start from this server's state. The follower continues with this server's state
-// if that is newer than its own.
+// dropOffer drops an offer that is not useful. The peer's follower continues with this server's state if that is newer
+// than the follower's own.
 func (s *Server) dropOffer(now float64, p *peer) {
 	p.offer = nil
 	p.follower.abandon(now)
--- a/internal/configfeed/server.go
+++ b/internal/configfeed/server.go
@@ -8,11 +8,11 @@
 
 // ServerConfig configures a server.
 type ServerConfig struct {
-	Name    string // of this server, among Servers
-	Region  string
+	Name    string          // name of this server, which has to be in Servers
+	Region  string          // region of this server
 	Servers []ServerAddress // all servers, this one included
 	Writer  string          // name of the server that accepts proposals
-	Seed    uint64          // of the server's random choices
+	Seed    uint64          // seed of the server's random choices
 }
 
 // Stored is the content of the disk at the start. The zero value is an empty disk.
@@ -25,7 +25,7 @@
 type PeerStatus struct {
 	Name         string  `json:"name"`
 	Region       string  `json:"region,omitempty"`
-	Have         Version `json:"have"`               // as of the peer's last poll or answer
+	Have         Version `json:"have"`               // version in the peer's last poll or answer
 	LastHeard    float64 `json:"heard_s"`            // Unix seconds of its last poll or answer; zero if none since the start
 	Unresponsive bool    `json:"silent,omitempty"`   // the peer did not answer this server's last poll
 	Diverged     bool    `json:"diverged,omitempty"` // the peer has different entries under this server's version
@@ -36,13 +36,13 @@
 	Name      string           `json:"name"`
 	Region    string           `json:"region,omitempty"`
 	Writer    string           `json:"writer"`              // name of the server that accepts proposals
-	Version   Version          `json:"version"`             // of the state on disk
-	Digest    Digest           `json:"digest,string"`       // of the state on disk
+	Version   Version          `json:"version"`             // version of the newest saved state
+	Digest    Digest           `json:"digest,string"`       // digest of the newest saved state
 	Newest    Version          `json:"newest"`              // newest version that any server or follower has reported
 	Isolated  bool             `json:"isolated,omitempty"`  // the server does not reach a majority of the servers
 	NotReady  string           `json:"not_ready,omitempty"` // why the writer cannot accept proposals; always empty at other servers
 	Peers     []PeerStatus     `json:"peers"`               // the other servers, sorted by name
-	Followers []FollowerStatus `json:"followers"`           // that poll this server, servers included, sorted by name
+	Followers []FollowerStatus `json:"followers"`           // all followers of this server, servers included, sorted by name
 }
 
 // Server is one control server. It keeps a poll open at each other server, so that a revision reaches it as long as any
--- a/internal/configfeed/sim_node_test.go
+++ b/internal/configfeed/sim_node_test.go
@@ -9,9 +9,9 @@
 	config        FollowerConfig
 	core          *Follower
 	state         State
-	inForceSince  float64 // when state was put in force
-	refusalReason func(State) string
-	timer         float64
+	inForceSince  float64            // when state was put in force
+	refusalReason func(State) string // returns why a state is refused, or an empty string; nil accepts every state
+	timer         float64            // time of the scheduled call of Tick; zero if there is none
 }
 
 // start starts the process with the state on its disk.
--- a/internal/configfeed/sim_server_test.go
+++ b/internal/configfeed/sim_server_test.go
@@ -14,14 +14,14 @@
 	config       ServerConfig
 	core         *Server
 	disk         Stored
-	backup       Stored  // a copy of the disk, to be restored later
-	failSaves    bool    // saves return an error
-	saveDuration float64 // in seconds; zero selects one millisecond
-	requests     uint64
+	backup       Stored                   // a copy of the disk, to be restored later
+	failSaves    bool                     // saves return an error
+	saveDuration float64                  // in seconds; zero selects one millisecond
+	requests     uint64                   // number of the latest request
 	pollers      map[uint64]func(Update)  // by request
 	callers      map[uint64]func(Outcome) // by request
-	timer        float64
-	encoded      map[encodedKey]int
+	timer        float64                  // time of the scheduled call of Tick; zero if there is none
+	encoded      map[encodedKey]int       // sizes of encoded updates in bytes
 }
 
 // encodedKey identifies equal updates of a server.
--- a/internal/configfeed/sim_test.go
+++ b/internal/configfeed/sim_test.go
@@ -42,9 +42,9 @@
 type process struct {
 	name, region string
 	up, stopped  bool
-	generation   int
-	backlog      []func()
-	bytes        int // sent and received by polls
+	generation   int      // number of starts, which distinguishes a process from its earlier runs
+	backlog      []func() // input that is queued while the process is stopped
+	bytes        int      // sent and received by polls
 }
 
 // newSimulation returns a simulation without processes.
--- a/internal/configfeed/state.go
+++ b/internal/configfeed/state.go
@@ -24,7 +24,7 @@
 type State struct {
 	Version Version `json:"version"`
 	Entries []Entry `json:"entries"`
-	Digest  Digest  `json:"digest,string"` // of Entries
+	Digest  Digest  `json:"digest,string"` // digest of Entries
 }
 
 // Delta is the difference between a version and a newer one. Set and Delete are sorted by key.
@@ -33,7 +33,7 @@
 	To     Version  `json:"to"`
 	Set    []Entry  `json:"set,omitempty"`
 	Delete []string `json:"delete,omitempty"` // keys
-	Digest Digest   `json:"digest,string"`    // of the entries after the delta is applied
+	Digest Digest   `json:"digest,string"`    // digest of the entries after the delta is applied
 }
 
 // NewState returns a state with the given entries, which may be in any order. The error wraps ErrMismatch if a key is
@@ -75,7 +75,8 @@
 // apply is Apply without the verification of the resulting state.
 func (s State) apply(d Delta) (State, error) {
 	if d.From != s.Version || d.To.Compare(d.From) <= 0 {
-		return State{}, fmt.Errorf("delta from version %s to %s does not apply to version %s: %w", d.From, d.To, s.Version, ErrMismatch)
+		return State{}, fmt.Errorf("delta from version %s to %s does not apply to version %s: %w", d.From, d.To, s.Version,
+			ErrMismatch)
 	}
 	entries, err := merge(s.Entries, d.Set, d.Delete)
 	if err != nil {
