--- a/cmd/gorseledge/live_settings_test.go
+++ b/cmd/gorseledge/live_settings_test.go
@@ -204,7 +204,7 @@
 	n.config["discovery"] = third.Address()
 	n.writeConfig()
 	n.signal(syscall.SIGHUP)
-	n.waitForLog("discovery stays where the live settings say")
+	n.waitForLog("config's discovery address not used: the live settings override it")
 	if answers := n.countAnswers(20); answers["UP 2"] != 20 {
 		t.Errorf("clients were answered %v", answers)
 	}
--- a/cmd/gorseledge/operator_test.go
+++ b/cmd/gorseledge/operator_test.go
@@ -94,7 +94,7 @@
 	}
 	stream.waitForServed(t, 20)
 	stream.stop()
-	if strings.Contains(n.log.text(), `"message":"accept"`) {
+	if strings.Contains(n.log.text(), `"message":"accepting a client connection failed"`) {
 		t.Error("no descriptor was left")
 	}
 }
--- a/cmd/gorseledge/overload_test.go
+++ b/cmd/gorseledge/overload_test.go
@@ -93,7 +93,7 @@
 	if answers["UP"] < 20 || others > 5 {
 		t.Errorf("usual clients were answered %v", answers)
 	}
-	if strings.Contains(n.log.text(), `"message":"accept"`) {
+	if strings.Contains(n.log.text(), `"message":"accepting a client connection failed"`) {
 		t.Error("no descriptor was left")
 	}
 }
@@ -169,7 +169,8 @@
 	if err := <-crowd; err != nil {
 		t.Fatal(err)
 	}
-	if strings.Contains(n.log.text(), `"message":"accept"`) || strings.Contains(n.log.text(), "too many open files") {
+	if strings.Contains(n.log.text(), `"message":"accepting a client connection failed"`) ||
+		strings.Contains(n.log.text(), "too many open files") {
 		t.Error("no descriptor was left")
 	}
 }
--- a/internal/sockets/admin.go
+++ b/internal/sockets/admin.go
@@ -12,14 +12,15 @@
 	"gorseledge/internal/node"
 )
 
-// query is an operator's query for the core, which replies to it at once. The channel has room for the reply.
+// query is an operator's query for the core. The core replies at once; the channel is buffered, so that the loop does not
+// block on it.
 type query struct {
 	node.Query
 	reply chan<- node.Reply
 }
 
-// ask puts a query to the core; it gives false if a context ended before the reply.
-func (s *server) ask(ctx context.Context, q node.Query) (node.Reply, bool) {
+// queryCore passes a query to the core and waits for the reply. It returns false if a context ends first.
+func (s *server) queryCore(ctx context.Context, q node.Query) (node.Reply, bool) {
 	reply := make(chan node.Reply, 1)
 	select {
 	case s.queries <- query{Query: q, reply: reply}:
@@ -37,8 +38,8 @@
 	return node.Reply{}, false
 }
 
-// openAdmin opens the second address, if the config names one. Under the same config the predecessor has it: then this
-// process gets it once that one is gone.
+// openAdmin listens on the admin address, if the config names one. A predecessor with the same config uses that address
+// until it ends; this process then listens on it later.
 func (s *server) openAdmin(ctx context.Context) error {
 	address := s.config.AdminAddress
 	if address == "" {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// openAdminLater serves at the second address as soon as it is free.
+// openAdminLater serves the admin address as soon as the predecessor has freed it.
 func (s *server) openAdminLater(ctx context.Context, listenConfig net.ListenConfig) error {
 	for pause(ctx, retryPause) {
 		listener, err := listenConfig.Listen(ctx, "tcp", s.config.AdminAddress)
@@ -70,11 +71,11 @@
 
 func (s *server) serveAdmin(ctx context.Context, listener net.Listener) error {
 	maxConnections := s.config.adminConnections()
-	s.log.Info().Str("admin_addr", listener.Addr().String()).Int("callers", maxConnections).Msg("admin address")
-	return admin.Serve(ctx, listener, maxConnections, s.ask, s.fleetView())
+	s.log.Info().Str("admin_addr", listener.Addr().String()).Int("callers", maxConnections).Msg("serving the admin address")
+	return admin.Serve(ctx, listener, maxConnections, s.queryCore, s.fleetView())
 }
 
-// fleetView gives what the second address shows of the fleet; nil for a node on its own.
+// fleetView returns the function that the admin address uses to show the fleet, or nil for a node that belongs to none.
 func (s *server) fleetView() func() view.View {
 	if s.fleet == nil {
 		return nil
--- a/internal/sockets/config.go
+++ b/internal/sockets/config.go
@@ -14,40 +14,41 @@
 	"gorseledge/internal/peers"
 )
 
-// Config is a node's config file. The zero value is no valid config: Listen and Discovery are required.
+// Config is a node's config file. The zero value is not valid: Listen and Discovery are required.
 type Config struct {
 	Name         string          `json:"name"`
 	Listen       string          `json:"listen"`     // address for clients
 	Discovery    string          `json:"discovery"`  // address of the discovery service
-	AdminAddress string          `json:"admin_addr"` // the second address; empty for none
-	PeerAddress  string          `json:"peer_addr"`  // for messages among nodes; empty for none
-	Peers        []string        `json:"peers"`      // the nodes' addresses for such messages, with or without this node's own
+	AdminAddress string          `json:"admin_addr"` // address for operators; empty for none
+	PeerAddress  string          `json:"peer_addr"`  // address for messages among nodes; empty for none
+	Peers        []string        `json:"peers"`      // addresses of the nodes for such messages; this node's own may be among them
 	Seed         string          `json:"seed"`       // hexadecimal
-	FleetFile    string          `json:"fleet"`      // path; empty for a node on its own
+	FleetFile    string          `json:"fleet"`      // path; empty for a node that belongs to no fleet
 	Limits       Limits          `json:"limits"`
 	path         string          // of the config file itself
-	CachedList   json.RawMessage `json:"known"`
+	CachedList   json.RawMessage `json:"known"` // endpoint list to use until discovery answers
 	Settings     json.RawMessage `json:"settings"`
 }
 
-// Limits is what the platform grants the process.
+// Limits are the resources that the platform grants the process.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // processors, possibly a fraction
+	Cores    float64 `json:"cores"`     // number of processors, may be fractional
 	MemoryMB int64   `json:"memory_mb"` // MiB; 0 for no limit
 	Sockets  int     `json:"sockets"`   // descriptors; 0 or less for defaultMaxDescriptors
 }
 
 const (
 	defaultMaxDescriptors    = 512
-	descriptorsPerAdminConn  = 16 // one in so many descriptors may be with connections of the second address
+	descriptorsPerAdminConn  = 16 // one in 16 descriptors may be used by a connection to the admin address
 	maxAdminConnections      = 32
-	reservedDescriptors      = 16 // standard streams, listener, poller, discovery
-	controlServerDescriptors = 2  // a connection to a control server, and the next one while that is being closed
-	minConnectionDescriptors = 2  // a client's connection and its host's
+	reservedDescriptors      = 16 // for the standard streams, the clients' listener, the poller and discovery
+	controlServerDescriptors = 2  // for a connection to a control server, and for the next one while the first is being closed
+	minConnectionDescriptors = 2  // for a client's connection and the connection to its host
 )
 
-// ReadConfig reads a node's config file. Where the file lacks an address or the name, the environment's LB_NAME,
-// LB_LISTEN, LB_DISCOVERY, LB_ADMIN_ADDR and LB_FLEET stand in. The settings are not checked here.
+// ReadConfig reads a node's config file. For a name, an address or a fleet file that the file does not state, the
+// environment variables LB_NAME, LB_LISTEN, LB_DISCOVERY, LB_ADMIN_ADDR and LB_FLEET are used. ReadConfig does not
+// check the settings.
 func ReadConfig(path string) (Config, error) {
 	config := Config{path: path}
 	text, err := os.ReadFile(path)
@@ -65,25 +66,25 @@
 	return config, config.checkAddresses()
 }
 
-// checkAddresses tells which of the addresses for clients, discovery and the second address is missing or wrong.
+// checkAddresses returns an error if the clients' address or discovery's is missing, or if the admin address is invalid.
 func (c Config) checkAddresses() error {
 	if c.Listen == "" || c.Discovery == "" {
-		return fmt.Errorf("config %s: no address to listen on, or none of discovery", c.path)
+		return fmt.Errorf("config %s: listen and discovery are both required", c.path)
 	}
 	if c.AdminAddress == "" {
 		return nil
 	}
 	if _, port, err := net.SplitHostPort(c.AdminAddress); err != nil || port == "" {
-		return fmt.Errorf("config %s: admin_addr %q is no address with a port", c.path, c.AdminAddress)
+		return fmt.Errorf("config %s: admin_addr must be HOST:PORT, got %q", c.path, c.AdminAddress)
 	}
 	if c.AdminAddress == c.Listen {
-		return fmt.Errorf("config %s: admin_addr %q is the clients' address", c.path, c.AdminAddress)
+		return fmt.Errorf("config %s: admin_addr must differ from listen, got %q for both", c.path, c.AdminAddress)
 	}
 	return nil
 }
 
-// Check reads a config as a start would, with the fleet file that it names, and starts nothing. Settings that cannot
-// be taken are a *settings.KeyError.
+// Check reads and checks a config and the fleet file that it names, as Run would, without starting a node. Invalid
+// settings are reported as a *settings.KeyError.
 func Check(path string) error {
 	config, err := ReadConfig(path)
 	if err != nil {
@@ -96,10 +97,11 @@
 	return err
 }
 
-// membership is a node's part in its fleet, as the fleet file describes it. The zero value is a node on its own.
+// membership is how a node takes part in its fleet, as the fleet file describes it. The zero value is for a node that
+// belongs to no fleet.
 type membership struct {
 	open           func(view.Options) view.Part
-	followsControl bool // the node takes its live settings from control servers
+	followsControl bool // the node receives its live settings from control servers
 }
 
 // membership reads the fleet file, if the config names one.
@@ -109,13 +111,13 @@
 	}
 	m, err := readFleetFile(c.FleetFile, c.Name)
 	if err == nil && c.Name == "" {
-		err = errors.New("fleet: a member has a name, and the config gives none")
+		err = errors.New("fleet: a member of a fleet needs a name, and the config does not set one")
 	}
 	return m, err
 }
 
-// needsRestart tells whether another config differs from this one in more than the address of discovery and the
-// cached list.
+// needsRestart reports whether another config differs from this one in more than discovery's address and the cached
+// list; only those two take effect without a restart.
 func (c Config) needsRestart(other Config) bool {
 	return c.Name != other.Name ||
 		c.Listen != other.Listen ||
@@ -127,17 +129,17 @@
 		!bytes.Equal(c.Settings, other.Settings)
 }
 
-// maxDescriptors is how many descriptors the process may hold.
+// maxDescriptors returns how many descriptors the process may hold.
 func (c Config) maxDescriptors() int {
 	return cmp.Or(max(c.Limits.Sockets, 0), defaultMaxDescriptors)
 }
 
-// adminConnections is how many connections the second address may hold.
+// adminConnections returns how many connections the admin address may hold.
 func (c Config) adminConnections() int {
 	return min(max(c.maxDescriptors()/descriptorsPerAdminConn, 1), maxAdminConnections)
 }
 
-// descriptorOverhead is how many descriptors the process needs beside those of connections.
+// descriptorOverhead returns how many descriptors the process needs in addition to those of connections.
 func (c Config) descriptorOverhead() int {
 	overhead := reservedDescriptors
 	if c.AdminAddress != "" {
@@ -152,8 +154,8 @@
 	return overhead
 }
 
-// checkPeers checks the keys for messages among nodes, which the settings must allow. Where they are allowed and no
-// address is given, the node goes without.
+// checkPeers checks the keys for messages among nodes. An address or peers are refused unless the settings allow such
+// messages. Settings that allow them without an address are valid: the node then sends none.
 func (c Config) checkPeers(allowed bool) error {
 	if c.PeerAddress != "" {
 		if _, err := peers.ParseAddress(c.PeerAddress); err != nil {
@@ -167,13 +169,13 @@
 	}
 	switch {
 	case !allowed && c.PeerAddress != "":
-		return errors.New("peer_addr: settings.limits.peers allows no messages among nodes")
+		return errors.New("peer_addr: settings.limits.peers does not allow messages among nodes")
 	case !allowed && len(c.Peers) > 0:
-		return errors.New("peers: settings.limits.peers allows no messages among nodes")
+		return errors.New("peers: settings.limits.peers does not allow messages among nodes")
 	case c.PeerAddress == "" && len(c.Peers) > 0:
-		return errors.New("peers: there is no peer_addr to send from")
+		return errors.New("peers: peer_addr is required if peers are set")
 	case c.PeerAddress != "" && len(c.Peers) == 0:
-		return errors.New("peer_addr: there are no peers to send to")
+		return errors.New("peer_addr: peers are required if peer_addr is set")
 	}
 	return nil
 }
--- a/internal/sockets/connection.go
+++ b/internal/sockets/connection.go
@@ -15,37 +15,38 @@
 	"gorseledge/internal/node"
 )
 
-// connectionGoroutines is how many goroutines a connection has.
+// connectionGoroutines is the number of goroutines of a connection: a reader and a writer.
 const connectionGoroutines = 2
 
-// connection is a socket with two goroutines: one reads, and one writes what the socket does not take at once, each
-// one buffer at a time.
+// connection is a socket with two goroutines. One reads; the other writes what the socket did not accept at once. Each
+// handles one buffer at a time.
 type connection struct {
-	socket  *net.TCPConn       // nil while it is dialed
-	cancel  context.CancelFunc // of the dial; nil for a connection that is up
+	socket  *net.TCPConn       // nil while the connection is being dialed
+	cancel  context.CancelFunc // cancels the dial; nil for an established connection
 	raw     syscall.RawConn
 	reads   chan []byte
 	writes  chan partialWrite
-	stopped bool // reads end at once
+	stopped bool // a read deadline in the past ends each read at once
 }
 
-// partialWrite is a buffer of which the first written bytes are with the system.
+// partialWrite is a buffer of which the first written bytes have already been passed to the kernel.
 type partialWrite struct {
 	data    []byte
 	written int
 }
 
-// writeResult is what came of a write that was attempted at once.
+// writeResult is the result of a write that does not block.
 type writeResult struct {
 	written  int
 	failed   bool
-	complete bool // false if a goroutine writes the rest and reports it
+	complete bool // false if the connection's goroutine writes the rest and reports the result
 }
 
-// addConnection starts the goroutines of a connection that is up. Its descriptor is free once both are done.
+// addConnection starts the goroutines of an established connection. Once both have ended, the connection's descriptor is
+// free and the core is notified.
 func (s *server) addConnection(conn node.ConnID, socket *net.TCPConn) {
 	c := &connection{socket: socket, reads: make(chan []byte, 1), writes: make(chan partialWrite, 1)}
-	c.raw, _ = socket.SyscallConn() // fails only for no socket at all
+	c.raw, _ = socket.SyscallConn() // fails only for a nil socket
 	s.connections[conn] = c
 	var running atomic.Int32
 	running.Store(connectionGoroutines)
@@ -58,7 +59,7 @@
 	s.group.Go(func() error {
 		for into := range c.reads {
 			n, err := socket.Read(into)
-			s.send(node.ReadDone{Conn: conn, Count: n, State: endOf(err)})
+			s.send(node.ReadDone{Conn: conn, Count: n, State: streamState(err)})
 		}
 		return done()
 	})
@@ -71,7 +72,7 @@
 	})
 }
 
-// read has the connection's goroutine fill some of a buffer.
+// read has the connection's goroutine read into a buffer once.
 func (c *connection) read(into []byte) {
 	if c.stopped {
 		c.stopped = false
@@ -80,14 +81,14 @@
 	c.reads <- into
 }
 
-// stopReading ends the read under way with what it has.
+// stopReading ends the read in progress, which reports the bytes it has read so far.
 func (c *connection) stopReading() {
 	c.stopped = true
 	c.socket.SetReadDeadline(longPast)
 }
 
-// write writes what the socket takes at once and leaves the rest to the connection's goroutine. A line is small and a
-// socket nearly always takes it, and so no goroutine has to be woken for it.
+// write writes as much as the socket accepts without blocking and leaves the rest to the connection's goroutine. Lines
+// are short and the socket's buffer nearly always has room for them, so that usually no goroutine has to be woken.
 func (c *connection) write(data []byte) writeResult {
 	written := 0
 	var err error
@@ -105,7 +106,8 @@
 	return writeResult{written: written, failed: err != nil, complete: true}
 }
 
-// writeAll writes to a descriptor until all is written or it fails, which is EAGAIN for one that takes no more now.
+// writeAll writes to a non-blocking descriptor until all data is written or a write fails; the error is EAGAIN if the
+// socket's buffer is full.
 func writeAll(fd int, data []byte) (written int, err error) {
 	for written < len(data) {
 		n, err := syscall.Write(fd, data[written:])
@@ -120,8 +122,8 @@
 	return written, nil
 }
 
-// endOf tells from a read's error how the far side's sending stands.
-func endOf(err error) node.StreamState {
+// streamState derives from a read's error whether the remote side may send more.
+func streamState(err error) node.StreamState {
 	switch {
 	case err == nil, errors.Is(err, os.ErrDeadlineExceeded): // the latter after stopReading
 		return node.StreamOpen
@@ -131,7 +133,8 @@
 	return node.StreamBroken
 }
 
-// close frees what the connection holds, and cancels its dial; reset breaks it off. The loop alone calls it, once.
+// close closes the connection's socket and ends its goroutines, or cancels its dial. With reset, the remote side gets a
+// TCP reset. Only the loop calls it, once.
 func (c *connection) close(reset bool) {
 	if c.socket == nil {
 		c.cancel()
@@ -145,9 +148,9 @@
 	close(c.writes)
 }
 
-// farSideEnded tells whether the far side has ended its sending or broken the connection, also behind bytes that are
-// not read yet.
-func (c *connection) farSideEnded() bool {
+// remoteEnded reports whether the remote side has ended its stream or reset the connection, even if bytes that it sent
+// before are not read yet.
+func (c *connection) remoteEnded() bool {
 	ended := false
 	err := c.raw.Control(func(fd uintptr) {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -157,13 +160,13 @@
 	return err == nil && ended
 }
 
-// dial opens a connection to a host beside the loop. Where the client that it is for has gone meanwhile, it is canceled
-// before anything is sent.
+// dial connects to a host in a goroutine of its own. If the client that the connection is for has already gone, the dial
+// is canceled before anything is sent.
 func (s *server) dial(e node.Dial) {
 	ctx, cancel := context.WithTimeout(s.ctx, seconds(e.Timeout))
 	s.connections[e.Conn] = &connection{cancel: cancel}
 	client := s.connections[e.For]
-	if client != nil && client.farSideEnded() {
+	if client != nil && client.remoteEnded() {
 		cancel()
 		s.pending = append(s.pending, node.ClientGone{Conn: e.For})
 	}
@@ -177,9 +180,9 @@
 	})
 }
 
-// dialed takes the result of a dial; socket is nil if err is not.
+// dialed handles the result of a dial in the loop. The socket is nil if err is not nil.
 func (s *server) dialed(conn node.ConnID, socket *net.TCPConn, err error) node.Input {
-	if s.connections[conn] == nil { // closed meanwhile
+	if s.connections[conn] == nil { // the core closed the connection during the dial
 		if socket != nil {
 			socket.Close()
 		}
@@ -191,16 +194,17 @@
 	return node.Dialed{Conn: conn, Err: err, LocalFailure: isLocalFailure(err)}
 }
 
-// isLocalFailure tells whether a dial failed because this machine lacks something, which says nothing about the host.
+// isLocalFailure reports whether a dial failed because this machine lacks descriptors, memory or ports. Such a failure
+// says nothing about the host.
 func isLocalFailure(err error) bool {
-	lacks := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
-	for _, lack := range lacks {
-		if errors.Is(err, lack) {
+	localErrors := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
+	for _, localError := range localErrors {
+		if errors.Is(err, localError) {
 			return true
 		}
 	}
 	return false
 }
 
-// seconds turns the core's seconds into a duration.
+// seconds converts the core's seconds into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * 1e9) }
--- a/internal/sockets/effects.go
+++ b/internal/sockets/effects.go
@@ -4,7 +4,7 @@
 	"gorseledge/internal/node"
 )
 
-// perform carries out one effect of the core. It gives false for the last one.
+// perform carries out one effect of the core. It returns false for node.Exit, the last one.
 func (s *server) perform(effect node.Effect) bool {
 	switch e := effect.(type) {
 	case node.Read:
@@ -54,7 +54,8 @@
 	return true
 }
 
-// write begins a write; the core hears its result after the effects under way, or later.
+// write begins a write. If it completes at once, its result is passed to the core after the current effects; otherwise
+// the connection's goroutine reports it later.
 func (s *server) write(e node.Write) {
 	result := s.connections[e.Conn].write(e.Data)
 	if result.complete {
@@ -64,11 +65,12 @@
 
 func (s *server) closeWrite(conn node.ConnID) {
 	if err := s.connections[conn].socket.CloseWrite(); err != nil {
-		s.log.Debug().Err(err).Msg("close for writing")
+		s.log.Debug().Err(err).Msg("closing the write side of a connection failed")
 	}
 }
 
-// reply gives the core's reply to who asked: the successor, where it has a state to hand over, or the second address.
+// reply passes on the core's reply to a query: a state to hand over goes to the successor, any other reply to the admin
+// address.
 func (s *server) reply(e node.Reply) {
 	if e.Handover != nil {
 		s.postState(e.Handover)
@@ -77,12 +79,12 @@
 	s.queryReply <- e
 }
 
-// logConnection writes the log line of a client's connection that ended.
+// logConnection logs the end of a client's connection.
 func (s *server) logConnection(r node.ConnectionRecord) {
 	s.log.Info().Str("reason", string(r.Reason)).Str("type", r.Type).Str("host", r.Host).
 		Int("connects", r.Attempts).Float64("setup_s", milliseconds(r.Setup)).Float64("lasted_s", milliseconds(r.Duration)).
-		Uint64("up", r.BytesFromClient).Uint64("down", r.BytesToClient).Msg("ended")
+		Uint64("up", r.BytesFromClient).Uint64("down", r.BytesToClient).Msg("client connection ended")
 }
 
-// milliseconds rounds seconds, 0 or more, to milliseconds.
+// milliseconds rounds a non-negative number of seconds to whole milliseconds.
 func milliseconds(seconds float64) float64 { return float64(int64(seconds*1e3+0.5)) / 1e3 }
--- a/internal/sockets/fleet.go
+++ b/internal/sockets/fleet.go
@@ -8,11 +8,12 @@
 	"gorseledge/internal/peers"
 )
 
-// maxWaitingGossip is how many rounds of load gossip may wait for the network; further ones are lost.
+// maxWaitingGossip is how many rounds of load gossip may wait to be sent; further ones are dropped.
 const maxWaitingGossip = 16
 
-// openGossip opens the address for messages among the nodes that the config names, if it names any. A predecessor has
-// the same address: this process gets it when that one is gone. The node serves without it as well.
+// openGossip starts the exchange of load gossip with the peers that the config names, if it names any. A predecessor
+// uses the same address, on which this process can listen once the predecessor has ended. The node serves clients before
+// that as well.
 func (s *server) openGossip(ctx context.Context) {
 	if s.config.PeerAddress == "" {
 		return
@@ -23,17 +24,17 @@
 		if link == nil {
 			return nil
 		}
-		s.log.Info().Str("peer_addr", s.config.PeerAddress).Int("peers", len(s.config.Peers)).Msg("load gossip among nodes")
+		s.log.Info().Str("peer_addr", s.config.PeerAddress).Int("peers", len(s.config.Peers)).Msg("listening for load gossip")
 		s.group.Go(func() error { return s.sendGossip(ctx, link.Send) })
 		return link.Serve(ctx, s.gossipReceived)
 	})
 }
 
-// listenForPeers gives the link to the other nodes once the address is free, and nil if the context ended before.
+// listenForPeers returns the link to the other nodes once the address is free, or nil if the context ends first.
 func (s *server) listenForPeers(ctx context.Context) *peers.Link {
 	link, err := peers.Listen(ctx, s.config.PeerAddress, s.config.Peers)
 	if err != nil {
-		s.log.Warn().Err(err).Msg("no load gossip among nodes yet")
+		s.log.Warn().Err(err).Msg("cannot listen for load gossip, retrying")
 	}
 	for err != nil {
 		if !pause(ctx, retryPause) {
@@ -44,7 +45,7 @@
 	return link
 }
 
-// sendGossip sends the core's load gossip beside the loop, until the context ends.
+// sendGossip sends the core's load gossip in a goroutine of its own, until the context ends.
 func (s *server) sendGossip(ctx context.Context, send func([]peers.HostLoad)) error {
 	for {
 		select {
@@ -56,16 +57,17 @@
 	}
 }
 
-// postGossip leaves load gossip to be sent. Where the sender is behind it is lost, as it may be on its way.
+// postGossip queues load gossip to be sent. It drops the gossip if the queue is full: gossip may also be lost on the
+// network.
 func (s *server) postGossip(loads []peers.HostLoad) {
 	select {
 	case s.gossip <- loads:
-	default: // also where nodes send none: the channel is nil then
+	default: // the queue is full, or the channel is nil because this node sends no gossip
 	}
 }
 
-// gossipReceived hands another node's load gossip to the loop. It drops the gossip where the loop is behind, so that
-// gossip does not hold clients up.
+// gossipReceived hands another node's load gossip to the loop. It drops the gossip if the loop's queue is full, so that
+// gossip does not delay clients.
 func (s *server) gossipReceived(loads []peers.HostLoad) {
 	select {
 	case s.events <- event{input: node.GossipReceived{Loads: loads}}:
@@ -73,7 +75,8 @@
 	}
 }
 
-// joinFleet makes the node a member of its fleet, if it is to be one. The node serves whatever becomes of that.
+// joinFleet makes the node a member of its fleet, if the config names a fleet file. The node serves even if joining
+// fails.
 func (s *server) joinFleet(ctx context.Context, member membership, start node.Start) {
 	if member.open == nil {
 		return
@@ -94,6 +97,6 @@
 	if s.config.PeerAddress != "" || !start.Settings.LoadGossip {
 		return
 	}
-	s.gossip = make(chan []peers.HostLoad, maxWaitingGossip) // no peers are named: the members get it
+	s.gossip = make(chan []peers.HostLoad, maxWaitingGossip) // the config names no peers: the members get the gossip
 	s.group.Go(func() error { return s.sendGossip(ctx, s.fleet.SendGossip) })
 }
--- a/internal/sockets/fleet_file.go
+++ b/internal/sockets/fleet_file.go
@@ -10,7 +10,7 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// readFleetFile reads the fleet file of a node with this name.
+// readFleetFile reads the fleet file of the node with the given name.
 func readFleetFile(path, name string) (membership, error) {
 	config, err := fleet.Read(path)
 	if err != nil {
@@ -18,8 +18,8 @@
 	}
 	follows := len(config.Control) > 0
 	if follows && len(name) > configfeed.MaxNameBytes {
-		return membership{}, fmt.Errorf("fleet: a name of %d bytes, and %d do where control servers are followed",
-			len(name), configfeed.MaxNameBytes)
+		return membership{}, fmt.Errorf("fleet: the name of a node that follows control servers must be at most %d bytes, got %d",
+			configfeed.MaxNameBytes, len(name))
 	}
 	open := func(options view.Options) view.Part { return fleet.New(config, options) }
 	return membership{open: open, followsControl: follows}, nil
--- a/internal/sockets/listener.go
+++ b/internal/sockets/listener.go
@@ -15,22 +15,22 @@
 
 const (
 	acceptRetryPause = 5 * time.Millisecond // after a failed accept
-	backlogTime      = time.Millisecond     // to accept those who wait already, before the listener closes
+	backlogTime      = time.Millisecond     // to accept the clients in the backlog, before the listener closes
 )
 
-// longPast is a deadline that ends a call under way at once.
+// longPast is a deadline in the past: it ends a read or an accept in progress at once.
 var longPast = time.Unix(1, 0)
 
-// clientListener is where clients connect. Its channels and closing are shared with the goroutine that accepts; the
-// rest is the loop's.
+// clientListener accepts the connections of clients. The accepting goroutine shares its channels and closing with the
+// loop; only the loop uses the other fields.
 type clientListener struct {
-	socket   *net.TCPListener  // nil until there is one
-	accepted chan *net.TCPConn // unbuffered: no socket waits in it that the core does not count yet
+	socket   *net.TCPListener  // nil until the process listens
+	accepted chan *net.TCPConn // unbuffered, so that no accepted socket waits there without being counted by the core
 	resume   chan struct{}     // wakes the accepting goroutine after a deadline
-	closing  atomic.Bool       // the accepting goroutine is to close the socket at the next deadline
+	closing  atomic.Bool       // the accepting goroutine closes the socket at the next deadline
 
-	coreReady   bool // the core could serve clients
-	openPending bool // accepting is to begin before the next input
+	coreReady   bool // the core has asked for the listener to be opened
+	openPending bool // the loop is to begin accepting before it handles the next input
 	opened      bool // accepting has begun
 }
 
@@ -38,8 +38,8 @@
 	return clientListener{accepted: make(chan *net.TCPConn), resume: make(chan struct{}, 1)}
 }
 
-// accept hands the sockets of new clients to the loop until the socket is closed or the context ends. A deadline of the
-// socket pauses it until wake is called.
+// accept hands the sockets of new clients to the loop until the listener's socket is closed or the context ends. When a
+// deadline set on the socket passes, accepting pauses until wake is called.
 func (l *clientListener) accept(ctx context.Context, socket *net.TCPListener, log zerolog.Logger) error {
 	for {
 		client, err := socket.AcceptTCP()
@@ -61,8 +61,8 @@
 			}
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		default: // no descriptor for now, or the client is gone already
-			log.Warn().Err(err).Msg("accept")
+		default: // the process has no descriptor left at the moment, or the client has already gone
+			log.Warn().Err(err).Msg("accepting a client connection failed")
 			if !pause(ctx, acceptRetryPause) {
 				return nil
 			}
@@ -70,16 +70,16 @@
 	}
 }
 
-// suspend stops accepting: who waits is accepted by another process.
+// suspend stops accepting, so that another process accepts the clients in the backlog.
 func (l *clientListener) suspend() { l.socket.SetDeadline(longPast) }
 
-// unsuspend goes on accepting.
+// unsuspend resumes accepting after suspend.
 func (l *clientListener) unsuspend() {
 	l.socket.SetDeadline(time.Time{})
 	l.wake()
 }
 
-// closeAfterBacklog accepts those who wait already and then closes the socket.
+// closeAfterBacklog accepts the clients in the backlog and then closes the socket.
 func (l *clientListener) closeAfterBacklog() {
 	l.closing.Store(true)
 	l.socket.SetDeadline(time.Now().Add(backlogTime))
@@ -93,8 +93,8 @@
 	}
 }
 
-// openListener opens the listener of a process whose core can serve. A predecessor is asked for the clients first, so
-// that the two processes do not accept at the same time.
+// openListener begins accepting once the core is ready to serve. It first asks a predecessor to stop accepting, so that
+// the two processes do not accept at the same time. If another process listens on the address, it waits for its turn.
 func (s *server) openListener() {
 	s.listener.coreReady = true
 	switch {
@@ -112,19 +112,19 @@
 	}
 }
 
-// listenOn opens the listener on a socket of this process's own.
+// listenOn begins accepting on a socket that this process opened itself.
 func (s *server) listenOn(socket *net.TCPListener) node.Input {
 	s.listener.socket = socket
 	return s.openWithoutPredecessor()
 }
 
-// openWithoutPredecessor opens the listener without waiting for the predecessor any longer.
+// openWithoutPredecessor begins accepting without waiting any longer for the predecessor's answer.
 func (s *server) openWithoutPredecessor() node.Input {
 	s.listener.openPending = !s.listener.opened
 	return nil
 }
 
-// startAccepting begins to accept clients, and to be found by a successor.
+// startAccepting begins to accept clients, and lets a successor connect to this process.
 func (s *server) startAccepting() {
 	s.listener.opened = true
 	if s.fleet != nil {
@@ -136,7 +136,7 @@
 	s.offerHandover()
 }
 
-// closeListener ends the accepting of clients once those who wait are accepted. Without a second address no other
+// closeListener accepts the clients in the backlog and then closes the listener. Without an admin address, no other
 // process can share the clients' address, and the listener stays open.
 func (s *server) closeListener() {
 	if s.config.AdminAddress == "" || !s.listener.opened || s.upgrade.handedOver {
--- a/internal/sockets/listwatch.go
+++ b/internal/sockets/listwatch.go
@@ -11,23 +11,23 @@
 	"gorseledge/internal/node"
 )
 
-// errOverridden ends a call because another call beside it was answered first.
-var errOverridden = errors.New("a call beside it was answered first")
+// errOverridden is the cause with which a call is canceled because a concurrent call was answered first.
+var errOverridden = errors.New("a concurrent call was answered first")
 
-// discoveryWatch is the watch of the endpoint list. It belongs to the loop.
+// discoveryWatch is the watch of the endpoint list. Only the loop uses it.
 type discoveryWatch struct {
 	client      *discovery.Client
-	liveAddress string     // discovery's address by the live settings; empty for the config's
-	calls       []listCall // under way, oldest first; once one is answered it is the only one
+	liveAddress string     // discovery's address in the live settings; empty if the config's is used
+	calls       []listCall // calls in progress, oldest first; the first one that is answered ends the others
 }
 
-// listCall is a call for the list, or the watch that it became.
+// listCall is a call for the endpoint list. Once discovery answers, the same call is the watch of the list.
 type listCall struct {
 	ctx context.Context
 	end context.CancelCauseFunc
 }
 
-// stop ends all calls but so many of the oldest.
+// stop ends all calls except the oldest ones; keep is how many of those stay.
 func (w *discoveryWatch) stop(keep int) {
 	keep = min(keep, len(w.calls))
 	for _, call := range w.calls[keep:] {
@@ -36,10 +36,10 @@
 	w.calls = w.calls[:keep]
 }
 
-// begin adds a call. With beside, the oldest call waits on for its answer, since discovery answers it first;
-// otherwise the new one takes the place of all.
-func (w *discoveryWatch) begin(ctx context.Context, beside bool) listCall {
-	if beside {
+// begin adds a call. With keepOldest, the oldest call stays open beside the new one, since a discovery that queues calls
+// answers the oldest first; otherwise the new call replaces all others.
+func (w *discoveryWatch) begin(ctx context.Context, keepOldest bool) listCall {
+	if keepOldest {
 		w.stop(1)
 	} else {
 		w.stop(0)
@@ -50,9 +50,9 @@
 	return call
 }
 
-// alive takes a sign of life from a call, which ends all others.
+// alive handles bytes received by a call, which show that discovery answers it. All other calls end.
 func (w *discoveryWatch) alive(call context.Context, midLine bool) node.Input {
-	if call.Err() != nil { // canceled meanwhile: it says nothing about the watch that took its place
+	if call.Err() != nil { // already canceled: its bytes say nothing about the watch that replaced it
 		return nil
 	}
 	w.calls = slices.DeleteFunc(w.calls, func(c listCall) bool {
@@ -65,8 +65,8 @@
 	return node.WatchAlive{MidLine: midLine}
 }
 
-// listReceived takes a list from a call. What a watch said before it was given up as silent counts; that of an
-// overridden call does not, since it may be older than what the other call brought.
+// listReceived handles a list from a call. A list that a watch received before it was given up as silent is valid. A
+// list from an overridden call is dropped, since it may be older than the list of the call that was answered first.
 func (w *discoveryWatch) listReceived(call context.Context, list endpoint.List) node.Input {
 	if errors.Is(context.Cause(call), errOverridden) {
 		return nil
@@ -74,7 +74,7 @@
 	return node.ListReceived{List: list}
 }
 
-// failed takes the end of a call, which is a failure once no other is left.
+// failed handles the end of a call. The watch has failed once no other call is in progress.
 func (w *discoveryWatch) failed(call context.Context, reason string) node.Input {
 	if call.Err() != nil {
 		return nil
@@ -112,7 +112,7 @@
 	})
 }
 
-// setLiveDiscovery takes discovery's address from the live settings; the empty one stands for the config's.
+// setLiveDiscovery sets discovery's address to that of the live settings, or to the config's if address is empty.
 func (s *server) setLiveDiscovery(address string) {
 	s.discovery.liveAddress = address
 	current := cmp.Or(address, s.config.Discovery)
--- a/internal/sockets/listwatch_test.go
+++ b/internal/sockets/listwatch_test.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	// maxDrainDelay is how long after a drain a node may still send to the host, by the protocol.
+	// maxDrainDelay is how long after the start of a drain the protocol lets a node send new flows to the host.
 	maxDrainDelay = 6 * time.Second
-	// firstCallWithin is the time within which the three nodes of a test make their first calls.
+	// firstCallWithin is the time within which a node of a deployment of three makes its first call.
 	firstCallWithin = time.Second / 2
-	// drainingLine is a list in which one host drains.
+	// drainingLine is a line of the endpoint list that sets one host to draining.
 	drainingLine = `{"index":2,"snapshot":false,"endpoints":[{"name":"s-1","status":"DRAINING"}]}` + "\n"
 )
 
-// silentDiscovery is a discovery whose watches all fall silent at one moment, also those that it has not answered yet;
-// right after that a host begins to drain.
+// silentDiscovery is a discovery that sends nothing more on any call open at silentAt, including calls that it has not
+// answered yet. Right after that a host begins to drain; only calls that begin later are notified of it.
 type silentDiscovery struct {
-	silentAt    time.Duration // from the start
-	waitsBefore time.Duration // how long a call waits for its turn before that
-	waitsAfter  time.Duration // and after it
+	silentAt    time.Duration // time from the start of the test
+	waitsBefore time.Duration // delay of the answer to a call that begins before silentAt
+	waitsAfter  time.Duration // delay of the answer to a call that begins after silentAt
 }
 
-// handler answers calls, and sends the time from the start at which a call was notified of the drain.
+// handler answers calls. When a call is notified of the drain, it sends the time since start to notified.
 func (d silentDiscovery) handler(start time.Time, notified chan<- time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if time.Since(start) < d.silentAt {
@@ -55,7 +55,7 @@
 	}
 }
 
-// answerUntilSilent answers a call that comes before the silence.
+// answerUntilSilent answers a call that begins before silentAt.
 func (d silentDiscovery) answerUntilSilent(w http.ResponseWriter, r *http.Request, silent <-chan time.Time) {
 	select {
 	case <-silent:
@@ -80,24 +80,25 @@
 	w.(http.Flusher).Flush()
 }
 
-// A node hears of a drain that a silent watch did not bring in time, whenever the silence began and whatever the watch
-// was about then: it may not send to hosts that drain for longer than maxDrainDelay.
+// A watch that stays open but receives nothing more would leave a node unaware of a drain, and the node would send new
+// flows to the draining host for longer than maxDrainDelay. The node must replace the watch in time, no matter when the
+// watch became silent and whether discovery had answered it by then.
 func TestSilentWatchIsReplacedInTime(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name  string
 		nodes int
 		silentDiscovery
-		maxDelay time.Duration // from the silence to the notification of the drain
+		maxDelay time.Duration // from silentAt to the notification of the drain
 	}{
-		{"a few nodes, a call that was not answered", 6,
+		{"6 nodes, before the first list", 6,
 			silentDiscovery{silentAt: 400 * ms, waitsBefore: 3 * time.Second, waitsAfter: time.Second}, maxDrainDelay},
-		{"after the first list", 6, silentDiscovery{silentAt: 100 * ms, waitsAfter: time.Second}, maxDrainDelay},
-		{"between lines", 6, silentDiscovery{silentAt: 5500 * ms, waitsAfter: time.Second}, maxDrainDelay},
-		{"right before a line", 6, silentDiscovery{silentAt: 5999 * ms, waitsAfter: time.Second}, maxDrainDelay},
-		{"right after a line", 6, silentDiscovery{silentAt: 6001 * ms, waitsAfter: 3 * time.Second}, maxDrainDelay},
+		{"6 nodes, after the first list", 6, silentDiscovery{silentAt: 100 * ms, waitsAfter: time.Second}, maxDrainDelay},
+		{"6 nodes, between lines", 6, silentDiscovery{silentAt: 5500 * ms, waitsAfter: time.Second}, maxDrainDelay},
+		{"6 nodes, right before a line", 6, silentDiscovery{silentAt: 5999 * ms, waitsAfter: time.Second}, maxDrainDelay},
+		{"6 nodes, right after a line", 6, silentDiscovery{silentAt: 6001 * ms, waitsAfter: 3 * time.Second}, maxDrainDelay},
 		{"350 nodes, between lines", 350, silentDiscovery{silentAt: 11 * time.Second, waitsAfter: time.Second}, maxDrainDelay},
-		{"350 nodes, a call that was not answered", 350,
+		{"350 nodes, before the first list", 350,
 			silentDiscovery{silentAt: 5 * time.Second, waitsBefore: 3 * time.Second, waitsAfter: 300 * ms}, maxDrainDelay},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -108,14 +109,14 @@
 					select {
 					case at := <-notified:
 						if delay := at - c.silentAt; delay > c.maxDelay {
-							t.Errorf("seed %d: notified %v after the silence began", seed, delay)
+							t.Errorf("seed %d: notified %v after the watch became silent, want at most %v", seed, delay, c.maxDelay)
 						}
 					case <-time.After(time.Minute):
-						t.Errorf("seed %d: never notified", seed)
+						t.Errorf("seed %d: not notified within a minute", seed)
 					}
 					synctest.Wait()
-					if a, _ := s.ask(t.Context(), node.Query{Question: node.GetStatistics}); a.Statistics.Unavailable != 1 {
-						t.Errorf("seed %d: notified, and %d hosts avoided", seed, a.Statistics.Unavailable)
+					if a, _ := s.queryCore(t.Context(), node.Query{Question: node.GetStatistics}); a.Statistics.Unavailable != 1 {
+						t.Errorf("seed %d: %d hosts unavailable after the notification, want 1", seed, a.Statistics.Unavailable)
 					}
 				})
 			}
@@ -123,13 +124,14 @@
 	}
 }
 
-// queueingDiscovery works through calls in turn, also those whose caller has gone, and loses some of them.
+// queueingDiscovery answers calls one after the other, including calls whose caller has already gone. It never answers
+// the first few calls.
 type queueingDiscovery struct {
-	each time.Duration // for a call
-	lost int           // of the first calls: taken and never answered
+	each time.Duration // time to process one call
+	lost int           // number of first calls that are accepted and never answered
 }
 
-// handler answers and counts calls, and sends the time from the start at which a call was notified of the drain.
+// handler answers and counts calls. When a call is notified of the drain, it sends the time since start to notified.
 func (d queueingDiscovery) handler(start time.Time, calls *atomic.Int32, notified chan<- time.Duration) http.HandlerFunc {
 	turn := make(chan struct{}, 1)
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -158,21 +160,22 @@
 	}
 }
 
-// A call that waits in a queue is not given up, and one that got lost holds up no later one: neither may double the wait
-// between calls, or have the node begin again and again at the end of a queue.
+// A node that gave up a call waiting in discovery's queue would start again at the end of the queue each time and never
+// get a list. A node that only waited for a lost call would not get one either. So the node keeps its oldest call open
+// and makes another one beside it at a steady interval.
 func TestCallBesideOneWithoutAnswer(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
 		name string
 		queueingDiscovery
-		maxDelay time.Duration // until the list is received, from the first call
+		maxDelay time.Duration // from the first call until the list is received
 		calls    int32
 	}{
-		{"at once", queueingDiscovery{}, 0, 1},
-		{"a turn of 11 s", queueingDiscovery{each: 11 * s}, 11 * s, 3},
+		{"answered at once", queueingDiscovery{}, 0, 1},
+		{"11 s for each call", queueingDiscovery{each: 11 * s}, 11 * s, 3},
 		{"one call lost", queueingDiscovery{lost: 1}, 4 * s, 2},
 		{"four calls lost", queueingDiscovery{lost: 4}, 16 * s, 5},
-		{"two calls lost and a turn of 3 s", queueingDiscovery{lost: 2, each: 3 * s}, 11 * s, 3},
+		{"two calls lost and 3 s for each call", queueingDiscovery{lost: 2, each: 3 * s}, 11 * s, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -185,11 +188,11 @@
 						t.Errorf("notified after %v, want %v", at, c.maxDelay)
 					}
 				case <-time.After(time.Minute):
-					t.Error("never notified")
+					t.Error("not notified within a minute")
 				}
 				synctest.Wait()
-				if a, _ := s.ask(t.Context(), node.Query{Question: node.GetStatistics}); a.Statistics.Unavailable != 1 {
-					t.Errorf("notified, and %d hosts avoided", a.Statistics.Unavailable)
+				if a, _ := s.queryCore(t.Context(), node.Query{Question: node.GetStatistics}); a.Statistics.Unavailable != 1 {
+					t.Errorf("%d hosts unavailable after the notification, want 1", a.Statistics.Unavailable)
 				}
 				if got := calls.Load(); got != c.calls {
 					t.Errorf("%d calls, want %d", got, c.calls)
@@ -199,8 +202,9 @@
 	}
 }
 
-// Of two calls beside each other the first to be answered stands, what the other brings later does not undo it, and a
-// failure counts once none is left. No older list takes the place of a newer one.
+// If a call that was overridden by another could still deliver its list, an older list could replace a newer one. Of two
+// concurrent calls the first one answered is kept and the other is ignored from then on; the watch fails only when the
+// last call has failed.
 func TestOverriddenCallIsIgnored(t *testing.T) {
 	w := &discoveryWatch{}
 	begin := func() context.Context {
@@ -211,28 +215,29 @@
 	}
 	first, second := begin(), begin()
 	if in := w.failed(second, "reset"); in != nil || len(w.calls) != 1 {
-		t.Errorf("one of two calls failed: %v, %d left", in, len(w.calls))
+		t.Errorf("after one of two calls failed: input %v, %d calls left, want none and 1", in, len(w.calls))
 	}
 	second = begin()
 	if in := w.alive(second, false); in != (node.WatchAlive{}) || len(w.calls) != 1 || first.Err() == nil {
-		t.Errorf("the second of two was answered: %v, %d left", in, len(w.calls))
+		t.Errorf("after the second of two calls was answered: input %v, %d calls left, first call's error %v",
+			in, len(w.calls), first.Err())
 	}
 	for _, late := range []node.Input{w.alive(first, false), w.listReceived(first, endpoint.List{Index: 1}), w.failed(first, "reset")} {
 		if late != nil {
-			t.Errorf("a call that was overridden: %v", late)
+			t.Errorf("input %v from an overridden call, want none", late)
 		}
 	}
 	if _, ok := w.listReceived(second, endpoint.List{Index: 2}).(node.ListReceived); !ok {
-		t.Error("the watch that stands was not heard")
+		t.Error("the list of the remaining watch was ignored")
 	}
 	w.stop(0)
 	if _, ok := w.listReceived(second, endpoint.List{Index: 3}).(node.ListReceived); !ok {
-		t.Error("what a silent watch still brought was not heard")
+		t.Error("the list that a silent watch received before it was stopped was ignored")
 	}
 }
 
-// startFollower starts the loop of a node that serves nobody and follows the list of a discovery. The loop ends with the
-// test.
+// startFollower starts the loop of a node that has no clients and watches the list of a discovery. The loop ends with
+// the test.
 func startFollower(t *testing.T, seed uint64, nodes int, handler http.HandlerFunc) *server {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/sockets/live_keys_test.go
+++ b/internal/sockets/live_keys_test.go
@@ -8,7 +8,8 @@
 	"gorseledge/internal/livesettings"
 )
 
-// Every key that a node's config knows is live, or refused by name as one that needs a restart.
+// A key that is added to the config but unknown to the live settings would be refused as a misspelling. Every key of the
+// config can either be set by the live settings or is refused by name as one that needs a restart.
 func TestConfigKeysAreLiveOrNeedRestart(t *testing.T) {
 	var keys []string
 	for f := range reflect.TypeFor[Config]().Fields() {
@@ -34,6 +35,6 @@
 		}
 	}
 	if len(keys) < 10 || !strings.Contains(strings.Join(keys, " "), "limits.cores") {
-		t.Errorf("only %v", keys)
+		t.Errorf("found too few keys in Config: %v", keys)
 	}
 }
--- a/internal/sockets/origin.go
+++ b/internal/sockets/origin.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	claimTimeout      = 500 * time.Millisecond // for the predecessor to answer; without it the node serves all the same
-	claimRetryTimeout = 3 * time.Second        // while the predecessor is handing over to another process
-	reusePort         = 15                     // SO_REUSEPORT, which package syscall does not name on this system
+	claimTimeout      = 500 * time.Millisecond // for the predecessor's answer; after it the node serves without a handover
+	claimRetryTimeout = 3 * time.Second        // for retries while the predecessor hands over to another process
+	reusePort         = 15                     // SO_REUSEPORT, for which package syscall has no constant on this system
 )
 
-// errPredecessorBusy says that the predecessor is handing over to another process.
-var errPredecessorBusy = errors.New("the predecessor is busy")
+// errPredecessorBusy is the error of a request to a predecessor that is handing over to another process.
+var errPredecessorBusy = errors.New("the predecessor is handing over to another process")
 
-// claim is what a predecessor hands over at once: the clients' listener, what it knows, and the link over which the
-// rest comes.
+// claim is what a predecessor hands over with its first answer: the clients' listener, its state, and the link over
+// which updates and connections follow.
 type claim struct {
 	listener *net.TCPListener
 	state    *node.HandoverState
 	link     *handover.Link
 }
 
-// openOrigin gives the listener of a node's first process, or what its predecessor hands over, or neither: then the
-// address is a process's that hands nothing over.
+// openOrigin returns what the predecessor hands over, or, for a node's first process, a new listener. It returns neither
+// if a process that does not support handover listens on the address.
 func openOrigin(ctx context.Context, config Config, log zerolog.Logger) (origin, error) {
 	var o origin
 	dir := os.Getenv("TMPDIR")
@@ -53,7 +53,7 @@
 	case err == nil:
 		o.listener = listener.(*net.TCPListener)
 		if config.AdminAddress != "" {
-			// A later version may then come beside this one, whatever becomes of the handover.
+			// A later version can then start beside this one even if the handover fails.
 			shareAddress(o.listener)
 		}
 	case config.AdminAddress != "" && errors.Is(err, syscall.EADDRINUSE):
@@ -64,8 +64,8 @@
 	return o, nil
 }
 
-// claimWithRetry asks the process that serves for the clients' listener and what it knows, again while that process is
-// busy. It gives nil where there is no such process or anything fails: the node goes on without.
+// claimWithRetry requests the clients' listener and the state of the process that serves now, and retries while that
+// process is busy. It returns nil if there is no such process or if the handover fails: the node then starts without it.
 func claimWithRetry(ctx context.Context, path string, log zerolog.Logger) *claim {
 	end := time.Now().Add(claimRetryTimeout)
 	for {
@@ -76,7 +76,7 @@
 			log.Info().Int("hosts", len(state.Hosts)).Int("connections", len(state.Connections)).
 				Bool("heard", state.ListReceived).Msg("handover state received")
 			return claimed
-		case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED): // nobody, or only a stale socket
+		case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED): // no predecessor, or only its stale socket
 			return nil
 		case errors.Is(err, errPredecessorBusy) && time.Now().Before(end) && ctx.Err() == nil:
 			time.Sleep(retryPause)
@@ -87,7 +87,8 @@
 	}
 }
 
-// claimOnce asks once. The error is errPredecessorBusy where another attempt may succeed.
+// claimOnce makes one request for the predecessor's listener and state. The error is errPredecessorBusy if another
+// attempt may succeed.
 func claimOnce(ctx context.Context, path string) (*claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -103,7 +104,7 @@
 	return claimed, nil
 }
 
-// requestState asks the predecessor at the far side of a link for its state.
+// requestState requests the state of the predecessor at the other end of a link.
 func requestState(link *handover.Link) (*claim, error) {
 	link.SetReadTimeout(claimTimeout)
 	if err := link.Send(handover.Message{Request: handover.RequestState}); err != nil {
@@ -117,7 +118,7 @@
 		return nil, errPredecessorBusy
 	}
 	if answer.State == nil {
-		return nil, fmt.Errorf("the predecessor said no: %s", answer.Refusal)
+		return nil, fmt.Errorf("the predecessor refused to hand over its state: %s", answer.Refusal)
 	}
 	listener, err := link.Listener()
 	if err != nil {
@@ -127,7 +128,8 @@
 	return &claim{listener: listener, state: answer.State, link: link}, nil
 }
 
-// shareAddress lets another process of this user listen on the same address. A failure costs no more than that.
+// shareAddress lets another process of this user listen on the same address. A failure is ignored: the node serves
+// without sharing its address.
 func shareAddress(listener syscall.Conn) {
 	if raw, err := listener.SyscallConn(); err == nil {
 		setReusePort(raw)
@@ -138,8 +140,8 @@
 	return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, reusePort, 1) })
 }
 
-// listenShared listens on an address that another process has, as soon as that one shares it or is gone. It gives nil
-// if the context ended before.
+// listenShared listens on an address that another process uses, as soon as that process shares it or has ended. It
+// returns nil if the context ends first.
 func listenShared(ctx context.Context, address string) *net.TCPListener {
 	listenConfig := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error { return setReusePort(raw) }}
 	for ctx.Err() == nil {
--- a/internal/sockets/peer_process.go
+++ b/internal/sockets/peer_process.go
@@ -8,24 +8,25 @@
 	"gorseledge/internal/node"
 )
 
-// maxWaitingMessages is how many messages may wait for the other process; one that does not read them is given up.
+// maxWaitingMessages is how many messages may wait for a peer process. The link to a process that lets more wait is closed.
 const maxWaitingMessages = 1024
 
-// peerProcess is another process of this node: the predecessor, the successor or one that only asked.
+// peerProcess is another process of this node: the predecessor, the successor, or one whose request was refused.
 type peerProcess struct {
 	link     *handover.Link
 	outgoing chan outgoingMessage
 }
 
-// outgoingMessage is a message with the sockets that go along: the clients' listener, or a transferred connection's.
+// outgoingMessage is a message with the sockets that are sent with it: the clients' listener, or the two sockets of a
+// transferred connection.
 type outgoingMessage struct {
 	handover.Message
-	listener     *net.TCPListener // nil for none
-	conn         node.ConnID      // of a transfer
-	client, host *net.TCPConn     // of a transfer
+	listener     *net.TCPListener // nil if no listener is sent
+	conn         node.ConnID      // set only for a transfer
+	client, host *net.TCPConn     // set only for a transfer
 }
 
-// incomingMessage is a message with the sockets that came along with a transfer.
+// incomingMessage is a message with the sockets that were received with it, if it is a transfer.
 type incomingMessage struct {
 	handover.Message
 	client, host *net.TCPConn
@@ -35,15 +36,15 @@
 	return &peerProcess{link: link, outgoing: make(chan outgoingMessage, maxWaitingMessages)}
 }
 
-// post sends a message after those posted before. A process that does not read is given up, so that it holds nobody up.
-// A nil peer process takes no messages.
+// post queues a message behind those posted before. If the queue is full, the peer process does not read, and its link is
+// closed so that this process need not wait for it. For a nil peer process post does nothing.
 func (p *peerProcess) post(m outgoingMessage) {
 	if p != nil && !p.tryPost(m) {
 		p.link.Close()
 	}
 }
 
-// tryPost gives false where too many messages wait already.
+// tryPost queues a message. It returns false if the queue is full.
 func (p *peerProcess) tryPost(m outgoingMessage) bool {
 	select {
 	case p.outgoing <- m:
@@ -53,7 +54,7 @@
 	}
 }
 
-// send writes a message, after the sockets that go along.
+// send writes a message to the link. The sockets that belong to it are sent first.
 func (p *peerProcess) send(m outgoingMessage) error {
 	if err := p.sendSockets(m); err != nil {
 		return err
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// receive reads a message and the sockets that came along.
+// receive reads a message and, for a transfer, its two sockets.
 func (p *peerProcess) receive() (incomingMessage, error) {
 	message, err := p.link.Receive()
 	if err != nil {
@@ -91,12 +92,13 @@
 	return m, nil
 }
 
-// attend reads from and writes to a peer process until one side is gone.
-func (s *server) attend(p *peerProcess) {
+// servePeerProcess starts the goroutines that read from and write to a peer process until the link is closed or the
+// server's context ends.
+func (s *server) servePeerProcess(p *peerProcess) {
 	stop := context.AfterFunc(s.ctx, p.link.Close)
 	ended := make(chan struct{})
 	s.group.Go(func() error {
-		s.sendPosted(p, ended)
+		s.sendQueued(p, ended)
 		return nil
 	})
 	s.group.Go(func() error {
@@ -109,8 +111,9 @@
 	})
 }
 
-// sendPosted sends what is posted to a peer process until it has ended, and tells the core about transfers.
-func (s *server) sendPosted(p *peerProcess, ended <-chan struct{}) {
+// sendQueued sends the messages that are queued for a peer process until reading from it has ended, and notifies the
+// core of the result of each transfer.
+func (s *server) sendQueued(p *peerProcess, ended <-chan struct{}) {
 	for {
 		select {
 		case m := <-p.outgoing:
@@ -127,7 +130,8 @@
 	}
 }
 
-// receiveAll hands what a peer process sends to the loop, in its order, and at last that it is gone.
+// receiveAll hands the messages of a peer process to the loop in the order in which they arrive, and then the end of the
+// link.
 func (s *server) receiveAll(p *peerProcess) {
 	for {
 		m, err := p.receive()
@@ -136,6 +140,6 @@
 			return
 		}
 		p.link.SetReadTimeout(0)
-		s.do(func() node.Input { return s.peerProcessSaid(p, m) })
+		s.do(func() node.Input { return s.handlePeerMessage(p, m) })
 	}
 }
--- a/internal/sockets/reload.go
+++ b/internal/sockets/reload.go
@@ -9,7 +9,8 @@
 	"gorseledge/internal/node/live"
 )
 
-// reloadOnSignal reads the config each time it is asked to, beside the loop: a slow disk holds no client up.
+// reloadOnSignal reads the config after each reload signal, in a goroutine of its own so that a slow disk does not delay
+// clients.
 func (s *server) reloadOnSignal(reload <-chan os.Signal) error {
 	path := s.config.path
 	for {
@@ -26,15 +27,16 @@
 	}
 }
 
-// reloaded takes a config that was read again. Discovery may be elsewhere now; the rest takes a new process. A config
-// that cannot be taken, which may be half-written, ends no node that serves: the previous one stays in force.
+// reloaded applies a config that was read again. Only discovery's address takes effect; other changes need a restart.
+// An invalid config, perhaps read while it was being written, does not end a serving node: the previous one stays in
+// force.
 func (s *server) reloaded(config Config, err error) node.Input {
 	if err != nil {
 		s.log.Error().Err(err).Msg("config rejected, the previous one stays in force")
 		return nil
 	}
 	if s.config.needsRestart(config) {
-		s.log.Warn().Msg("config reloaded: all but discovery waits for a restart")
+		s.log.Warn().Msg("config reloaded: changes other than discovery need a restart")
 	}
 	moved := config.Discovery != s.config.Discovery
 	s.log.Info().Str("discovery", config.Discovery).Bool("moved", moved).Msg("config reloaded")
@@ -43,15 +45,15 @@
 	}
 	s.config.Discovery = config.Discovery
 	if s.discovery.liveAddress != "" {
-		s.log.Info().Str("discovery", s.discovery.liveAddress).Msg("discovery stays where the live settings say")
+		s.log.Info().Str("discovery", s.discovery.liveAddress).Msg("config's discovery address not used: the live settings override it")
 		return nil
 	}
 	s.discovery.client = discovery.New(config.Discovery)
 	return node.DiscoveryMoved{}
 }
 
-// install has the core put a revision of the live settings in force, and returns once it is or cannot be. It gives the
-// keys that have no effect at this node; the error is the core's reason or the context's.
+// install has the core put a revision of the live settings in force and waits for the result. It returns the keys that
+// have no effect on this node. The error is the core's reason for refusing the revision, or the context's error.
 func (s *server) install(ctx context.Context, revision live.Revision) (ignored []string, err error) {
 	reply := make(chan node.SettingsApplied, 1)
 	step := func() node.Input {
--- a/internal/sockets/run.go
+++ b/internal/sockets/run.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	awaitSettings   = 2.0 // s, for a first revision of the live settings before clients are let in
-	firstConn       = 1   // connections that come in have odd numbers above it
-	versionLength   = 12  // characters of a revision's hash
+	awaitSettings   = 2.0 // s, the longest wait for a first revision of the live settings before clients are accepted
+	firstConn       = 1   // connections from clients get the odd numbers above this one
+	versionLength   = 12  // characters of a commit's hash
 	versionProperty = "vcs.revision"
 )
 
-// Version is the revision that this program was built from; empty where the build does not know it.
+// Version returns the abbreviated hash of the commit that this program was built from, or "" if the build does not
+// record one.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -36,14 +37,15 @@
 	return ""
 }
 
-// Signals are what the platform asks of a running node.
+// Signals are the channels over which a running node receives the signals of its platform.
 type Signals struct {
-	Shutdown <-chan os.Signal // begin the graceful shutdown
-	Reload   <-chan os.Signal // read the config again
+	Shutdown <-chan os.Signal // begins the graceful shutdown
+	Reload   <-chan os.Signal // has the node read its config again
 }
 
-// Run serves until the graceful shutdown is complete, which is no error, the context ends, or something fails that the
-// node cannot do without. Settings that cannot be taken are a *settings.KeyError. Nothing runs on once it has returned.
+// Run serves until the graceful shutdown is complete, and then returns nil. It returns an error if the context ends or
+// if something fails that the node cannot serve without; invalid settings are a *settings.KeyError. All goroutines that
+// it started have ended when it returns.
 func Run(ctx context.Context, config Config, log zerolog.Logger, signals Signals) error {
 	start, err := config.start()
 	if err != nil {
@@ -74,7 +76,7 @@
 	s.logStarted(start)
 	limitMemory(config.Limits.MemoryMB, start.NotListening)
 	if s.upgrade.predecessor != nil {
-		s.attend(s.upgrade.predecessor)
+		s.servePeerProcess(s.upgrade.predecessor)
 	}
 	s.openGossip(ctx)
 	s.listener.openPending = !start.NotListening && start.AwaitSettings == 0
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// newServer gives a server without a core, listeners or an upgrade.
+// newServer returns a server that has no core, no open listener and no upgrade in progress yet.
 func newServer(ctx context.Context, group *errgroup.Group, config Config, log zerolog.Logger) *server {
 	return &server{
 		config:      config,
@@ -113,13 +115,13 @@
 		Msg("started")
 }
 
-// origin is what a process has before its loop begins.
+// origin holds what a process has opened or inherited before its loop begins.
 type origin struct {
-	listener *net.TCPListener // nil while the address is a process's that hands nothing over
+	listener *net.TCPListener // nil while another process that does not support handover listens on the address
 	upgrade  upgrade
 }
 
-// complete adds to the core's start what the predecessor and the fleet file have a part in.
+// complete sets those start parameters of the core that depend on the predecessor or on the fleet file.
 func (o origin) complete(start *node.Start, member membership) {
 	start.Handover = o.upgrade.inherited
 	start.NotListening = o.upgrade.predecessor != nil || o.listener == nil
@@ -133,11 +135,11 @@
 	}
 }
 
-// memoryTenths is the soft limit's part of the memory granted: what lies outside the heap needs the rest.
+// memoryTenths is the soft limit in tenths of the memory granted; memory outside the heap needs the rest.
 const memoryTenths = 7
 
-// limitMemory sets the runtime's soft limit for a process that is granted so many MiB, 0 for no limit. During an upgrade
-// two processes share them.
+// limitMemory sets the Go runtime's soft memory limit for a process that may use grantedMiB; 0 sets no limit. During an
+// upgrade two processes share the granted memory, and each of them gets half the limit.
 func limitMemory(grantedMiB int64, shared bool) {
 	if grantedMiB <= 0 {
 		return
--- a/internal/sockets/run_test.go
+++ b/internal/sockets/run_test.go
@@ -19,7 +19,8 @@
 	"go.uber.org/goleak"
 )
 
-// No goroutine runs on once Run has returned, however it ended and whatever was under way.
+// A goroutine that outlives Run could use a socket or the log after they are closed. None may be left, whether Run ends
+// by a shutdown or by its context, while clients wait and a dial is in progress.
 func TestRunLeavesNoGoroutines(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -37,7 +38,7 @@
 			discovery := startOneHostDiscovery(host.Addr().String())
 			before := goleak.IgnoreCurrent()
 			node := startNode(t, discovery.Listener.Addr().String())
-			for id := range 3 { // all are placed, and wait for hosts that say nothing
+			for id := range 3 { // each is placed and waits for a host that never answers
 				node.openFlow(t, id)
 			}
 			attempt, err := host.Accept()
@@ -58,7 +59,7 @@
 	}
 }
 
-// startOneHostDiscovery starts a discovery whose list names one host, and which sends nothing more.
+// startOneHostDiscovery starts a discovery that sends a list of one host and then nothing more.
 func startOneHostDiscovery(host string) *httptest.Server {
 	list := `{"index":1,"snapshot":true,"endpoints":[{"name":"s-1","address":"` + host +
 		`","status":"SERVING","weight":1}]}` + "\n"
@@ -68,7 +69,7 @@
 	}))
 }
 
-// runningNode is a call of Run under way.
+// runningNode is a call of Run in progress.
 type runningNode struct {
 	address  string
 	log      *io.PipeReader
@@ -77,7 +78,7 @@
 	ran      <-chan error // Run's result
 }
 
-// startNode calls Run and waits until the node has its list.
+// startNode calls Run and waits until the node has received the endpoint list.
 func startNode(t *testing.T, discovery string) runningNode {
 	t.Helper()
 	log, lines := io.Pipe()
@@ -97,7 +98,8 @@
 	return runningNode{address: address, log: log, shutdown: shutdown, cancel: cancel, ran: ran}
 }
 
-// addressOnceListed reads a node's log until the node has its list, and gives the address on which it listens.
+// addressOnceListed reads a node's log until the node has received the endpoint list, and returns the address on which
+// the node listens.
 func addressOnceListed(log io.Reader) (address string) {
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
@@ -113,7 +115,7 @@
 	return address
 }
 
-// openFlow has a client send its first line, and keeps its connection until the end of the test.
+// openFlow connects a client and sends its opening line. The connection stays open until the end of the test.
 func (n runningNode) openFlow(t *testing.T, id int) {
 	t.Helper()
 	conn, err := net.Dial("tcp", n.address)
--- a/internal/sockets/server.go
+++ b/internal/sockets/server.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	maxWaitingEvents = 1024                   // that may wait for the loop
-	retryPause       = 100 * time.Millisecond // between attempts to get an address or the predecessor's answer
+	maxWaitingEvents = 1024                   // events that may wait for the loop
+	retryPause       = 100 * time.Millisecond // between attempts to listen on an address or to get the predecessor's answer
 )
 
-// errDone ends the errgroup once the core has nothing left to do.
-var errDone = errors.New("nothing is left to do")
+// errDone ends the errgroup when the core asks the process to exit.
+var errDone = errors.New("graceful shutdown complete")
 
-// server is one process of a node. Its fields belong to the loop, except for those that are set before the loop begins
-// and the channels.
+// server is one process of a node. Only the loop uses its fields, apart from the channels and the fields that are set
+// before the loop begins and never change.
 type server struct {
 	core   *node.Node
 	config Config
@@ -32,32 +32,32 @@
 	group  *errgroup.Group // owns every goroutine
 	ctx    context.Context // the group's; done once the loop has ended
 	clock  clock
-	timer  *time.Timer // of node.SetTimer
+	timer  *time.Timer // set by the effect node.SetTimer
 
 	events  chan event
-	queries chan query   // apart from events, so that many of them cannot hold up an operator's query
-	pending []node.Input // results of effects that were carried out at once, not yet given to the core
+	queries chan query   // separate from events, so that many events cannot delay an operator's query
+	pending []node.Input // results of effects that were carried out at once, not yet passed to the core
 
-	queryReply    chan<- node.Reply           // of the query that the core has now
-	settingsReply chan<- node.SettingsApplied // of the revision that the core has now
+	queryReply    chan<- node.Reply           // for the reply to the query that the core is processing
+	settingsReply chan<- node.SettingsApplied // for the result of the revision that the core is processing
 
 	listener    clientListener
 	connections map[node.ConnID]*connection
 	lastConn    node.ConnID // number of the last connection accepted or inherited
 	upgrade     upgrade
 	discovery   discoveryWatch
-	gossip      chan []peers.HostLoad // to the other nodes; nil where nodes send none
-	fleet       view.Part             // nil for a node on its own
+	gossip      chan []peers.HostLoad // load gossip to be sent to the other nodes; nil if this node sends none
+	fleet       view.Part             // nil for a node that belongs to no fleet
 }
 
-// event is what a goroutine hands to the loop: an input for the core or, where the loop's own state takes part, a step
-// that runs in the loop and may give an input.
+// event is what a goroutine hands to the loop: an input for the core or, if the server's own state is involved, a step
+// that the loop runs and that may return an input.
 type event struct {
 	input node.Input
 	step  func() node.Input // nil for none
 }
 
-// resolve gives the event's input; nil for none. The loop alone calls it.
+// resolve returns the event's input, or nil if there is none. Only the loop calls it.
 func (e event) resolve() node.Input {
 	if e.step != nil {
 		return e.step()
@@ -78,7 +78,7 @@
 	}
 }
 
-// clock is the system's clock at the start of the process and the time that has passed since: it never goes back.
+// clock adds the monotonic time since the start of the process to the system time at the start. It never runs backwards.
 type clock struct {
 	start time.Time
 	base  float64 // start, in seconds of Unix time
@@ -89,10 +89,10 @@
 	return clock{start: start, base: float64(start.UnixNano()) / 1e9}
 }
 
-// now gives seconds of Unix time.
+// now returns the Unix time in seconds.
 func (c clock) now() float64 { return c.base + time.Since(c.start).Seconds() }
 
-// pause waits; it gives false if the context ended before.
+// pause waits for a duration. It returns false if the context ended first.
 func pause(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
@@ -102,12 +102,12 @@
 	}
 }
 
-// loop gives the core its inputs until the core has nothing left to do, which is errDone, or the context ends. It frees
-// all connections and listeners at its end.
+// loop passes inputs to the core until the core asks the process to exit, in which case it returns errDone, or until the
+// context ends. It then closes all connections and listeners.
 func (s *server) loop(shutdown <-chan os.Signal) error {
 	defer s.closeAll()
 	for {
-		if !s.applyOwed() {
+		if !s.applyDeferred() {
 			return errDone
 		}
 		input, err := s.nextInput(shutdown)
@@ -120,9 +120,9 @@
 	}
 }
 
-// applyOwed opens the listener if that is due, and tells the core which connections could not be sent to the successor.
-// It gives false if nothing is left to do.
-func (s *server) applyOwed() bool {
+// applyDeferred opens the listener if that is due, and notifies the core of connections that could not be sent to the
+// successor. It returns false if the process is to exit.
+func (s *server) applyDeferred() bool {
 	if s.listener.openPending {
 		s.listener.openPending = false
 		s.startAccepting()
@@ -138,11 +138,11 @@
 	return true
 }
 
-// nextInput waits for the next thing that happens. The input is nil where it is of no concern to the core; the error is
-// the context's.
+// nextInput waits for the next event, client, query, timer or signal. The input is nil if the core need not know of it;
+// the error is the context's.
 func (s *server) nextInput(shutdown <-chan os.Signal) (node.Input, error) {
 	accepted := s.listener.accepted
-	if len(s.events) > 0 { // clients that are in come before further ones
+	if len(s.events) > 0 { // clients that are already accepted are served before new ones
 		accepted = nil
 	}
 	select {
@@ -176,8 +176,8 @@
 	return node.Accepted{Conn: s.lastConn}
 }
 
-// apply gives one input to the core and carries out the effects, and then does the same with what came of the effects
-// at once. It gives false if nothing is left to do.
+// apply passes one input to the core and carries out the effects. It then passes on the inputs that those effects caused
+// at once, in order. It returns false if the process is to exit.
 func (s *server) apply(input node.Input) bool {
 	s.pending = s.pending[:0]
 	for next := 0; ; next++ {
--- a/internal/sockets/sockets_golden_test.go
+++ b/internal/sockets/sockets_golden_test.go
@@ -14,7 +14,8 @@
 	"gorseledge/internal/node"
 )
 
-// The files under testdata are of revision 5fa7498. They are fixed for good: there is no flag that rewrites them.
+// The files under testdata hold the output of commit 5fa7498, apart from the words of the log message. No flag rewrites
+// them.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -25,7 +26,8 @@
 	return text
 }
 
-// One line for each client's connection that ended, with the fields and their order that docs/oncall.md names.
+// Operators' tools parse the log line that is written for each client connection that ended. Its fields and their order
+// must stay as docs/oncall.md lists them.
 func TestLogLinesKeepTheirForm(t *testing.T) {
 	want := strings.SplitAfter(strings.TrimSuffix(string(readGolden(t, "log.jsonl")), "\n"), "\n")
 	cases := []struct {
@@ -36,8 +38,8 @@
 			Duration: 61.25, Setup: 0.125, BytesFromClient: 4097, BytesToClient: 18446744073709551615}}},
 		{"ended, times rounded to milliseconds", node.LogConnection{Record: node.ConnectionRecord{Reason: node.ClientReset,
 			Type: "feed", Host: "s-77d10e42", Attempts: 1, Duration: 7.0006, Setup: 0.0625, BytesFromClient: 1, BytesToClient: 2}}},
-		{"ended before its first line", node.LogConnection{Record: node.ConnectionRecord{Reason: node.NoLine, Duration: 2}}},
-		{"note", node.WriteLog{Line: "base list of 6 servers, was 0"}},
+		{"ended before its opening line", node.LogConnection{Record: node.ConnectionRecord{Reason: node.NoLine, Duration: 2}}},
+		{"plain line", node.WriteLog{Line: "base list of 6 servers, was 0"}},
 	}
 	if len(want) != len(cases) {
 		t.Fatalf("%d golden lines for %d cases", len(want), len(cases))
@@ -47,7 +49,7 @@
 			var written bytes.Buffer
 			s := &server{log: zerolog.New(&written)}
 			if !s.perform(c.effect) {
-				t.Error("taken for the last effect")
+				t.Error("perform reported the last effect")
 			}
 			if got := strings.TrimSuffix(written.String(), "\n"); got != strings.TrimSuffix(want[i], "\n") {
 				t.Errorf("logged %s, want %s", got, want[i])
@@ -56,7 +58,8 @@
 	}
 }
 
-// A config has every key that is read, under the name that the deployment's files use.
+// Renaming a config key would make a node ignore that key in the deployment's files. Every key keeps the name that those
+// files use.
 func TestConfigKeysAreFixed(t *testing.T) {
 	for _, name := range []string{"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN_ADDR", "LB_FLEET"} {
 		t.Setenv(name, "127.0.0.9:9")
@@ -77,7 +80,7 @@
 	}
 	for i := range reflect.TypeFor[Config]().NumField() {
 		if reflect.ValueOf(got).Field(i).IsZero() {
-			t.Errorf("the golden config sets no %s", reflect.TypeFor[Config]().Field(i).Name)
+			t.Errorf("the golden config does not set %s", reflect.TypeFor[Config]().Field(i).Name)
 		}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, "config.json")))
@@ -88,11 +91,12 @@
 	}
 	again, err := json.Marshal(strict)
 	if err != nil || string(again)+"\n" != string(readGolden(t, "config.json")) {
-		t.Errorf("%v, encoded again:\n%s", err, again)
+		t.Errorf("encoding the golden config again: error %v, got\n%s", err, again)
 	}
 }
 
-// The environment stands in for what the config lacks.
+// Deployments set environment variables in place of config keys. Renaming a variable would leave such a node without an
+// address or name.
 func TestConfigVariablesAreFixed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte("{}"), 0o600); err != nil {
--- a/internal/sockets/start.go
+++ b/internal/sockets/start.go
@@ -10,8 +10,8 @@
 	"gorseledge/internal/settings"
 )
 
-// start turns the config into the core's start. A cached list that does not parse counts as empty. Settings that
-// cannot be taken are a *settings.KeyError.
+// start converts the config into the core's start parameters. A cached list that does not parse counts as empty.
+// Invalid settings are reported as a *settings.KeyError.
 func (c Config) start() (node.Start, error) {
 	core, listener, err := settings.Parse(c.Settings, line.ParseKey([]byte(c.Seed)))
 	if err != nil {
@@ -26,7 +26,7 @@
 	if core.NodeNumber < 0 {
 		core.NodeNumber = nodeNumber(c.Name)
 	}
-	// Where the config names no peers, the gossip goes to the members of the fleet.
+	// If the config names no peers, load gossip is sent to the members of the fleet.
 	gossipsWithFleet := core.LoadGossip && c.FleetFile != ""
 	core.LoadGossip = c.PeerAddress != "" || gossipsWithFleet
 	cached, err := endpoint.Parse(c.CachedList)
@@ -43,11 +43,12 @@
 	}, nil
 }
 
-// hashBits is how many bits of a name's hash make a node's number, which is positive.
+// hashBits is the number of bits of a name's hash that form a node's number: 31, so that the number is not negative.
 const hashBits = 31
 
-// nodeNumber gives a node's number among the nodes of its deployment where the settings do not: the one that its name
-// ends with, as platforms number their nodes, or else part of a hash of the name, which two nodes may share.
+// nodeNumber derives a node's number within its deployment from its name, for settings that do not state the number.
+// It is the number at the end of the name, since platforms number their nodes in this way. A name without one yields
+// part of its hash, which two nodes may share.
 func nodeNumber(name string) int {
 	withoutDigits := strings.TrimRight(name, "0123456789")
 	digits := name[len(withoutDigits):]
--- a/internal/sockets/stepped_test.go
+++ b/internal/sockets/stepped_test.go
@@ -16,11 +16,11 @@
 	"gorseledge/placement"
 )
 
-// eventTimeout is how long a test waits for what must come.
+// eventTimeout is how long a test waits for an expected event.
 const eventTimeout = 10 * time.Second
 
-// steppedServer is a server whose loop the test runs itself, one input at a time, with a client and a host on loopback
-// sockets.
+// steppedServer is a server without a running loop: the test passes it one input at a time. A client and a host use
+// loopback sockets.
 type steppedServer struct {
 	*testing.T
 	*server
@@ -28,7 +28,7 @@
 	client *net.TCPConn
 }
 
-// startStepped gives a server that has accepted one client, which has sent nothing yet.
+// startStepped returns a server that has accepted one client, which has sent nothing yet.
 func startStepped(t *testing.T) *steppedServer {
 	t.Helper()
 	host, front := listenLoopback(t), listenLoopback(t)
@@ -47,7 +47,7 @@
 	return &steppedServer{T: t, server: s, host: host, client: client}
 }
 
-// newSteppedServer gives a server that knows one host and whose discovery never answers.
+// newSteppedServer returns a server that knows one host and whose discovery never answers.
 func newSteppedServer(t *testing.T, host string) *server {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -85,14 +85,14 @@
 	return listener
 }
 
-// nextEvent waits for the next thing that a goroutine hands to the loop.
+// nextEvent waits for the next event that a goroutine hands to the loop.
 func (s *steppedServer) nextEvent() event {
 	s.Helper()
 	select {
 	case e := <-s.events:
 		return e
 	case <-time.After(eventTimeout):
-		s.Fatal("nothing came")
+		s.Fatalf("no event within %v", eventTimeout)
 		return event{}
 	}
 }
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -8,30 +8,30 @@
 	"gorseledge/internal/node"
 )
 
-// upgrade is what joins this process with the one before it and the one after it. It belongs to the loop.
+// upgrade is the state of the handovers from the predecessor and to the successor. Only the loop uses it.
 type upgrade struct {
-	path        string              // of the Unix socket where a successor finds this process; empty for none
-	successors  *net.UnixListener   // on that socket; nil while no successor can connect
-	predecessor *peerProcess        // nil for none
-	successor   *peerProcess        // nil for none
-	inherited   *node.HandoverState // from the predecessor at the start; nil for none
-	handedOver  bool                // the successor has the clients
-	hostSocket  *net.TCPConn        // of the connection that the core restores now
-	unsent      []node.ConnID       // connections that could not even be posted to the successor
-}
-
-// inheritsRevision tells whether the predecessor has handed over a revision of the live settings. One that has none may
-// not follow the control servers at all.
+	path        string              // path of the Unix socket to which a successor connects; empty for none
+	successors  *net.UnixListener   // listener on that socket; nil while no successor can connect
+	predecessor *peerProcess        // nil if there is none
+	successor   *peerProcess        // nil if there is none
+	inherited   *node.HandoverState // state from the predecessor at the start; nil if there is none
+	handedOver  bool                // the successor accepts the clients
+	hostSocket  *net.TCPConn        // host's socket of the connection that the core is restoring
+	unsent      []node.ConnID       // connections that could not be queued for the successor
+}
+
+// inheritsRevision reports whether the predecessor has handed over a revision of the live settings. A predecessor
+// without one may not follow the control servers at all.
 func (u *upgrade) inheritsRevision() bool { return u.inherited != nil && u.inherited.Revision != nil }
 
-// inProgress tells whether another process of the node shares this one's memory.
+// inProgress reports whether another process of the node shares the memory granted to this one.
 func (u *upgrade) inProgress() bool { return u.predecessor != nil || u.successor != nil }
 
 // close closes the listener for successors and the link to the predecessor.
 func (u *upgrade) close() {
 	if u.successors != nil {
 		u.successors.Close()
-		if !u.handedOver { // the path is the successor's by then
+		if !u.handedOver { // after a handover the path belongs to the successor
 			os.Remove(u.path)
 		}
 	}
@@ -40,7 +40,8 @@
 	}
 }
 
-// requestClients asks the predecessor for the clients. One that does not answer in time keeps nobody out.
+// requestClients asks the predecessor to stop accepting clients. If it does not answer within claimTimeout, this process
+// begins accepting without the answer.
 func (s *server) requestClients() {
 	s.upgrade.predecessor.post(outgoingMessage{Message: handover.Message{Request: handover.RequestClients}})
 	s.group.Go(func() error {
@@ -51,7 +52,8 @@
 	})
 }
 
-// offerHandover lets a successor find this process. Where that fails, a later version comes beside it all the same.
+// offerHandover listens for a successor. If that fails, a later version can still start beside this process, but without
+// a handover.
 func (s *server) offerHandover() {
 	if s.upgrade.path == "" {
 		return
@@ -72,7 +74,7 @@
 	})
 }
 
-// acceptSuccessors attends each process that connects, until the listener is closed.
+// acceptSuccessors serves each process that connects, until the listener is closed.
 func (s *server) acceptSuccessors(listener *net.UnixListener) {
 	for {
 		conn, err := listener.AcceptUnix()
@@ -81,13 +83,13 @@
 		}
 		if link, err := handover.NewLink(conn); err == nil {
 			link.SetReadTimeout(claimTimeout)
-			s.attend(newPeerProcess(link))
+			s.servePeerProcess(newPeerProcess(link))
 		}
 	}
 }
 
-// peerProcessSaid takes a message of a peer process, in the order in which they were sent.
-func (s *server) peerProcessSaid(p *peerProcess, m incomingMessage) node.Input {
+// handlePeerMessage handles a message of a peer process. Messages arrive in the order in which they were sent.
+func (s *server) handlePeerMessage(p *peerProcess, m incomingMessage) node.Input {
 	u := &s.upgrade
 	switch {
 	case m.Update != nil && (p == u.predecessor || p == u.successor):
@@ -110,17 +112,17 @@
 	return nil
 }
 
-// handOverClients stops accepting: who waits for it is the successor's client.
+// handOverClients stops accepting, so that the successor accepts the clients in the backlog.
 func (s *server) handOverClients() {
 	s.upgrade.handedOver = true
-	if s.fleet != nil { // the node is one member throughout: the successor's from here on
+	if s.fleet != nil { // the node stays one member, which the successor represents from now on
 		s.fleet.SetHandedOver(true)
 	}
 	s.listener.suspend()
 }
 
-// takeClientsBack goes on accepting, since the successor has ended without serving on.
-func (s *server) takeClientsBack() {
+// reclaimClients resumes accepting after the successor ended while this process was still running.
+func (s *server) reclaimClients() {
 	s.upgrade.handedOver = false
 	if s.fleet != nil {
 		s.fleet.SetHandedOver(false)
@@ -129,7 +131,8 @@
 	s.offerHandover()
 }
 
-// postState sends the core's state to the successor, at first with the clients' listener.
+// postState sends the core's state to the successor. Until the clients are handed over, the clients' listener goes with
+// it.
 func (s *server) postState(state *node.HandoverState) {
 	m := outgoingMessage{Message: handover.Message{State: state}}
 	if !s.upgrade.handedOver {
@@ -138,7 +141,7 @@
 	s.upgrade.successor.post(m)
 }
 
-// postUpdate sends a change of the core's state to the node's other processes.
+// postUpdate sends an update of the core's state to the node's other processes.
 func (s *server) postUpdate(update *node.HandoverUpdate) {
 	if update.Revision != nil && s.fleet != nil {
 		s.fleet.SetInForce(*update.Revision)
@@ -148,7 +151,7 @@
 	s.upgrade.successor.post(m)
 }
 
-// inheritConnection takes an open connection of the predecessor's.
+// inheritConnection adds an open connection that the predecessor transferred.
 func (s *server) inheritConnection(p *peerProcess, m incomingMessage) node.Input {
 	if p != s.upgrade.predecessor {
 		m.client.Close()
@@ -161,13 +164,14 @@
 	return node.ConnectionReceived{Conn: s.lastConn, Transfer: m.Transfer}
 }
 
-// bindHostConnection gives the host's side of the connection that the core restores now its number.
+// bindHostConnection adds the host's socket of the connection that the core is restoring, under the number that the core
+// chose for it.
 func (s *server) bindHostConnection(conn node.ConnID) {
 	s.addConnection(conn, s.upgrade.hostSocket)
 	s.upgrade.hostSocket = nil
 }
 
-// sendConnection sends an open connection to the successor.
+// sendConnection transfers an open connection to the successor. One that cannot be queued is reported to the core later.
 func (s *server) sendConnection(e node.SendConnection) {
 	m := outgoingMessage{
 		Message: handover.Message{Transfer: e.Transfer},
@@ -180,7 +184,7 @@
 	}
 }
 
-// peerProcessGone takes the end of the link to a peer process.
+// peerProcessGone handles the end of the link to a peer process.
 func (s *server) peerProcessGone(p *peerProcess, reason error) node.Input {
 	defer func() { limitMemory(s.config.Limits.MemoryMB, s.upgrade.inProgress()) }()
 	switch p {
@@ -205,7 +209,7 @@
 func (s *server) successorGone(reason error) node.Input {
 	successor := s.upgrade.successor
 	s.upgrade.successor = nil
-	for len(successor.outgoing) > 0 { // what was posted too late to be sent stays here
+	for len(successor.outgoing) > 0 { // connections that were queued too late to be sent stay with this process
 		m := <-successor.outgoing
 		if m.Transfer != nil {
 			s.upgrade.unsent = append(s.upgrade.unsent, m.conn)
@@ -213,7 +217,7 @@
 	}
 	s.log.Info().AnErr("why", reason).Msg("handover link to the successor closed")
 	if s.upgrade.handedOver {
-		s.takeClientsBack()
+		s.reclaimClients()
 	}
 	return node.SuccessorGone{}
 }
