--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is a node's second address, for operators: it serves HTTP calls for readiness, figures, the fleet and
-// the configuration, and for disabling hosts. It owns the connections of the second address, puts each call to the node
-// as a query and writes the reply. It keeps no state of the node's and decides nothing.
+// Package admin serves a node's admin address, for operators: HTTP calls for readiness, metrics, the fleet and the
+// configuration, and for disabling hosts. It owns the connections to that address, passes each call to the node as a
+// query and writes the reply. It holds none of the node's state and makes no decisions.
 package admin
 
 import (
@@ -20,17 +20,17 @@
 )
 
 const (
-	answerTimeout = 800 * time.Millisecond // the node's time; every call is due within a second
-	readTimeout   = 2 * time.Second        // for a call to come completely
-	writeTimeout  = 3 * time.Second        // for a call to be read and answered
-	maxCallBytes  = 2 << 10                // of its head, of which net/http takes 4 KiB more, and of its body
+	answerTimeout = 800 * time.Millisecond // for the node's reply, since each call must be answered within a second
+	readTimeout   = 2 * time.Second        // for reading a complete call
+	writeTimeout  = 3 * time.Second        // for reading and answering a call
+	maxCallBytes  = 2 << 10                // for a call's header, to which net/http adds 4 KiB, and also for its body
 )
 
-// QueryFunc sends a query to the node and returns its reply; it returns false if the context ended before the reply.
+// QueryFunc sends a query to the node and returns its reply. It returns false if the context ends before the reply.
 type QueryFunc func(ctx context.Context, q node.Query) (node.Reply, bool)
 
-// Serve answers calls that come to a listener, over at most that many connections at once, until the context ends,
-// which is no error. fleetView gives what is known of the fleet; nil for a node on its own.
+// Serve answers calls from a listener, over at most maxConnections connections at once. It returns nil when the context
+// ends. fleetView returns the node's view of its fleet; it is nil for a node that belongs to no fleet.
 func Serve(ctx context.Context, listener net.Listener, maxConnections int, ask QueryFunc, fleetView func() view.View) error {
 	limited := limit(listener, maxConnections)
 	server := &http.Server{
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// Handler answers the calls. fleetView gives what is known of the fleet; nil for a node on its own.
+// Handler returns the handler that answers the calls. fleetView returns the node's view of its fleet; it is nil for a
+// node that belongs to no fleet.
 func Handler(ask QueryFunc, fleetView func() view.View) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /-/ready", queryHandler(ask, node.IsReady, confirm(http.StatusServiceUnavailable, "not ready")))
@@ -75,10 +76,10 @@
 	})
 }
 
-// acceptCall reads a call's body, which no call needs, and gives false where it has answered the call with an error.
-// The node does not act on an incomplete call, nor read a body without end.
+// acceptCall reads and discards a call's body, which no call needs. It returns false if the call is invalid; it has then
+// already answered it with an error. The node thus does not act on an incomplete call or read an endless body.
 func acceptCall(w http.ResponseWriter, r *http.Request) bool {
-	if p := r.URL.Path; path.Clean("/"+p) != p { // the mux would redirect, which is neither yes nor no
+	if p := r.URL.Path; path.Clean("/"+p) != p { // the mux would answer with a redirect in place of an error
 		http.NotFound(w, r)
 		return false
 	}
@@ -95,7 +96,8 @@
 	return false
 }
 
-// queryHandler puts a question to the node, about the host that the path names if any, and writes the reply.
+// queryHandler returns a handler that sends a query to the node, with the host in the call's path if there is one, and
+// writes the reply.
 func queryHandler(ask QueryFunc, question node.Question, write func(w http.ResponseWriter, reply node.Reply)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
@@ -109,12 +111,13 @@
 	}
 }
 
-// confirm writes whether the node's reply is yes; a no has this status code and reason.
-func confirm(noCode int, reason string) func(http.ResponseWriter, node.Reply) {
+// confirm returns a function that answers a call with "yes" if the node's reply is OK, and otherwise with errorCode and
+// reason.
+func confirm(errorCode int, reason string) func(http.ResponseWriter, node.Reply) {
 	return func(w http.ResponseWriter, reply node.Reply) {
 		switch {
 		case !reply.OK:
-			http.Error(w, reason, noCode)
+			http.Error(w, reason, errorCode)
 		case reply.StillDisabled:
 			fmt.Fprintln(w, "yes, and the live settings still disable it")
 		default:
--- a/internal/admin/admin_golden_test.go
+++ b/internal/admin/admin_golden_test.go
@@ -16,8 +16,8 @@
 	"gorseledge/internal/node"
 )
 
-// The files under testdata hold what revision 5fa7498 answers at the second address. Operators' tools read these pages.
-// They are fixed for good: there is no flag that rewrites them.
+// The files under testdata hold the answers of commit 5fa7498 at the admin address. Operators' tools read these pages,
+// and therefore no flag rewrites the files.
 
 func readGolden(t *testing.T, name string) string {
 	t.Helper()
@@ -71,11 +71,11 @@
 	}
 }
 
-// checkNonZero fails the test where v, or a field of anything in it, has no value. path names v.
+// checkNonZero fails the test if v, or any field or element in it, has its zero value. path names v in the failure.
 func checkNonZero(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
-		t.Errorf("%s has no value", path)
+		t.Errorf("%s has its zero value", path)
 		return
 	}
 	switch v.Kind() {
@@ -96,12 +96,14 @@
 	}
 }
 
+// A field that has its zero value in the test data could be left out of a page without a golden test failing.
 func TestGoldenPagesShowEveryField(t *testing.T) {
 	checkNonZero(t, "Statistics", reflect.ValueOf(goldenFigures()))
 	checkNonZero(t, "View", reflect.ValueOf(goldenView()))
 }
 
-// respond puts one call to a node that gives the answer, or none in time.
+// respond makes one call to a node that gives an answer, or none in time if answer is nil. It returns the response and
+// the query that the node received.
 func respond(t *testing.T, method, path string, answer *node.Reply, members func() view.View) (*httptest.ResponseRecorder,
 	node.Query) {
 	t.Helper()
@@ -118,6 +120,7 @@
 	return recorder, asked
 }
 
+// A changed name, order or number format on a page would break the operators' tools that read it.
 func TestPagesKeepTheirForm(t *testing.T) {
 	for _, c := range []struct {
 		path, golden, contentType string
@@ -140,9 +143,11 @@
 	}
 }
 
+// The types of package view are also used to read the pages. A key of a page that they lack, or write differently, would
+// be lost to those readers.
 func TestPagesDecodeAndEncodeToTheSameBytes(t *testing.T) {
 	views := goldenView()
-	views.Config = nil // on a page of its own
+	views.Config = nil // the configuration has its own page
 	for _, c := range []struct {
 		golden        string
 		decoded, want any
@@ -162,17 +167,19 @@
 			}
 			again, err := json.Marshal(c.decoded)
 			if err != nil || string(again)+"\n" != text {
-				t.Errorf("%v, encoded again:\n%s\nwant:\n%s", err, again, text)
+				t.Errorf("encoding the page again: error %v, got:\n%s\nwant:\n%s", err, again, text)
 			}
 		})
 	}
 }
 
+// Operators' scripts match the status codes and texts of the answers, and these must not change. The node must also be
+// asked the right query.
 func TestCallsKeepTheirAnswers(t *testing.T) {
-	yes, no, stillOut := &node.Reply{OK: true}, &node.Reply{}, &node.Reply{OK: true, StillDisabled: true}
+	yes, no, stillDisabled := &node.Reply{OK: true}, &node.Reply{}, &node.Reply{OK: true, StillDisabled: true}
 	for _, c := range []struct {
 		name, method, path string
-		answer             *node.Reply // nil for none in time
+		answer             *node.Reply // nil if the node does not answer in time
 		asked              node.Query
 		code               int
 		body               string
@@ -181,18 +188,18 @@
 		{"not ready", "GET", "/-/ready", no, node.Query{Question: node.IsReady}, 503, "not ready\n"},
 		{"no answer in time", "GET", "/-/ready", nil, node.Query{Question: node.IsReady}, 503,
 			"the node has not answered in time\n"},
-		{"host taken out", "PUT", "/-/hosts/s-1/disable", yes, node.Query{Question: node.DisableHost, Host: "s-1"}, 200, "yes\n"},
-		{"unknown host taken out", "PUT", "/-/hosts/s-2/disable", no, node.Query{Question: node.DisableHost, Host: "s-2"}, 404,
+		{"host disabled", "PUT", "/-/hosts/s-1/disable", yes, node.Query{Question: node.DisableHost, Host: "s-1"}, 200, "yes\n"},
+		{"unknown host disabled", "PUT", "/-/hosts/s-2/disable", no, node.Query{Question: node.DisableHost, Host: "s-2"}, 404,
 			"no such host\n"},
-		{"host put back", "PUT", "/-/hosts/s-1/enable", yes, node.Query{Question: node.EnableHost, Host: "s-1"}, 200, "yes\n"},
-		{"host put back that the settings disable", "PUT", "/-/hosts/s-1/enable", stillOut,
+		{"host enabled", "PUT", "/-/hosts/s-1/enable", yes, node.Query{Question: node.EnableHost, Host: "s-1"}, 200, "yes\n"},
+		{"host enabled that the live settings disable", "PUT", "/-/hosts/s-1/enable", stillDisabled,
 			node.Query{Question: node.EnableHost, Host: "s-1"}, 200, "yes, and the live settings still disable it\n"},
-		{"unknown host put back", "PUT", "/-/hosts/s-2/enable", no, node.Query{Question: node.EnableHost, Host: "s-2"}, 404,
+		{"unknown host enabled", "PUT", "/-/hosts/s-2/enable", no, node.Query{Question: node.EnableHost, Host: "s-2"}, 404,
 			"no such host\n"},
-		{"figures without an answer in time", "GET", "/-/metrics", nil, node.Query{Question: node.GetStatistics}, 503,
+		{"metrics without an answer in time", "GET", "/-/metrics", nil, node.Query{Question: node.GetStatistics}, 503,
 			"the node has not answered in time\n"},
-		{"no members of a node on its own", "GET", "/-/members", yes, node.Query{}, 404, "404 page not found\n"},
-		{"no configuration of a node on its own", "GET", "/-/config", yes, node.Query{}, 404, "404 page not found\n"},
+		{"members page of a node without a fleet", "GET", "/-/members", yes, node.Query{}, 404, "404 page not found\n"},
+		{"configuration page of a node without a fleet", "GET", "/-/config", yes, node.Query{}, 404, "404 page not found\n"},
 		{"unknown page", "GET", "/-/other", yes, node.Query{}, 404, "404 page not found\n"},
 		{"path that is not clean", "GET", "/-//ready", yes, node.Query{}, 404, "404 page not found\n"},
 		{"wrong method", "POST", "/-/ready", yes, node.Query{}, 405, "Method Not Allowed\n"},
--- a/internal/admin/config_page_test.go
+++ b/internal/admin/config_page_test.go
@@ -11,7 +11,7 @@
 	"gorseledge/internal/node"
 )
 
-// get calls a node with this view of the fleet; nil for a node on its own.
+// get calls a node with a view of its fleet; v is nil for a node that belongs to no fleet.
 func get(t *testing.T, v *view.View, path string) (code int, body string) {
 	t.Helper()
 	var members func() view.View
@@ -24,8 +24,9 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-// The second address shows the configuration in force, how old the last answer of a server is, and what was refused.
-func TestConfigPageAndFigures(t *testing.T) {
+// Operators find out from the configuration page and its metrics whether a node is behind: which revision is in force,
+// how old the last answer of a control server is, and which revision was refused. Each must be shown, and only there.
+func TestConfigPageAndMetrics(t *testing.T) {
 	v := &view.View{Fleet: "lima", Config: &view.Config{Epoch: 2, Revision: 41, Since: 1000, Digest: "00000000000000ff",
 		Region: "west", Server: "c1", Servers: []string{"c1", "c2"}, Heard: 1200, Age: 3.9, Follows: true,
 		Newest:  view.Version{Epoch: 2, Revision: 42},
@@ -43,7 +44,7 @@
 	for _, line := range []string{"lb.config.epoch:2|g\n", "lb.config.revision:41|g\n", "lb.config.newest_revision:42|g\n",
 		"lb.config.age_s:3|g\n", "lb.config.refused:1|g\n", "lb.config.requests:7|c\n", "lb.config.bytes_received:700|c\n"} {
 		if !strings.Contains(metrics, line) {
-			t.Errorf("no %q in %s", line, metrics)
+			t.Errorf("the metrics lack %q:\n%s", line, metrics)
 		}
 	}
 	if _, members := get(t, v, "/-/members"); strings.Contains(members, "digest") {
@@ -51,15 +52,16 @@
 	}
 }
 
-// A node that follows no control server has no page and no figures of the configuration.
+// A configuration page on a node that follows no control server would show revision 0 as if it were in force. Such a node
+// has neither the page nor its metrics.
 func TestNoConfigPageWithoutControlServers(t *testing.T) {
-	for name, v := range map[string]*view.View{"on its own": nil, "a fleet without control servers": {Fleet: "lima"}} {
+	for name, v := range map[string]*view.View{"no fleet": nil, "fleet without control servers": {Fleet: "lima"}} {
 		t.Run(name, func(t *testing.T) {
 			if code, _ := get(t, v, "/-/config"); code != http.StatusNotFound {
-				t.Errorf("status %d", code)
+				t.Errorf("status %d, want %d", code, http.StatusNotFound)
 			}
 			if _, metrics := get(t, v, "/-/metrics"); strings.Contains(metrics, "lb.config") {
-				t.Errorf("it shows %s", metrics)
+				t.Errorf("the metrics show a configuration:\n%s", metrics)
 			}
 		})
 	}
--- a/internal/admin/listener_test.go
+++ b/internal/admin/listener_test.go
@@ -16,7 +16,8 @@
 // readyCall is a complete call.
 const readyCall = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// Callers who send nothing, or half a call, keep nobody out, and are ended after their time.
+// Callers that send nothing, or only part of a call, could use up all connections and lock operators out. Their
+// connections are closed in favor of new ones, and otherwise after a time-out.
 func TestSilentCallersMakeRoom(t *testing.T) {
 	var asked atomic.Int32
 	address := serve(t, 16, func(context.Context, node.Query) (node.Reply, bool) {
@@ -32,19 +33,20 @@
 		start := time.Now()
 		response, _ := call(t, address, readyCall)
 		if took := time.Since(start); response.StatusCode != http.StatusOK || took > time.Second {
-			t.Fatalf("after %d: %d in %v", i+1, response.StatusCode, took)
+			t.Fatalf("after %d silent callers: status %d in %v", i+1, response.StatusCode, took)
 		}
 	}
 	if asked.Load() != 10 {
-		t.Errorf("asked %d times", asked.Load())
+		t.Errorf("the node received %d queries, want 10", asked.Load())
 	}
-	last := dial(t, address) // nobody needs its place: its time ends it
+	last := dial(t, address) // no later caller needs its connection: the read time-out ends it
 	if n, err := io.Copy(io.Discard, last); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("silent connection: %d bytes, then error %v", n, err)
 	}
 }
 
-// A complete call is not ended for others, however many come: they wait.
+// Many new callers could have the connection of a complete call closed before it is answered. However many there are,
+// they wait until the answer is sent.
 func TestCompleteCallIsNotEndedForOthers(t *testing.T) {
 	asked, free := make(chan bool, 8), make(chan bool)
 	address := serve(t, 2, func(context.Context, node.Query) (node.Reply, bool) {
@@ -62,7 +64,7 @@
 		}()
 	}
 	<-asked
-	<-asked // both places are taken
+	<-asked // both connections carry a complete call
 	for range 20 {
 		dial(t, address)
 	}
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -9,13 +9,13 @@
 	"gorseledge/internal/node"
 )
 
-// nameReplacer replaces what a figure's name cannot hold.
+// nameReplacer replaces characters that the name of a metric cannot contain.
 var nameReplacer = strings.NewReplacer(":", "_", "|", "_", "\r", "_", "\n", "_")
 
-// writeMetrics writes all figures, one a line: counts since the start of the process and, of what is now, gauges.
-// Their names are fixed: operators' tools read them.
-func writeMetrics(w io.Writer, figures node.Statistics, fleetView func() view.View) {
-	writeFigures(w, figures)
+// writeMetrics writes all metrics, one per line: counters since the start of the process, and gauges of the present state.
+// Their names must not change, since operators' tools read them.
+func writeMetrics(w io.Writer, statistics node.Statistics, fleetView func() view.View) {
+	writeStatistics(w, statistics)
 	if fleetView == nil {
 		return
 	}
@@ -30,23 +30,23 @@
 
 func writeCount(w io.Writer, name string, value int) { fmt.Fprintf(w, "lb.%s:%d|c\n", name, value) }
 
-// writeFigures writes the core's figures.
-func writeFigures(w io.Writer, figures node.Statistics) {
+// writeStatistics writes the metrics of the core.
+func writeStatistics(w io.Writer, statistics node.Statistics) {
 	var text strings.Builder
-	for _, t := range figures.Types {
+	for _, t := range statistics.Types {
 		name := nameReplacer.Replace(t.Type)
 		writeCount(&text, "success."+name, t.Established)
 		writeCount(&text, "overload."+name, t.Rejected)
 		writeCount(&text, "error."+name, t.Aborted)
 	}
-	writeCount(&text, "dispatches", figures.Dispatched)
-	writeGauge(&text, "concurrent", figures.Open)
-	writeGauge(&text, "targets", figures.Listed)
-	writeGauge(&text, "targets_disabled", figures.Unavailable)
+	writeCount(&text, "dispatches", statistics.Dispatched)
+	writeGauge(&text, "concurrent", statistics.Open)
+	writeGauge(&text, "targets", statistics.Listed)
+	writeGauge(&text, "targets_disabled", statistics.Unavailable)
 	io.WriteString(w, text.String())
 }
 
-// writeMembers writes the figures of the fleet: gauges, and counts of messages and bytes by kind.
+// writeMembers writes the metrics of the fleet: gauges, and counters of messages and bytes for each message kind.
 func writeMembers(w io.Writer, v view.View) {
 	states := map[string]int{}
 	badLinks := 0
@@ -70,8 +70,8 @@
 	}
 }
 
-// writeConfig writes the figures of the configuration's distribution: what is in force and how old the last answer of a
-// control server is, and counts of what went to control servers and came from them.
+// writeConfig writes the metrics of the live settings: gauges of the revision in force and of the age of the last answer
+// from a control server, and counters of the requests and bytes exchanged with control servers.
 func writeConfig(w io.Writer, c view.Config) {
 	writeGauge(w, "config.epoch", int(c.Epoch))
 	writeGauge(w, "config.revision", int(c.Revision))
--- a/internal/admin/serve_test.go
+++ b/internal/admin/serve_test.go
@@ -17,7 +17,8 @@
 // callTimeout is how long a test waits for an answer.
 const callTimeout = 20 * time.Second
 
-// serve serves a node that answers by ask until the end of the test, and gives its address.
+// serve serves the admin address of a node, whose replies come from ask, until the end of the test. It returns the
+// address.
 func serve(t *testing.T, maxConnections int, ask QueryFunc) string {
 	t.Helper()
 	leaks := goleak.IgnoreCurrent()
@@ -38,7 +39,7 @@
 	return listener.Addr().String()
 }
 
-// dial connects to the address until the end of the test.
+// dial connects to an address. The connection is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -50,18 +51,19 @@
 	return conn
 }
 
-// call sends text as it is, and gives the answer with its complete body. The connection must end then.
+// call sends text unchanged and returns the answer with its complete body. It fails the test if the connection does not
+// end after that.
 func call(t *testing.T, address, text string) (*http.Response, string) {
 	t.Helper()
 	conn := dial(t, address)
-	go io.WriteString(conn, text) // the far side need not take all of it
+	go io.WriteString(conn, text) // the server need not read all of it
 	reader := bufio.NewReader(conn)
 	res, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		t.Fatalf("%.40q: %v", text, err)
 	}
 	body, err := io.ReadAll(res.Body)
-	if err != nil && !errors.Is(err, syscall.ECONNRESET) { // more came than was read
+	if err != nil && !errors.Is(err, syscall.ECONNRESET) { // the server closed with bytes of the call unread
 		t.Fatalf("%.40q: %v", text, err)
 	}
 	if _, err := reader.ReadByte(); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
