--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery watches the endpoint list over HTTP. It owns one connection for each watch. When to ask, and for how
-// long a watch may be silent, is not decided here: a watch lasts until it fails or its context ends.
+// Package discovery watches the endpoint list over HTTP. It owns one connection for each watch. A watch lasts until it
+// fails or its context ends; the caller decides when to start one and how long one may be silent.
 package discovery
 
 import (
@@ -17,12 +17,12 @@
 )
 
 const (
-	maxListBytes      = 16 << 20               // of one list
-	initialLineBytes  = 4096                   // of the buffer for a list
-	aliveSignInterval = 100 * time.Millisecond // between two signs of life in the same state
+	maxListBytes     = 16 << 20               // maximum size of one list
+	initialLineBytes = 4096                   // initial size of the buffer for a list
+	minAliveInterval = 100 * time.Millisecond // between two calls of alive with the same argument
 )
 
-// DialFunc makes a connection, as net.Dialer's DialContext does.
+// DialFunc makes a connection, like the method DialContext of net.Dialer.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Client watches the list of a discovery service at one address.
@@ -31,41 +31,43 @@
 	http    *http.Client
 }
 
-// New gives a client; nothing is asked yet.
+// New returns a client for the discovery service at an address. It does not connect yet.
 func New(address string) *Client { return NewWithDialer(nil, address) }
 
-// NewWithDialer gives a client whose connections dial makes, those of the network where it is nil.
+// NewWithDialer returns a client that connects with dial. If dial is nil, it connects over the network.
 func NewWithDialer(dial DialFunc, address string) *Client {
 	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true}
 	return &Client{address: address, http: &http.Client{Transport: transport}}
 }
 
-// aliveReader calls alive when something is read, with true where that ended in the middle of a line: a long list may
-// come in many pieces.
+// aliveReader calls alive when bytes are read. The argument is true if they end in the middle of a line, since a long
+// list may arrive in many pieces.
 type aliveReader struct {
 	io.Reader
 	alive       func(midLine bool)
-	lastSign    time.Time
+	lastCall    time.Time
 	lastMidLine bool
 }
 
-// Read reads, and calls alive at once where the state has changed, and otherwise from time to time.
+// Read reads some bytes. It then calls alive if the argument differs from that of the last call, or if that call was at
+// least minAliveInterval ago.
 func (r *aliveReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n == 0 {
 		return n, err
 	}
 	midLine := p[n-1] != '\n'
-	if midLine != r.lastMidLine || time.Since(r.lastSign) >= aliveSignInterval {
-		r.lastSign = time.Now()
+	if midLine != r.lastMidLine || time.Since(r.lastCall) >= minAliveInterval {
+		r.lastCall = time.Now()
 		r.lastMidLine = midLine
 		r.alive(midLine)
 	}
 	return n, err
 }
 
-// Watch hands each list that comes after index to received, until the watch ends or ctx is done; the error, never nil,
-// says why. It calls alive when the answer begins and whenever some of it comes, with true in the middle of a line.
+// Watch passes each list later than index to received, until the watch ends or ctx is done. The error is never nil and is
+// the reason for the end. Watch calls alive when the answer begins and as bytes of it arrive; the argument is true if the
+// bytes received so far end in the middle of a line.
 func (c *Client) Watch(ctx context.Context, index int64, alive func(midLine bool), received func(endpoint.List)) error {
 	url := fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", c.address, index)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -84,7 +86,8 @@
 	return readLists(&aliveReader{Reader: response.Body, alive: alive}, received)
 }
 
-// readLists reads one list a line until the end, which is io.EOF, or another error. Empty lines are signs of life.
+// readLists reads lists, one per line, until the end of the stream or an error. The end of the stream is io.EOF. Empty
+// lines, which discovery sends as a keep-alive, are skipped.
 func readLists(r io.Reader, received func(endpoint.List)) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, initialLineBytes), maxListBytes)
@@ -94,8 +97,8 @@
 			continue
 		}
 		list, err := endpoint.Parse(text)
-		if err != nil { // where the watch broke in the middle of a line, that is why
-			return cmp.Or(lines.Err(), fmt.Errorf("a list that does not parse: %w", err))
+		if err != nil { // if the stream failed in the middle of a line, the stream's error is the cause
+			return cmp.Or(lines.Err(), fmt.Errorf("endpoint list does not parse: %w", err))
 		}
 		received(list)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -20,30 +20,30 @@
 	changedList  = `{"index":43,"snapshot":false,"endpoints":[{"name":"s-1","status":"DRAINING"},{"address":"nameless"}]}` + "\n"
 )
 
-// newTestClient gives a client of a stand-in for discovery.
+// newTestClient returns a client of a discovery service that the handler implements.
 func newTestClient(t *testing.T, handle http.HandlerFunc) *Client {
 	t.Helper()
 	return NewWithDialer(discoverytest.Dialer(t, handle), "discovery")
 }
 
-// write sends text at once.
+// write sends text without buffering it.
 func write(w http.ResponseWriter, text string) {
 	io.WriteString(w, text)
 	w.(http.Flusher).Flush()
 }
 
-// watchCase is an answer of discovery, and what a watch makes of it.
+// watchCase is an answer of discovery and the expected results of the watch.
 type watchCase struct {
-	name        string
-	answer      http.HandlerFunc
-	lists       string        // as describe gives them
-	fails       string        // part of the watch's error
-	least, most time.Duration // that the watch takes
-	signsOfLife int
+	name                     string
+	answer                   http.HandlerFunc
+	lists                    string        // the lists received, in the form of describe
+	fails                    string        // part of the watch's error
+	minDuration, maxDuration time.Duration // of the watch
+	aliveCalls               int
 }
 
 var watchCases = []watchCase{
-	{"a complete list and a change, empty lines between", func(w http.ResponseWriter, _ *http.Request) {
+	{"complete list and a change, empty lines between them", func(w http.ResponseWriter, _ *http.Request) {
 		write(w, completeList)
 		for range 5 {
 			time.Sleep(2 * time.Second)
@@ -56,33 +56,33 @@
 		time.Sleep(time.Second)
 		write(w, completeList[30:]+changedList)
 	}, "41 true s-1 SERVING, 43 false s-1 DRAINING, ", "EOF", time.Second, 2 * time.Second, 3},
-	{"a long list in pieces", func(w http.ResponseWriter, _ *http.Request) {
+	{"one list in four pieces", func(w http.ResponseWriter, _ *http.Request) {
 		for _, piece := range []string{completeList[:10], completeList[10:20], completeList[20:30], completeList[30:]} {
 			write(w, piece)
 			time.Sleep(time.Second)
 		}
 	}, "41 true s-1 SERVING, ", "EOF", 4 * time.Second, 4 * time.Second, 5},
-	{"broken in the middle of a list", func(w http.ResponseWriter, _ *http.Request) {
+	{"aborted in the middle of a list", func(w http.ResponseWriter, _ *http.Request) {
 		write(w, completeList[:30])
 		time.Sleep(time.Second)
 		panic(http.ErrAbortHandler)
 	}, "", "unexpected EOF", time.Second, 2 * time.Second, 2},
-	{"in one burst", func(w http.ResponseWriter, _ *http.Request) {
+	{"empty lines in one burst", func(w http.ResponseWriter, _ *http.Request) {
 		for range 1000 {
 			write(w, "\n")
 		}
 	}, "", "EOF", 0, time.Second, 2},
 	{"refused", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, "", "status 503", 0, time.Second, 0},
-	{"reset", func(w http.ResponseWriter, _ *http.Request) {
+	{"aborted after a list", func(w http.ResponseWriter, _ *http.Request) {
 		write(w, completeList)
 		panic(http.ErrAbortHandler)
 	}, "41 true s-1 SERVING, ", "EOF", 0, time.Second, 2},
-	{"no JSON", func(w http.ResponseWriter, _ *http.Request) { write(w, "{{\n") }, "", "does not parse", 0, time.Second, 2},
-	{"another shape", func(w http.ResponseWriter, _ *http.Request) { write(w, `{"index":"x"}`+"\n") }, "",
+	{"not JSON", func(w http.ResponseWriter, _ *http.Request) { write(w, "{{\n") }, "", "does not parse", 0, time.Second, 2},
+	{"JSON of another type", func(w http.ResponseWriter, _ *http.Request) { write(w, `{"index":"x"}`+"\n") }, "",
 		"does not parse", 0, time.Second, 2},
 }
 
-// describe gives a list's index, whether it is complete, and its hosts.
+// describe formats a list's index, whether it is complete, and its hosts.
 func describe(list endpoint.List) string {
 	text := fmt.Sprint(list.Index, " ", list.Complete, " ")
 	for _, host := range list.Hosts {
@@ -91,6 +91,8 @@
 	return text
 }
 
+// A watch that lost lists split into pieces, missed keep-alives or did not report its end would leave the node with an
+// old list, or make it give up a watch that works.
 func TestWatchNotifiesOfLists(t *testing.T) {
 	for _, c := range watchCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -106,29 +108,30 @@
 		asked <- r.URL.String()
 		c.answer(w, r)
 	})
-	lists, signsOfLife, start := "", 0, time.Now()
-	err := client.Watch(t.Context(), 40, func(bool) { signsOfLife++ }, func(list endpoint.List) { lists += describe(list) })
-	if took := time.Since(start); took < c.least || took > c.most {
-		t.Errorf("took %v", took)
+	lists, aliveCalls, start := "", 0, time.Now()
+	err := client.Watch(t.Context(), 40, func(bool) { aliveCalls++ }, func(list endpoint.List) { lists += describe(list) })
+	if took := time.Since(start); took < c.minDuration || took > c.maxDuration {
+		t.Errorf("the watch took %v, want %v to %v", took, c.minDuration, c.maxDuration)
 	}
-	if signsOfLife != c.signsOfLife {
-		t.Errorf("%d signs of life, want %d", signsOfLife, c.signsOfLife)
+	if aliveCalls != c.aliveCalls {
+		t.Errorf("%d calls of alive, want %d", aliveCalls, c.aliveCalls)
 	}
 	if lists != c.lists || err == nil || !strings.Contains(err.Error(), c.fails) {
-		t.Errorf("received %q and failed with %v, want %q and %q", lists, err, c.lists, c.fails)
+		t.Errorf("received %q and failed with %v, want %q and an error with %q", lists, err, c.lists, c.fails)
 	}
 	if got := <-asked; got != "/discovery/hosts?stream=1&index=40" {
-		t.Errorf("asked %s", got)
+		t.Errorf("requested %s", got)
 	}
 }
 
+// A watch that waited for discovery's answer after its context ended would keep its goroutine and connection.
 func TestWatchEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		client := newTestClient(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		time.AfterFunc(time.Second, cancel)
 		if err := client.Watch(ctx, 0, nil, nil); !errors.Is(err, context.Canceled) {
-			t.Fatalf("ended with %v", err)
+			t.Fatalf("ended with %v, want %v", err, context.Canceled)
 		}
 	})
 }
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -1,5 +1,5 @@
-// Package discoverytest stands in for discovery in tests of what follows the endpoint list. Pipes take the place of the
-// network, so that the test's clock decides what is late.
+// Package discoverytest provides a discovery service for tests of code that watches the endpoint list. Pipes replace the
+// network, so that delays depend only on the fake clock of the test.
 package discoverytest
 
 import (
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Dialer gives connections to a stand-in for discovery, each served by a handler of its own server. The servers and
-// connections are closed at the end of the test.
+// Dialer returns a dial function for a discovery service that handle implements. Each connection has an HTTP server of
+// its own. The servers and connections are closed at the end of the test.
 func Dialer(t *testing.T, handle http.HandlerFunc) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
@@ -27,14 +27,15 @@
 	}
 }
 
-// singleListener is a listener of one connection.
+// singleListener is a listener that accepts one connection.
 type singleListener struct {
-	conn   net.Conn // nil once it is accepted
+	conn   net.Conn // nil once it has been accepted
 	closed chan struct{}
 	once   sync.Once // closes closed
 }
 
-// Accept gives the connection, and net.ErrClosed once the listener is closed. One goroutine may call it.
+// Accept returns the connection the first time. After that it waits until the listener is closed and returns
+// net.ErrClosed. Only one goroutine may call it.
 func (l *singleListener) Accept() (net.Conn, error) {
 	if conn := l.conn; conn != nil {
 		l.conn = nil
@@ -44,11 +45,11 @@
 	return nil, net.ErrClosed
 }
 
-// Close ends Accept.
+// Close ends a call of Accept.
 func (l *singleListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-// Addr gives an empty address.
+// Addr returns an empty address.
 func (l *singleListener) Addr() net.Addr { return &net.TCPAddr{} }
