--- a/internal/line/figures.go
+++ b/internal/line/figures.go
@@ -7,11 +7,10 @@
 	"strconv"
 )
 
-// noKey stands for a key that a client does not have.
+// noKey is the key that a client without a key sends.
 const noKey = "-"
 
-// ParseKey reads a key: hexadecimal as clients write it, and the hash of the text where it is something else. It is 0 for
-// no key.
+// ParseKey parses a key. Clients write keys in hexadecimal; any other text yields its hash. Without a key the result is 0.
 func ParseKey(text []byte) uint64 {
 	key, err := strconv.ParseUint(string(text), 16, 64)
 	if err == nil {
@@ -23,33 +22,34 @@
 	return Hash(text)
 }
 
-// Hash stands for a text that is no number.
+// Hash returns the 64-bit FNV-1a hash of a text. It serves as the key of a text that is not hexadecimal.
 func Hash(text []byte) uint64 {
 	hash := fnv.New64a()
 	hash.Write(text)
 	return hash.Sum64()
 }
 
-// ParseLoad reads the figure of a LOAD line, in seconds of work a second. It gives false for none, or one below 0.
+// ParseLoad parses the value of a LOAD line, which is in microseconds of work per second, and returns it in seconds of
+// work per second. It returns false if there is no finite value or if it is negative.
 func ParseLoad(rest []byte) (float64, bool) {
 	us, err := strconv.ParseFloat(string(bytes.TrimSpace(rest)), 64)
 	return us / 1e6, err == nil && us >= 0 && !math.IsInf(us, 0)
 }
 
-// ParseReport finds the figure of that name in a load report, which is a list of NAME=FIGURE. It gives false for none, or
-// one that is not finite.
+// ParseReport returns the value with the given name in a load report, which is a list of NAME=VALUE. It returns false if
+// there is no such value or if it is not finite.
 func ParseReport(rest []byte, name string) (float64, bool) {
-	for _, field := range bytes.FieldsFunc(rest, separatesFigures) {
+	for _, field := range bytes.FieldsFunc(rest, isReportSeparator) {
 		key, value, found := bytes.Cut(field, []byte("="))
 		if found && string(key) == name {
-			figure, err := strconv.ParseFloat(string(value), 64)
-			return figure, err == nil && !math.IsNaN(figure) && !math.IsInf(figure, 0)
+			number, err := strconv.ParseFloat(string(value), 64)
+			return number, err == nil && !math.IsNaN(number) && !math.IsInf(number, 0)
 		}
 	}
 	return 0, false
 }
 
-// separatesFigures tells whether a character stands between the figures of a load report.
-func separatesFigures(character rune) bool {
+// isReportSeparator reports whether a character separates the values of a load report.
+func isReportSeparator(character rune) bool {
 	return character == ' ' || character == ',' || character == ';'
 }
--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -1,5 +1,5 @@
-// Package line parses and encodes the line protocol that clients and hosts speak. It keeps nothing and decides nothing:
-// it maps the protocol's verbs and fields to typed values. Lines end with LF or CR LF, and have MaxLength bytes at most.
+// Package line parses and encodes the line protocol of clients and hosts: it maps the protocol's verbs and fields to typed
+// values. It holds no state and makes no decisions. Lines end with LF or CR LF and have at most MaxLength bytes.
 package line
 
 import (
@@ -8,27 +8,27 @@
 	"strconv"
 )
 
-// MaxLength is the number of bytes that a line may have, its end included.
+// MaxLength is the maximum length of a line in bytes, including its end.
 const MaxLength = 4096
 
-// Verb is what a line begins with.
+// Verb is the first word of a line.
 type Verb uint8
 
-// The protocol's verbs; Other is any that it does not have.
+// The protocol's verbs; Other is any word that is not a verb.
 const (
 	Other  Verb = iota
-	Open        // a client's or the node's first line: a flow is to be taken
-	Up          // a host has taken the flow
-	Bye         // the host has served the flow
+	Open        // opens a flow; the opening line of a client to the node or of the node to a host
+	Up          // a host has accepted the flow
+	Bye         // the host has served the flow to its end
 	Move        // the client is to connect again
 	Err         // the flow has failed
-	Busy        // the flow is rejected, perhaps with a Retry-After in ms
+	Busy        // the flow is rejected, optionally with a time in ms after which to retry
 	Load        // the connection's load
-	Ping        // is the far side ready?
-	Pong        // it is, perhaps with a load report
-	Stats       // a health check that asks for a load report
-	No          // health checks are not allowed
-	Syntax      // the line cannot be understood
+	Ping        // asks whether the receiver is ready
+	Pong        // answers Ping or Stats: the sender is ready, optionally with a load report
+	Stats       // a health check that requests a load report
+	No          // refuses a health check, since none are allowed
+	Syntax      // the line received cannot be parsed
 )
 
 var verbs = map[string]Verb{
@@ -55,17 +55,18 @@
 	StatsLine = "STATS\r\n"
 )
 
-// Split gives the verb of a line and what follows it, without the line's end.
+// Split returns the verb of a line and the rest of it after the verb, without the line's end.
 func Split(text []byte) (Verb, []byte) {
 	text = trimEnd(text)
 	verb, rest, _ := bytes.Cut(text, []byte(" "))
 	return verbs[string(verb)], rest
 }
 
-// trimEnd cuts the end of a line off.
+// trimEnd removes the end of a line, LF or CR LF.
 func trimEnd(text []byte) []byte { return bytes.TrimRight(text, "\r\n") }
 
-// BusyLine rejects a flow, with the seconds after which its client may retry; 0 or less for none.
+// BusyLine returns the line that rejects a flow. The client may retry after retryAfter seconds; the line leaves the time
+// out if it is 0 or less.
 func BusyLine(retryAfter float64) []byte {
 	if retryAfter <= 0 {
 		return []byte("BUSY\r\n")
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -4,7 +4,9 @@
 	"testing"
 )
 
-func TestSplitGivesVerbAndRest(t *testing.T) {
+// A word that only begins with a verb, or a line end that is counted as part of the rest, would be misread as another
+// message.
+func TestSplitReturnsVerbAndRest(t *testing.T) {
 	for _, c := range []struct {
 		text, rest string
 		want       Verb
@@ -25,16 +27,17 @@
 	} {
 		t.Run(c.text, func(t *testing.T) {
 			if verb, rest := Split([]byte(c.text)); verb != c.want || string(rest) != c.rest {
-				t.Errorf("verb %d and %q, want %d and %q", verb, rest, c.want, c.rest)
+				t.Errorf("got verb %d and rest %q, want %d and %q", verb, rest, c.want, c.rest)
 			}
 		})
 	}
 }
 
+// A retry time that is rounded down to 0 ms would make the client retry at once.
 func TestBusyLineHasRetryAfterInMilliseconds(t *testing.T) {
 	for retryAfter, want := range map[float64]string{0: "BUSY\r\n", -1: "BUSY\r\n", 0.0001: "BUSY 1\r\n", 0.7304: "BUSY 730\r\n"} {
 		if got := string(BusyLine(retryAfter)); got != want {
-			t.Errorf("for %g: %q, want %q", retryAfter, got, want)
+			t.Errorf("for %g s: got %q, want %q", retryAfter, got, want)
 		}
 	}
 }
--- a/internal/line/opening.go
+++ b/internal/line/opening.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Reasons why a first line is not taken.
+// Reasons for which an opening line is rejected.
 var (
 	ErrNotOpening = errors.New("not an opening line")
 	ErrNoTimeout  = errors.New("no connect timeout in the opening line")
@@ -15,31 +15,32 @@
 
 const (
 	openingParts   = 4             // the verb, the id, the client key and the fields
-	maxTimeoutMS   = math.MaxInt32 // of a connect timeout, not included
-	maxExpectedUS  = 1e12          // of an expected load, not included
-	timeoutRoom    = 8             // bytes by which a line may grow with another timeout
+	maxTimeoutMS   = math.MaxInt32 // a connect timeout must be below this
+	maxExpectedUS  = 1e12          // an expected load, in µs of work per second, must be below this
+	timeoutRoom    = 8             // spare bytes for a timeout with more digits than the client's
 	firstPrintable = ' '
 	lastPrintable  = '~'
 )
 
-// Opening is a flow's first line. Fields that the line does not have are zero.
+// Opening is a flow's opening line. Fields that the line does not contain are zero.
 type Opening struct {
 	ID           string
 	ClientKey    uint64
 	GroupKey     uint64
-	Type         string  // of service, by name
-	Tenant       string  // by name
-	RestoredHost string  // the host at which the flow is open already, by name
-	Timeout      float64 // s until the client gives up; above 0
-	Load         float64 // expected load, s of work a second
-	Returning    bool    // the client comes again after its connection broke or was migrated
-	MidFlow      bool    // an established connection whose packets now come to this node
+	Type         string  // name of the service type
+	Tenant       string  // name of the tenant
+	RestoredHost string  // name of the host at which the flow is already open
+	Timeout      float64 // time in s after which the client gives up connecting; above 0
+	Load         float64 // expected load in s of work per second
+	Returning    bool    // the client connects again after its connection was lost or migrated
+	MidFlow      bool    // the connection is already established, and its packets now reach this node
 
-	timeoutStart, timeoutEnd int // where the value of the timeout's field stands in the line
+	timeoutStart, timeoutEnd int // byte range of the timeout's value in the line
 }
 
-// ParseOpening reads a first line. The error is ErrNotOpening, or ErrNoTimeout with what else was understood. A field
-// that is not known, or whose value cannot be read, is left out; of a field that comes twice the later one counts.
+// ParseOpening parses an opening line. The error is ErrNotOpening or ErrNoTimeout; with the latter, the other fields are
+// returned as well. Fields with an unknown name or an invalid value are ignored. If a field occurs more than once, the
+// last one applies.
 func ParseOpening(text []byte) (Opening, error) {
 	text = trimEnd(text)
 	parts := bytes.Split(text, []byte(" "))
@@ -61,12 +62,12 @@
 	return opening, nil
 }
 
-// notPrintable tells whether a character is none of printable ASCII.
+// notPrintable reports whether a character is outside printable ASCII.
 func notPrintable(character rune) bool {
 	return character < firstPrintable || character > lastPrintable
 }
 
-// setField takes one field, which stands at this place of the line.
+// setField parses one field, NAME=VALUE, that begins at byte start of the line.
 func (o *Opening) setField(field []byte, start int) {
 	name, value, _ := bytes.Cut(field, []byte("="))
 	switch string(name) {
@@ -97,8 +98,8 @@
 	}
 }
 
-// WithTimeout gives the first line, which is text, with another connect timeout in seconds, 1 ms at least. All else stays
-// as the client wrote it.
+// WithTimeout returns a copy of text, the line from which o was parsed, with another connect timeout. The timeout is in
+// seconds and is written as at least 1 ms. The rest of the line stays as the client wrote it.
 func (o Opening) WithTimeout(text []byte, timeout float64) []byte {
 	ms := max(int64(timeout*1e3), 1)
 	replaced := make([]byte, 0, len(text)+timeoutRoom)
--- a/internal/line/opening_test.go
+++ b/internal/line/opening_test.go
@@ -8,6 +8,8 @@
 
 const usualOpening = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f6e1a2b3d4c59"
 
+// A line that is no valid opening line, or lacks a usable timeout, must be rejected with the right error: the client gets
+// a different reason code for each. Unknown fields must not make a line invalid.
 func TestParseOpening(t *testing.T) {
 	const key, group = 0x7f3a9c21e0b4d655, 0x5c0f6e1a2b3d4c59
 	cases := []struct {
@@ -15,23 +17,23 @@
 		want       Opening
 		fails      error
 	}{
-		{"all that is usual", usualOpening + "\r\n", Opening{ID: "9b1f03aa5c7e2d41", ClientKey: key, GroupKey: group, Type: "chat",
+		{"usual fields", usualOpening + "\r\n", Opening{ID: "9b1f03aa5c7e2d41", ClientKey: key, GroupKey: group, Type: "chat",
 			Tenant: "acme", Timeout: 2}, nil},
-		{"returning, mid-flow, restored, a load", "OPEN a 7f3a9c21e0b4d655 d=50.5,again=1,mid=1,at=s-1,h=20000,r=1,c=x\n",
+		{"returning, mid-flow, restored, with a load", "OPEN a 7f3a9c21e0b4d655 d=50.5,again=1,mid=1,at=s-1,h=20000,r=1,c=x\n",
 			Opening{ID: "a", ClientKey: key, Type: "x", Timeout: 0.0505, Returning: true, MidFlow: true, RestoredHost: "s-1", Load: 0.02}, nil},
 		{"no key", "OPEN a - c=x,d=1", Opening{ID: "a", Type: "x", Timeout: 0.001}, nil},
-		{"names that are not known", "OPEN a 0 zz=9,c=x,d=1,=,", Opening{ID: "a", Type: "x", Timeout: 0.001}, nil},
+		{"unknown fields", "OPEN a 0 zz=9,c=x,d=1,=,", Opening{ID: "a", Type: "x", Timeout: 0.001}, nil},
 		{"no timeout", "OPEN a 0 c=x", Opening{}, ErrNoTimeout},
-		{"a timeout of 0", "OPEN a 0 c=x,d=0", Opening{}, ErrNoTimeout},
-		{"a negative timeout", "OPEN a 0 c=x,d=-5", Opening{}, ErrNoTimeout},
-		{"a timeout that is no number", "OPEN a 0 c=x,d=NaN", Opening{}, ErrNoTimeout},
-		{"an endless timeout", "OPEN a 0 c=x,d=Inf", Opening{}, ErrNoTimeout},
+		{"timeout of 0", "OPEN a 0 c=x,d=0", Opening{}, ErrNoTimeout},
+		{"negative timeout", "OPEN a 0 c=x,d=-5", Opening{}, ErrNoTimeout},
+		{"timeout that is not a number", "OPEN a 0 c=x,d=NaN", Opening{}, ErrNoTimeout},
+		{"infinite timeout", "OPEN a 0 c=x,d=Inf", Opening{}, ErrNoTimeout},
 		{"empty", "", Opening{}, ErrNotOpening},
 		{"another verb", "SHUT a 0 c=x,d=1", Opening{}, ErrNotOpening},
 		{"too few parts", "OPEN a c=x,d=1", Opening{}, ErrNotOpening},
 		{"too many parts", "OPEN a 0 c=x,d=1 more", Opening{}, ErrNotOpening},
 		{"binary", "OPEN a 0 c=\x00x,d=1", Opening{}, ErrNotOpening},
-		{"two blanks", "OPEN  0 c=x,d=1", Opening{}, ErrNotOpening},
+		{"two spaces", "OPEN  0 c=x,d=1", Opening{}, ErrNotOpening},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,20 +41,23 @@
 			if !errors.Is(err, c.fails) {
 				t.Errorf("error %v, want %v", err, c.fails)
 			}
-			if got = withoutTimeoutPlace(got); err == nil && got != c.want {
+			if got = withoutTimeoutRange(got); err == nil && got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
 	}
 }
 
-// withoutTimeoutPlace gives what an opening says, without where in the line its timeout stands.
-func withoutTimeoutPlace(o Opening) Opening {
+// withoutTimeoutRange returns an opening without the byte range of its timeout, so that openings of different lines can
+// be compared.
+func withoutTimeoutRange(o Opening) Opening {
 	o.timeoutStart = 0
 	o.timeoutEnd = 0
 	return o
 }
 
+// Replacing the timeout could change another part of the line that resembles the field, such as an id of "d=1". The host
+// would then get another id or type than the client sent.
 func TestOnlyTheTimeoutOfAnOpeningIsReplaced(t *testing.T) {
 	for _, c := range []struct {
 		text    string
@@ -67,12 +72,13 @@
 			opening, err := ParseOpening([]byte(c.text))
 			got := string(opening.WithTimeout([]byte(c.text), c.timeout))
 			if err != nil || got != c.want {
-				t.Errorf("got %q and %v, want %q", got, err, c.want)
+				t.Errorf("got %q and error %v, want %q", got, err, c.want)
 			}
 		})
 	}
 }
 
+// No text may make the parser panic, and a new timeout must leave all other fields of an opening line unchanged.
 func FuzzLine(f *testing.F) {
 	for _, seed := range []string{usualOpening, "OPEN a 0 d=1", "UP 1", "LOAD 1", "PONG x0=1", "\x00\xff", "OPEN a 0 d=1,d=2"} {
 		f.Add([]byte(seed))
@@ -86,13 +92,13 @@
 			return
 		}
 		if verb != Open || !(opening.Timeout > 0) {
-			t.Fatalf("%q taken for an opening line", text)
+			t.Fatalf("%q was accepted as an opening line", text)
 		}
 		again, err := ParseOpening(opening.WithTimeout(text, 1))
-		want := withoutTimeoutPlace(opening)
+		want := withoutTimeoutRange(opening)
 		want.Timeout = 1
-		if err != nil || withoutTimeoutPlace(again) != want {
-			t.Fatalf("%q: another timeout changed more: %+v, %+v, %v", text, opening, again, err)
+		if err != nil || withoutTimeoutRange(again) != want {
+			t.Fatalf("%q: another timeout changed other fields: before %+v, after %+v, error %v", text, opening, again, err)
 		}
 	})
 }
