--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -1,5 +1,5 @@
-// Package logwriter writes a program's log beside its work. It owns the lines that wait for the reader of the log, and the
-// goroutine that writes them: a slow reader never holds the program up, and no line is lost at the end of the program.
+// Package logwriter writes a program's log asynchronously, so that a slow reader of the log never blocks the program. It
+// owns the queue of lines and the goroutine that writes them. Lines still queued at the end of the program are written.
 package logwriter
 
 import (
@@ -11,47 +11,47 @@
 )
 
 const (
-	maxWaitingLines = 4096                  // beyond them the oldest are dropped
-	flushTimeout    = time.Second           // for a reader of the log, at the end of the program
+	maxWaitingLines = 4096                  // lines in the queue, beyond which the oldest are dropped
+	flushTimeout    = time.Second           // the longest wait of Close for a slow reader of the log
 	flushPoll       = 50 * time.Microsecond // between two checks whether all lines are written
 )
 
-// Writer hands lines to a goroutine that writes them. Use New; the zero value is not usable. Close waits until the lines
-// so far are written. The buffer's own Close may miss a line that came just before it: its goroutine looks for lines
-// first and then for the end, and leaves what came in between.
+// Writer queues lines for a goroutine that writes them. Use New; the zero value is not usable. Close waits until all
+// lines so far are written. It counts them for that, since the buffer's own Close may lose a line written just before it:
+// the buffer's goroutine checks for lines first and for the end second, and drops a line that arrives between the two.
 type Writer struct {
 	buffer  diode.Writer
 	out     *countingWriter
-	lines   atomic.Int64 // handed over so far
-	dropped atomic.Int64
+	lines   atomic.Int64 // passed to Write so far
+	dropped atomic.Int64 // dropped because the queue was full
 }
 
-// countingWriter counts the lines that its destination took or refused.
+// countingWriter counts the lines passed to its destination, including those whose write failed.
 type countingWriter struct {
 	destination io.Writer
 	lines       atomic.Int64
 }
 
-// Write hands one line to the destination.
+// Write writes one line to the destination.
 func (c *countingWriter) Write(line []byte) (int, error) {
 	defer c.lines.Add(1)
 	return c.destination.Write(line)
 }
 
-// New gives a writer to a destination, which is written one line a call.
+// New returns a writer to a destination. Each call of the destination's Write gets one line.
 func New(destination io.Writer) *Writer {
 	w := &Writer{out: &countingWriter{destination: destination}}
 	w.buffer = diode.NewWriter(w.out, maxWaitingLines, 0, func(missed int) { w.dropped.Add(int64(missed)) })
 	return w
 }
 
-// Write takes one line, as a logger writes it, and never waits. Where too many lines wait the oldest are dropped.
+// Write queues one line, as a logger passes it, and never blocks. If the queue is full, the oldest lines are dropped.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.lines.Add(1)
 	return w.buffer.Write(line)
 }
 
-// Close writes what is left, for flushTimeout at the most, and ends the goroutine.
+// Close waits until the queued lines are written, for at most flushTimeout, and ends the goroutine.
 func (w *Writer) Close() error {
 	for end := time.Now().Add(flushTimeout); w.waiting() && time.Now().Before(end); {
 		time.Sleep(flushPoll)
@@ -59,7 +59,7 @@
 	return w.buffer.Close()
 }
 
-// waiting tells whether lines are neither written nor dropped.
+// waiting reports whether some lines have neither been written nor dropped.
 func (w *Writer) waiting() bool {
 	return w.out.lines.Load()+w.dropped.Load() < w.lines.Load()
 }
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A line that is logged just before the end of the program is written, also in the moment in which the buffer ends.
+// The line that a program logs just before its end could be lost in a race with the end of the buffer's goroutine. Many
+// rounds make that race likely.
 func TestLastLineIsWritten(t *testing.T) {
 	const rounds = 5000
 	for round := range rounds {
@@ -18,7 +19,7 @@
 			t.Fatal(err)
 		}
 		if written.String() != "last\n" {
-			t.Fatalf("round %d: written %q", round, written.String())
+			t.Fatalf("round %d: wrote %q, want %q", round, written.String(), "last\n")
 		}
 	}
 }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,63 +1,64 @@
-// Package ring is a ring buffer for one direction of a connection. It owns its bytes: one side fills the free part that
-// Space gives while the other drains what Front gives, and the two never overlap. It is not safe for use by several
-// goroutines at once, but the parts that Space and Front gave may be written and read beside the owner's calls.
+// Package ring implements a ring buffer for one direction of a connection. One side fills the slices that Space returns
+// while the other side reads the slices that Front returns; the two never overlap. The methods of a Ring are not safe for
+// concurrent use, but slices from Space and Front may be written and read while another goroutine calls methods.
 package ring
 
 import "bytes"
 
-// Ring holds bytes in the order in which they came. Use New; the zero value holds nothing.
+// Ring is a first-in, first-out queue of bytes. Use New; the zero value has no room for any bytes.
 type Ring struct {
 	buffer []byte
-	head   uint64 // position of the next byte to be read, counted from the first byte ever
-	tail   uint64 // position of the next byte to be written; buffer holds the bytes between
+	head   uint64 // stream position of the next byte to be read, counted from the first byte ever written
+	tail   uint64 // stream position of the next byte to be written; buffer holds the bytes from head up to it
 }
 
-// New gives an empty ring of a size in bytes, which must be a power of two; it panics otherwise.
+// New returns an empty ring of the given size in bytes. It panics if the size is not a power of two.
 func New(size int) *Ring {
 	if size <= 0 || size&(size-1) != 0 {
-		panic("ring: size is no power of two")
+		panic("ring: size is not a power of two")
 	}
 	return &Ring{buffer: make([]byte, size)}
 }
 
-// index gives the place of a position in the buffer.
+// index returns the index in the buffer of a stream position.
 func (r *Ring) index(position uint64) int { return int(position & uint64(len(r.buffer)-1)) }
 
-// Len is how many bytes are held.
+// Len returns the number of bytes in the ring.
 func (r *Ring) Len() int { return int(r.tail - r.head) }
 
-// Free is how many more bytes fit.
+// Free returns the number of bytes that can still be added.
 func (r *Ring) Free() int { return len(r.buffer) - r.Len() }
 
-// Space gives the next free bytes that lie in one piece; it is empty when the ring is full.
+// Space returns the free bytes that are contiguous from the tail on. It is empty if the ring is full.
 func (r *Ring) Space() []byte {
 	from := r.index(r.tail)
 	return r.buffer[from:min(from+r.Free(), len(r.buffer))]
 }
 
-// Fill says that the first n bytes of Space hold data now. It panics for more than fit.
+// Fill adds the first n bytes of Space, which the caller has written, to the ring. It panics if n exceeds Free.
 func (r *Ring) Fill(n int) {
 	if n < 0 || n > r.Free() {
-		panic("ring: filled past its free part")
+		panic("ring: filled more bytes than are free")
 	}
 	r.tail += uint64(n)
 }
 
-// Front gives up to n of the oldest bytes, as far as they lie in one piece.
+// Front returns up to n of the oldest bytes, as far as they are contiguous.
 func (r *Ring) Front(n int) []byte {
 	from := r.index(r.head)
 	return r.buffer[from:min(from+min(n, r.Len()), len(r.buffer))]
 }
 
-// Drop frees the n oldest bytes. It panics for more than are held.
+// Drop removes the n oldest bytes. It panics if n exceeds Len.
 func (r *Ring) Drop(n int) {
 	if n < 0 || n > r.Len() {
-		panic("ring: dropped more than it holds")
+		panic("ring: dropped more bytes than it holds")
 	}
 	r.head += uint64(n)
 }
 
-// Find gives the place of a byte at or after place from, counted from the oldest byte, or -1.
+// Find returns the offset of the first byte equal to wanted at or after offset from, or -1 if there is none. Offsets
+// count from the oldest byte.
 func (r *Ring) Find(from int, wanted byte) int {
 	for from < r.Len() {
 		piece := r.piece(from, r.Len())
@@ -69,7 +70,7 @@
 	return -1
 }
 
-// Append adds the bytes from place from up to place to, counted from the oldest byte, to dst.
+// Append appends the bytes at offsets from up to, but not including, to, counted from the oldest byte, to dst.
 func (r *Ring) Append(dst []byte, from, to int) []byte {
 	for from < to {
 		piece := r.piece(from, to)
@@ -79,7 +80,7 @@
 	return dst
 }
 
-// piece gives the bytes from place from up to place to, as far as they lie in one piece.
+// piece returns the bytes at offsets from up to, but not including, to, as far as they are contiguous.
 func (r *Ring) piece(from, to int) []byte {
 	start := r.index(r.head + uint64(from))
 	return r.buffer[start:min(start+to-from, len(r.buffer))]
