--- a/cmd/gorseledge/alone_test.go
+++ b/cmd/gorseledge/alone_test.go
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// observation is what a node showed of itself while a flow came and went, without times and addresses.
+// observation is the log, the descriptors and the goroutines of a node that served one flow, without times and addresses.
 type observation struct {
 	log, descriptors, goroutines []string
 }
 
-// createdBy matches a goroutine's origin in a dump.
+// createdBy matches the function that started a goroutine, in a dump of all goroutines.
 var createdBy = regexp.MustCompile(`(?m)^created by (\S+)`)
 
-// observe starts a build of the node with a fleet file, or an empty path for none, plays a flow and ends it by a dump
-// of its goroutines.
+// observe starts a build of the node, has it serve one flow, and ends it with SIGQUIT, which dumps its goroutines.
+// fleetFile is empty for a node without a fleet file.
 func observe(t *testing.T, build, fleetFile string) observation {
 	t.Helper()
 	n := &testNode{T: t, program: build, fleetFile: fleetFile}
@@ -40,10 +40,10 @@
 	n.signal(syscall.SIGQUIT)
 	n.process.Wait()
 	text := n.log.text()
-	return observation{log: lastingLogLines(text), descriptors: descriptors, goroutines: goroutineOrigins(text)}
+	return observation{log: repeatableLogLines(text), descriptors: descriptors, goroutines: goroutineOrigins(text)}
 }
 
-// openDescriptors gives the kinds of the process's descriptors, sorted.
+// openDescriptors returns the kinds of the process's open descriptors, sorted.
 func (n *testNode) openDescriptors() []string {
 	n.Helper()
 	dir := fmt.Sprintf("/proc/%d/fd", n.process.Process.Pid)
@@ -61,13 +61,14 @@
 	return kinds
 }
 
-// lastingLogLines gives the lines of a log, in their order and with sorted keys, without what differs from run to run.
-func lastingLogLines(log string) []string {
+// repeatableLogLines returns the lines of a log in their order, with sorted keys, and without the fields and lines that
+// differ from run to run.
+func repeatableLogLines(log string) []string {
 	var lines []string
 	for _, line := range strings.Split(log, "\n") {
 		fields := map[string]any{}
 		if json.Unmarshal([]byte(line), &fields) != nil || fields["reason"] == "checked" {
-			continue // how often it is asked is chance
+			continue // the number of PINGs differs from run to run
 		}
 		for _, key := range []string{"time", "listen", "setup_s", "lasted_s", "address"} {
 			delete(fields, key)
@@ -78,7 +79,7 @@
 	return lines
 }
 
-// goroutineOrigins gives the functions that began the goroutines of a dump, sorted.
+// goroutineOrigins returns the functions that started the goroutines of a dump, sorted.
 func goroutineOrigins(dump string) []string {
 	var origins []string
 	for _, match := range createdBy.FindAllStringSubmatch(dump, -1) {
@@ -88,7 +89,7 @@
 	return origins
 }
 
-// buildAlone builds the program with the tag alone.
+// buildAlone builds the program with the tag alone and returns its path.
 func buildAlone(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "alone")
@@ -99,8 +100,8 @@
 	return path
 }
 
-// Without a fleet file the node shows the same as a build that links nothing of a fleet: the same lines in its log, no
-// descriptor and no goroutine more.
+// Fleet code could cost a node that uses no fleet file resources, or change its log. Without a fleet file the full build
+// must have the same log lines, descriptors and goroutines as a build that links no fleet code.
 func TestNodeWithoutFleetEqualsAloneBuild(t *testing.T) {
 	full, alone := observe(t, program, ""), observe(t, buildAlone(t), "")
 	for _, c := range []struct {
@@ -113,13 +114,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if len(c.full) == 0 || !slices.Equal(c.full, c.alone) {
-				t.Errorf("%s\nand alone:\n%s", strings.Join(c.full, "\n"), strings.Join(c.alone, "\n"))
+				t.Errorf("full build:\n%s\nbuild with the tag alone:\n%s", strings.Join(c.full, "\n"), strings.Join(c.alone, "\n"))
 			}
 		})
 	}
 }
 
-func TestAloneBuildLinksNothingOfAFleet(t *testing.T) {
+// An import could bring fleet code, and with it the start-up cost of the protobuf library, into a build with the tag
+// alone.
+func TestAloneBuildLinksNoFleetCode(t *testing.T) {
 	packages, err := exec.Command("go", "list", "-tags", "alone", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
@@ -127,12 +130,13 @@
 	for _, name := range []string{"protobuf", "membership", "internal/fleet\n", "configfeed", "bbolt", "livesettings",
 		"internal/strict", "go-toml"} {
 		if strings.Contains(string(packages), name) {
-			t.Errorf("it links %s", name)
+			t.Errorf("the build with the tag alone links %s", name)
 		}
 	}
 }
 
-// A build with the tag alone refuses a fleet file, by its path, and does not listen.
+// A build with the tag alone that ignored a fleet file would serve without its fleet unnoticed. It refuses to start, and
+// the error names the file.
 func TestAloneBuildRefusesFleetFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := `{"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "fleet": "fleet.toml", "settings": {}}`
@@ -144,11 +148,11 @@
 	defer timeout.Stop()
 	out, err := refused.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "fleet.toml") || refused.ProcessState.ExitCode() != 1 {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("want exit code 1 and an error that names the fleet file, got %v: %s", err, out)
 	}
 }
 
-// surplus gives what a list has that another one has not, each item as often as it has it more.
+// surplus returns the items that occur more often in list than in other, each as many times as it occurs more often.
 func surplus(list, other []string) []string {
 	left := map[string]int{}
 	for _, item := range other {
@@ -164,31 +168,31 @@
 	return more
 }
 
-// A fleet file that names no control servers costs the members' socket, which counts against the limit, the goroutines
-// that serve it, and a line of the log.
+// Membership could use more resources than the descriptor limit accounts for. A fleet file without control servers must
+// add exactly one socket, which counts against the limit, the goroutines that serve it, and one log line.
 func TestCostOfFleetFileWithoutControlServers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	text := fmt.Sprintf("fleet = \"lima\"\naddress = %q\njoin = [%q]\nkey = \"00112233445566778899aabbccddeeff\"\n", freeAddress(t), freeAddress(t))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own, member := observe(t, program, ""), observe(t, program, path)
+	single, member := observe(t, program, ""), observe(t, program, path)
 	const started = `{"level":"info","message":"started","node":"n1","predecessor":false,"sockets":%d}`
 	for _, c := range []struct {
-		name       string
-		own, with  []string
-		more, less []string
+		name          string
+		without, with []string // without and with a fleet file
+		added, lost   []string
 	}{
-		{"descriptors", own.descriptors, member.descriptors, []string{"socket"}, nil},
-		{"goroutines", own.goroutines, member.goroutines,
+		{"descriptors", single.descriptors, member.descriptors, []string{"socket"}, nil},
+		{"goroutines", single.goroutines, member.goroutines,
 			[]string{"golang.org/x/sync/errgroup.(*Group).Go", "gorseledge/internal/fleet.(*Fleet).serve"}, nil},
-		{"log", own.log, member.log, []string{fmt.Sprintf(started, 183),
+		{"log", single.log, member.log, []string{fmt.Sprintf(started, 183),
 			`{"fleet":"lima","level":"info","message":"member of a fleet","node":"n1"}`}, []string{fmt.Sprintf(started, 184)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			more, less := surplus(c.with, c.own), surplus(c.own, c.with)
-			if !slices.Equal(more, c.more) || !slices.Equal(less, c.less) {
-				t.Errorf("more\n%s\nand less\n%s", strings.Join(more, "\n"), strings.Join(less, "\n"))
+			added, lost := surplus(c.with, c.without), surplus(c.without, c.with)
+			if !slices.Equal(added, c.added) || !slices.Equal(lost, c.lost) {
+				t.Errorf("the fleet file added\n%s\nand removed\n%s", strings.Join(added, "\n"), strings.Join(lost, "\n"))
 			}
 		})
 	}
--- a/cmd/gorseledge/closing_test.go
+++ b/cmd/gorseledge/closing_test.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// What is under way when the node ends a connection is not lost: no answer by a close over unread bytes, no first line
-// that was taken, and no line is passed on after the end.
+// When the node closes a connection, data in flight could be lost or misdirected: an answer is lost if the socket is
+// closed with bytes unread, and a line that arrives too late could still be passed on to a host.
 func TestDataInFlightWhenConnectionCloses(t *testing.T) {
 	n := startNode(t, "proxy", 1, 200)
 	n.serveAtHost(0)
-	t.Run("an answer is read, whatever the client says after its line", func(t *testing.T) {
+	t.Run("answer arrives although the client has sent more", func(t *testing.T) {
 		for range 20 {
 			client := n.connect()
 			client.send("HELLO\r\n" + strings.Repeat("x", 12000))
 			client.expect("ERR", "<end>")
 		}
 	})
-	t.Run("a client that says nothing is rejected, and what crosses that goes nowhere", func(t *testing.T) {
+	t.Run("opening line that crosses the rejection of an idle client is dropped", func(t *testing.T) {
 		client := n.connect()
 		client.send("PING\r\n")
 		client.expect("PONG", "BUSY")
-		client.send(openingLine(900)) // the node's sending has ended or is about to
+		client.send(openingLine(900)) // the node has closed its write side or is about to
 		client.expect("<end>")
 		n.waitForLog(`"reason":"checked"`)
 	})
-	t.Run("a first line a byte at a time", func(t *testing.T) {
+	t.Run("opening line one byte at a time", func(t *testing.T) {
 		client := n.connect()
 		for i := range 3 {
 			client.send("OPEN"[i : i+1])
-			time.Sleep(50 * time.Millisecond) // slow, not a proof of anything
+			time.Sleep(50 * time.Millisecond) // only makes the client slow; the test does not depend on the duration
 		}
 		client.expect("BUSY", "<end>")
 	})
-	t.Run("half a line from a host that says no more", func(t *testing.T) {
+	t.Run("half a line from a host that sends no more", func(t *testing.T) {
 		n := startNode(t, "proxy", 1, 200)
 		client, host := n.establish()
 		host.send("M 1\r\nM")
@@ -45,7 +45,9 @@
 	})
 }
 
-func TestNoFurtherAttemptForAClientThatLeft(t *testing.T) {
+// A client that leaves while its flow is being placed could cause attempts at further hosts, each of which opens a flow
+// for nobody. The attempt in progress ends at once, and no further host is dialed.
+func TestNoFurtherAttemptForClientThatLeft(t *testing.T) {
 	n := startNode(t, "proxy", 2, 200)
 	client := n.connect()
 	client.send(openingLine(60000))
@@ -59,14 +61,14 @@
 	}
 	host := <-attempts
 	if got := host.readLine(); !strings.HasPrefix(got, "OPEN ") {
-		t.Fatalf("the host got %q", got)
+		t.Fatalf("the host received %q, want an opening line", got)
 	}
 	client.Close()
-	host.expect("<end>") // given up at once, and by then no other host is asked
+	host.expect("<end>") // the attempt has ended, so another one would have begun by now
 	n.waitForLog(`"reason":"client-left"`, `"connects":1`)
 	select {
 	case <-attempts:
-		t.Error("a further host was asked for a client that had left")
+		t.Error("a further host was dialed for a client that had left")
 	default:
 	}
 }
--- a/cmd/gorseledge/connections_test.go
+++ b/cmd/gorseledge/connections_test.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// testConn is the far side of one of the node's connections.
+// testConn is the remote side of one of the node's connections: a client or a host.
 type testConn struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-// newConn makes a connection one whose reads fail the test after waitTimeout.
+// newConn wraps a connection, whose reads then fail the test after waitTimeout.
 func (n *testNode) newConn(c net.Conn) *testConn {
 	c.SetDeadline(time.Now().Add(waitTimeout))
 	n.Cleanup(func() { c.Close() })
 	return &testConn{t: n.T, Conn: c, reader: bufio.NewReader(c)}
 }
 
-// connect has a client connect.
+// connect connects a client to the node.
 func (n *testNode) connect() *testConn {
 	n.Helper()
 	c, err := net.Dial("tcp", n.address)
@@ -37,7 +37,7 @@
 	return n.newConn(c)
 }
 
-// acceptAtHost takes the node's next connection to a host and reads its first line.
+// acceptAtHost accepts the node's next connection to a host and reads its first line.
 func (n *testNode) acceptAtHost(at int) (*testConn, string) {
 	n.Helper()
 	n.hosts[at].(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
@@ -49,7 +49,7 @@
 	return host, host.readLine()
 }
 
-// establish has a client come whose flow the first host takes.
+// establish connects a client whose flow the first host accepts.
 func (n *testNode) establish() (client, host *testConn) {
 	n.Helper()
 	client = n.connect()
@@ -57,15 +57,15 @@
 	host, _ = n.acceptAtHost(0)
 	host.send("UP 12\r\n")
 	if got := client.readLine(); got != "UP 12" {
-		n.Fatalf("answered %q", got)
+		n.Fatalf("answered %q, want UP 12", got)
 	}
 	return client, host
 }
 
-// lastFlowID is the id of the last flow of any test.
+// lastFlowID is the last flow id used by any test.
 var lastFlowID atomic.Int64
 
-// openingLine is a first line under an id of its own, with the milliseconds until the client gives up.
+// openingLine returns an opening line with a new flow id and the given connect timeout.
 func openingLine(timeoutMS int) string {
 	return fmt.Sprintf("OPEN %06x a1 c=chat,d=%d,zz=5\r\n", lastFlowID.Add(1), timeoutMS)
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-// readLine gives the next line, or how the connection ended.
+// readLine returns the next line, or how the connection ended: "<end>" or "<reset>" after any bytes of an incomplete line.
 func (c *testConn) readLine() string {
 	c.t.Helper()
 	text, err := c.reader.ReadString('\n')
@@ -93,7 +93,7 @@
 	return ""
 }
 
-// expect reads lines that must be these, each as readLine gives it.
+// expect reads lines and compares them with the expected ones, which have the form that readLine returns.
 func (c *testConn) expect(lines ...string) {
 	c.t.Helper()
 	for _, want := range lines {
@@ -103,7 +103,7 @@
 	}
 }
 
-// serveAtHost has a host take whatever comes.
+// serveAtHost has a host accept every flow.
 func (n *testNode) serveAtHost(at int) { n.respondAtHost(at, func(string) string { return "UP 1" }) }
 
 // respondAtHost has a host answer the first line of each connection.
@@ -126,7 +126,7 @@
 	}()
 }
 
-// placeFlow has a client come, gives its answer and lets it go.
+// placeFlow connects a client, returns its answer and closes the connection.
 func (n *testNode) placeFlow() string {
 	c := n.connect()
 	defer c.Close()
@@ -134,10 +134,10 @@
 	return c.readLine()
 }
 
-// tryFlow has a client come, and gives its answer or what became of its connection.
+// tryFlow connects a client and returns its answer, or the error of its connection.
 func (n *testNode) tryFlow() string { return n.tryOpeningLine(openingLine(900)) }
 
-// tryOpeningLine does the same with a first line of its own.
+// tryOpeningLine connects a client with the given opening line and returns its answer, or the error of its connection.
 func (n *testNode) tryOpeningLine(line string) string {
 	c, err := net.Dial("tcp", n.address)
 	if err != nil {
--- a/cmd/gorseledge/control_program_test.go
+++ b/cmd/gorseledge/control_program_test.go
@@ -16,13 +16,13 @@
 // statusPause is the time between two runs of the status command.
 const statusPause = 10 * time.Millisecond
 
-// controlServers are three processes of the control program, the first of them the writer.
+// controlServers are three processes of the control program; the first one is the writer.
 type controlServers struct {
 	*testing.T
 	program   string
-	files     []string // their control files
+	files     []string // paths of the servers' control files
 	processes []*exec.Cmd
-	fleetRows string // of the servers but the writer, for a node's fleet file
+	fleetRows string // tables for a node's fleet file that name all servers except the writer
 }
 
 // startControlServers builds the control program, starts three servers and waits until they answer.
@@ -77,14 +77,14 @@
 	})
 }
 
-// run runs a command with the first server's control file, and gives its output.
+// run runs a command of the control program with the first server's control file, and returns its output.
 func (c *controlServers) run(args ...string) (string, error) {
 	args = append([]string{"--control", c.files[0]}, args...)
 	out, err := exec.CommandContext(c.Context(), c.program, args...).CombinedOutput()
 	return string(out), err
 }
 
-// apply puts a document in force over the newest revision and gives its version.
+// apply makes a document the newest revision and returns its version. It retries until a revision is accepted.
 func (c *controlServers) apply(document string) configfeed.Version {
 	c.Helper()
 	file := filepath.Join(c.TempDir(), "live.toml")
@@ -104,7 +104,7 @@
 	}
 }
 
-// serverStatus is what the test reads from the status command, with its complete text.
+// serverStatus is the part of the status command's output that the test needs, with the complete text.
 type serverStatus struct {
 	Newest  configfeed.Version `json:"newest"`
 	Nodes   int                `json:"nodes"`
@@ -112,7 +112,8 @@
 	text    string
 }
 
-// status runs the status command, which fails where a server does not answer and still says what the others do.
+// status runs the status command. The command fails if a server does not answer, but still prints the status of the
+// others, so its error is ignored.
 func (c *controlServers) status() serverStatus {
 	c.Helper()
 	var s serverStatus
@@ -122,7 +123,7 @@
 	return s
 }
 
-// waitForStatus waits until the status passes a check; what names what the check looks for.
+// waitForStatus waits until the status passes a check; what describes the expected status in the failure message.
 func (c *controlServers) waitForStatus(what string, check func(serverStatus) bool) {
 	c.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(statusPause) {
@@ -131,13 +132,14 @@
 			return
 		}
 		if time.Now().After(end) {
-			c.Fatalf("want %s, status shows %s", what, status.text)
+			c.Fatalf("want %s, got status %s", what, status.text)
 		}
 	}
 }
 
-// A node follows processes of the control program: the status command shows it, and what it refuses and why; where the
-// server that it follows dies, the next revision reaches it by another one.
+// A node that kept to a dead control server would miss all further revisions, and operators would not notice unless the
+// status command showed what each node has in force. With three processes of the control program, the status shows the
+// revisions that the node applied and refused; when the node's server dies, the next revision reaches it from another.
 func TestNodeFollowsControlServers(t *testing.T) {
 	c := startControlServers(t)
 	n := &testNode{T: t, adminAddress: freeAddress(t)}
@@ -154,28 +156,28 @@
 	v := c.apply(disablingDocument("s-00000064"))
 	n.waitForRevision(v)
 	if answers := n.countAnswers(40); answers["UP 0"] != 0 || answers["UP 1"]+answers["UP 2"] != 40 {
-		t.Errorf("with one host disabled clients were answered %v", answers)
+		t.Errorf("with host 0 disabled, clients were answered %v", answers)
 	}
-	c.waitForStatus("that the node has it", func(s serverStatus) bool { return s.Nodes == 1 && s.Current == 1 })
+	c.waitForStatus("one node with the revision in force", func(s serverStatus) bool { return s.Nodes == 1 && s.Current == 1 })
 
 	c.apply("[limits]\nmax_connects = 64\n")
-	c.waitForStatus("that the node refused it", func(s serverStatus) bool {
+	c.waitForStatus("a node that refused the revision", func(s serverStatus) bool {
 		return s.Current == 0 && strings.Contains(s.text, "limits.max_connects: 64 is over the start's 3")
 	})
 	v = c.apply(disablingDocument("s-00000065"))
 	followed := n.waitForRevision(v).Server
 	index := map[string]int{"c2": 1, "c3": 2}[followed]
 	if index == 0 {
-		t.Fatalf("it follows %q, which its fleet file does not name", followed)
+		t.Fatalf("the node follows %q, which its fleet file does not name", followed)
 	}
 	if err := c.processes[index].Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	c.processes[index].Wait()
 	if page := n.waitForRevision(c.apply(disablingDocument("s-00000066"))); page.Server == followed {
-		t.Errorf("it follows a server that is dead: %+v", page)
+		t.Errorf("the node still follows the server that was killed: %+v", page)
 	}
 	if answers := n.countAnswers(40); answers["UP 2"] != 0 || answers["UP 0"]+answers["UP 1"] != 40 {
-		t.Errorf("with another host disabled clients were answered %v", answers)
+		t.Errorf("with host 2 disabled, clients were answered %v", answers)
 	}
 }
--- a/cmd/gorseledge/control_server_test.go
+++ b/cmd/gorseledge/control_server_test.go
@@ -16,19 +16,19 @@
 	"gorseledge/internal/livesettings"
 )
 
-// The fleet of the control servers, and its key.
+// The name and the key of the fleet that the control servers belong to.
 const (
 	controlFleet = "lima"
 	controlKey   = "00112233445566778899aabbccddeeff"
 )
 
-// memoryStore keeps what a control server promises for as long as the test runs.
+// memoryStore is a control server's store that keeps the state in memory, also over a restart of the server.
 type memoryStore struct {
 	mu    sync.Mutex
 	state configfeed.State
 }
 
-// Save keeps a state; no older one can be asked for.
+// Save replaces the stored state.
 func (m *memoryStore) Save(state configfeed.State, _ []configfeed.Revision) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -36,9 +36,9 @@
 	return nil
 }
 
-// At always fails.
+// At always returns an error, since older states are not stored.
 func (m *memoryStore) At(configfeed.Version) (configfeed.State, error) {
-	return configfeed.State{}, errors.New("nothing older is kept")
+	return configfeed.State{}, errors.New("older states are not stored")
 }
 
 func (m *memoryStore) version() configfeed.Version {
@@ -47,7 +47,7 @@
 	return m.state.Version
 }
 
-// controlServer is a fleet's only control server, in the test's own process.
+// controlServer is the only control server of a fleet. It runs in the process of the test.
 type controlServer struct {
 	*testing.T
 	address string
@@ -57,7 +57,7 @@
 	client  *feedhttp.Client
 }
 
-// startControlServer starts a control server with an epoch of its own and no revision.
+// startControlServer starts a control server and begins an epoch, which has no revision yet.
 func startControlServer(t *testing.T) *controlServer {
 	t.Helper()
 	key, err := hex.DecodeString(controlKey)
@@ -71,12 +71,12 @@
 	t.Cleanup(func() { c.stop() })
 	outcome, err := c.client.BeginEpoch(t.Context(), c.address, feedhttp.EpochRequest{Author: "test"})
 	if err != nil || outcome.Kind != configfeed.Accepted {
-		t.Fatalf("%+v, %v", outcome, err)
+		t.Fatalf("beginning an epoch: outcome %+v, error %v", outcome, err)
 	}
 	return c
 }
 
-// serve starts the server, or starts it again with what it had on disk.
+// serve starts the server, or starts it again with its stored state.
 func (c *controlServer) serve() {
 	c.Helper()
 	listener, err := net.Listen("tcp", c.address)
@@ -96,7 +96,7 @@
 	})
 }
 
-// apply makes a document the newest revision and gives its version.
+// apply makes a document the newest revision and returns its version.
 func (c *controlServer) apply(document string) configfeed.Version {
 	c.Helper()
 	entries, err := livesettings.Parse("live.toml", []byte(document))
@@ -110,7 +110,7 @@
 			return outcome.Version
 		}
 		if time.Now().After(end) {
-			c.Fatalf("%+v, %v", outcome, err)
+			c.Fatalf("applying a document: outcome %+v, error %v", outcome, err)
 		}
 	}
 }
--- a/cmd/gorseledge/flows_test.go
+++ b/cmd/gorseledge/flows_test.go
@@ -10,11 +10,11 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
-// flowCase is what a client and a host do on an established connection, and the reason that the node then logs.
+// flowCase is an exchange between a client and a host over an established flow.
 type flowCase struct {
 	name   string
 	do     func(client, host *testConn)
-	reason string
+	reason string // reason of the flow's end in the node's log
 }
 
 var establishedFlows = []flowCase{
@@ -37,22 +37,22 @@
 		client.Close()
 		host.expect("<reset>")
 	}, "client-reset"},
-	{"client ends its sending, the host's last lines still come", func(client, host *testConn) {
+	{"client closes its write side, host's last lines still arrive", func(client, host *testConn) {
 		client.Conn.(*net.TCPConn).CloseWrite()
 		host.expect("<end>")
 		host.send("M 9\r\nBYE\r\n")
 		host.Close()
 		client.expect("M 9", "BYE", "<end>")
 	}, "client-ended"},
-	{"host sends its client away", func(client, host *testConn) {
+	{"host has its client connect elsewhere", func(client, host *testConn) {
 		host.send("MOVE\r\n")
 		host.Close()
 		client.expect("MOVE", "<end>")
 	}, "sent-away"},
-	{"much in both directions at once", exchangeInBothDirections, "served"},
+	{"500 kB in both directions at once", exchangeInBothDirections, "served"},
 }
 
-// exchangeInBothDirections has both sides send half a megabyte to each other at once, and the host end it.
+// exchangeInBothDirections has both sides send half a megabyte to each other at the same time. The host then ends the flow.
 func exchangeInBothDirections(client, host *testConn) {
 	text := strings.Repeat(strings.Repeat("x", 1000)+"\r\n", 500)
 	done := make(chan error, 4)
@@ -76,11 +76,12 @@
 	client.expect("BYE", "<end>")
 }
 
-// Each end of an established flow goes on to the other side, and its reason is logged.
+// If one side's end were not passed on, the other side would wait for a peer that is gone. However an established flow
+// ends, the other side sees the end, and the node logs its reason.
 func TestEstablishedFlowEndsWithItsReason(t *testing.T) {
 	for _, c := range establishedFlows {
 		t.Run(c.name, func(t *testing.T) {
-			n := startNode(t, "proxy", 1, 200) // of its own: the node remembers what a host did
+			n := startNode(t, "proxy", 1, 200) // a new node for each case, since it remembers how hosts behaved
 			client, host := n.establish()
 			c.do(client, host)
 			n.waitForLog(`"reason":"` + c.reason + `"`)
@@ -88,8 +89,10 @@
 	}
 }
 
-func TestFirstLine(t *testing.T) {
-	t.Run("goes on unchanged but for its time", func(t *testing.T) {
+// An opening line that reached the host changed would open another flow than the client asked for; only the timeout may
+// differ. An invalid one must be answered ERR and logged with its reason.
+func TestOpeningLine(t *testing.T) {
+	t.Run("passed on with only the timeout changed", func(t *testing.T) {
 		n := startNode(t, "proxy", 1, 200)
 		client := n.connect()
 		text := openingLine(900)
@@ -98,15 +101,15 @@
 		const beforeTimeout = 23 // bytes of the line before the client's timeout
 		want := strings.TrimSpace(text)
 		if len(got) != len(want) || got[:beforeTimeout] != want[:beforeTimeout] || !strings.HasSuffix(got, ",zz=5") {
-			t.Fatalf("the host got %q", got)
+			t.Fatalf("the host received %q, want %q with another timeout", got, want)
 		}
 		host.send("BUSY\r\n")
 		if got := client.readLine(); !strings.HasPrefix(got, "BUSY ") {
-			t.Fatalf("answered %q", got)
+			t.Fatalf("answered %q, want BUSY with a time", got)
 		}
 		client.expect("<end>")
 	})
-	t.Run("is answered ERR where it is wrong", func(t *testing.T) {
+	t.Run("answered ERR if invalid", func(t *testing.T) {
 		n := startNode(t, "proxy", 1, 200)
 		for text, reason := range map[string]string{"HELLO\r\n": "bad-line", "OPEN 1 a1 c=chat\r\n": "no-timeout",
 			"OPEN 1 a1 c=odd,d=5\r\n": "unknown-type", strings.Repeat("y", 5000): "client-odd"} {
@@ -118,16 +121,17 @@
 	})
 }
 
+// A node that ignored a change of the endpoint list would send new flows to a host that is about to stop.
 func TestDrainingHostGetsNoNewFlow(t *testing.T) {
 	n := startNode(t, "proxy", 1, 200)
 	n.serveAtHost(0)
 	if got := n.placeFlow(); got != "UP 1" {
-		t.Fatalf("answered %q", got)
+		t.Fatalf("answered %q, want UP 1", got)
 	}
 	n.discovery.Publish(endpoint.List{Index: 2, Hosts: []endpoint.Host{{Name: "s-00000064", Status: "DRAINING"}}})
 	for end := time.Now().Add(waitTimeout); !strings.HasPrefix(n.placeFlow(), "BUSY"); {
 		if time.Now().After(end) {
-			t.Fatal("it still does")
+			t.Fatalf("the draining host still gets new flows after %v", waitTimeout)
 		}
 	}
 }
--- a/cmd/gorseledge/gossip_test.go
+++ b/cmd/gorseledge/gossip_test.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// startAnother starts one more node with the same hosts, one of so many, and gives its address for clients. gossip holds
-// the config's keys about the nodes that it exchanges load gossip with.
+// startAnother starts another node with the same hosts, in a deployment of the given number of nodes, and returns its
+// address for clients. gossip holds the config's keys for the nodes with which it exchanges load gossip.
 func (n *testNode) startAnother(name string, nodes int, gossip map[string]any) (address string) {
 	n.Helper()
 	settings := maps.Clone(n.config["settings"].(map[string]any))
@@ -52,7 +52,8 @@
 	return address
 }
 
-// gossipConfig gives the config's keys for a node that exchanges load gossip at its own address with the others of all.
+// gossipConfig returns the config's keys for a node that exchanges load gossip with the nodes at the other addresses of
+// all; own is its own address.
 type gossipConfig func(t *testing.T, own string, all ...string) map[string]any
 
 // peersConfig names the nodes in the config.
@@ -60,7 +61,7 @@
 	return map[string]any{"peer_addr": own, "peers": all}
 }
 
-// memberConfig names the nodes in a fleet file, which it writes.
+// memberConfig writes a fleet file that names the nodes, and names that file in the config.
 func memberConfig(t *testing.T, own string, all ...string) map[string]any {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fleet.toml")
@@ -72,8 +73,9 @@
 	return map[string]any{"fleet": path}
 }
 
-// One node's health check finds a host overloaded, and another node, which asks for no report for hours, sends its flows
-// elsewhere. So it goes between peers that the config names, and between the members of a fleet where it names none.
+// A node that learned of loads only from its own health checks would go on sending flows to a host that others have found
+// overloaded. Here one node checks the hosts and another one, which makes no check for hours, must learn of the overload
+// by gossip: between peers that the config names, and between members of a fleet if it names none.
 func TestLoadGossipAmongProcesses(t *testing.T) {
 	for name, config := range map[string]gossipConfig{"peers": peersConfig, "members": memberConfig} {
 		t.Run(name, func(t *testing.T) { testLoadGossip(t, config) })
@@ -92,16 +94,16 @@
 	first := n.placeFlow()
 	host, known := map[string]int64{"UP 0": 0, "UP 1": 1}[first]
 	if !known {
-		t.Fatalf("answered %q", first)
+		t.Fatalf("answered %q, want UP 0 or UP 1", first)
 	}
 	overloaded.Store(host)
 	if got := n.placeFlow(); got != first {
-		t.Fatalf("answered %s and %s by hosts that nobody knows to be overloaded", first, got)
+		t.Fatalf("answered %s, then %s, although no node knows of an overloaded host yet", first, got)
 	}
 	n.startAnother("n3", 1, config(t, checker, checker, listener))
 	for end := time.Now().Add(waitTimeout); n.placeFlow() == first; {
 		if time.Now().After(end) {
-			t.Fatal("the overloaded host is still sent flows")
+			t.Fatalf("the overloaded host still gets flows after %v", waitTimeout)
 		}
 	}
 }
--- a/cmd/gorseledge/harness_test.go
+++ b/cmd/gorseledge/harness_test.go
@@ -21,27 +21,27 @@
 	"gorseledge/internal/rig/standin"
 )
 
-// waitTimeout is how long a test waits for what must come; nothing here waits for time to pass.
+// waitTimeout is how long a test waits for an expected event before it fails. Tests that pass do not depend on it.
 const waitTimeout = 20 * time.Second
 
-// testNode is a running node with stand-ins for its hosts and for discovery. What goes wrong fails its test.
+// testNode is a running node whose hosts and discovery are provided by the test. Its methods fail the test on an error.
 type testNode struct {
 	*testing.T
 	program      string // path of the program; empty for the one that is built for all tests
-	address      string // for clients
+	address      string // address for clients
 	hosts        []net.Listener
-	process      *exec.Cmd // the latest
+	process      *exec.Cmd // the process started last
 	log          *lockedBuffer
 	discovery    *standin.Discovery
 	configPath   string
 	config       map[string]any
-	descriptors  int    // limit of the process
-	adminAddress string // the second address; empty for none
-	tempDir      string // TMPDIR; empty for none
-	fleetFile    string // path; empty for none
+	descriptors  int    // the process's limit of descriptors
+	adminAddress string // empty for none
+	tempDir      string // value of TMPDIR; empty for none
+	fleetFile    string // path of the fleet file; empty for none
 }
 
-// lockedBuffer holds what a node's processes log.
+// lockedBuffer holds the log of all processes of a node.
 type lockedBuffer struct {
 	sync.Mutex
 	buffer bytes.Buffer
@@ -59,7 +59,7 @@
 	return b.buffer.String()
 }
 
-// startNode starts the program with that many hosts and descriptors, and waits until it serves.
+// startNode starts a node with the given numbers of hosts and descriptors, and waits until it serves clients.
 func startNode(t *testing.T, mode string, hosts, descriptors int) *testNode {
 	t.Helper()
 	n := &testNode{T: t}
@@ -67,7 +67,7 @@
 	return n
 }
 
-// startWithHosts starts hosts, discovery and the program, and waits until it serves.
+// startWithHosts starts hosts, discovery and the program, and waits until the node serves clients.
 func (n *testNode) startWithHosts(mode string, hosts, descriptors int) {
 	t := n.T
 	t.Helper()
@@ -94,7 +94,7 @@
 	n.waitUntilServing()
 }
 
-// newConfig gives the config of a node whose deployment's packets pass in this mode.
+// newConfig returns the node's config, with the given value of settings.family_info.mode.
 func (n *testNode) newConfig(mode string) map[string]any {
 	config := map[string]any{
 		"name": "n1", "listen": n.address, "discovery": n.discovery.Address(), "seed": "8c1f30d27a5be964",
@@ -114,17 +114,17 @@
 	return config
 }
 
-// waitUntilServing waits until the node answers a client that asks whether it is ready.
+// waitUntilServing waits until the node answers a client's PING.
 func (n *testNode) waitUntilServing() {
 	n.Helper()
 	for end := time.Now().Add(waitTimeout); !n.answersPing(); {
 		if time.Now().After(end) {
-			n.Fatal("the node is not ready")
+			n.Fatalf("the node did not answer a PING within %v", waitTimeout)
 		}
 	}
 }
 
-// answersPing tells whether the node answers a client that asks whether it is ready.
+// answersPing reports whether the node answers a client's PING with PONG.
 func (n *testNode) answersPing() bool {
 	conn, err := net.Dial("tcp", n.address)
 	if err != nil {
@@ -153,7 +153,7 @@
 	n.process = process
 }
 
-// writeConfig writes the config that the node reads.
+// writeConfig writes n.config to the node's config file.
 func (n *testNode) writeConfig() {
 	n.Helper()
 	text, err := json.Marshal(n.config)
@@ -165,7 +165,7 @@
 	}
 }
 
-// signal sends the latest process a signal.
+// signal sends a signal to the process started last.
 func (n *testNode) signal(signal syscall.Signal) {
 	n.Helper()
 	if err := n.process.Process.Signal(signal); err != nil {
@@ -173,7 +173,7 @@
 	}
 }
 
-// waitForLog waits until the log has a line with all of these.
+// waitForLog waits until the log has a line that contains all parts.
 func (n *testNode) waitForLog(parts ...string) {
 	n.Helper()
 	lacksPart := func(line string) bool {
@@ -186,10 +186,10 @@
 			}
 		}
 	}
-	n.Fatalf("no log line with %q", parts)
+	n.Fatalf("no log line with all of %q within %v", parts, waitTimeout)
 }
 
-// startDiscovery starts a stand-in for discovery.
+// startDiscovery starts a discovery service that runs until the end of the test.
 func startDiscovery(t *testing.T) *standin.Discovery {
 	t.Helper()
 	d := standin.StartDiscovery()
@@ -207,13 +207,13 @@
 	return ln
 }
 
-// firstFreePort and freePorts are a range of ports that the system assigns to nobody by itself.
+// firstFreePort and freePorts define a range of ports below the ephemeral ports, which the kernel assigns by itself.
 const (
 	firstFreePort = 15000
 	freePorts     = 16000
 )
 
-// freeAddress gives an address at which nobody listens.
+// freeAddress returns a loopback address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 100 {
@@ -223,11 +223,11 @@
 			return address
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatal("found no free port in 100 attempts")
 	return ""
 }
 
-// shortTempDir gives a TMPDIR with a short path, as a Unix socket needs it.
+// shortTempDir returns a directory for TMPDIR. Its path is short, since the length of a Unix socket's path is limited.
 func shortTempDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "g")
--- a/cmd/gorseledge/live_settings_test.go
+++ b/cmd/gorseledge/live_settings_test.go
@@ -16,7 +16,7 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// followerFleetFile writes the fleet file of a node that follows a control server, and gives its path.
+// followerFleetFile writes the fleet file of a node that follows a control server, and returns its path.
 func followerFleetFile(t *testing.T, server string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "fleet.toml")
@@ -29,7 +29,7 @@
 	return path
 }
 
-// startFollower starts a node with a second address that follows a control server.
+// startFollower starts a node with an admin address that follows a control server.
 func startFollower(t *testing.T, server, tempDir string) *testNode {
 	t.Helper()
 	n := &testNode{T: t, adminAddress: freeAddress(t), tempDir: tempDir, fleetFile: followerFleetFile(t, server)}
@@ -40,7 +40,8 @@
 	return n
 }
 
-// waitForConfigPage waits until the node's page of its configuration passes a check, and gives it.
+// waitForConfigPage waits until the node's configuration page passes a check, and returns the page; what describes the
+// expected page in the failure message.
 func (n *testNode) waitForConfigPage(what string, check func(view.Config) bool) view.Config {
 	n.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
@@ -50,12 +51,12 @@
 			return c
 		}
 		if time.Now().After(end) {
-			n.Fatalf("want %s, it shows %d %s", what, code, body)
+			n.Fatalf("want %s, got configuration page %d %s", what, code, body)
 		}
 	}
 }
 
-// waitForRevision waits until the node's page says that a revision is in force, and gives the page.
+// waitForRevision waits until the node's configuration page shows that a revision is in force, and returns the page.
 func (n *testNode) waitForRevision(v configfeed.Version) view.Config {
 	n.Helper()
 	return n.waitForConfigPage(v.String()+" in force", func(c view.Config) bool {
@@ -63,15 +64,15 @@
 	})
 }
 
-// lastClientKey is the key of the last client of tryNewClient.
+// lastClientKey is the last client key that tryNewClient used.
 var lastClientKey atomic.Int64
 
-// tryNewClient has a client come that has not come before, and so may be placed on any host, and gives its answer.
+// tryNewClient connects a client with a new key, which may therefore be placed on any host, and returns its answer.
 func (n *testNode) tryNewClient() string {
 	return n.tryOpeningLine(fmt.Sprintf("OPEN %06x %x c=chat,d=900\r\n", lastFlowID.Add(1), lastClientKey.Add(1)))
 }
 
-// countAnswers counts the answers to so many new clients.
+// countAnswers connects the given number of new clients and counts their answers.
 func (n *testNode) countAnswers(clients int) map[string]int {
 	n.Helper()
 	answers := map[string]int{}
@@ -81,7 +82,7 @@
 	return answers
 }
 
-// disablingDocument gives live settings under which hosts are disabled.
+// disablingDocument returns live settings that disable hosts.
 func disablingDocument(hosts ...string) string {
 	var document strings.Builder
 	for _, host := range hosts {
@@ -90,15 +91,16 @@
 	return document.String()
 }
 
-// A revision is in force at a node as soon as it shows it: a disabled host gets no further flow, one that does not fit
-// is refused completely, with its reason, and all goes on without the server.
+// A node could show a revision that it has not applied yet, or apply an invalid one in part. Once the node shows a
+// revision, a host that it disables gets no further flows. A revision that does not fit the start's settings is refused as
+// a whole, with its reason, and the previous one stays in force.
 func TestLiveSettingsTakeEffect(t *testing.T) {
 	c := startControlServer(t)
 	n := startFollower(t, c.address, "")
 	v := c.apply(disablingDocument("s-00000064"))
 	n.waitForRevision(v)
 	if answers := n.countAnswers(60); answers["UP 0"] != 0 || answers["UP 1"]+answers["UP 2"] != 60 {
-		t.Errorf("with one host disabled clients were answered %v", answers)
+		t.Errorf("with host 0 disabled, clients were answered %v", answers)
 	}
 	n.waitForLog(`"message":"configuration"`, `"in_force":true`, fmt.Sprintf(`"revision":%d`, v.Revision))
 
@@ -106,21 +108,21 @@
 	page := n.waitForConfigPage("a refusal", func(c view.Config) bool { return c.Refused != nil })
 	if page.Revision != v.Revision || page.Refused.Revision != refused.Revision || page.Newest.Revision != refused.Revision ||
 		!strings.Contains(page.Refused.Reason, "limits.max_connects: 64 is over the start's 3") {
-		t.Errorf("%+v, refused %+v", page, page.Refused)
+		t.Errorf("after a refusal: page %+v, refused %+v", page, page.Refused)
 	}
 	n.waitForLog(`"message":"configuration"`, `"in_force":false`, "is over the start's 3")
 	if answers := n.countAnswers(60); answers["UP 0"] != 0 || answers["UP 1"] == 0 || answers["UP 2"] == 0 {
-		t.Errorf("after a refusal clients were answered %v", answers)
+		t.Errorf("after a refusal, clients were answered %v", answers)
 	}
 
 	v = c.apply(disablingDocument("s-00000065"))
 	if page := n.waitForRevision(v); page.Refused != nil || page.Server != "c1" || !page.Follows || page.Region != "west" || page.Requests == 0 {
-		t.Errorf("%+v", page)
+		t.Errorf("after the next revision: page %+v", page)
 	}
 }
 
-// With its control server gone a node keeps the revision in force and shows its age; it follows again once the server is
-// back.
+// The failure of the control servers must not undo the live settings. Without its control server a node keeps the
+// revision in force and shows how old the last answer is; once the server is back, the node follows it again.
 func TestLiveSettingsStayWithoutControlServer(t *testing.T) {
 	c := startControlServer(t)
 	n := startFollower(t, c.address, "")
@@ -128,26 +130,27 @@
 	n.waitForRevision(v)
 	c.stop()
 	heard := n.waitForConfigPage("the time of the last answer", func(c view.Config) bool { return c.Heard > 0 }).Heard
-	page := n.waitForConfigPage("that the last answer grows old", func(c view.Config) bool { return c.Age > 3 })
+	page := n.waitForConfigPage("a last answer older than 3 s", func(c view.Config) bool { return c.Age > 3 })
 	if page.Revision != v.Revision || page.Heard < heard {
-		t.Errorf("without a server: %+v", page)
+		t.Errorf("without a control server: page %+v", page)
 	}
 	if answers := n.countAnswers(60); answers["UP 1"] != 0 || answers["UP 0"]+answers["UP 2"] != 60 {
-		t.Errorf("without a server clients were answered %v", answers)
+		t.Errorf("without a control server, clients were answered %v", answers)
 	}
 	if code, metrics := n.callAdmin("GET", "/-/metrics"); code != 200 || !strings.Contains(metrics, fmt.Sprintf("lb.config.revision:%d|g\n", v.Revision)) {
-		t.Errorf("%d %s", code, metrics)
+		t.Errorf("without a control server: status %d, metrics %s", code, metrics)
 	}
 	c.serve()
 	n.waitForRevision(c.apply(""))
 	for end := time.Now().Add(waitTimeout); n.tryNewClient() != "UP 1"; {
 		if time.Now().After(end) {
-			t.Fatal("a host that is disabled no longer gets nothing")
+			t.Fatalf("a host that is no longer disabled gets no flow within %v", waitTimeout)
 		}
 	}
 }
 
-// A node that starts again accepts clients with the revision in force, and without any server with its own file.
+// A restarted node could accept clients before it has received the live settings, and send them to disabled hosts. It
+// waits for the revision in force. If no control server answers, it starts with the settings of its own config.
 func TestRestartWithLiveSettings(t *testing.T) {
 	c := startControlServer(t)
 	n := startFollower(t, c.address, "")
@@ -156,7 +159,7 @@
 	n.signal(syscall.SIGKILL)
 	n.process.Wait()
 	n.startProcess()
-	n.waitUntilServing() // its first answer of all is after the listener has opened
+	n.waitUntilServing() // the node answers nothing before its listener is open
 	n.checkFirstClients(40)
 	n.waitForRevision(v)
 	n.signal(syscall.SIGKILL)
@@ -164,33 +167,34 @@
 	c.stop()
 	n.startProcess()
 	n.waitUntilServing()
-	if page := n.waitForConfigPage("its page", func(view.Config) bool { return true }); page.Revision != 0 || page.Heard != 0 {
-		t.Errorf("without a server: %+v", page)
+	if page := n.waitForConfigPage("any page", func(view.Config) bool { return true }); page.Revision != 0 || page.Heard != 0 {
+		t.Errorf("without a control server: page %+v, want no revision and no answer", page)
 	}
 	for end := time.Now().Add(waitTimeout); n.tryNewClient() != "UP 0"; {
 		if time.Now().After(end) {
-			t.Fatal("without a server the node does not go by its file")
+			t.Fatalf("without a control server, a host that only the live settings disabled gets no flow within %v", waitTimeout)
 		}
 	}
 }
 
-// noSettingsInTime is what a node logs that accepts clients without any revision of the live settings.
+// noSettingsInTime is part of the line that a node logs when it accepts clients without any revision of the live settings.
 const noSettingsInTime = "no live settings in time"
 
-// checkFirstClients has the first clients of a process come, with the first host disabled by the live settings. On a
-// machine so busy that the process did not receive these in time, which it then logs, there is nothing to check.
+// checkFirstClients connects the first clients of a process, while the live settings disable the first host, and checks
+// that none is placed there. If the machine is so busy that the process logged that it did not receive the live settings
+// in time, there is nothing to check.
 func (n *testNode) checkFirstClients(clients int) {
 	n.Helper()
 	answers := n.countAnswers(clients)
 	if strings.Contains(n.log.text(), noSettingsInTime) {
-		n.Logf("the machine is too busy to tell: %v", answers)
+		n.Logf("not checked, since the live settings did not arrive in time on this busy machine: answers %v", answers)
 	} else if answers["UP 0"] != 0 || answers["UP 1"]+answers["UP 2"] != clients {
-		n.Errorf("the first clients were answered %v", answers)
+		n.Errorf("with host 0 disabled, the first clients were answered %v", answers)
 	}
 }
 
-// Discovery is followed where the live settings say, whatever a config that is read again says, and where the config
-// says once they say nothing.
+// A reload could move a node back to the config's discovery although the live settings name another one. The address in
+// the live settings takes precedence over the config, also after a reload; without one, the node uses the config's.
 func TestLiveSettingsMoveDiscovery(t *testing.T) {
 	c := startControlServer(t)
 	n := startFollower(t, c.address, "")
@@ -206,7 +210,7 @@
 	n.signal(syscall.SIGHUP)
 	n.waitForLog("config's discovery address not used: the live settings override it")
 	if answers := n.countAnswers(20); answers["UP 2"] != 20 {
-		t.Errorf("clients were answered %v", answers)
+		t.Errorf("after the reload, clients were answered %v, want 20 times UP 2", answers)
 	}
 	n.waitForRevision(c.apply(""))
 	n.waitForMetric("lb.targets:0|g\n")
--- a/cmd/gorseledge/live_settings_upgrade_test.go
+++ b/cmd/gorseledge/live_settings_upgrade_test.go
@@ -9,7 +9,8 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// A process that takes over from one that follows nobody has a revision before it accepts clients.
+// The successor of a process that follows no control server inherits no revision of the live settings. If it accepted
+// clients before it has received one, those clients would be sent to disabled hosts.
 func TestUpgradeToLiveSettings(t *testing.T) {
 	c := startControlServer(t)
 	c.apply(disablingDocument("s-00000064"))
@@ -22,18 +23,19 @@
 	n.waitUntilReady()
 	n.shutDown(old)
 	n.checkFirstClients(40)
-	n.waitForConfigPage("that it follows", func(c view.Config) bool { return c.Follows && c.Revision > 0 })
+	n.waitForConfigPage("a node that follows a control server", func(c view.Config) bool { return c.Follows && c.Revision > 0 })
 }
 
-// In an upgrade the new process accepts no client before it has the old one's revision, with or without a server, and
-// is the one that follows from then on.
+// A successor that started without the live settings would send clients to disabled hosts, above all while no control
+// server answers. It inherits the predecessor's revision before it accepts clients, and then follows the control server
+// in the predecessor's place.
 func TestUpgradeKeepsLiveSettings(t *testing.T) {
 	c := startControlServer(t)
 	n := startFollower(t, c.address, shortTempDir(t))
 	v := c.apply(disablingDocument("s-00000064"))
 	n.waitForRevision(v)
 	if code, _ := n.callAdmin("PUT", "/-/hosts/s-00000065/disable"); code != 200 {
-		t.Fatalf("answered %d", code)
+		t.Fatalf("disabling a host was answered %d", code)
 	}
 	c.stop()
 	var answers sync.Map
@@ -45,27 +47,27 @@
 	stop()
 	answers.Range(func(got, _ any) bool {
 		if got != "UP 2" {
-			t.Errorf("over an upgrade a client was answered %q", got)
+			t.Errorf("during the upgrade a client was answered %q, want UP 2", got)
 		}
 		return true
 	})
 	c.serve()
-	n.waitForConfigPage("that the new process follows", func(c view.Config) bool { return c.Follows && c.Server == "c1" && c.Age < 3 })
+	n.waitForConfigPage("a successor that follows c1", func(c view.Config) bool { return c.Follows && c.Server == "c1" && c.Age < 3 })
 	n.waitForRevision(c.apply(""))
 	if got := n.countAnswers(30); got["UP 1"] != 0 || got["UP 0"]+got["UP 2"] != 30 {
-		t.Errorf("with one host disabled by an operator clients were answered %v", got)
+		t.Errorf("with host 1 disabled by an operator, clients were answered %v", got)
 	}
 	if code, _ := n.callAdmin("PUT", "/-/hosts/s-00000065/enable"); code != 200 {
-		t.Fatalf("answered %d", code)
+		t.Fatalf("enabling a host was answered %d", code)
 	}
 	for end := time.Now().Add(waitTimeout); n.tryNewClient() != "UP 1"; {
 		if time.Now().After(end) {
-			t.Fatal("a host that an operator has enabled again gets nothing")
+			t.Fatalf("a host that an operator has enabled again gets no flow within %v", waitTimeout)
 		}
 	}
 }
 
-// streamEach has new clients come one after the other, and hands on their answers, until stop is called.
+// streamEach has new clients connect one after the other and passes each answer to the function each, until stop is called.
 func (n *testNode) streamEach(each func(answer string)) (stop func()) {
 	stopped, ended := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/cmd/gorseledge/main_test.go
+++ b/cmd/gorseledge/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// program is built once for all tests.
+// program is the path of the program under test, which is built once for all tests.
 var program string
 
 func TestMain(m *testing.M) {
--- a/cmd/gorseledge/operator_test.go
+++ b/cmd/gorseledge/operator_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// startWithAdmin starts a node with a second address and a TMPDIR; tempDir is empty for none.
+// startWithAdmin starts a node with an admin address and the given TMPDIR; tempDir is empty for none.
 func startWithAdmin(t *testing.T, mode, tempDir string, descriptors int) *testNode {
 	t.Helper()
 	n := &testNode{T: t, adminAddress: freeAddress(t), tempDir: tempDir}
@@ -17,7 +17,8 @@
 	return n
 }
 
-// callAdmin makes one call of the second address: the code, 0 for no answer, and the body.
+// callAdmin makes one call to the admin address. It returns the status code and the body, or 0 and the error's text if
+// there is no answer.
 func (n *testNode) callAdmin(method, path string) (code int, body string) {
 	n.Helper()
 	req, err := http.NewRequestWithContext(n.Context(), method, "http://"+n.adminAddress+path, nil)
@@ -37,7 +38,7 @@
 	return res.StatusCode, string(text)
 }
 
-// waitUntilReady waits until the second address of the latest process says that clients may come.
+// waitUntilReady waits until the process started last reports at its admin address that it is ready for clients.
 func (n *testNode) waitUntilReady() {
 	n.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
@@ -45,12 +46,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			n.Fatal("the new process is not ready")
+			n.Fatalf("the new process is not ready after %v", waitTimeout)
 		}
 	}
 }
 
-// waitForMetric waits until the figures have a line.
+// waitForMetric waits until the node's metrics contain a line.
 func (n *testNode) waitForMetric(line string) {
 	n.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
@@ -59,12 +60,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			n.Fatalf("want %q: %d %s", line, code, body)
+			n.Fatalf("no metric %q within %v: status %d, %s", line, waitTimeout, code, body)
 		}
 	}
 }
 
-// Scrapes and calls are answered in time while the clients' listener is full and 200 callers say nothing.
+// Idle clients and silent callers could use up the descriptors and lock operators out. Calls to the admin address are
+// answered within a second while 400 idle clients and 200 silent callers are connected, and other clients are served.
 func TestAdminAnswersUnderLoad(t *testing.T) {
 	n := startWithAdmin(t, "proxy", t.TempDir(), 256)
 	for at := range n.hosts {
@@ -76,7 +78,7 @@
 			io.WriteString(conn, []string{"", "GET /-/met"}[i%2])
 		}
 	}
-	for range 400 { // clients who say nothing
+	for range 400 { // clients that send nothing
 		if conn, err := net.Dial("tcp", n.address); err == nil {
 			defer conn.Close()
 		}
@@ -86,15 +88,15 @@
 		start := time.Now()
 		code, body := n.callAdmin("GET", "/-/metrics")
 		if code != 200 || !strings.Contains(body, "lb.targets:3|g\n") || time.Since(start) > time.Second {
-			t.Errorf("scrape %d: %d after %v, %s", i, code, time.Since(start), body)
+			t.Errorf("scrape %d: status %d after %v, %s", i, code, time.Since(start), body)
 		}
 		if code, body := n.callAdmin("PUT", "/-/hosts/s-00000065/"+[]string{"disable", "enable"}[i%2]); code != 200 {
-			t.Errorf("call %d: %d, %s", i, code, body)
+			t.Errorf("call %d: status %d, %s", i, code, body)
 		}
 	}
 	stream.waitForServed(t, 20)
 	stream.stop()
 	if strings.Contains(n.log.text(), `"message":"accepting a client connection failed"`) {
-		t.Error("no descriptor was left")
+		t.Error("accepting a client connection failed, so no descriptor was left for it")
 	}
 }
--- a/cmd/gorseledge/overload_test.go
+++ b/cmd/gorseledge/overload_test.go
@@ -14,7 +14,8 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
-// More clients than descriptors: some are rejected, the node goes on, and all is free again afterwards.
+// A node that runs out of descriptors could fail or leak them. With more clients than descriptors it rejects some, serves
+// the others, and has all descriptors free again once they have left.
 func TestMoreClientsThanDescriptors(t *testing.T) {
 	n := startNode(t, "proxy", 3, 60)
 	for at := range n.hosts {
@@ -32,11 +33,11 @@
 		}
 		busy++
 		if !strings.HasPrefix(got, "BUSY") {
-			t.Fatalf("answered %q", got)
+			t.Fatalf("answered %q, want UP 1 or BUSY", got)
 		}
 	}
 	if busy == 0 || len(open) < 10 {
-		t.Fatalf("%d established, %d rejected", len(open), busy)
+		t.Fatalf("%d established, %d rejected; want at least 10 and 1", len(open), busy)
 	}
 	n.waitForLog(`"reason":"no-sockets"`)
 	for _, client := range open {
@@ -44,16 +45,16 @@
 	}
 	for end := time.Now().Add(waitTimeout); n.placeFlow() != "UP 1"; {
 		if time.Now().After(end) {
-			t.Fatal("nothing was freed")
+			t.Fatalf("no descriptor was freed within %v of the clients' end", waitTimeout)
 		}
 	}
 }
 
-// badClientEnd is how long a bad client waits for the end of its connection: twice what the protocol allows, since the
-// race detector is slow.
+// badClientEnd is how long a bad client waits for the end of its connection. It is twice the time that the protocol
+// allows, since the race detector slows the node down.
 const badClientEnd = 6 * time.Second
 
-// badClientTexts are what bad clients send.
+// badClientTexts returns the texts that bad clients send.
 func badClientTexts() []string {
 	flood := strings.Repeat("x", 1<<20)
 	return []string{"", "OPEN 77", "PING\r\n", strings.Repeat("PING\r\n", 500), strings.Repeat(openingLine(900), 300), flood,
@@ -61,8 +62,8 @@
 		"OPEN  2 c=chat,d=900\r\n", "\x00\xff\n"}
 }
 
-// Bad clients by hundreds, against a node of 256 descriptors, which the system enforces, are each answered an error or
-// ended in time, and the usual ones are served meanwhile.
+// Hundreds of clients that send nothing, too much or invalid lines could use up the descriptors, of which the kernel
+// allows this node 256. Each gets an error or the end of its connection in time, and normal clients are served as before.
 func TestBadClientsDoNotAffectOthers(t *testing.T) {
 	n := startNode(t, "proxy", 3, 256)
 	for at := range n.hosts {
@@ -71,7 +72,7 @@
 	texts := badClientTexts()
 	ended := make(chan error, 600)
 	for i := range cap(ended) {
-		go func() { ended <- beBadClient(n.address, texts[i%len(texts)]) }()
+		go func() { ended <- runBadClient(n.address, texts[i%len(texts)]) }()
 	}
 	answers := map[string]int{}
 	for left := cap(ended); left > 0; {
@@ -85,22 +86,22 @@
 			answers[answerWord(n.placeFlow())]++
 		}
 	}
-	// In the first moment, in which all come at once, one or the other has to come again.
+	// At the start, when all bad clients connect at once, a few normal clients may be rejected and have to retry.
 	others := -answers["UP"]
 	for _, times := range answers {
 		others += times
 	}
 	if answers["UP"] < 20 || others > 5 {
-		t.Errorf("usual clients were answered %v", answers)
+		t.Errorf("normal clients were answered %v", answers)
 	}
 	if strings.Contains(n.log.text(), `"message":"accepting a client connection failed"`) {
-		t.Error("no descriptor was left")
+		t.Error("accepting a client connection failed, so no descriptor was left for it")
 	}
 }
 
-// beBadClient sends a text and reads until the node ends the connection. The error tells that it did not, or that the
-// client was served.
-func beBadClient(address, text string) error {
+// runBadClient sends a text and reads until the node ends the connection. It returns an error if the node does not end
+// it in time, or if the client is served.
+func runBadClient(address, text string) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
@@ -118,15 +119,16 @@
 	}
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return fmt.Errorf("%.20q got no end", text)
+		return fmt.Errorf("the connection of a client that sent %.20q did not end within %v", text, badClientEnd)
 	}
 	return nil
 }
 
-// answerWord is an answer without its figures.
+// answerWord returns an answer without its numbers.
 func answerWord(answer string) string { return strings.TrimRight(answer, " 0123456789") }
 
-// A host that floods, before its answer or in place of one, costs the flows that meet it an attempt; others are served.
+// A host that floods the node with data in place of an answer could block it or exhaust its memory. Only flows placed on
+// such a host lose an attempt; the others are served.
 func TestFloodingHostCostsOnlyAttempts(t *testing.T) {
 	n := startNode(t, "proxy", 3, 200)
 	n.respondAtHost(0, func(string) string { return strings.Repeat("x", 1<<20) })
@@ -137,13 +139,13 @@
 		answers[answerWord(n.placeFlow())]++
 	}
 	if answers["UP"] < 20 || answers["UP"]+answers["BUSY"]+answers["ERR"] != 40 {
-		t.Errorf("answered %v", answers)
+		t.Errorf("answered %v, want at least 20 UP and otherwise BUSY or ERR", answers)
 	}
 }
 
-// The list is followed while idle clients hold every descriptor that they can, also from a discovery to which the node
-// is sent just then: not all descriptors may be with clients when the watch has to be opened anew.
-func TestListIsFollowedWithoutFreeDescriptors(t *testing.T) {
+// If clients could use all descriptors, the node could not open a new watch of the endpoint list. While idle clients hold
+// as many descriptors as they can get, the node must still connect to a discovery at a new address.
+func TestListIsWatchedUnderDescriptorPressure(t *testing.T) {
 	n := startNode(t, "proxy", 2, 96)
 	for at := range n.hosts {
 		n.serveAtHost(at)
@@ -156,14 +158,14 @@
 	next.Publish(endpoint.List{Index: 7, Complete: true, Hosts: []endpoint.Host{
 		{Name: "s-00000064", Address: n.hosts[0].Addr().String(), Status: "DRAINING"},
 		{Name: "s-00000065", Address: n.hosts[1].Addr().String(), Status: "SERVING"}}})
-	n.discovery.Close() // the old one is down, and only then the node hears about the new one
+	n.discovery.Close() // the old discovery is down before the node learns of the new one
 	n.config["discovery"] = next.Address()
 	n.writeConfig()
 	n.signal(syscall.SIGHUP)
 	select {
 	case <-next.WatchOpened:
 	case <-time.After(6 * time.Second):
-		t.Error("the new discovery was not asked within 6 s")
+		t.Error("the node did not watch the new discovery within 6 s")
 	}
 	close(stop)
 	if err := <-crowd; err != nil {
@@ -171,11 +173,12 @@
 	}
 	if strings.Contains(n.log.text(), `"message":"accepting a client connection failed"`) ||
 		strings.Contains(n.log.text(), "too many open files") {
-		t.Error("no descriptor was left")
+		t.Error("the node ran out of descriptors")
 	}
 }
 
-// crowdListener connects clients as fast as they are accepted, and holds up to 300 idle connections until it is stopped.
+// crowdListener connects clients as fast as they are accepted, and keeps up to 300 idle connections open, until stop is
+// closed.
 func crowdListener(address string, stop <-chan struct{}) error {
 	const maxIdle = 300
 	var idle []net.Conn
--- a/cmd/gorseledge/reload_test.go
+++ b/cmd/gorseledge/reload_test.go
@@ -11,8 +11,8 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
-// SIGHUP, again and again under load: the list is followed at its new address, no connection notices, and a file that is
-// no config changes nothing.
+// A reload could interrupt connections, go on watching the list at the old address, or apply an invalid config. Repeated
+// SIGHUPs under load must move the watch to the new address and affect no connection; an invalid config changes nothing.
 func TestReloadUnderLoad(t *testing.T) {
 	n := startNode(t, "proxy", 3, 200)
 	client, host := n.establish()
@@ -43,18 +43,18 @@
 		select {
 		case <-old.WatchClosed:
 		case <-time.After(waitTimeout):
-			t.Fatal("the old discovery is still watched")
+			t.Fatalf("the old discovery is still watched after %v", waitTimeout)
 		}
 		old = next
 	}
 	close(stop)
 	if got := <-answered; got != "UP 1" {
-		t.Errorf("a flow was answered %q", got)
+		t.Errorf("a flow was answered %q, want UP 1", got)
 	}
 }
 
-// placeFlowsUntil places one flow after the other until it is stopped, and gives the first answer that is no UP, or else
-// the last one.
+// placeFlowsUntil places one flow after the other until stop is closed. It returns the first answer other than "UP 1", or
+// "UP 1" if there is none.
 func (n *testNode) placeFlowsUntil(stop <-chan struct{}) string {
 	answer := "UP 1"
 	for {
--- a/cmd/gorseledge/start_test.go
+++ b/cmd/gorseledge/start_test.go
@@ -12,7 +12,7 @@
 	"gorseledge/internal/settings"
 )
 
-// runRefused runs the program until it refuses its config, and gives its exit code and output.
+// runRefused runs the program with a config or arguments that it refuses, and returns its exit code and output.
 func runRefused(t *testing.T, configPath string, args ...string) (code int, out []byte) {
 	t.Helper()
 	command := exec.Command(program, args...)
@@ -25,7 +25,7 @@
 	return exit.ExitCode(), out
 }
 
-// writeConfigText writes a config file and gives its path.
+// writeConfigText writes a config file and returns its path.
 func writeConfigText(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -35,7 +35,8 @@
 	return path
 }
 
-// Settings that cannot be taken are one line that names their key, and exit code 2, at a start as by check FILE.
+// Deployment scripts rely on exit code 2 to detect invalid settings. The program prints one line that names the wrong key
+// and exits with 2, both at a start and with check FILE.
 func TestRefusedSettingsExitWithTwo(t *testing.T) {
 	const beforeSettings = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":`
 	for _, c := range []struct{ key, settings string }{
@@ -57,12 +58,12 @@
 	}
 }
 
-// A config that cannot be taken is an error line and exit code 1.
+// An invalid config file, unlike invalid settings, must exit with 1 and write an error line to the log.
 func TestRefusedConfigExitsWithOne(t *testing.T) {
 	for _, c := range []struct{ name, text, key string }{
-		{"no JSON", "{{", ""},
-		{"no address", "{}", ""},
-		{"peers", `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{},"peers":["127.0.0.1:9"]}`, "peers"},
+		{"not JSON", "{{", ""},
+		{"no addresses", "{}", ""},
+		{"peers not allowed", `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{},"peers":["127.0.0.1:9"]}`, "peers"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			code, out := runRefused(t, writeConfigText(t, c.text))
@@ -79,11 +80,12 @@
 	})
 }
 
-// What is wrong with admin_addr is said in one line that names the key, and the node does not start.
+// A node that served clients without its admin address could not be operated. With an unusable admin_addr it does not
+// start, and one line names the key.
 func TestWrongAdminAddressIsNamed(t *testing.T) {
 	taken := listenLoopback(t)
-	for name, address := range map[string]string{"no port": "127.0.0.1", "an empty port": "127.0.0.1:",
-		"in use": taken.Addr().String(), "the clients'": "127.0.0.1:5999"} {
+	for name, address := range map[string]string{"no port": "127.0.0.1", "empty port": "127.0.0.1:",
+		"in use": taken.Addr().String(), "same as listen": "127.0.0.1:5999"} {
 		t.Run(name, func(t *testing.T) {
 			text := fmt.Sprintf(`{"listen":"127.0.0.1:5999","discovery":"127.0.0.1:1","settings":{},"admin_addr":%q}`, address)
 			code, out := runRefused(t, writeConfigText(t, text))
@@ -94,6 +96,7 @@
 	}
 }
 
+// Scripts read the output and the exit code of check, so that a valid config must print "good" and exit with 0.
 func TestCheckOfGoodConfig(t *testing.T) {
 	path := writeConfigText(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{}}`)
 	out, err := exec.Command(program, "check", path).CombinedOutput()
@@ -101,31 +104,33 @@
 		t.Errorf("%v, %s", err, out)
 	}
 	if string(out) != "good\n" {
-		t.Errorf("it says %q", out)
+		t.Errorf("printed %q, want %q", out, "good\n")
 	}
 }
 
+// A script that passes a wrong command line must get exit code 2 and one line, not a usage page or a node that starts.
 func TestWrongCommandLineExitsWithTwo(t *testing.T) {
-	for name, args := range map[string][]string{"no such command": {"serve"}, "check without a file": {"check"},
-		"an empty config path": {"--config", ""}} {
+	for name, args := range map[string][]string{"unknown command": {"serve"}, "check without a file": {"check"},
+		"empty config path": {"--config", ""}} {
 		t.Run(name, func(t *testing.T) {
 			code, out := runRefused(t, "", args...)
 			if code != 2 {
-				t.Errorf("exit code %d", code)
+				t.Errorf("exit code %d, want 2", code)
 			}
 			if !bytes.HasPrefix(out, []byte("gorseledge: ")) || bytes.Count(out, []byte("\n")) != 1 {
-				t.Errorf("it says %q", out)
+				t.Errorf("printed %q, want one line that begins with the program's name", out)
 			}
 		})
 	}
 }
 
+// Refused settings must exit with their own code even if their error is wrapped in another one.
 func TestExitCodeOfAnError(t *testing.T) {
 	refused := fmt.Errorf("start: %w", &settings.KeyError{Key: "settings.siblings", Reason: "negative"})
 	if code := exitCode(refused); code != exitRefused {
-		t.Errorf("%d for settings that cannot be taken", code)
+		t.Errorf("exit code %d for invalid settings, want %d", code, exitRefused)
 	}
 	if code := exitCode(errors.New("listen: address in use")); code != exitFailed {
-		t.Errorf("%d for another error", code)
+		t.Errorf("exit code %d for another error, want %d", code, exitFailed)
 	}
 }
--- a/cmd/gorseledge/upgrade_faults_test.go
+++ b/cmd/gorseledge/upgrade_faults_test.go
@@ -12,13 +12,14 @@
 	"gorseledge/internal/handover"
 )
 
-// upgradeFault is something that goes wrong at an upgrade.
+// upgradeFault is a fault during an upgrade.
 type upgradeFault struct {
 	name   string
 	inject func(t *testing.T, n *testNode)
 }
 
-// Whatever goes wrong at an upgrade, clients are served, by the successor or by the predecessor.
+// A fault during an upgrade could leave both processes waiting for each other, with neither accepting clients. After each
+// of these faults one of the two must serve them.
 func TestFaultsDuringUpgrade(t *testing.T) {
 	for _, faults := range [][]upgradeFault{processFaults, predecessorFaults, signalFaults} {
 		for _, fault := range faults {
@@ -34,7 +35,7 @@
 	}
 }
 
-// waitUntilFlowsAreServed waits until a host takes a flow.
+// waitUntilFlowsAreServed waits until a host accepts a flow.
 func (n *testNode) waitUntilFlowsAreServed() {
 	n.Helper()
 	for end := time.Now().Add(waitTimeout); ; {
@@ -43,7 +44,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			n.Fatalf("answered %q", got)
+			n.Fatalf("after %v a flow is still answered %q, want UP 1", waitTimeout, got)
 		}
 	}
 }
@@ -57,31 +58,31 @@
 	n.process.Wait()
 }
 
-// shutDown asks a process to shut down and waits until it has done so without an error.
+// shutDown sends a process SIGTERM and waits for its end. An exit with an error fails the test.
 func (n *testNode) shutDown(process *exec.Cmd) {
 	n.Helper()
 	if err := process.Process.Signal(syscall.SIGTERM); err != nil {
 		n.Fatal(err)
 	}
 	if err := process.Wait(); err != nil {
-		n.Errorf("the process ended with %v", err)
+		n.Errorf("the process exited with error %v", err)
 	}
 }
 
-// processFaults are processes that die, and others that come meanwhile.
+// processFaults are faults in which a process dies, or another one starts during the upgrade.
 var processFaults = []upgradeFault{
-	{"the successor never gets ready and is killed", func(t *testing.T, n *testNode) {
-		replacePredecessor(t, n, func(net.Conn) {}) // it hears nothing of the old one's list
+	{"successor never becomes ready and is killed", func(t *testing.T, n *testNode) {
+		replacePredecessor(t, n, func(net.Conn) {}) // so that the successor does not inherit the endpoint list
 		n.config["discovery"] = "127.0.0.1:1"
 		old := n.startSuccessor()
 		n.waitForLog("handover from the predecessor failed")
 		if code, _ := n.callAdmin("GET", "/-/ready"); code == 200 {
-			t.Error("ready without a list")
+			t.Error("the successor is ready without an endpoint list")
 		}
 		n.killNode()
 		n.process = old
 	}},
-	{"the successor crashes once it has the clients", func(t *testing.T, n *testNode) {
+	{"successor is killed after it has taken over the clients", func(t *testing.T, n *testNode) {
 		client, host := n.establish()
 		client.send("M 1\r\n")
 		host.expect("M 1")
@@ -90,11 +91,11 @@
 		n.killNode()
 		n.process = old
 		n.waitForLog("the successor is gone")
-		n.startSuccessor() // and the next one is found
+		n.startSuccessor() // the next successor can connect to the first process
 		n.waitUntilReady()
 		n.shutDown(old)
 	}},
-	{"the predecessor is killed", func(t *testing.T, n *testNode) {
+	{"predecessor is killed", func(t *testing.T, n *testNode) {
 		old := n.startSuccessor()
 		n.waitUntilReady()
 		if err := old.Process.Kill(); err != nil {
@@ -103,14 +104,14 @@
 		old.Wait()
 		n.waitForLog("the predecessor is gone")
 	}},
-	{"a third process meanwhile", func(t *testing.T, n *testNode) {
+	{"third process starts during the upgrade", func(t *testing.T, n *testNode) {
 		first := n.startSuccessor()
 		second := n.startSuccessor()
 		n.waitUntilReady()
 		n.shutDown(first)
 		n.shutDown(second)
 	}},
-	{"the same second address", func(t *testing.T, n *testNode) {
+	{"both processes have the same admin address", func(t *testing.T, n *testNode) {
 		old := n.process
 		n.startProcess()
 		n.waitForLog("a successor takes the clients")
@@ -119,28 +120,28 @@
 	}},
 }
 
-// predecessorFaults are predecessors that do not hand over as they should.
+// predecessorFaults are faults of the predecessor, or on its Unix socket, that prevent a handover.
 var predecessorFaults = []upgradeFault{
-	{"the predecessor says half a message", func(t *testing.T, n *testNode) {
+	{"predecessor sends half a message", func(t *testing.T, n *testNode) {
 		replacePredecessor(t, n, func(c net.Conn) {
 			io.WriteString(c, `{"version":1,"legacy":{"Ind`)
 			c.Close()
 		})
 		n.upgradeWithoutHandover()
 	}},
-	{"the predecessor says nothing", func(t *testing.T, n *testNode) {
+	{"predecessor sends nothing", func(t *testing.T, n *testNode) {
 		replacePredecessor(t, n, func(net.Conn) {})
 		n.upgradeWithoutHandover()
 	}},
-	{"the predecessor is of another version", func(t *testing.T, n *testNode) {
+	{"predecessor uses another protocol version", func(t *testing.T, n *testNode) {
 		replacePredecessor(t, n, func(c net.Conn) { io.WriteString(c, `{"version":9}`+"\n") })
 		n.upgradeWithoutHandover()
 	}},
-	{"the predecessor passes no listener", func(t *testing.T, n *testNode) {
+	{"predecessor sends no listener", func(t *testing.T, n *testNode) {
 		replacePredecessor(t, n, func(c net.Conn) { io.WriteString(c, `{"version":1,"legacy":{}}`+"\n") })
 		n.upgradeWithoutHandover()
 	}},
-	{"a file in the socket's place", func(t *testing.T, n *testNode) {
+	{"plain file at the socket's path", func(t *testing.T, n *testNode) {
 		path := handover.Path(n.tempDir, n.address)
 		os.Remove(path)
 		if err := os.WriteFile(path, []byte("x"), 0o600); err != nil {
@@ -148,7 +149,7 @@
 		}
 		n.upgradeWithoutHandover()
 	}},
-	{"a caller of another version at the predecessor", func(t *testing.T, n *testNode) {
+	{"caller with another protocol version connects to the predecessor", func(t *testing.T, n *testNode) {
 		caller, err := net.Dial("unix", handover.Path(n.tempDir, n.address))
 		if err != nil {
 			t.Fatal(err)
@@ -157,7 +158,7 @@
 		io.WriteString(caller, `{"version":9,"ask":"claim"}`+"\n")
 		caller.SetDeadline(time.Now().Add(waitTimeout))
 		if bytes, err := io.Copy(io.Discard, caller); bytes > 0 || err != nil {
-			t.Errorf("answered %d bytes, %v", bytes, err)
+			t.Errorf("the caller received %d bytes, error %v; want none", bytes, err)
 		}
 		old := n.startSuccessor()
 		n.waitUntilReady()
@@ -165,7 +166,7 @@
 	}},
 }
 
-// signalFaults are signals that come in the middle of an upgrade.
+// signalFaults are signals that arrive during an upgrade.
 var signalFaults = []upgradeFault{
 	{"SIGTERM to the predecessor before it hands over", func(t *testing.T, n *testNode) {
 		client, host := n.establish()
@@ -196,7 +197,7 @@
 	}},
 }
 
-// replacePredecessor answers in place of the node's process whoever asks for a handover.
+// replacePredecessor has a function answer each process that requests a handover, in place of the node's process.
 func replacePredecessor(t *testing.T, n *testNode, answer func(c net.Conn)) {
 	t.Helper()
 	listener, err := handover.Listen(handover.Path(n.tempDir, n.address))
@@ -215,7 +216,7 @@
 	}()
 }
 
-// upgradeWithoutHandover has a successor take over from a process that hands nothing over.
+// upgradeWithoutHandover starts a successor that gets no handover, waits until it serves, and ends the old process.
 func (n *testNode) upgradeWithoutHandover() {
 	n.Helper()
 	old := n.startSuccessor()
--- a/cmd/gorseledge/upgrade_test.go
+++ b/cmd/gorseledge/upgrade_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// startSuccessor starts the program once more beside what runs, with a second address of its own. n.process is the new
-// process from then on; the one before it is returned.
+// startSuccessor starts another process of the node beside the running one, with a new admin address. It sets n.process
+// to the new process and returns the old one.
 func (n *testNode) startSuccessor() (old *exec.Cmd) {
 	n.Helper()
 	old = n.process
@@ -23,13 +23,14 @@
 	return old
 }
 
-// clientStream has clients come one after the other until it is stopped, in four rows, and counts their answers.
+// clientStream runs four goroutines, each of which connects one client after the other until the stream is stopped, and
+// counts the answers.
 type clientStream struct {
 	sync.WaitGroup
 	stopped  atomic.Bool
 	served   atomic.Int64
 	mu       sync.Mutex
-	failures []string // answers other than UP, and what became of connections without one
+	failures []string // answers other than "UP 1", and errors of connections without an answer
 }
 
 // startStream starts a stream of clients.
@@ -55,34 +56,35 @@
 	r.failures = append(r.failures, answer)
 }
 
-// stop ends the stream and gives how many clients were served, and what became of the others.
+// stop ends the stream. It returns how many clients were served, and the answers or errors of the others.
 func (r *clientStream) stop() (served int64, failures []string) {
 	r.stopped.Store(true)
 	r.Wait()
 	return r.served.Load(), r.failures
 }
 
-// waitForServed waits until that many more were served.
+// waitForServed waits until count more clients have been served.
 func (r *clientStream) waitForServed(t *testing.T, count int64) {
 	t.Helper()
 	end := time.Now().Add(waitTimeout)
 	for want := r.served.Load() + count; r.served.Load() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("clients are not served")
+			t.Fatalf("fewer than %d clients were served within %v", count, waitTimeout)
 		}
 	}
 }
 
-// Two upgrades in a row under a stream of clients: no client is lost, an open connection goes on as if nothing had
-// happened, a host that an operator disabled stays disabled, and old processes end by themselves.
-func TestUpgradeLosesNobody(t *testing.T) {
+// An upgrade could lose clients that connect during the handover, break an open connection in the middle of a line, or
+// forget that an operator disabled a host. Two upgrades in a row under a stream of clients must do none of these, and the
+// old processes must exit by themselves.
+func TestUpgradeLosesNoClient(t *testing.T) {
 	n := startWithAdmin(t, "pass", shortTempDir(t), 400)
 	client, host := n.establish()
 	for at := range n.hosts {
 		n.serveAtHost(at)
 	}
 	if code, _ := n.callAdmin("PUT", "/-/hosts/s-00000066/disable"); code != 200 {
-		t.Fatalf("answered %d", code)
+		t.Fatalf("disabling a host was answered %d", code)
 	}
 	stream := n.startStream()
 	stream.waitForServed(t, 50)
@@ -100,10 +102,10 @@
 		host.expect(fmt.Sprintf("M %d.", round))
 		client.expect(fmt.Sprintf("M %d.", round))
 		if err := old.Wait(); err != nil {
-			t.Fatalf("the old process ended with %v", err)
+			t.Fatalf("the old process exited with error %v", err)
 		}
 		if code, body := n.callAdmin("GET", "/-/metrics"); code != 200 || !strings.Contains(body, "lb.targets_disabled:1|g\n") {
-			t.Errorf("%d, %s", code, body)
+			t.Errorf("the disabled host is not in the new process's metrics: status %d, %s", code, body)
 		}
 	}
 	served, lost := stream.stop()
@@ -113,10 +115,11 @@
 	t.Logf("%d served over two upgrades", served)
 }
 
-// Without a handover two processes share the address: no more than the deployment page's two clients are lost, or, on a
-// machine so busy that more come while the old process closes its listener, two in a thousand.
+// Without a handover two processes share the clients' address, and clients in the backlog are lost when the old process
+// closes its listener. At most two clients may be lost, as the deployment page states, or two in a thousand on a machine
+// so busy that more clients arrive at that time.
 func TestUpgradeWithoutHandover(t *testing.T) {
-	for name, dir := range map[string]string{"no TMPDIR": "", "no such TMPDIR": "/none", "a TMPDIR that takes no file": "/proc"} {
+	for name, dir := range map[string]string{"no TMPDIR": "", "no such TMPDIR": "/none", "TMPDIR that is not writable": "/proc"} {
 		t.Run(name, func(t *testing.T) {
 			n := startWithAdmin(t, "proxy", dir, 400)
 			for at := range n.hosts {
@@ -136,7 +139,7 @@
 			served, failures := stream.stop()
 			lost := 0
 			for _, answer := range failures {
-				if !strings.HasPrefix(answer, "BUSY") { // as a node that shuts down answers
+				if !strings.HasPrefix(answer, "BUSY") { // the answer of a node that shuts down
 					lost++
 				}
 			}
