--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,6 @@
-// Command benchlink connects the balancer to the simulator: it reads batches of events on standard input and writes the
-// decisions as replies on standard output, until the input ends. It exits with 1 after a batch that it cannot decode.
+// Command benchlink connects the load balancer to the simulator. It reads batches of events from standard input and
+// writes the balancer's decisions as replies to standard output, until the input ends. If it cannot decode a batch, it
+// exits with code 1.
 package main
 
 import (
--- a/internal/checkout/architecture_test.go
+++ b/internal/checkout/architecture_test.go
@@ -10,31 +10,32 @@
 	"testing"
 )
 
-// placePattern matches a place in the code as docs/architecture.md writes it: FILE:NAME between backquotes.
-var placePattern = regexp.MustCompile("`([a-z_/-]+\\.go):([A-Za-z]+)`")
+// referencePattern matches a reference to the code in docs/architecture.md: FILE:NAME between backquotes.
+var referencePattern = regexp.MustCompile("`([a-z_/-]+\\.go):([A-Za-z]+)`")
 
-// leastPlaces is the number of places that the page names at least. It prevents a pattern that finds none from passing.
-const leastPlaces = 20
+// minReferences is the minimum number of references on the page. Without it, the test would pass if the pattern matched
+// none of them.
+const minReferences = 20
 
-// The architecture page names files and functions; a reader who follows it finds them.
-func TestArchitecturePageNamesPlacesThatExist(t *testing.T) {
+// Renaming or moving a declaration would leave the architecture page with a reference that its readers cannot follow.
+func TestArchitecturePageRefersToExistingCode(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	places := placePattern.FindAllStringSubmatch(string(page), -1)
-	if len(places) < leastPlaces {
-		t.Fatalf("the page names %d places, want at least %d", len(places), leastPlaces)
+	references := referencePattern.FindAllStringSubmatch(string(page), -1)
+	if len(references) < minReferences {
+		t.Fatalf("docs/architecture.md has %d references to the code, want at least %d", len(references), minReferences)
 	}
-	for _, place := range places {
-		file, name := place[1], place[2]
+	for _, reference := range references {
+		file, name := reference[1], reference[2]
 		if !declares(t, filepath.Join(root, file), name) {
-			t.Errorf("%s declares no %s", file, name)
+			t.Errorf("docs/architecture.md refers to %s:%s, but the file does not declare that name", file, name)
 		}
 	}
 }
 
-// declares reports whether a Go file declares a function, method or type of that name.
+// declares reports whether a Go file declares a function, method or type with the given name.
 func declares(t *testing.T, path, name string) bool {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
--- a/internal/checkout/checkout_test.go
+++ b/internal/checkout/checkout_test.go
@@ -1,5 +1,5 @@
-// Package checkout tests the checkout itself: the scripts that CI runs, and what the shipped programs are built from.
-// It has no code of its own, only tests.
+// Package checkout tests the checkout as a whole: the scripts that CI runs, the packages that the shipped programs link,
+// and the references from the documentation to the code. It consists of tests only.
 package checkout
 
 import (
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// root is the top directory of the checkout, seen from this package.
+// root is the path of the checkout's top directory, relative to this package.
 const root = "../.."
 
-// KNOWN-RED.txt may name any number of tests, each once and each with its command, what was seen and its issue. This
-// prevents a list that hides more than it says.
+// KNOWN-RED.txt lists tests that are known to fail. An entry that is incomplete, or that matches more than one test, could
+// hide other failures. Each entry must name one existing test, once, with its command, its failure and its issue.
 func TestKnownRedTakesCompleteEntriesOnly(t *testing.T) {
 	const (
 		entry    = "./internal/checkout TestKnownRedTakesCompleteEntriesOnly | go test ./internal/checkout, seed 7 | a byte is lost | issue 37"
@@ -27,24 +27,24 @@
 	for _, c := range []struct {
 		name, text string
 		output     string
-		failure    string // empty where the file is accepted
+		failure    string // part of the error output; empty if the file is valid
 	}{
-		{"one", entry + "\n", printed, ""},
-		{"without an end of line", entry, printed, ""},
-		{"empty", "", "", ""},
-		{"several", entry + "\n" + second + "\n", printed + printed2, ""},
-		{"a comment", "# none is known\n" + entry + "\n", printed, ""},
-		{"the same test twice", entry + "\n" + entry + "\n", printed, "stands twice"},
-		{"no such test", strings.Replace(entry, "Only |", "Onl |", 1), "", "there is no test TestKnownRedTakesCompleteEntriesOnl"},
-		{"no such package", strings.Replace(entry, "./internal/checkout ", "./internal/checkuot ", 1), "", "there is no test TestKnownRedTakesCompleteEntriesOnly"},
-		{"a pattern", strings.Replace(entry, "TestKnownRedTakesCompleteEntriesOnly |", "Test.* |", 1), "", badForm},
+		{"one entry", entry + "\n", printed, ""},
+		{"entry without a line end", entry, printed, ""},
+		{"empty file", "", "", ""},
+		{"two entries", entry + "\n" + second + "\n", printed + printed2, ""},
+		{"comment", "# none is known\n" + entry + "\n", printed, ""},
+		{"same test twice", entry + "\n" + entry + "\n", printed, "stands twice"},
+		{"unknown test", strings.Replace(entry, "Only |", "Onl |", 1), "", "there is no test TestKnownRedTakesCompleteEntriesOnl"},
+		{"unknown package", strings.Replace(entry, "./internal/checkout ", "./internal/checkuot ", 1), "", "there is no test TestKnownRedTakesCompleteEntriesOnly"},
+		{"pattern of tests", strings.Replace(entry, "TestKnownRedTakesCompleteEntriesOnly |", "Test.* |", 1), "", badForm},
 		{"all packages", strings.Replace(entry, "./internal/checkout ", "./... ", 1), "", badForm},
-		{"no command", "./internal/checkout TestShippedProgramsLinkNoTestCode | a byte is lost | issue 37", "", badForm},
-		{"an empty command", "./internal/checkout TestShippedProgramsLinkNoTestCode | | a byte is lost | issue 37", "", badForm},
-		{"nothing seen", "./internal/checkout TestShippedProgramsLinkNoTestCode | go test ./internal/checkout |  | issue 37", "", badForm},
-		{"no issue", "./internal/checkout TestShippedProgramsLinkNoTestCode | go test ./internal/checkout | a byte is lost", "", badForm},
-		{"an issue without a number", strings.Replace(entry, "issue 37", "issue", 1), "", badForm},
-		{"an empty line", entry + "\n\n", printed, badForm},
+		{"without a command", "./internal/checkout TestShippedProgramsLinkNoTestCode | a byte is lost | issue 37", "", badForm},
+		{"empty command", "./internal/checkout TestShippedProgramsLinkNoTestCode | | a byte is lost | issue 37", "", badForm},
+		{"empty description of the failure", "./internal/checkout TestShippedProgramsLinkNoTestCode | go test ./internal/checkout |  | issue 37", "", badForm},
+		{"without an issue", "./internal/checkout TestShippedProgramsLinkNoTestCode | go test ./internal/checkout | a byte is lost", "", badForm},
+		{"issue without a number", strings.Replace(entry, "issue 37", "issue", 1), "", badForm},
+		{"empty line", entry + "\n\n", printed, badForm},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
@@ -58,20 +58,20 @@
 			command.Stderr = &failure
 			err := command.Run()
 			if failed := err != nil; failed != (c.failure != "") {
-				t.Errorf("exit: %v, want a failure: %v", err, c.failure != "")
+				t.Errorf("the script ended with error %v, want an error: %v", err, c.failure != "")
 			}
 			if output.String() != c.output {
 				t.Errorf("printed %q, want %q", output.String(), c.output)
 			}
 			if !strings.Contains(failure.String(), c.failure) {
-				t.Errorf("standard error %q lacks %q", failure.String(), c.failure)
+				t.Errorf("standard error %q does not contain %q", failure.String(), c.failure)
 			}
 		})
 	}
 }
 
-// The shipped programs link nothing that only tests need, nor the experiment tool, nor a control server's log. This
-// prevents a stand-in, or the testing package with its flags, in a node.
+// An import could bring a stand-in for discovery, or the testing package with its flags, into a node. The shipped programs
+// must link no package that only tests need, none of the tools for experiments, and no storage of a control server.
 func TestShippedProgramsLinkNoTestCode(t *testing.T) {
 	for _, tags := range []string{"", "alone"} {
 		list := exec.Command("go", "list", "-deps", "-tags", tags, "./cmd/gorseledge", "./cmd/benchlink")
@@ -82,11 +82,11 @@
 		}
 		deps := strings.Fields(string(out))
 		if !slices.Contains(deps, "gorseledge/internal/node") {
-			t.Fatalf("tags %q: %d packages, and the core is none of them", tags, len(deps))
+			t.Fatalf("tags %q: the %d packages listed do not include the core", tags, len(deps))
 		}
 		for _, dep := range deps {
 			if !mayBeShipped(dep) {
-				t.Errorf("tags %q: %s is linked", tags, dep)
+				t.Errorf("tags %q: a shipped program links %s", tags, dep)
 			}
 		}
 	}
