--- a/cmd/gorseledge/closing_test.go
+++ b/cmd/gorseledge/closing_test.go
@@ -46,7 +46,7 @@
 }
 
 // A client that leaves while its flow is being placed could cause attempts at further hosts, each of which opens a flow
-// for nobody. The attempt in progress ends at once, and no further host is dialed.
+// without a client. The attempt in progress ends at once, and no further host is dialed.
 func TestNoFurtherAttemptForClientThatLeft(t *testing.T) {
 	n := startNode(t, "proxy", 2, 200)
 	client := n.connect()
--- a/cmd/gorseledge/start_test.go
+++ b/cmd/gorseledge/start_test.go
@@ -35,8 +35,8 @@
 	return path
 }
 
-// Deployment scripts rely on exit code 2 to detect invalid settings. The program prints one line that names the wrong key
-// and exits with 2, both at a start and with check FILE.
+// Exit code 2 distinguishes invalid settings from other failures. With invalid settings the program prints one line that
+// names the wrong key and exits with 2, both at a start and with check FILE.
 func TestRefusedSettingsExitWithTwo(t *testing.T) {
 	const beforeSettings = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":`
 	for _, c := range []struct{ key, settings string }{
@@ -96,7 +96,7 @@
 	}
 }
 
-// Scripts read the output and the exit code of check, so that a valid config must print "good" and exit with 0.
+// A valid config must not be reported as an error: check prints "good" and exits with 0.
 func TestCheckOfGoodConfig(t *testing.T) {
 	path := writeConfigText(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{}}`)
 	out, err := exec.Command(program, "check", path).CombinedOutput()
@@ -108,7 +108,7 @@
 	}
 }
 
-// A script that passes a wrong command line must get exit code 2 and one line, not a usage page or a node that starts.
+// A wrong command line must exit with 2 after one line of output. It must neither print the usage nor start a node.
 func TestWrongCommandLineExitsWithTwo(t *testing.T) {
 	for name, args := range map[string][]string{"unknown command": {"serve"}, "check without a file": {"check"},
 		"empty config path": {"--config", ""}} {
--- a/internal/admin/admin_golden_test.go
+++ b/internal/admin/admin_golden_test.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// Operators' scripts match the status codes and texts of the answers, and these must not change. The node must also be
-// asked the right query.
+// Operators' tools read the answers, so that their status codes and texts must not change. Each call must also send the
+// right query to the node, and a wrong call none.
 func TestCallsKeepTheirAnswers(t *testing.T) {
 	yes, no, stillDisabled := &node.Reply{OK: true}, &node.Reply{}, &node.Reply{OK: true, StillDisabled: true}
 	for _, c := range []struct {
--- a/internal/checkout/checkout_test.go
+++ b/internal/checkout/checkout_test.go
@@ -39,10 +39,10 @@
 		{"unknown package", strings.Replace(entry, "./internal/checkout ", "./internal/checkuot ", 1), "", "there is no test TestKnownRedTakesCompleteEntriesOnly"},
 		{"pattern of tests", strings.Replace(entry, "TestKnownRedTakesCompleteEntriesOnly |", "Test.* |", 1), "", badForm},
 		{"all packages", strings.Replace(entry, "./internal/checkout ", "./... ", 1), "", badForm},
-		{"without a command", "./internal/checkout TestShippedProgramsLinkNoTestCode | a byte is lost | issue 37", "", badForm},
+		{"no command", "./internal/checkout TestShippedProgramsLinkNoTestCode | a byte is lost | issue 37", "", badForm},
 		{"empty command", "./internal/checkout TestShippedProgramsLinkNoTestCode | | a byte is lost | issue 37", "", badForm},
-		{"empty description of the failure", "./internal/checkout TestShippedProgramsLinkNoTestCode | go test ./internal/checkout |  | issue 37", "", badForm},
-		{"without an issue", "./internal/checkout TestShippedProgramsLinkNoTestCode | go test ./internal/checkout | a byte is lost", "", badForm},
+		{"no failure", "./internal/checkout TestShippedProgramsLinkNoTestCode | go test ./internal/checkout |  | issue 37", "", badForm},
+		{"no issue", "./internal/checkout TestShippedProgramsLinkNoTestCode | go test ./internal/checkout | a byte is lost", "", badForm},
 		{"issue without a number", strings.Replace(entry, "issue 37", "issue", 1), "", badForm},
 		{"empty line", entry + "\n\n", printed, badForm},
 	} {
--- a/internal/discovery/endpoint/endpoint_test.go
+++ b/internal/discovery/endpoint/endpoint_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Callers tell a negative index apart from invalid JSON by its error.
+// A negative index is valid JSON, so that it needs an error of its own.
 func TestNegativeIndexHasItsError(t *testing.T) {
 	if _, err := Parse([]byte(`{"index":-1}`)); !errors.Is(err, ErrNegativeIndex) {
 		t.Errorf("got error %v, want %v", err, ErrNegativeIndex)
--- a/internal/line/figures_test.go
+++ b/internal/line/figures_test.go
@@ -11,7 +11,7 @@
 	ok   bool
 }
 
-// A load that is negative or not finite would corrupt the sums of a host's load.
+// A load that is negative or not finite must not be accepted.
 func TestParseLoad(t *testing.T) {
 	for _, c := range []numberCase{{"22788.994", 0.022788994, true}, {" 5 ", 5e-6, true}, {"-1", 0, false}, {"NaN", 0, false},
 		{"Inf", 0, false}, {"", 0, false}} {
--- a/internal/sockets/config.go
+++ b/internal/sockets/config.go
@@ -116,8 +116,8 @@
 	return m, err
 }
 
-// needsRestart reports whether another config differs from this one in more than discovery's address and the cached
-// list; only those two take effect without a restart.
+// needsRestart reports whether another config differs from this one in more than discovery's address, which takes effect
+// without a restart, and the cached list, which is used only at a start.
 func (c Config) needsRestart(other Config) bool {
 	return c.Name != other.Name ||
 		c.Listen != other.Listen ||
@@ -155,7 +155,7 @@
 }
 
 // checkPeers checks the keys for messages among nodes. An address or peers are refused unless the settings allow such
-// messages. Settings that allow them without an address are valid: the node then sends none.
+// messages. Settings that allow them are valid without an address: the node then exchanges none with configured peers.
 func (c Config) checkPeers(allowed bool) error {
 	if c.PeerAddress != "" {
 		if _, err := peers.ParseAddress(c.PeerAddress); err != nil {
--- a/internal/sockets/config_test.go
+++ b/internal/sockets/config_test.go
@@ -32,9 +32,9 @@
 		{"fewer descriptors than are reserved", `{"settings":{},"limits":{"sockets":5}}`, 2, 0, false},
 		{"negative descriptor limit", `{"settings":{},"limits":{"sockets":-5}}`, defaultMaxDescriptors - reservedDescriptors, 0, false},
 		{"no settings", `{}`, 0, 0, true},
-		{"messages among nodes, with an address", `{"settings":{"limits":{"peers":true}},"peer_addr":"127.0.0.1:9","peers":["127.0.0.1:8"]}`,
+		{"messages with an address", `{"settings":{"limits":{"peers":true}},"peer_addr":"127.0.0.1:9","peers":["127.0.0.1:8"]}`,
 			defaultMaxDescriptors - reservedDescriptors - 1, 0, false},
-		{"messages among nodes, without an address", `{"settings":{"limits":{"peers":true}}}`,
+		{"messages without an address", `{"settings":{"limits":{"peers":true}}}`,
 			defaultMaxDescriptors - reservedDescriptors, 0, false},
 	}
 	for _, c := range cases {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Two nodes with the same number would use the same share of a host's slow start, and its load would exceed the limit. A
-// node whose name ends with a number therefore gets that number, and the part of the name before it does not matter.
+// Two nodes with the same number would use the same share of a host's slow start. A node whose name ends with a number
+// therefore gets that number, and the part of the name before it does not matter.
 func TestNodeNumberIsAtEndOfName(t *testing.T) {
 	nameOf := map[int]string{}
 	for _, name := range []string{"n0", "n3", "edge-12", "lima-2-07", "299", "n99999999999", "", "edge", "nodo-a"} {
--- a/internal/sockets/listwatch.go
+++ b/internal/sockets/listwatch.go
@@ -50,7 +50,8 @@
 	return call
 }
 
-// alive handles bytes received by a call, which show that discovery answers it. All other calls end.
+// alive handles the sign that discovery answers a call: the answer has begun, or bytes of it have arrived. All other
+// calls end.
 func (w *discoveryWatch) alive(call context.Context, midLine bool) node.Input {
 	if call.Err() != nil { // already canceled: its bytes say nothing about the watch that replaced it
 		return nil
--- a/internal/sockets/sockets_golden_test.go
+++ b/internal/sockets/sockets_golden_test.go
@@ -26,8 +26,8 @@
 	return text
 }
 
-// Operators' tools parse the log line that is written for each client connection that ended. Its fields and their order
-// must stay as docs/oncall.md lists them.
+// A changed log line for the end of a client's connection would differ from what operators look for. Its fields and their
+// order must stay as docs/oncall.md lists them.
 func TestLogLinesKeepTheirForm(t *testing.T) {
 	want := strings.SplitAfter(strings.TrimSuffix(string(readGolden(t, "log.jsonl")), "\n"), "\n")
 	cases := []struct {
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -151,7 +151,8 @@
 	s.upgrade.successor.post(m)
 }
 
-// inheritConnection adds an open connection that the predecessor transferred.
+// inheritConnection adds an open connection that the predecessor transferred. It closes one that comes from any other
+// process.
 func (s *server) inheritConnection(p *peerProcess, m incomingMessage) node.Input {
 	if p != s.upgrade.predecessor {
 		m.client.Close()
