--- a/cmd/gorseledge/live_settings_test.go
+++ b/cmd/gorseledge/live_settings_test.go
@@ -100,7 +100,7 @@
 	if answers := n.countAnswers(60); answers["UP 0"] != 0 || answers["UP 1"]+answers["UP 2"] != 60 {
 		t.Errorf("with one host disabled clients were answered %v", answers)
 	}
-	n.waitForLog(`"message":"configuration"`, `"in_force":true`, fmt.Sprintf(`"revision":%d`, v.Revision))
+	n.waitForLog(`"message":"configuration revision processed"`, `"in_force":true`, fmt.Sprintf(`"revision":%d`, v.Revision))
 
 	refused := c.apply(disablingDocument("s-00000064", "s-00000065") + "[limits]\nmax_connects = 64\n")
 	page := n.waitForConfigPage("a refusal", func(c view.Config) bool { return c.Refused != nil })
@@ -108,7 +108,7 @@
 		!strings.Contains(page.Refused.Reason, "limits.max_connects: 64 is over the start's 3") {
 		t.Errorf("%+v, refused %+v", page, page.Refused)
 	}
-	n.waitForLog(`"message":"configuration"`, `"in_force":false`, "is over the start's 3")
+	n.waitForLog(`"message":"configuration revision processed"`, `"in_force":false`, "is over the start's 3")
 	if answers := n.countAnswers(60); answers["UP 0"] != 0 || answers["UP 1"] == 0 || answers["UP 2"] == 0 {
 		t.Errorf("after a refusal clients were answered %v", answers)
 	}
--- a/internal/configfeed/feedhttp/authentication.go
+++ b/internal/configfeed/feedhttp/authentication.go
@@ -20,31 +20,32 @@
 // nonceBytes is the length of a nonce before its encoding, in bytes.
 const nonceBytes = 16
 
-// rejection is why a request or an answer is not authentic.
+// rejection is the reason why a request or an answer is not authentic.
 type rejection string
 
 const (
-	accepted   rejection = ""      // it is authentic
-	wrongFleet rejection = "fleet" // it is from another fleet
-	wrongNonce rejection = "nonce" // its nonce does not have the right length
-	wrongMAC   rejection = "mac"   // its MAC is not that of any key
+	accepted   rejection = ""      // the message is authentic
+	wrongFleet rejection = "fleet" // the message is from another fleet
+	wrongNonce rejection = "nonce" // the nonce does not have the right length
+	wrongMAC   rejection = "mac"   // the MAC does not match any of the keys
 )
 
-// authenticator computes and verifies the keyed MAC of requests and answers. That of an answer covers the nonce of its
-// request, so that an old answer is not accepted for a new request.
+// authenticator computes and verifies the MACs of requests and answers. The MAC of an answer covers the nonce of its
+// request, so that a replayed answer is not accepted for a new request.
 type authenticator struct {
 	fleet string   // identifier of the fleet
-	keys  [][]byte // the first one signs requests, any of them is accepted
+	keys  [][]byte // the first one signs requests; messages signed with any of them are accepted
 }
 
-// newNonce returns a random nonce, in hexadecimal.
+// newNonce returns a random nonce in hexadecimal.
 func newNonce() string {
 	var nonce [nonceBytes]byte
-	rand.Read(nonce[:]) // never returns an error: the program ends if the system has no random bytes
+	rand.Read(nonce[:]) // never returns an error: the program crashes if the system cannot provide random bytes
 	return hex.EncodeToString(nonce[:])
 }
 
-// writeField adds a field after its length, so that no two lists of fields hash the same bytes.
+// writeField adds the length of a field and the field to a hash, so that different lists of fields never hash the same
+// bytes.
 func writeField(h hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
@@ -62,13 +63,14 @@
 	return h.Sum(nil)
 }
 
-// requestPurpose is the purpose of a request.
+// requestPurpose is the purpose with which requests are signed.
 const requestPurpose = "request"
 
-// answerPurpose returns the purpose of an answer, which makes its status part of what is authenticated.
+// answerPurpose returns the purpose with which answers of a status are signed. It includes the status, so that the MAC
+// covers that too.
 func answerPurpose(status int) string { return "answer " + http.StatusText(status) }
 
-// signRequest sets the headers that authenticate a request with a body, and returns its nonce.
+// signRequest sets the headers that authenticate a request with its body, and returns the nonce.
 func (a *authenticator) signRequest(r *http.Request, body []byte) (nonce string) {
 	nonce = newNonce()
 	r.Header.Set(headerFleet, a.fleet)
@@ -78,7 +80,7 @@
 	return nonce
 }
 
-// checkRequest returns the key that a request was signed with, or why it is rejected.
+// checkRequest returns the key that a request was signed with, or the reason why it is rejected.
 func (a *authenticator) checkRequest(r *http.Request, body []byte) ([]byte, rejection) {
 	nonce := r.Header.Get(headerNonce)
 	mac, err := hex.DecodeString(r.Header.Get(headerMAC))
@@ -105,7 +107,7 @@
 	header.Set(headerMAC, hex.EncodeToString(mac))
 }
 
-// checkAnswer returns why an answer is not the one to the request with a nonce, or accepted.
+// checkAnswer returns accepted if an answer is the authentic one to the request with a nonce, or else the reason why not.
 func (a *authenticator) checkAnswer(r *http.Request, nonce string, answer *http.Response, body []byte) rejection {
 	mac, err := hex.DecodeString(answer.Header.Get(headerMAC))
 	if err != nil {
--- a/internal/configfeed/feedhttp/authentication_test.go
+++ b/internal/configfeed/feedhttp/authentication_test.go
@@ -10,17 +10,19 @@
 	"gorseledge/internal/configfeed"
 )
 
+// An attacker, or a proxy that caches, could answer a new request with an old answer. The nonce of the request in the
+// answer's MAC prevents that.
 func TestReplayedAnswerIsRejected(t *testing.T) {
 	f := startServers(t, 1)
 	var first *http.Response
 	var firstBody []byte
-	through := relay(t, f.writer(), func(_ string, answer *http.Response, body []byte) (*http.Response, []byte) {
+	relayAddress := relay(t, f.writer(), func(_ string, answer *http.Response, body []byte) (*http.Response, []byte) {
 		if first == nil {
 			first, firstBody = answer, body
 		}
 		return first, firstBody
 	})
-	client := NewClient(testFleet, testKeys, map[string]string{f.writer(): through})
+	client := NewClient(testFleet, testKeys, map[string]string{f.writer(): relayAddress})
 	defer client.Close()
 	if _, err := client.Status(t.Context(), f.writer()); err != nil {
 		t.Fatal(err)
@@ -31,12 +33,13 @@
 	}
 }
 
+// An answer whose body was changed on the way must not be used: the MAC covers the body.
 func TestAlteredAnswerIsRejected(t *testing.T) {
 	f := startServers(t, 1)
-	through := relay(t, f.writer(), func(_ string, answer *http.Response, body []byte) (*http.Response, []byte) {
+	relayAddress := relay(t, f.writer(), func(_ string, answer *http.Response, body []byte) (*http.Response, []byte) {
 		return answer, bytes.Replace(body, []byte("c1"), []byte("c2"), 1)
 	})
-	client := NewClient(testFleet, testKeys, map[string]string{f.writer(): through})
+	client := NewClient(testFleet, testKeys, map[string]string{f.writer(): relayAddress})
 	defer client.Close()
 	_, err := client.Status(t.Context(), f.writer())
 	if err == nil || !strings.Contains(err.Error(), "not authentic") {
@@ -44,6 +47,8 @@
 	}
 }
 
+// A request with a wrong key, fleet or body must neither be answered nor change the configuration. Operators see the
+// rejections as a counter for each reason.
 func TestRequestThatIsNotAuthenticIsRejectedAndCounted(t *testing.T) {
 	f := startServers(t, 1)
 	otherKey := [][]byte{[]byte("another key of sixteen")}
@@ -66,11 +71,11 @@
 				}
 			}
 			if count := metric(t, f.writer(), c.metric); count != "2" {
-				t.Errorf("%s is %s", c.metric, count)
+				t.Errorf("%s is %s, want 2", c.metric, count)
 			}
 		})
 	}
-	// The MAC covers the body: a request with another one is rejected.
+	// The MAC covers the body: a request whose body differs from the signed one is rejected.
 	request := httptest.NewRequest(http.MethodPost, "http://"+f.writer()+pathPoll, strings.NewReader("{}"))
 	(&authenticator{fleet: testFleet, keys: testKeys}).signRequest(request, []byte("{ }"))
 	request.RequestURI = ""
@@ -80,16 +85,18 @@
 	}
 	answer.Body.Close()
 	if answer.StatusCode != http.StatusForbidden || metric(t, f.writer(), "rejected.mac") != "3" {
-		t.Errorf("another body: %d", answer.StatusCode)
+		t.Errorf("request with another body than the signed one: status %d", answer.StatusCode)
 	}
 	if getText(t, f.writer(), pathStatus); metric(t, f.writer(), "rejected.fleet") != "3" {
-		t.Error("a request without any proof was not counted")
+		t.Error("a request without authentication headers was not counted")
 	}
 	if v := metric(t, f.writer(), "revision"); v != "0" {
-		t.Errorf("revision %s", v)
+		t.Errorf("revision %s after rejected requests, want 0", v)
 	}
 }
 
+// Keys are changed at one process after the other. In between, a process that has both keys must accept a request signed
+// with the old one, and must sign the answer with it, since the sender may not have the new key yet.
 func TestOldKeyIsAcceptedDuringKeyChange(t *testing.T) {
 	f := startServers(t, 1) // with the old key only
 	newKey := []byte("the newer key of sixteen")
@@ -104,7 +111,7 @@
 	answer := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
 	verifier.signAnswer(key, request, answer.Header, http.StatusOK, []byte("x"))
 	if why := old.checkAnswer(request, nonce, answer, []byte("x")); why != accepted {
-		t.Errorf("the answer is for who knows the old key only: %s", why)
+		t.Errorf("a client with only the old key rejects the answer: %s", why)
 	}
 	client := NewClient(testFleet, [][]byte{testKeys[0], newKey}, nil)
 	defer client.Close()
--- a/internal/configfeed/feedhttp/bodies_golden_test.go
+++ b/internal/configfeed/feedhttp/bodies_golden_test.go
@@ -12,9 +12,9 @@
 	"gorseledge/internal/configfeed"
 )
 
-// The files in testdata/golden were written by the build of revision 5fa7498, which is in service. They are fixed for
-// good: servers, nodes and commands of that version exchange these bytes with later ones. There is no way to rewrite
-// them on purpose. A test that differs from them shows a change that breaks an upgrade.
+// The files in testdata/golden were written by the build of revision 5fa7498, which is in production. Servers, nodes and
+// commands of that version exchange these bytes with later ones, so the files must never change. There is deliberately no
+// option to rewrite them. A test that fails because of them shows a change that breaks upgrades.
 const goldenDirectory = "testdata/golden"
 
 // requireGolden fails unless got is byte for byte the content of a golden file.
@@ -35,8 +35,8 @@
 	return text
 }
 
-// requireEveryFieldSet fails for each field, element or map value that is zero, at any depth. Without it, a field that
-// is left out of the encoded form when empty could change its name unnoticed.
+// requireEveryFieldSet fails for each field, element or map value that is zero, at any depth. Otherwise, a change of the
+// JSON key of a field with omitempty could go unnoticed, because an empty field is not encoded.
 func requireEveryFieldSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
@@ -64,7 +64,7 @@
 	}
 }
 
-// mustState returns a state of these entries with its digest.
+// mustState returns a state with entries and their digest.
 func mustState(version configfeed.Version, entries ...configfeed.Entry) configfeed.State {
 	state, err := configfeed.NewState(version, entries)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return configfeed.Version{Epoch: epoch, Revision: revision}
 }
 
-// goldenHistory returns the revisions of a log with two epochs, and the state that they lead to.
+// goldenHistory returns the revisions of a log with two epochs, and the state after the last one.
 func goldenHistory() ([]configfeed.Revision, configfeed.State) {
 	nodes := configfeed.Entry{Key: "nodes", Value: "860"}
 	fewerNodes := configfeed.Entry{Key: "nodes", Value: "859"}
@@ -121,7 +121,7 @@
 	return &configfeed.Refusal{Version: goldenVersion(2, 1), Reason: "limits.sockets: 64 <needed>, & 32 given"}
 }
 
-// completeBodies returns, by the name of the golden file, one value of each body with every field set.
+// completeBodies returns a value with every field set for each type of body, by the name of its golden file.
 func completeBodies() map[string]any {
 	revision := completeRevision()
 	_, state := goldenHistory()
@@ -148,6 +148,7 @@
 	}
 }
 
+// A renamed JSON key, or a changed form of a value, would make a process of another version misread a message.
 func TestBodyWithEveryFieldMatchesGoldenFile(t *testing.T) {
 	for name, value := range completeBodies() {
 		t.Run(name, func(t *testing.T) {
@@ -157,7 +158,8 @@
 	}
 }
 
-// requireBody fails unless a value is encoded as a golden file, and the file decoded and encoded again is the same.
+// requireBody fails unless the JSON of a value is a golden file, and the file decodes to the value and encodes to the same
+// bytes again.
 func requireBody(t *testing.T, name string, value any) {
 	t.Helper()
 	encoded, err := json.Marshal(value)
@@ -182,6 +184,7 @@
 	requireGolden(t, name, again)
 }
 
+// A renamed kind of update would be unknown to followers of another version.
 func TestUpdateOfEachKindMatchesGoldenFile(t *testing.T) {
 	history, state := goldenHistory()
 	update := func(kind configfeed.UpdateKind) *configfeed.Update {
@@ -209,6 +212,7 @@
 	}
 }
 
+// A renamed kind of outcome would be unknown to commands of another version.
 func TestOutcomeOfEachKindMatchesGoldenFile(t *testing.T) {
 	for _, kind := range []configfeed.OutcomeKind{configfeed.Accepted, configfeed.Conflict, configfeed.NoChange,
 		configfeed.NotWriter, configfeed.NotReady, configfeed.TooLarge, configfeed.Invalid, configfeed.Failed} {
@@ -219,7 +223,8 @@
 	}
 }
 
-// Bodies without what may be left out show which keys stand in every message.
+// A key that is omitted when empty, or no longer omitted, changes the messages. Bodies without any optional field show
+// which keys are always present.
 func TestSparseBodyMatchesGoldenFile(t *testing.T) {
 	for name, value := range map[string]any{
 		"poll":          &configfeed.Poll{Follower: "node-17"},
--- a/internal/configfeed/feedhttp/cache.go
+++ b/internal/configfeed/feedhttp/cache.go
@@ -9,20 +9,19 @@
 	"gorseledge/internal/configfeed"
 )
 
-// maxCachedUpdates bounds the updates of one version that are cached.
+// maxCachedUpdates bounds the number of cached updates.
 const maxCachedUpdates = 32
 
-// updateKey identifies an update of a server: two with the same key are equal (see configfeed.AnswerPoll).
+// updateKey identifies an update of a server: updates with the same key are equal (see configfeed.AnswerPoll).
 type updateKey struct {
 	kind         configfeed.UpdateKind
 	version      configfeed.Version
-	from         configfeed.Version // of the first delta or revision
+	from         configfeed.Version // version that the first delta or revision starts from
 	isolated     bool
 	hasRevisions bool
 	hasDeltas    bool
 }
 
-// keyOf returns the key of an update.
 func keyOf(u configfeed.Update) updateKey {
 	key := updateKey{
 		kind:         u.Kind,
@@ -40,22 +39,22 @@
 	return key
 }
 
-// minCompressedBytes is the size from which an answer is compressed, in bytes.
+// minCompressedBytes is the smallest size at which an answer is compressed.
 const minCompressedBytes = 1 << 10
 
 // encodedAnswer is the body of an answer.
 type encodedAnswer struct {
 	text       []byte // JSON
-	compressed []byte // text in gzip; nil where that is not smaller
+	compressed []byte // text in gzip; nil if text is short, or gzip does not make it smaller
 }
 
-// compress adds the compressed form of an answer that is large.
+// compress adds the compressed form of an answer, if it has at least minCompressedBytes.
 func (a *encodedAnswer) compress() {
 	if len(a.text) < minCompressedBytes {
 		return
 	}
 	var out bytes.Buffer
-	w, _ := gzip.NewWriterLevel(&out, gzip.BestSpeed) // only an unknown level is an error
+	w, _ := gzip.NewWriterLevel(&out, gzip.BestSpeed) // returns an error only for an unknown level
 	w.Write(a.text)                                   // writing to memory does not fail
 	w.Close()
 	if out.Len() < len(a.text) {
@@ -63,14 +62,14 @@
 	}
 }
 
-// updateCache caches the encoded form of the updates of one version: after a change, most followers are sent the same
-// one. The zero value is ready to use.
+// updateCache caches the encoded form of the updates of one version, because most followers are sent the same update after
+// a change. The zero value is ready to use.
 type updateCache struct {
 	version configfeed.Version
 	answers map[updateKey]encodedAnswer
 }
 
-// encode returns the encoded form of an update. The caller must not change it.
+// encode returns the encoded form of an update, which the caller must not change.
 func (c *updateCache) encode(u configfeed.Update) (encodedAnswer, error) {
 	if u.Version != c.version || len(c.answers) >= maxCachedUpdates || c.answers == nil {
 		c.version = u.Version
--- a/internal/configfeed/feedhttp/cache_test.go
+++ b/internal/configfeed/feedhttp/cache_test.go
@@ -8,7 +8,8 @@
 	"gorseledge/internal/configfeed"
 )
 
-// Whatever is in the cache before, an update is encoded as itself.
+// If two updates that differ had the same cache key, a follower would be sent the update that was cached for another one.
+// Each update is encoded with the other ones in the cache, and must decode to itself.
 func TestCacheEncodesEachUpdateAsItself(t *testing.T) {
 	deltas := func(from uint64) []configfeed.Delta {
 		return []configfeed.Delta{{From: version(1, from), To: version(1, 3)}}
@@ -37,7 +38,7 @@
 			}
 			var decoded configfeed.Update
 			if err := json.Unmarshal(answer.text, &decoded); err != nil || !reflect.DeepEqual(decoded, u) {
-				t.Errorf("update %d became %s, %v", i, answer.text, err)
+				t.Errorf("update %d is encoded as %s, %v", i, answer.text, err)
 			}
 		}
 	}
--- a/internal/configfeed/feedhttp/caller.go
+++ b/internal/configfeed/feedhttp/caller.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	maxAnswerBytes       = 8 << 20 // a complete state with every character escaped, and a margin
-	maxErrorBytes        = 200     // of the text of an error that are shown
+	maxAnswerBytes       = 8 << 20 // holds a complete state with every character escaped, and a margin
+	maxErrorBytes        = 200     // longest error text of a server that is kept
 	idleConnectionTime   = 30 * time.Second
-	connectionBuffer     = 1 << 10 // bytes
+	connectionBuffer     = 1 << 10 // bytes, for each direction of a connection
 	maxAnswerHeaderBytes = 8 << 10
 )
 
-// StatusError is the error of a request that a server answers with another status than 200.
+// StatusError is the error of a request that a server answered with a status other than 200.
 type StatusError struct {
 	Code int    // HTTP status code
 	Text string // one line
@@ -29,16 +29,16 @@
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Code, e.Text) }
 
 var (
-	errAnswerTooLarge     = fmt.Errorf("an answer of more than %d bytes", maxAnswerBytes)
+	errAnswerTooLarge     = fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes)
 	errAnswerNotAuthentic = errors.New("the answer is not authentic")
 )
 
-// caller sends authenticated requests and verifies their answers. It keeps one idle connection to each address. It may be
-// used by several goroutines.
+// caller sends authenticated requests and verifies their answers. It keeps one idle connection for each address. It is
+// safe for concurrent use.
 type caller struct {
 	authenticator *authenticator
 	transport     *http.Transport
-	via           map[string]string // address to dial in place of an address; the others are dialed as they are
+	via           map[string]string // maps an address to the one to dial instead; an address without an entry is dialed itself
 	traffic       trafficCounter
 }
 
@@ -56,28 +56,28 @@
 	return c
 }
 
-// call sends a request to an address and returns the body of its answer. The error is a *StatusError where the server
-// answered with another status than 200.
+// call sends a request to an address and returns the body of the answer. The error is a *StatusError if the server
+// answered with a status other than 200.
 func (c *caller) call(ctx context.Context, address, method, target string, body []byte) ([]byte, error) {
 	if via, found := c.via[address]; found {
 		address = via
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+target, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("making a request to %s: %w", address, err)
+		return nil, fmt.Errorf("building a request to %s: %w", address, err)
 	}
 	nonce := c.authenticator.signRequest(request, body)
 	c.traffic.requests.Add(1)
 	answer, err := c.transport.RoundTrip(request)
 	if err != nil {
-		return nil, fmt.Errorf("requesting %s: %w", request.URL.Path, err)
+		return nil, fmt.Errorf("sending a request for %s: %w", request.URL.Path, err)
 	}
 	defer answer.Body.Close()
 	c.traffic.answers.Add(1)
 	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("reading the answer to %s: %w", request.URL.Path, err)
+		return nil, fmt.Errorf("reading the answer to a request for %s: %w", request.URL.Path, err)
 	case len(text) > maxAnswerBytes:
 		return nil, errAnswerTooLarge
 	case answer.StatusCode != http.StatusOK:
@@ -88,11 +88,12 @@
 	return text, nil
 }
 
-// newStatusError returns the error of an answer: the first line of its body, bounded.
+// newStatusError returns the error of an answer with a status other than 200. Its text is the first line of the body, at
+// most maxErrorBytes of it.
 func newStatusError(code int, body []byte) *StatusError {
 	line, _, _ := strings.Cut(strings.TrimSpace(string(body)), "\n")
 	return &StatusError{Code: code, Text: line[:min(len(line), maxErrorBytes)]}
 }
 
-// closeIdle closes the connections that wait for another request.
+// closeIdle closes the connections without a request in flight.
 func (c *caller) closeIdle() { c.transport.CloseIdleConnections() }
--- a/internal/configfeed/feedhttp/calls.go
+++ b/internal/configfeed/feedhttp/calls.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	maxHistoryBytes      = 4 << 20 // of keys and values in one answer; the last revision may exceed it
-	defaultHistoryLength = 50      // revisions in an answer without a limit in the request
-	maxTextBytes         = 200     // of an author, a note or an identifier
+	maxHistoryBytes      = 4 << 20 // total size of keys and values in one answer; the last revision added may exceed it
+	defaultHistoryLength = 50      // revisions in an answer if the request sets no limit
+	maxTextBytes         = 200     // longest author, note or proposal identifier
 )
 
-// EpochRequest asks for a new epoch. It is rejected unless the writer's newest version is IfVersion, so that a retry does
-// not begin a further one.
+// EpochRequest asks the writer to begin a new epoch. It conflicts unless the writer's newest version is IfVersion, so that
+// a repeated request does not begin a second epoch.
 type EpochRequest struct {
 	IfVersion configfeed.Version `json:"if_version"`
-	Epoch     uint64             `json:"epoch,omitempty"` // zero for the one after the highest that was reported
+	Epoch     uint64             `json:"epoch,omitempty"` // zero for one more than the highest reported epoch
 	Author    string             `json:"author"`
 	Note      string             `json:"note,omitempty"`
 }
@@ -32,15 +32,15 @@
 	Revisions []configfeed.Revision `json:"revisions"`
 }
 
-// badRequest returns the error of a request that cannot be accepted as it is.
+// badRequest returns the error of an invalid request.
 func badRequest(format string, values ...any) error {
 	return &StatusError{Code: http.StatusBadRequest, Text: fmt.Sprintf(format, values...)}
 }
 
-// errStopping is the error of a request that arrives or waits while the server stops.
+// errStopping is the error of a request that arrives, or still waits for its answer, while the server stops.
 var errStopping = &StatusError{Code: http.StatusServiceUnavailable, Text: "the server is stopping"}
 
-// decode reads a body of one JSON value; anything after it is an error.
+// decode decodes a body that holds exactly one JSON value.
 func decode(body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
 		return badRequest("the body is not what is wanted: %v", err)
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// poll holds a poll until the core answers it or its client has gone.
+// poll holds a poll until the core answers it, the client disconnects or the server stops.
 func (s *Server) poll(r *http.Request, body []byte) (encodedAnswer, error) {
 	s.counters.polls.Add(1)
 	var p configfeed.Poll
@@ -84,22 +84,22 @@
 	}
 }
 
-// checkPoll returns an error where a field of a poll is out of its range.
+// checkPoll returns an error if a field of a poll is out of range.
 func checkPoll(p configfeed.Poll) error {
 	switch {
 	case p.Follower == "" || len(p.Follower) > configfeed.MaxNameBytes:
 		return badRequest("follower: wanted a name of 1 to %d bytes", configfeed.MaxNameBytes)
 	case len(p.Region) > configfeed.MaxNameBytes:
-		return badRequest("region: more than %d bytes", configfeed.MaxNameBytes)
+		return badRequest("region must be at most %d bytes, got %d", configfeed.MaxNameBytes, len(p.Region))
 	case p.Wait < 0:
 		return badRequest("wait_s: is negative")
 	case p.Refused != nil && len(p.Refused.Reason) > configfeed.MaxReasonBytes:
-		return badRequest("refused: a reason of more than %d bytes", configfeed.MaxReasonBytes)
+		return badRequest("refused.reason must be at most %d bytes, got %d", configfeed.MaxReasonBytes, len(p.Refused.Reason))
 	}
 	return nil
 }
 
-// apply proposes entries and waits for the outcome.
+// apply checks a proposal, passes it to the core and waits for the outcome.
 func (s *Server) apply(r *http.Request, body []byte) (encodedAnswer, error) {
 	s.counters.applies.Add(1)
 	var p configfeed.Proposal
@@ -122,17 +122,17 @@
 	})
 }
 
-// checkTexts returns an error where a text is too long.
+// checkTexts returns an error if one of the texts (author, note or identifier) is longer than maxTextBytes.
 func checkTexts(texts ...string) error {
 	for _, text := range texts {
 		if len(text) > maxTextBytes {
-			return badRequest("a text of more than %d bytes", maxTextBytes)
+			return badRequest("id, author and note must be at most %d bytes each, got %d", maxTextBytes, len(text))
 		}
 	}
 	return nil
 }
 
-// newEpoch begins an epoch if the newest version is the one that the client has seen.
+// newEpoch begins an epoch if the newest version is still the one that the request names.
 func (s *Server) newEpoch(r *http.Request, body []byte) (encodedAnswer, error) {
 	var e EpochRequest
 	if err := decode(body, &e); err != nil {
@@ -150,10 +150,10 @@
 	})
 }
 
-// proposalInput is a call of the core that it answers by an outcome.
+// proposalInput calls the core with a request number; the core answers that request with an outcome.
 type proposalInput func(now float64, request uint64) []configfeed.ServerEffect
 
-// propose makes a call of the core and waits for its outcome. A client that goes does not end it.
+// propose makes a call of the core and waits for its outcome. A proposal continues if its client disconnects.
 func (s *Server) propose(r *http.Request, call proposalInput) (encodedAnswer, error) {
 	answer := make(chan configfeed.Outcome, 1)
 	posted := s.loop.post(func(now float64) []configfeed.ServerEffect {
@@ -174,7 +174,7 @@
 	}
 }
 
-// readCore has the loop's goroutine read something of the core.
+// readCore runs read on the loop's goroutine, where it may access the core, and waits for it.
 func (s *Server) readCore(read func(now float64)) error {
 	done := make(chan struct{})
 	posted := s.loop.post(func(now float64) []configfeed.ServerEffect {
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// currentStatus returns the status of the core.
+// currentStatus returns the core's status.
 func (s *Server) currentStatus() (configfeed.ServerStatus, error) {
 	var status configfeed.ServerStatus
 	err := s.readCore(func(now float64) { status = s.core.Status(now) })
@@ -205,7 +205,8 @@
 	return encodeAnswer(status)
 }
 
-// history answers with the newest revisions: as many as the parameter limit asks for and an answer may hold.
+// history answers with the newest revisions, at most as many as the parameter limit asks for. The size of the answer is
+// bounded by maxHistoryBytes.
 func (s *Server) history(r *http.Request, _ []byte) (encodedAnswer, error) {
 	limit, err := uintParameter(r, "limit", defaultHistoryLength)
 	if err != nil {
@@ -221,7 +222,8 @@
 	return encodeAnswer(answer)
 }
 
-// newestRevisions returns a copy of the last revisions, oldest first.
+// newestRevisions returns a copy of the last revisions, oldest first: at most limit of them, and none beyond the one that
+// reaches maxHistoryBytes.
 func newestRevisions(all []configfeed.Revision, limit uint64) []configfeed.Revision {
 	from := len(all)
 	size := 0
@@ -234,8 +236,8 @@
 	return slices.Clone(all[from:])
 }
 
-// state answers with the complete configuration as of a revision of the present epoch: of the newest one without the
-// parameter revision.
+// state answers with the complete configuration as of a revision of the current epoch. The parameter revision selects it;
+// the default is the newest one.
 func (s *Server) state(r *http.Request, _ []byte) (encodedAnswer, error) {
 	status, err := s.currentStatus()
 	if err != nil {
@@ -257,7 +259,7 @@
 	return encodeAnswer(state)
 }
 
-// uintParameter returns a parameter of a request, or a default where it is missing.
+// uintParameter returns a parameter of a request's query, or a default value if it is missing.
 func uintParameter(r *http.Request, name string, missing uint64) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
--- a/internal/configfeed/feedhttp/client.go
+++ b/internal/configfeed/feedhttp/client.go
@@ -13,15 +13,16 @@
 
 const (
 	maxApplyAttempts  = 5
-	initialRetryDelay = 200 * time.Millisecond // doubles with each retry
+	initialRetryDelay = 200 * time.Millisecond // doubles after each retry
 )
 
-// Client makes the calls of an operator's commands. Addresses are those of control servers. An error of a call is a
-// *StatusError where the server answered with another status than 200. A client may be used by several goroutines.
+// Client makes the calls of an operator's commands. The address parameters of its methods are addresses of control
+// servers. The error of a call is a *StatusError if the server answered with a status other than 200. A client is safe
+// for concurrent use.
 type Client struct{ caller *caller }
 
-// NewClient returns a client of a fleet with its keys, of which the first one signs. The map via names the address to
-// dial in place of an address; nil for none.
+// NewClient returns a client of a fleet. The first of the keys signs requests, and an answer is accepted with any of them.
+// The map via maps a server's address to the one to dial instead; it may be nil.
 func NewClient(fleet string, keys [][]byte, via map[string]string) *Client {
 	return &Client{caller: newCaller(&authenticator{fleet: fleet, keys: keys}, via)}
 }
@@ -37,12 +38,12 @@
 	return fetch[T](ctx, c, address, http.MethodGet, target, nil)
 }
 
-// post makes a call with a body in JSON and decodes its answer.
+// post makes a call with a value in JSON as its body and decodes its answer.
 func post[T any](ctx context.Context, c *Client, address, target string, body any) (T, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		var none T
-		return none, fmt.Errorf("encoding the body for %s: %w", target, err)
+		return none, fmt.Errorf("encoding the body of a request for %s: %w", target, err)
 	}
 	return fetch[T](ctx, c, address, http.MethodPost, target, text)
 }
@@ -55,32 +56,33 @@
 		return answer, err
 	}
 	if err := json.Unmarshal(text, &answer); err != nil {
-		return answer, fmt.Errorf("decoding the answer to %s: %w", target, err)
+		return answer, fmt.Errorf("decoding the answer to a request for %s: %w", target, err)
 	}
 	return answer, nil
 }
 
-// Status returns what a server knows.
+// Status returns a server's status: its version, its peers and its followers.
 func (c *Client) Status(ctx context.Context, address string) (configfeed.ServerStatus, error) {
 	return get[configfeed.ServerStatus](ctx, c, address, pathStatus)
 }
 
-// History returns the newest revisions of a server, at most limit of them, oldest first.
+// History returns the newest revisions that a server has, at most limit of them, oldest first.
 func (c *Client) History(ctx context.Context, address string, limit uint64) (HistoryAnswer, error) {
 	return get[HistoryAnswer](ctx, c, address, fmt.Sprintf("%s?limit=%d", pathHistory, limit))
 }
 
-// State returns the configuration as of a revision of a server's present epoch.
+// State returns the configuration as of a revision of a server's current epoch.
 func (c *Client) State(ctx context.Context, address string, revision uint64) (configfeed.State, error) {
 	return get[configfeed.State](ctx, c, address, fmt.Sprintf("%s?revision=%d", pathState, revision))
 }
 
-// BeginEpoch asks the writer to begin an epoch. It does not retry.
+// BeginEpoch asks the writer to begin a new epoch. It does not retry.
 func (c *Client) BeginEpoch(ctx context.Context, address string, e EpochRequest) (configfeed.Outcome, error) {
 	return post[configfeed.Outcome](ctx, c, address, pathEpoch, e)
 }
 
-// Apply asks the writer for a new revision. It retries where an answer is lost: the proposal's ID makes that idempotent.
+// Apply proposes a new revision to the writer. It retries if the answer is lost or the writer is unavailable; that is safe
+// because the writer applies a proposal ID only once.
 func (c *Client) Apply(ctx context.Context, address string, p configfeed.Proposal) (configfeed.Outcome, error) {
 	delay := initialRetryDelay
 	for attempt := 1; ; attempt++ {
@@ -97,7 +99,7 @@
 	}
 }
 
-// isRetryable reports whether another attempt may succeed.
+// isRetryable reports whether another attempt may succeed: there was no valid answer, or its status was 503.
 func isRetryable(err error) bool {
 	var status *StatusError
 	if !errors.As(err, &status) {
--- a/internal/configfeed/feedhttp/client_golden_test.go
+++ b/internal/configfeed/feedhttp/client_golden_test.go
@@ -17,8 +17,8 @@
 	"gorseledge/internal/configfeed"
 )
 
-// startGoldenServer answers requests as a golden answer does, and fails the test where a request is not the golden one
-// but for its nonce and MAC.
+// startGoldenServer starts a server that answers each request with a golden answer. It fails the test if a request
+// differs from the golden one in anything but its nonce and MAC.
 func startGoldenServer(t *testing.T, name string) (address string) {
 	t.Helper()
 	want, wantBody, answer, answerBody := readExchange(t, name)
@@ -55,7 +55,8 @@
 	return server.Listener.Addr().String()
 }
 
-// The client of the commands sends the golden requests and understands the golden answers.
+// A command of this build must work with a server of an earlier build. The client must send the golden requests and decode
+// the golden answers without loss.
 func TestClientCallMatchesGoldenExchange(t *testing.T) {
 	_, state := goldenHistory()
 	proposal := configfeed.Proposal{ID: "proposal-5", IfVersion: state.Version, Author: "ana@control-1",
@@ -88,7 +89,7 @@
 	}
 }
 
-// requireAnswerBody fails unless a value is encoded as the body of a golden answer.
+// requireAnswerBody fails unless a value's JSON is the body of a golden answer.
 func requireAnswerBody(t *testing.T, name string, value any) {
 	t.Helper()
 	encoded, err := json.Marshal(value)
@@ -100,6 +101,7 @@
 	}
 }
 
+// The status and text of an error answer must reach the operator as the server sent them.
 func TestClientReadsGoldenErrors(t *testing.T) {
 	for name, want := range map[string]StatusError{
 		"state_out_of_reach": {Code: 404, Text: "the history does not reach revision 9 of epoch 2"},
@@ -117,7 +119,8 @@
 	}
 }
 
-// A follower's poll is the golden request, and each kind of golden answer is understood.
+// A follower of this build must work with a server of an earlier build. It must send the golden request, and decode each
+// kind of golden answer without loss.
 func TestPollerMatchesGoldenExchange(t *testing.T) {
 	for _, e := range exchanges() {
 		p, isPoll := e.body.(configfeed.Poll)
@@ -137,8 +140,9 @@
 	}
 }
 
-// A large answer is compressed; its MAC is that of the uncompressed body.
-func TestLargeAnswerIsCompressedBody(t *testing.T) {
+// A follower decompresses a large answer before it verifies its MAC, so the compressed form must hold exactly the body that
+// the MAC covers.
+func TestCompressedAnswerHoldsCompleteBody(t *testing.T) {
 	history, state := goldenHistory()
 	history[0].Note = strings.Repeat("a long note ", 100)
 	update := configfeed.Update{Kind: configfeed.Changes, Server: "c1", Version: state.Version, Revisions: history}
@@ -160,7 +164,7 @@
 	}
 }
 
-// Texts that a caller tells apart, or shows to an operator, and that no exchange above reaches.
+// Callers distinguish this error by its status, and operators see its text. None of the golden exchanges contains it.
 func TestErrorTextsAreFixed(t *testing.T) {
 	if got, want := *errStopping, (StatusError{Code: 503, Text: "the server is stopping"}); got != want {
 		t.Errorf("got %v, want %v", got, want)
--- a/internal/configfeed/feedhttp/exchanges_golden_test.go
+++ b/internal/configfeed/feedhttp/exchanges_golden_test.go
@@ -28,14 +28,14 @@
 	goldenHost  = "control-1.example:7100"
 )
 
-// goldenKeys are the signing key and the one before it.
+// goldenKeys returns the signing key and the previous one.
 func goldenKeys() [][]byte {
 	return [][]byte{[]byte("0123456789abcdef"), []byte("fedcba9876543210")}
 }
 
 var errDiskFull = errors.New("the disk is full")
 
-// memoryStore is a Store of states in memory.
+// memoryStore is a Store that keeps states in memory. Its errors, if set, are returned by Save and At.
 type memoryStore struct {
 	states               []configfeed.State
 	saveError, readError error
@@ -55,18 +55,19 @@
 	return configfeed.State{}, configfeed.ErrRevisionNotFound
 }
 
-// exchange is one request to a server with the history of goldenHistory, and what is special about that server.
+// exchange is one request to a server that has the history of goldenHistory, with the settings in which that server
+// differs from the default.
 type exchange struct {
 	name, method, target string
-	body                 any // nil for none, a string as it is, else encoded as JSON
+	body                 any // nil for no body; a string is sent unchanged, any other value as JSON
 
-	writer    string // another server's name, where this one is not the writer
-	servers   int    // zero for one
+	writer    string // name of the writer; empty if it is the server itself
+	servers   int    // number of servers in the fleet; zero means one
 	saveError error
 	readError error
-	before    func(*Server)       // is called before the server is started
-	sign      func(*http.Request) // changes the headers after signing
-	unsigned  bool
+	before    func(*Server)       // called before the server is started, if set
+	sign      func(*http.Request) // changes the headers after signing, if set
+	unsigned  bool                // the request has no authentication headers
 }
 
 func poll(have configfeed.Version, change func(*configfeed.Poll)) configfeed.Poll {
@@ -87,7 +88,7 @@
 	return slices.Concat(pollExchanges(), applyExchanges(), epochExchanges(), readExchanges(), rejectedExchanges(), pageExchanges())
 }
 
-// pollExchanges are polls of followers and of other servers.
+// pollExchanges returns polls of followers and of other servers.
 func pollExchanges() []exchange {
 	_, state := goldenHistory()
 	newest := state.Version
@@ -112,7 +113,7 @@
 	}
 }
 
-// applyExchanges are proposals of changes.
+// applyExchanges returns proposals of changes.
 func applyExchanges() []exchange {
 	_, state := goldenHistory()
 	newest := state.Version
@@ -143,7 +144,7 @@
 	}
 }
 
-// epochExchanges are requests for a new epoch.
+// epochExchanges returns requests for a new epoch.
 func epochExchanges() []exchange {
 	_, state := goldenHistory()
 	epoch := EpochRequest{IfVersion: state.Version, Epoch: 7, Author: "ana@control-1", Note: "a backup was restored"}
@@ -158,7 +159,7 @@
 	}
 }
 
-// readExchanges are calls that change nothing.
+// readExchanges returns calls that only read.
 func readExchanges() []exchange {
 	return []exchange{
 		{name: "status", method: "GET", target: "/v1/status"},
@@ -173,7 +174,8 @@
 	}
 }
 
-// rejectedExchanges are calls that are not authentic, and what else is refused or accepted because of its key.
+// rejectedExchanges returns calls that are not authentic, one that is signed with the previous key and accepted, and one for
+// an unknown path.
 func rejectedExchanges() []exchange {
 	header := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -188,7 +190,7 @@
 	}
 }
 
-// pageExchanges are the pages that need no authentication.
+// pageExchanges returns requests for the pages that need no authentication.
 func pageExchanges() []exchange {
 	return []exchange{
 		{name: "ready", method: "GET", target: "/-/ready", unsigned: true},
@@ -197,7 +199,7 @@
 	}
 }
 
-// signWith sets the headers that authenticate a request, by the golden nonce.
+// signWith sets the headers that authenticate a request, with the golden nonce.
 func signWith(r *http.Request, key, body []byte) {
 	a := &authenticator{fleet: goldenFleet, keys: goldenKeys()}
 	r.Header.Set("Gorse-Fleet", goldenFleet)
@@ -205,7 +207,7 @@
 	r.Header.Set("Gorse-Mac", hex.EncodeToString(a.sum(key, requestPurpose, r.Method, r.URL.RequestURI(), goldenNonce, body)))
 }
 
-// request returns the bytes of a request as they go over the connection.
+// request returns the bytes of a request as they are sent over the connection.
 func (e *exchange) request(t *testing.T) []byte {
 	t.Helper()
 	body := e.encodedBody(t)
@@ -213,7 +215,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Close = true // so that the answer ends with the connection
+	r.Close = true // so that the server closes the connection after the answer
 	if !e.unsigned {
 		signWith(r, goldenKeys()[0], body)
 	}
@@ -242,7 +244,7 @@
 	return text
 }
 
-// startServer serves at an address of loopback until the test ends.
+// startServer starts the server of an exchange on a loopback address. It is stopped when the test ends.
 func (e *exchange) startServer(t *testing.T) (address string) {
 	t.Helper()
 	history, state := goldenHistory()
@@ -282,7 +284,7 @@
 	return listener.Addr().String()
 }
 
-// exchangeBytes sends bytes to an address and returns all that comes back.
+// exchangeBytes sends a request to an address and returns all bytes of the answer.
 func exchangeBytes(t *testing.T, address string, request []byte) []byte {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -301,7 +303,8 @@
 	return answer
 }
 
-// dateHeader is the only part of an answer that depends on the time. Successful answers have none.
+// dateHeader matches the only part of an answer that depends on the time. Answers with status 200 to authenticated calls
+// do not have it.
 var dateHeader = regexp.MustCompile("\r\nDate: [^\r]*")
 
 const fixedDate = "\r\nDate: Thu, 01 Jan 1970 00:00:00 GMT"
@@ -310,7 +313,8 @@
 	return filepath.Join("exchanges", name+"."+part+".http")
 }
 
-// Requests and answers are compared as they go over the connection: paths, headers, MACs, status codes and bodies.
+// A change of the format on the wire would break a fleet while it is upgraded, when processes of two versions call each
+// other. Requests and answers are compared byte for byte: paths, headers, MACs, status codes and bodies.
 func TestExchangeMatchesGoldenFiles(t *testing.T) {
 	for _, e := range exchanges() {
 		t.Run(e.name, func(t *testing.T) {
@@ -341,6 +345,7 @@
 	return r, body, answer, answerBody
 }
 
+// Servers and clients of this build must accept the MACs of an earlier build.
 func TestGoldenRequestsAndAnswersAreAuthentic(t *testing.T) {
 	a := &authenticator{fleet: goldenFleet, keys: goldenKeys()}
 	rejections := map[string]rejection{"rejected_fleet": wrongFleet, "rejected_nonce": wrongNonce, "rejected_mac": wrongMAC}
--- a/internal/configfeed/feedhttp/follower_test.go
+++ b/internal/configfeed/feedhttp/follower_test.go
@@ -12,19 +12,19 @@
 	"gorseledge/internal/configfeed"
 )
 
-// testFollower is a node's follower and what it has put in force.
+// testFollower is a node's follower that records what it has put in force.
 type testFollower struct {
 	*Follower
 	mu     sync.Mutex
-	values []string
-	refuse bool
+	values []string // values of all installed entries, in order
+	refuse bool     // makes install fail
 }
 
-// follow starts a follower in a region; it stops with the test.
+// follow starts a follower in a region, which is stopped when the test ends. If refuse is set, it refuses every state.
 func (f *testServers) follow(name, region string, refuse bool) *testFollower {
 	n := &testFollower{refuse: refuse}
 	n.Follower = NewFollower(FollowerOptions{Fleet: testFleet, Keys: testKeys, Log: zerolog.Nop(), Install: n.install,
-		Config: configfeed.FollowerConfig{Name: name, Region: region, Servers: f.address, Seed: 7}})
+		Config: configfeed.FollowerConfig{Name: name, Region: region, Servers: f.addresses, Seed: 7}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
@@ -37,12 +37,12 @@
 	return n
 }
 
-// install records the values of a state, or refuses the state.
+// install records the values of a state, or returns an error if the follower refuses states.
 func (n *testFollower) install(state configfeed.State, changed []string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.refuse {
-		return errors.New("this node\ndoes not take it")
+		return errors.New("this node\ndoes not accept it")
 	}
 	for _, e := range state.Entries {
 		n.values = append(n.values, e.Value)
@@ -50,6 +50,7 @@
 	return nil
 }
 
+// A follower that stops polling, or polls with a wrong version, would miss a later revision.
 func TestFollowerReceivesEachRevision(t *testing.T) {
 	f := startServers(t, 3)
 	n := f.follow("n1", "r2", false)
@@ -61,7 +62,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.values) != 3 || n.values[2] != "2" {
-		t.Errorf("%v", n.values)
+		t.Errorf("installed values %v, want three, the last one 2", n.values)
 	}
 	traffic := n.Traffic()
 	if traffic.Answers < 3 || traffic.Requests < traffic.Answers || traffic.BytesSent == 0 || traffic.BytesReceived == 0 {
@@ -69,6 +70,7 @@
 	}
 }
 
+// A follower whose server stops must get later revisions from another server.
 func TestFollowerSwitchesServerWhenItsOwnStops(t *testing.T) {
 	f := startServers(t, 3)
 	n := f.follow("n1", "r2", false)
@@ -76,9 +78,9 @@
 	f.apply(client, NewProposalID(), version(0, 0), 1)
 	eventually(t, "the first revision is in force", func() bool { return n.View().Version == version(1, 1) })
 	if server := n.View().Server; server != "c2" {
-		t.Fatalf("it follows %s, and c2 is in its region", server)
+		t.Fatalf("it follows %s, want c2, which is in its region", server)
 	}
-	f.all[1].stop()
+	f.servers[1].stop()
 	f.apply(client, NewProposalID(), version(1, 1), 2)
 	eventually(t, "the second revision is in force", func() bool { return n.View().Version == version(1, 2) })
 	if server := n.View().Server; server == "c2" {
@@ -86,19 +88,20 @@
 	}
 }
 
+// Operators find a node that refuses a revision in the status. Its reason must reach the server, on one line.
 func TestServerStatusShowsRefusedRevision(t *testing.T) {
 	f := startServers(t, 1)
 	f.follow("n1", "r1", true)
 	client := f.client()
 	f.apply(client, NewProposalID(), version(0, 0), 1)
-	eventually(t, "the refusal is known", func() bool {
+	eventually(t, "the server's status shows the refusal", func() bool {
 		status, err := client.Status(t.Context(), f.writer())
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, follower := range status.Followers {
 			if follower.Name == "n1" && follower.Refused != nil {
-				return *follower.Refused == configfeed.Refusal{Version: version(1, 1), Reason: "this node does not take it"} &&
+				return *follower.Refused == configfeed.Refusal{Version: version(1, 1), Reason: "this node does not accept it"} &&
 					follower.Have == version(0, 0)
 			}
 		}
@@ -106,6 +109,7 @@
 	})
 }
 
+// Followers in one process must not share state: each of them must get the revision.
 func TestManyFollowersRunInOneProcess(t *testing.T) {
 	f := startServers(t, 1)
 	var all []*testFollower
@@ -119,7 +123,8 @@
 	}
 }
 
-// A large state is compressed, and its MAC is that of the uncompressed text.
+// A large state must be sent compressed. The follower verifies the MAC of the uncompressed text, so a MAC of the compressed
+// one would make it reject the answer.
 func TestLargeStateIsCompressed(t *testing.T) {
 	f := startServers(t, 1)
 	client := f.client()
@@ -138,6 +143,6 @@
 	n := f.follow("n1", "r1", false)
 	eventually(t, "the state is in force", func() bool { return n.View().Version == version(1, 1) })
 	if received := n.Traffic().BytesReceived; received > uint64(size)/2 {
-		t.Errorf("%d bytes were received for %d", received, size)
+		t.Errorf("%d bytes were received for a state of %d bytes, want at most half", received, size)
 	}
 }
--- a/internal/configfeed/feedhttp/handler.go
+++ b/internal/configfeed/feedhttp/handler.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// Limits of requests, in bytes unless noted.
+// Limits of requests.
 const (
 	maxPollBytes  = 16 << 10
-	maxApplyBytes = 8 << 20 // a complete state with every character escaped, and a margin
+	maxApplyBytes = 8 << 20 // holds a complete state with every character escaped, and a margin
 	maxEpochBytes = 4 << 10
-	maxApplies    = 4 // calls with a body of maxApplyBytes at the same time
+	maxApplies    = 4 // concurrent apply calls; each may hold a body of maxApplyBytes in memory
 )
 
-// call answers a request that is authentic. Its error is a *StatusError, or errClientGone.
+// call computes the answer to an authenticated request. Its error is a *StatusError or errClientGone.
 type call func(r *http.Request, body []byte) (encodedAnswer, error)
 
-// errClientGone is the error of a request whose client does not wait for the answer any more.
-var errClientGone = errors.New("the client has gone")
+// errClientGone is the error of a request whose client has disconnected before the answer.
+var errClientGone = errors.New("the client disconnected before the answer")
 
-// handler routes the calls of followers and commands, and those of operators' tools, which are not authenticated.
+// handler routes the authenticated calls of followers and commands, and the pages for operators' tools under /-/, which
+// need no authentication.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathPoll, s.authenticated(maxPollBytes, s.poll))
@@ -35,14 +36,13 @@
 	mux.HandleFunc("GET /-/ready", s.ready)
 	mux.HandleFunc("GET /-/metrics", s.metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// The write deadline of the previous answer on this connection passes while a poll is held.
+		// The write deadline that the previous answer set on this connection could expire while a poll is held.
 		http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		mux.ServeHTTP(w, r)
 	})
 }
 
-// limitConcurrency rejects calls while maxApplies of them are in progress. This prevents many large bodies from being in
-// memory at once.
+// limitConcurrency rejects calls while maxApplies of them are in progress, to bound the memory that large bodies use.
 func (s *Server) limitConcurrency(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -55,7 +55,8 @@
 	}
 }
 
-// authenticated reads a request's body of at most limit bytes, verifies its MAC and sends the signed answer of a call.
+// authenticated returns a handler that reads a request's body of at most limit bytes, verifies the request's MAC, calls
+// answerCall and sends the signed answer.
 func (s *Server) authenticated(limit int64, answerCall call) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := readBody(w, r, limit)
@@ -86,10 +87,11 @@
 		http.Error(w, "the body is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	http.Error(w, "the body did not come whole", http.StatusBadRequest)
+	http.Error(w, "the body was not received completely", http.StatusBadRequest)
 }
 
-// sendCallError answers a request whose call failed. After errClientGone there is nobody to answer.
+// sendCallError answers a request whose call failed. It sends nothing after errClientGone, since the client has
+// disconnected.
 func sendCallError(w http.ResponseWriter, err error) {
 	var status *StatusError
 	if errors.As(err, &status) {
@@ -97,9 +99,10 @@
 	}
 }
 
-// sendAnswer sends the answer to a request that was signed with key, compressed where the client accepts that.
+// sendAnswer sends the answer to a request that was signed with key. It is compressed if the client accepts gzip and that
+// makes it smaller.
 func (s *Server) sendAnswer(w http.ResponseWriter, r *http.Request, key []byte, answer encodedAnswer) {
-	w.Header()["Date"] = nil // no client reads it, and every poll would carry it
+	w.Header()["Date"] = nil // no client reads this header, and the answer to every poll would carry it
 	w.Header().Set("Content-Type", "application/json")
 	s.authenticator.signAnswer(key, r, w.Header(), http.StatusOK, answer.text)
 	if answer.compressed != nil && strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
@@ -110,22 +113,22 @@
 	w.Write(answer.text)
 }
 
-// encodeAnswer returns a value in JSON as the answer of a call.
+// encodeAnswer returns the answer that has a value in JSON as its body.
 func encodeAnswer(value any) (encodedAnswer, error) {
 	text, err := json.Marshal(value)
 	return encodedAnswer{text: text}, err
 }
 
-// readBody reads a body to its end within receiveTimeout.
+// readBody reads a body of at most limit bytes within receiveTimeout.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	control := http.NewResponseController(w)
 	control.SetReadDeadline(time.Now().Add(receiveTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
-	control.SetReadDeadline(time.Time{}) // if it passed later, the client would seem to have gone
+	control.SetReadDeadline(time.Time{}) // if it expired later, the client would seem to have disconnected
 	return body, err
 }
 
-// reject counts a request that is not authentic, and logs the first one for each reason.
+// reject counts a request that is not authentic, and logs the first one of each reason.
 func (s *Server) reject(r *http.Request, reason rejection) {
 	if s.counters.countRejection(reason) == 1 {
 		s.options.Log.Warn().Str("why", string(reason)).Str("from", r.RemoteAddr).Str("path", r.URL.Path).
--- a/internal/configfeed/feedhttp/helpers_test.go
+++ b/internal/configfeed/feedhttp/helpers_test.go
@@ -19,7 +19,7 @@
 	"gorseledge/internal/configfeed/feedstore"
 )
 
-const eventualTimeout = 20 * time.Second // for a condition that has to hold eventually
+const eventualTimeout = 20 * time.Second // longest wait for a condition to hold
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -34,14 +34,14 @@
 	stop          func()
 }
 
-// testServers are several control servers; the first one is the writer.
+// testServers are the control servers of one fleet. The first one is the writer.
 type testServers struct {
-	t       *testing.T
-	all     []*testServer
-	address []configfeed.ServerAddress
+	t         *testing.T
+	servers   []*testServer
+	addresses []configfeed.ServerAddress
 }
 
-// startServers starts that many servers, each in a region of its own.
+// startServers starts count servers, each in its own region, and waits until the writer accepts proposals.
 func startServers(t *testing.T, count int) *testServers {
 	t.Helper()
 	f := &testServers{t: t}
@@ -53,25 +53,27 @@
 		}
 		listeners = append(listeners, listener)
 		name := fmt.Sprint("c", i+1)
-		f.all = append(f.all, &testServer{name: name, address: listener.Addr().String(), directory: t.TempDir()})
-		f.address = append(f.address, configfeed.ServerAddress{Name: name, Address: listener.Addr().String(), Region: fmt.Sprint("r", i+1)})
+		f.servers = append(f.servers, &testServer{name: name, address: listener.Addr().String(), directory: t.TempDir()})
+		f.addresses = append(f.addresses, configfeed.ServerAddress{Name: name, Address: listener.Addr().String(),
+			Region: fmt.Sprint("r", i+1)})
 	}
-	for i, server := range f.all {
+	for i, server := range f.servers {
 		f.start(server, listeners[i])
 	}
 	f.untilReady()
 	return f
 }
 
-// start starts a server on a listener; it stops with the test at the latest.
+// start starts a server on a listener. The server is stopped when the test ends, if it was not stopped before.
 func (f *testServers) start(s *testServer, listener net.Listener) {
 	f.t.Helper()
 	store, stored, err := feedstore.Open(s.directory)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	config := configfeed.ServerConfig{Name: s.name, Servers: f.address, Writer: f.all[0].name, Seed: 1}
-	server := NewServer(ServerOptions{Fleet: testFleet, Keys: testKeys, Config: config, Log: zerolog.Nop(), Store: store, Stored: stored})
+	config := configfeed.ServerConfig{Name: s.name, Servers: f.addresses, Writer: f.servers[0].name, Seed: 1}
+	server := NewServer(ServerOptions{Fleet: testFleet, Keys: testKeys, Config: config, Log: zerolog.Nop(), Store: store,
+		Stored: stored})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(ctx, listener) }()
@@ -85,7 +87,7 @@
 	f.t.Cleanup(s.stop)
 }
 
-// client returns a client of the fleet, which is closed with the test.
+// client returns a client of the fleet, which is closed when the test ends.
 func (f *testServers) client() *Client {
 	c := NewClient(testFleet, testKeys, nil)
 	f.t.Cleanup(c.Close)
@@ -93,20 +95,21 @@
 }
 
 // writer returns the address of the writer.
-func (f *testServers) writer() string { return f.all[0].address }
+func (f *testServers) writer() string { return f.servers[0].address }
 
-// isStatus reports whether an error is an answer with a status code.
+// isStatus reports whether an error is a *StatusError with a status code.
 func isStatus(err error, code int) bool {
 	var status *StatusError
 	return errors.As(err, &status) && status.Code == code
 }
 
-// eventually waits until a condition holds; what describes it.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds, and fails the test after eventualTimeout. The description is that of the
+// condition.
+func eventually(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(eventualTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("condition did not hold within %v: %s", eventualTimeout, description)
 		}
 	}
 }
@@ -117,10 +120,10 @@
 	eventually(f.t, "the writer is ready", func() bool { return strings.HasPrefix(getText(f.t, f.writer(), "/-/ready"), "yes") })
 }
 
-// plainTransport does not reuse connections.
+// plainTransport opens a new connection for each request.
 var plainTransport = &http.Transport{DisableKeepAlives: true}
 
-// getText returns the answer to a call that is not authenticated, as operators' tools make it.
+// getText returns the answer to a request without authentication, as operators' tools send it.
 func getText(t *testing.T, address, path string) string {
 	t.Helper()
 	answer, err := (&http.Client{Transport: plainTransport, Timeout: eventualTimeout}).Get("http://" + address + path)
@@ -135,18 +138,18 @@
 	return string(text)
 }
 
-// metric returns a figure of a server.
+// metric returns the value of a server's metric; its name is given without the prefix "control.".
 func metric(t *testing.T, address, name string) string {
 	t.Helper()
 	_, rest, found := strings.Cut(getText(t, address, "/-/metrics"), "control."+name+":")
 	if !found {
-		t.Fatalf("there is no figure %s", name)
+		t.Fatalf("the metric control.%s is missing", name)
 	}
 	value, _, _ := strings.Cut(rest, "|")
 	return value
 }
 
-// entriesWithNodes returns a configuration with a number of nodes.
+// entriesWithNodes returns a configuration that sets the number of nodes.
 func entriesWithNodes(value int) []configfeed.Entry {
 	return []configfeed.Entry{{Key: "nodes", Value: fmt.Sprint(value)}}
 }
@@ -156,12 +159,13 @@
 	return configfeed.Version{Epoch: epoch, Revision: revision}
 }
 
-// apply proposes a value at the writer and returns the outcome.
+// apply proposes a number of nodes to the writer and returns the outcome.
 func (f *testServers) apply(c *Client, id string, expected configfeed.Version, value int) configfeed.Outcome {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), eventualTimeout)
 	defer cancel()
-	outcome, err := c.Apply(ctx, f.writer(), configfeed.Proposal{ID: id, IfVersion: expected, Entries: entriesWithNodes(value), Author: "test"})
+	p := configfeed.Proposal{ID: id, IfVersion: expected, Entries: entriesWithNodes(value), Author: "test"}
+	outcome, err := c.Apply(ctx, f.writer(), p)
 	if err != nil {
 		f.t.Error(err)
 	}
--- a/internal/configfeed/feedhttp/metrics.go
+++ b/internal/configfeed/feedhttp/metrics.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// serverCounters count the calls of a server since its start. They may be used by several goroutines; the zero value is
-// ready to use.
+// serverCounters counts the calls of a server since its start. It is safe for concurrent use; the zero value is ready to
+// use.
 type serverCounters struct {
 	polls, applies atomic.Uint64
 
@@ -17,7 +17,7 @@
 	rejections map[rejection]int
 }
 
-// countRejection counts a request that is not authentic, and returns how many there were for that reason.
+// countRejection counts a request that was rejected for a reason, and returns the count for that reason.
 func (c *serverCounters) countRejection(reason rejection) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,7 +28,7 @@
 	return c.rejections[reason]
 }
 
-// write writes the counters, one a line.
+// write writes the counters, one per line.
 func (c *serverCounters) write(w io.Writer) {
 	fmt.Fprintf(w, "control.polls:%d|c\n", c.polls.Load())
 	fmt.Fprintf(w, "control.applies:%d|c\n", c.applies.Load())
@@ -39,7 +39,8 @@
 	}
 }
 
-// ready answers operators' tools whether this server does its part: the writer has to accept proposals.
+// ready is the readiness page for operators' tools. It answers with status 503 while the server stops, and at the writer
+// while that accepts no proposals.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	status, err := s.currentStatus()
 	switch {
@@ -52,7 +53,7 @@
 	}
 }
 
-// metrics answers with counters since the start and gauges, in the format of a node's metrics.
+// metrics answers with the counters since the start and with gauges, in the same format as a node's metrics page.
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	var held int
 	if err := s.readCore(func(float64) { held = len(s.polls) }); err != nil {
--- a/internal/configfeed/feedhttp/poller.go
+++ b/internal/configfeed/feedhttp/poller.go
@@ -13,7 +13,7 @@
 	"gorseledge/internal/configfeed"
 )
 
-// Paths of a server's calls.
+// Paths of a control server's calls.
 const (
 	pathPoll    = "/v1/poll"
 	pathApply   = "/v1/apply"
@@ -23,24 +23,24 @@
 	pathState   = "/v1/state"
 )
 
-// poller sends the polls that a core asks for, each on a goroutine of its own, which ends when the poll does. Its methods
-// are called by one loop's goroutine, except for poll and the function report, which the polls' goroutines call.
+// poller sends the polls that a core asks for. Each poll runs on its own goroutine. The goroutine of one loop calls all
+// methods, except for poll and the function report, which the polls' goroutines call.
 type poller struct {
 	caller  *caller
 	log     zerolog.Logger
 	report  func(request uint64, u configfeed.Update, err error)
-	polls   map[uint64]sentPoll // that are awaited, by request
+	polls   map[uint64]sentPoll // polls whose answers are awaited, by request number
 	failing map[string]bool     // servers whose last poll failed, by name
-	running sync.WaitGroup      // the polls' goroutines
+	running sync.WaitGroup      // goroutines of the polls
 }
 
-// sentPoll is a poll that is awaited.
+// sentPoll is a poll whose answer is awaited.
 type sentPoll struct {
-	server string
+	server string // name of the polled server
 	cancel context.CancelFunc
 }
 
-// newPoller returns a poller that passes the result of each poll to report.
+// newPoller returns a poller that calls report with the result of each poll.
 func newPoller(c *caller, log zerolog.Logger, report func(uint64, configfeed.Update, error)) *poller {
 	return &poller{caller: c, log: log, report: report, polls: map[uint64]sentPoll{}, failing: map[string]bool{}}
 }
@@ -72,7 +72,7 @@
 	return u, nil
 }
 
-// cancel ends a poll that is not awaited any more.
+// cancel ends a poll whose answer is no longer awaited.
 func (p *poller) cancel(request uint64) {
 	if poll, found := p.polls[request]; found {
 		poll.cancel()
@@ -80,7 +80,7 @@
 	}
 }
 
-// finish records the result of a poll, and reports whether the poll was still awaited.
+// finish records the result of a poll, and returns whether its answer was still awaited.
 func (p *poller) finish(request uint64, err error) bool {
 	poll, awaited := p.polls[request]
 	if !awaited {
@@ -91,7 +91,7 @@
 	return true
 }
 
-// logReachability logs when a server ceases to answer, and when it answers again.
+// logReachability logs when a server stops answering, and when it answers again.
 func (p *poller) logReachability(server string, err error) {
 	switch {
 	case err != nil && !p.failing[server]:
@@ -103,7 +103,7 @@
 	}
 }
 
-// stop ends all polls and waits for their goroutines. The loop has to have stopped.
+// stop ends all polls and waits for their goroutines. It must be called after the loop has stopped.
 func (p *poller) stop() {
 	for request := range p.polls {
 		p.cancel(request)
--- a/internal/configfeed/feedhttp/proposals_test.go
+++ b/internal/configfeed/feedhttp/proposals_test.go
@@ -8,6 +8,8 @@
 	"gorseledge/internal/configfeed"
 )
 
+// Two operators who start from the same revision must not overwrite each other's change: one is accepted, the other one
+// conflicts and names the accepted version.
 func TestOneOfTwoConcurrentProposalsConflicts(t *testing.T) {
 	f := startServers(t, 3)
 	outcomes := make([]configfeed.Outcome, 2)
@@ -29,17 +31,19 @@
 	}
 }
 
+// If an answer is lost, the client repeats its proposal. Without the proposal's ID, the repetition would conflict with the
+// revision that the first attempt made.
 func TestProposalWithLostAnswersIsAppliedOnce(t *testing.T) {
 	f := startServers(t, 1)
 	var lost int
-	through := relay(t, f.writer(), func(path string, answer *http.Response, body []byte) (*http.Response, []byte) {
+	relayAddress := relay(t, f.writer(), func(path string, answer *http.Response, body []byte) (*http.Response, []byte) {
 		if path == pathApply && lost < 2 {
 			lost++
 			return nil, nil
 		}
 		return answer, body
 	})
-	client := NewClient(testFleet, testKeys, map[string]string{f.writer(): through})
+	client := NewClient(testFleet, testKeys, map[string]string{f.writer(): relayAddress})
 	defer client.Close()
 	outcome := f.apply(client, "once", version(0, 0), 1)
 	if outcome.Kind != configfeed.Accepted || outcome.Version != version(1, 1) {
@@ -51,18 +55,24 @@
 	}
 }
 
+// A request for a new epoch that is repeated must not begin a second epoch.
 func TestRepeatedEpochRequestConflicts(t *testing.T) {
 	f := startServers(t, 1)
 	client := f.client()
 	f.apply(client, "p", version(0, 0), 1)
-	for i, want := range []configfeed.Outcome{{Kind: configfeed.Accepted, Version: version(2, 1)}, {Kind: configfeed.Conflict, Version: version(2, 1)}} {
+	for i, want := range []configfeed.Outcome{
+		{Kind: configfeed.Accepted, Version: version(2, 1)},
+		{Kind: configfeed.Conflict, Version: version(2, 1)},
+	} {
 		outcome, err := client.BeginEpoch(t.Context(), f.writer(), EpochRequest{IfVersion: version(1, 1), Author: "test"})
 		if err != nil || outcome.Kind != want.Kind || outcome.Version != want.Version {
-			t.Errorf("request %d: %+v, %v", i+1, outcome, err)
+			t.Errorf("request %d: %+v, %v, want %+v", i+1, outcome, err, want)
 		}
 	}
 }
 
+// Operators revert to the state of an earlier revision. A revision that the history does not hold is status 404, not the
+// newest state.
 func TestEarlierStatesAndHistoryAreAnswered(t *testing.T) {
 	f := startServers(t, 1)
 	client := f.client()
--- a/internal/configfeed/feedhttp/requests_test.go
+++ b/internal/configfeed/feedhttp/requests_test.go
@@ -14,10 +14,12 @@
 	"gorseledge/internal/configfeed"
 )
 
-// changeAnswer returns what a relay sends in place of an answer and its body; without an answer it ends the connection.
+// changeAnswer returns the answer and body that a relay sends in place of those of the server. If the answer is nil, the
+// relay closes the connection without one.
 type changeAnswer func(path string, answer *http.Response, body []byte) (*http.Response, []byte)
 
-// relay forwards requests to a server and may change the answers. It returns its address.
+// relay starts a proxy that forwards requests to a server and passes the answers through change. It returns the proxy's
+// address.
 func relay(t *testing.T, to string, change changeAnswer) string {
 	t.Helper()
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +44,7 @@
 	return server.Listener.Addr().String()
 }
 
-// send makes an authentic request with any body, and returns the status and the text of the answer.
+// send sends an authenticated request with a body, which may be invalid, and returns the status and text of the answer.
 func send(t *testing.T, address, path string, body []byte) (int, string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, bytes.NewReader(body))
@@ -59,49 +61,55 @@
 	return answer.StatusCode, strings.TrimSpace(string(text))
 }
 
+// Authenticated requests with bodies that are too large, cannot be decoded or are out of range must be rejected with an
+// error that names the field, and must not change the configuration.
 func TestInvalidBodiesAreRejected(t *testing.T) {
 	f := startServers(t, 1)
 	long := strings.Repeat("n", configfeed.MaxNameBytes+1)
 	for _, c := range []struct {
 		name, path, body string
 		status           int
-		says             string
+		wantText         string
 	}{
-		{"large poll", pathPoll, strings.Repeat(" ", maxPollBytes+1), http.StatusRequestEntityTooLarge, "too large"},
-		{"large epoch", pathEpoch, strings.Repeat(" ", maxEpochBytes+1), http.StatusRequestEntityTooLarge, "too large"},
-		{"large proposal", pathApply, strings.Repeat(" ", maxApplyBytes+1), http.StatusRequestEntityTooLarge, "too large"},
-		{"no JSON", pathPoll, "poll", http.StatusBadRequest, "not what is wanted"},
-		{"two values", pathPoll, `{"follower":"n1"}{}`, http.StatusBadRequest, "not what is wanted"},
-		{"no name", pathPoll, `{}`, http.StatusBadRequest, "follower"},
-		{"long name", pathPoll, `{"follower":"` + long + `"}`, http.StatusBadRequest, "follower"},
-		{"long region", pathPoll, `{"follower":"n1","region":"` + long + `"}`, http.StatusBadRequest, "region"},
+		{"poll body too large", pathPoll, strings.Repeat(" ", maxPollBytes+1), http.StatusRequestEntityTooLarge, "too large"},
+		{"epoch body too large", pathEpoch, strings.Repeat(" ", maxEpochBytes+1), http.StatusRequestEntityTooLarge, "too large"},
+		{"proposal body too large", pathApply, strings.Repeat(" ", maxApplyBytes+1), http.StatusRequestEntityTooLarge, "too large"},
+		{"body is not JSON", pathPoll, "poll", http.StatusBadRequest, "not what is wanted"},
+		{"two JSON values", pathPoll, `{"follower":"n1"}{}`, http.StatusBadRequest, "not what is wanted"},
+		{"missing follower name", pathPoll, `{}`, http.StatusBadRequest, "follower"},
+		{"follower name too long", pathPoll, `{"follower":"` + long + `"}`, http.StatusBadRequest, "follower"},
+		{"region too long", pathPoll, `{"follower":"n1","region":"` + long + `"}`, http.StatusBadRequest, "region"},
 		{"negative wait", pathPoll, `{"follower":"n1","wait_s":-1}`, http.StatusBadRequest, "wait_s"},
-		{"no identifier", pathApply, `{"entries":[]}`, http.StatusBadRequest, "id"},
-		{"long author", pathApply, `{"id":"p","author":"` + long + long + long + long + `"}`, http.StatusBadRequest, "200 bytes"},
+		{"missing proposal ID", pathApply, `{"entries":[]}`, http.StatusBadRequest, "id"},
+		{"author too long", pathApply, `{"id":"p","author":"` + long + long + long + long + `"}`, http.StatusBadRequest,
+			"id, author and note must be at most 200 bytes each"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			status, text := send(t, f.writer(), c.path, []byte(c.body))
-			if status != c.status || !strings.Contains(text, c.says) {
-				t.Errorf("%d %q, wanted %d %q", status, text, c.status, c.says)
+			if status != c.status || !strings.Contains(text, c.wantText) {
+				t.Errorf("status %d, text %q, want status %d, text with %q", status, text, c.status, c.wantText)
 			}
 		})
 	}
 	if v := metric(t, f.writer(), "revision"); v != "0" {
-		t.Errorf("revision %s", v)
+		t.Errorf("revision %s after rejected requests, want 0", v)
 	}
 }
 
+// Entries that are not a valid configuration must be rejected before the proposal reaches the core, with the reason on one
+// line.
 func TestProposalRejectedByCheckIsBadRequest(t *testing.T) {
 	server := NewServer(ServerOptions{Config: configfeed.ServerConfig{Name: "c1", Writer: "c1"},
 		Check: func([]configfeed.Entry) error { return errors.New("nodes: out\nof range") }})
 	_, err := server.apply(httptest.NewRequest(http.MethodPost, pathApply, nil), []byte(`{"id":"p"}`))
-	var refused *StatusError
-	if !errors.As(err, &refused) || refused.Code != http.StatusBadRequest || refused.Text != "nodes: out of range" {
+	var rejected *StatusError
+	if !errors.As(err, &rejected) || rejected.Code != http.StatusBadRequest || rejected.Text != "nodes: out of range" {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestConcurrentLargeBodiesAreBounded(t *testing.T) {
+// Each apply call may hold a body of maxApplyBytes. Without a limit, many concurrent calls could exhaust the memory.
+func TestConcurrentApplyCallsAreLimited(t *testing.T) {
 	server := NewServer(ServerOptions{Config: configfeed.ServerConfig{Name: "c1", Writer: "c1"}})
 	for range maxApplies {
 		server.applySlots <- struct{}{}
@@ -109,11 +117,11 @@
 	answer := httptest.NewRecorder()
 	server.handler().ServeHTTP(answer, httptest.NewRequest(http.MethodPost, pathApply, strings.NewReader("{}")))
 	if answer.Code != http.StatusServiceUnavailable {
-		t.Errorf("status %d", answer.Code)
+		t.Errorf("status %d, want %d", answer.Code, http.StatusServiceUnavailable)
 	}
 }
 
-// Neither a held poll nor a rejected one closes the connection.
+// If a held or rejected poll closed its connection, the follower would have to open a new one for the next poll.
 func TestConnectionIsReused(t *testing.T) {
 	f := startServers(t, 1)
 	caller := newCaller(&authenticator{fleet: testFleet, keys: testKeys}, nil)
@@ -124,7 +132,12 @@
 		connections++
 		return dial(ctx, network, address)
 	}
-	for _, body := range []string{`{"follower":"n1","wait_s":0}`, `{"follower":"n1","wait_s":0.2}`, `{}`, `{"follower":"n1","wait_s":0}`} {
+	for _, body := range []string{
+		`{"follower":"n1","wait_s":0}`,
+		`{"follower":"n1","wait_s":0.2}`,
+		`{}`,
+		`{"follower":"n1","wait_s":0}`,
+	} {
 		_, err := caller.call(t.Context(), f.writer(), http.MethodPost, pathPoll, []byte(body))
 		rejected := body == `{}` && isStatus(err, http.StatusBadRequest)
 		if err != nil && !rejected {
@@ -132,6 +145,6 @@
 		}
 	}
 	if connections != 1 {
-		t.Errorf("%d connections", connections)
+		t.Errorf("%d connections were opened, want 1", connections)
 	}
 }
--- a/internal/configfeed/feedhttp/server.go
+++ b/internal/configfeed/feedhttp/server.go
@@ -14,40 +14,41 @@
 	"gorseledge/internal/configfeed"
 )
 
-// Times of a server.
+// Timeouts of a control server.
 const (
-	receiveTimeout  = 5 * time.Second // for a request to arrive completely
-	sendTimeout     = 5 * time.Second // for an answer to be received
-	idleTimeout     = time.Minute     // of a connection without a request
-	shutdownTimeout = 2 * time.Second // for the requests in flight to be answered at the end
+	receiveTimeout  = 5 * time.Second // until a request has been received completely
+	sendTimeout     = 5 * time.Second // until the client has received an answer
+	idleTimeout     = time.Minute     // until a connection without a request is closed
+	shutdownTimeout = 2 * time.Second // until the requests in flight are aborted at shutdown
 )
 
-// maxHeaderBytes bounds the header of a request; net/http adds some slack.
+// maxHeaderBytes bounds the header of a request; net/http accepts a few kilobytes more than this.
 const maxHeaderBytes = 4 << 10
 
-// Store is the durable log of a server.
+// Store is the durable log of a control server.
 type Store interface {
-	// Save returns when the disk has a state and the revisions that lead to it; without revisions the state replaces
-	// all before it. It is called by one goroutine at a time.
+	// Save returns once a state and the revisions that lead to it are on disk. Without revisions, the state replaces
+	// the one on disk. It is called by one goroutine at a time.
 	Save(state configfeed.State, added []configfeed.Revision) error
-	// At returns the state as of a version, or configfeed.ErrRevisionNotFound. Several goroutines may call it.
+	// At returns the state as of a version, or configfeed.ErrRevisionNotFound. It may be called concurrently.
 	At(v configfeed.Version) (configfeed.State, error)
 }
 
 // ServerOptions configure a control server.
 type ServerOptions struct {
 	Fleet  string                  // identifier of the fleet
-	Keys   [][]byte                // of the fleet; the first one signs
-	Config configfeed.ServerConfig // name, servers and writer
-	Via    map[string]string       // address to dial in place of another server's address; nil for none
+	Keys   [][]byte                // keys of the fleet: the first one signs, any of them is accepted
+	Config configfeed.ServerConfig // the server's name, the list of all servers, and the writer
+	Via    map[string]string       // maps another server's address to the one to dial instead; may be nil
 	Log    zerolog.Logger
 	Store  Store
-	Stored configfeed.Stored // what the store held at the start
-	// Check returns why entries cannot be a configuration; nil accepts all.
+	Stored configfeed.Stored // content of the store when the server starts
+	// Check returns an error if proposed entries are not a valid configuration. If it is nil, all entries are accepted.
 	Check func([]configfeed.Entry) error
 }
 
-// Server is a control server: it runs the core with its requests, its store and the polls of followers.
+// Server is a control server: it passes requests, results of saves and answers of other servers to the core, and carries
+// out the effects that the core returns.
 type Server struct {
 	options       ServerOptions
 	authenticator *authenticator
@@ -55,19 +56,19 @@
 	loop          *loop[configfeed.ServerEffect]
 	poller        *poller
 	saves         chan configfeed.Save
-	stopping      chan struct{} // closed when held polls are to end
+	stopping      chan struct{} // closed at shutdown, to end the held polls
 	counters      serverCounters
-	applySlots    chan struct{} // holds an element for each apply in progress
+	applySlots    chan struct{} // holds one element for each apply call in progress
 
-	// Owned by the loop's goroutine.
-	lastRequest uint64
-	polls       map[uint64]chan<- encodedAnswer      // that are held, by request
-	proposals   map[uint64]chan<- configfeed.Outcome // that wait for their outcome, by request
+	// The fields below are used by the loop's goroutine only.
+	lastRequest uint64                               // number of the newest poll or proposal
+	polls       map[uint64]chan<- encodedAnswer      // held polls by request number
+	proposals   map[uint64]chan<- configfeed.Outcome // proposals without an outcome yet, by request number
 	encoded     updateCache
 	observer    observer
 }
 
-// NewServer returns a server that does nothing until Serve.
+// NewServer returns a server that is idle until Serve is called.
 func NewServer(o ServerOptions) *Server {
 	s := &Server{
 		options:       o,
@@ -86,8 +87,9 @@
 	return s
 }
 
-// Serve answers the requests of a listener until the context ends, and closes it. The error is that of the listener, nil
-// after the end of the context. It can be called once. All goroutines of the server have ended when it returns.
+// Serve answers the requests that arrive at a listener until the context ends, then closes the listener and returns nil.
+// If the listener fails first, Serve returns its error. It can be called once. All goroutines of the server have ended
+// when it returns.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler:                      s.handler(),
@@ -118,7 +120,8 @@
 	return err
 }
 
-// shutDown ends held polls, so that their followers switch to other servers, and waits for the other requests.
+// shutDown ends held polls, so that their followers switch to other servers, and waits up to shutdownTimeout for the
+// other requests in flight.
 func (s *Server) shutDown(server *http.Server) {
 	close(s.stopping)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
@@ -127,7 +130,7 @@
 	server.Close()
 }
 
-// saveAll carries out saves one after the other, on a goroutine of its own, until the channel is closed.
+// saveAll writes saves to the store, one after the other, until the channel is closed. It runs on its own goroutine.
 func (s *Server) saveAll() {
 	for save := range s.saves {
 		err := s.options.Store.Save(save.State, save.Revisions)
@@ -136,7 +139,7 @@
 	}
 }
 
-// carryOut carries out one effect. No effects follow from it.
+// carryOut carries out one effect of the core. It returns nil, since no server effect leads to further ones.
 func (s *Server) carryOut(e configfeed.ServerEffect) []configfeed.ServerEffect {
 	switch e := e.(type) {
 	case configfeed.SendPoll:
@@ -144,7 +147,7 @@
 	case configfeed.CancelPoll:
 		s.poller.cancel(e.Request)
 	case configfeed.Save:
-		s.saves <- e // does not block: there is one at a time
+		s.saves <- e // does not block: the core requests one save at a time
 	case configfeed.AnswerPoll:
 		s.answerPoll(e)
 	case configfeed.AnswerProposal:
@@ -156,7 +159,7 @@
 	return nil
 }
 
-// answerPoll passes an answer to the request that waits for it, if that has not ended.
+// answerPoll encodes an update and passes it to the held poll that it answers, unless that poll has already ended.
 func (s *Server) answerPoll(e configfeed.AnswerPoll) {
 	answer, found := s.polls[e.Request]
 	if !found {
@@ -165,12 +168,12 @@
 	delete(s.polls, e.Request)
 	encoded, err := s.encoded.encode(e.Update)
 	if err != nil {
-		s.options.Log.Error().Err(err).Msg("an answer that is no JSON")
+		s.options.Log.Error().Err(err).Msg("encoding the answer to a poll failed")
 	}
 	answer <- encoded
 }
 
-// polled reports the result of this server's own poll to the core. It runs on the poll's goroutine.
+// polled reports the result of a poll that this server sent to another server. It runs on the poll's goroutine.
 func (s *Server) polled(request uint64, u configfeed.Update, err error) {
 	s.loop.post(func(now float64) []configfeed.ServerEffect {
 		switch {
@@ -183,7 +186,7 @@
 	})
 }
 
-// logStatus logs the changes of the server's status.
+// logStatus logs changes of the server's status, checked once per observerInterval.
 func (s *Server) logStatus(now float64) {
 	if s.observer.due(now) {
 		s.observer.update(now, s.core.Status(now))
--- a/internal/configfeed/feedhttp/server_test.go
+++ b/internal/configfeed/feedhttp/server_test.go
@@ -9,7 +9,9 @@
 	"time"
 )
 
-func TestHeldPollEndsWhenItsClientGoes(t *testing.T) {
+// A server that does not notice that a client disconnected would keep the client's poll, and its memory, for the rest of
+// the wait.
+func TestHeldPollEndsWhenItsClientDisconnects(t *testing.T) {
 	f := startServers(t, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	caller := newCaller(&authenticator{fleet: testFleet, keys: testKeys}, nil)
@@ -18,17 +20,18 @@
 		_, err := caller.call(ctx, f.writer(), http.MethodPost, pathPoll, []byte(`{"follower":"n1","wait_s":100}`))
 		done <- err
 	}()
-	// While the poll is held the server reads from the connection to notice that the client goes.
+	// While it holds a poll, net/http reads from the connection to notice that the client disconnects.
 	eventually(t, "the poll is held", func() bool { return metric(t, f.writer(), "polls_held") == "1" })
 	cancel()
 	if err := <-done; !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("canceled poll: %v", err)
 	}
 	eventually(t, "the poll has ended", func() bool { return metric(t, f.writer(), "polls_held") == "0" })
 	caller.closeIdle()
 }
 
-// A stop ends held polls at once. TestMain checks that no goroutine is left.
+// A stop that waited for held polls would take as long as the longest one, and the followers would not switch to another
+// server. TestMain checks that no goroutine is left.
 func TestStopEndsHeldPolls(t *testing.T) {
 	f := startServers(t, 1)
 	done := make(chan int, 1)
@@ -37,17 +40,17 @@
 		done <- status
 	}()
 	eventually(t, "the poll is held", func() bool { return metric(t, f.writer(), "polls_held") == "1" })
-	f.all[0].stop()
+	f.servers[0].stop()
 	select {
 	case status := <-done:
 		if status != http.StatusServiceUnavailable {
-			t.Errorf("status %d", status)
+			t.Errorf("status %d, want %d", status, http.StatusServiceUnavailable)
 		}
 	case <-time.After(eventualTimeout):
 		t.Error("the poll is still held")
 	}
 	if conn, err := net.Dial("tcp", f.writer()); err == nil {
 		conn.Close()
-		t.Error("the address is still open")
+		t.Error("the stopped server still accepts connections")
 	}
 }
--- a/internal/configfeed/feedhttp/traffic.go
+++ b/internal/configfeed/feedhttp/traffic.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Traffic counts what one follower has sent and received since its start. Bytes include the headers of HTTP, but not
-// those of TCP.
+// Traffic counts what one follower has sent and received since its start. Byte counts include HTTP headers, but not TCP
+// headers.
 type Traffic struct {
 	Requests      uint64 `json:"requests"`
 	Answers       uint64 `json:"answers"`
@@ -15,7 +15,7 @@
 	BytesReceived uint64 `json:"bytes_received"`
 }
 
-// trafficCounter counts traffic. It may be used by several goroutines; the zero value is ready to use.
+// trafficCounter counts traffic. It is safe for concurrent use; the zero value is ready to use.
 type trafficCounter struct{ requests, answers, sent, received atomic.Uint64 }
 
 // read returns the counts so far.
@@ -24,7 +24,7 @@
 		BytesSent: c.sent.Load(), BytesReceived: c.received.Load()}
 }
 
-// dial opens a connection and counts its bytes.
+// dial opens a connection whose bytes are counted.
 func (c *trafficCounter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -34,7 +34,7 @@
 	return &countedConn{Conn: conn, counter: c}, nil
 }
 
-// countedConn is a connection that counts its bytes.
+// countedConn is a connection that counts the bytes read and written.
 type countedConn struct {
 	net.Conn
 	counter *trafficCounter
