--- a/cmd/gorseledge-config/checklog.go
+++ b/cmd/gorseledge-config/checklog.go
@@ -19,14 +19,14 @@
 const (
 	checkLogHereName = "check-log-here"
 	checkLogTimeout  = 30 * time.Second
-	checkLogStack    = 64 << 20 // bytes; on a damaged file the library may recurse without end
+	checkLogStack    = 64 << 20 // maximum stack in bytes: on a damaged file, bbolt may recurse endlessly
 )
 
-// checkLogCommand returns the command that checks a log in a process of its own.
+// checkLogCommand returns the command that checks a log in a separate process.
 func checkLogCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check-log DIRECTORY",
-		Short: "Check the log of a server that does not run, or a copy of it",
+		Short: "Check the log of a stopped server, or a copy of a log",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := checkLog(cmd.Context(), args[0]); err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// checkLogHereCommand returns the hidden command that checks a log in this process. checkLog runs it.
+// checkLogHereCommand returns the hidden command that checks a log in its own process. checkLog starts a process with it.
 func checkLogHereCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    checkLogHereName + " DIRECTORY",
@@ -54,12 +54,12 @@
 	}
 }
 
-// checkLog checks a log in a process of its own, since the check of a damaged file may crash or not end. The error is one
+// checkLog checks a log in a separate process, since the check of a damaged file may crash or never end. Its error is one
 // line.
 func checkLog(parent context.Context, directory string) error {
 	program, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("finding the program that checks the log: %w", err)
+		return fmt.Errorf("finding the path of this program, which checks the log in another process: %w", err)
 	}
 	ctx, cancel := context.WithTimeout(parent, checkLogTimeout)
 	defer cancel()
@@ -73,12 +73,13 @@
 	case parent.Err() != nil:
 		return parent.Err()
 	case ctx.Err() != nil:
-		return fmt.Errorf("%s: the file is damaged: it was not checked within %v", directory, checkLogTimeout)
+		return fmt.Errorf("%s: the file is damaged: its check did not finish within %v", directory, checkLogTimeout)
 	}
 	return checkProcessError(directory, err, stderr.String())
 }
 
-// checkProcessError returns the error of a check's process that failed: the one that it printed, or that it crashed.
+// checkProcessError returns the error of a check whose process failed: the one that the process printed, or, if it
+// crashed, its exit status with the first line of its output.
 func checkProcessError(directory string, err error, stderr string) error {
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() == exitRefused {
--- a/cmd/gorseledge-config/cost_test.go
+++ b/cmd/gorseledge-config/cost_test.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	nodesPerServer  = 172 // that follow one of five servers
-	measuredSeconds = 20
-	ticksPerSecond  = 100 // of the processor times in /proc
+	nodesPerServer  = 172 // nodes that follow one of five servers
+	measuredSeconds = 20  // duration of a measurement
+	ticksPerSecond  = 100 // unit of the processor times in /proc
 )
 
-// usage is what a process has used since its start.
+// usage is the processor time that a process has used since its start, and its memory.
 type usage struct {
-	processor float64 // seconds
-	resident  int     // kB
-	peak      int     // kB
+	processor float64 // user and system time in seconds
+	resident  int     // current resident memory in kB
+	peak      int     // peak resident memory in kB
 }
 
 // usageOf reads the usage of a process.
@@ -58,21 +58,21 @@
 	return u
 }
 
-// BenchmarkServerWithItsShareOfNodes measures one server, built as operators build it, with 172 nodes that poll it every
-// 2 s, idle and with one change a second.
+// BenchmarkServerWithItsShareOfNodes measures one server without the race detector, as operators build it. 172 nodes poll
+// it every 2 s, without changes and with one change per second.
 func BenchmarkServerWithItsShareOfNodes(b *testing.B) {
-	plain := buildPlain(b)
+	programPath := buildWithoutRaceDetector(b)
 	for _, changes := range []int{0, measuredSeconds} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
 			for range b.N {
-				measureServer(b, plain, changes)
+				measureServer(b, programPath, changes)
 			}
 		})
 	}
 }
 
-// buildPlain builds the program as operators build it, without the race detector, and returns its path.
-func buildPlain(b *testing.B) string {
+// buildWithoutRaceDetector builds the program without the race detector, as operators build it, and returns its path.
+func buildWithoutRaceDetector(b *testing.B) string {
 	b.Helper()
 	path := filepath.Join(b.TempDir(), "gorseledge-config")
 	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
@@ -81,19 +81,19 @@
 	return path
 }
 
-// startOne starts a server of another build of the program.
-func startOne(b *testing.B, plain string) *server {
+// startServer starts a server from the build of the program at a path.
+func startServer(b *testing.B, programPath string) *server {
 	b.Helper()
-	tested := program
-	program = plain
-	defer func() { program = tested }()
+	raceBuild := program
+	program = programPath
+	defer func() { program = raceBuild }()
 	s := newServers(b, 1)[0]
 	s.start()
 	s.untilReady()
 	return s
 }
 
-// followAll starts nodesPerServer nodes; stop ends them and waits for their goroutines.
+// followAll starts nodesPerServer followers of a server. The function stop ends them and waits for their goroutines.
 func followAll(b *testing.B, s *server) (nodes []*feedhttp.Follower, stop func()) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var running sync.WaitGroup
@@ -111,9 +111,10 @@
 	}
 }
 
-// measureServer reports the cost of one server and its nodes for measuredSeconds, with a number of changes.
-func measureServer(b *testing.B, plain string, changes int) {
-	s := startOne(b, plain)
+// measureServer reports the cost of one server and its nodes during measuredSeconds, with one change per second until
+// the number of changes is reached.
+func measureServer(b *testing.B, programPath string, changes int) {
+	s := startServer(b, programPath)
 	nodes, stop := followAll(b, s)
 	defer stop()
 	eventually(b, "all nodes poll", func() bool { return s.status().Nodes == nodesPerServer })
@@ -137,15 +138,16 @@
 	b.ReportMetric((after.processor-before.processor)/seconds*100, "%core")
 	b.ReportMetric(float64(after.resident)/1024, "MB")
 	b.ReportMetric(float64(moved.Requests-traffic.Requests)/seconds, "polls/s")
-	b.ReportMetric(float64(moved.BytesSent+moved.BytesReceived-traffic.BytesSent-traffic.BytesReceived)/seconds/nodesPerServer, "B/s/node")
+	bytes := moved.BytesSent + moved.BytesReceived - traffic.BytesSent - traffic.BytesReceived
+	b.ReportMetric(float64(bytes)/seconds/nodesPerServer, "B/s/node")
 }
 
-// BenchmarkStartOfAllNodesWithALargeState measures one server while 172 nodes without any state start at once and take
-// one of close to a megabyte each.
+// BenchmarkStartOfAllNodesWithALargeState measures one server while 172 nodes without a state start at once, and each of
+// them fetches a state of close to 1 MB.
 func BenchmarkStartOfAllNodesWithALargeState(b *testing.B) {
-	plain := buildPlain(b)
+	programPath := buildWithoutRaceDetector(b)
 	for range b.N {
-		s := startOne(b, plain)
+		s := startServer(b, programPath)
 		last := fillState(b, s)
 		before, began := usageOf(b, s.process.Process.Pid), time.Now()
 		nodes, stop := followAll(b, s)
@@ -162,7 +164,7 @@
 	}
 }
 
-// fillState applies changes until the state is close to configfeed.MaxStateBytes, and returns its version.
+// fillState applies changes until the size of the state is close to configfeed.MaxStateBytes, and returns its version.
 func fillState(b *testing.B, s *server) (last configfeed.Version) {
 	b.Helper()
 	const entriesEach, changes = 1200, 16
@@ -170,9 +172,11 @@
 	client := s.client()
 	for i := range changes {
 		for j := range entriesEach {
-			entries = append(entries, configfeed.Entry{Key: fmt.Sprintf("hosts.s-%08x.disabled_until_s", i*entriesEach+j), Value: "1764650000"})
+			key := fmt.Sprintf("hosts.s-%08x.disabled_until_s", i*entriesEach+j)
+			entries = append(entries, configfeed.Entry{Key: key, Value: "1764650000"})
 		}
-		outcome, err := client.Apply(b.Context(), s.address(), configfeed.Proposal{ID: feedhttp.NewProposalID(), IfVersion: last, Entries: entries, Author: "test"})
+		p := configfeed.Proposal{ID: feedhttp.NewProposalID(), IfVersion: last, Entries: entries, Author: "test"}
+		outcome, err := client.Apply(b.Context(), s.address(), p)
 		if err != nil || outcome.Kind != configfeed.Accepted {
 			b.Fatalf("change %d: %+v, %v", i, outcome, err)
 		}
@@ -181,7 +185,7 @@
 	return last
 }
 
-// trafficOf returns the traffic of all nodes together.
+// trafficOf returns the sum of the nodes' traffic.
 func trafficOf(nodes []*feedhttp.Follower) feedhttp.Traffic {
 	var sum feedhttp.Traffic
 	for _, node := range nodes {
--- a/cmd/gorseledge-config/epoch_test.go
+++ b/cmd/gorseledge-config/epoch_test.go
@@ -13,7 +13,7 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-// follow starts a node's follower of a server; it stops with the test.
+// follow starts a node's follower that polls a server. It is stopped when the test ends.
 func follow(t *testing.T, s *server) *feedhttp.Follower {
 	t.Helper()
 	config := configfeed.FollowerConfig{Name: "n1", Region: "r1", Seed: 1,
@@ -30,7 +30,9 @@
 	return node
 }
 
-// The numbers of revisions that only nodes still have cannot be used again: the writer waits for an operator's command.
+// If the servers lose revisions that nodes already have, the writer must not use the numbers of those revisions again: a
+// node would keep its old revision under the new one's number. The writer accepts no proposals until an operator begins a
+// new epoch, and the nodes then follow the new epoch.
 func TestNewEpochAfterLossOfAllCopies(t *testing.T) {
 	s := newServers(t, 1)[0]
 	s.start()
@@ -47,12 +49,13 @@
 	s.end(syscall.SIGKILL)
 	copyDirectory(t, backup, s.config.Directory)
 	s.start()
-	eventually(t, "the writer knows that there was a later revision", func() bool { return s.status().Servers[0].NotReady != "" })
-	if r := s.command("apply", document(t, "nodes = 3\n"), "--if-revision", "1"); !r.oneLine(exitRefused, "not ready: version 1.2 was seen") {
+	eventually(t, "the writer reports that it is not ready", func() bool { return s.status().Servers[0].NotReady != "" })
+	r := s.command("apply", document(t, "nodes = 3\n"), "--if-revision", "1")
+	if !r.isErrorLine(exitRefused, "not ready: version 1.2 was seen") {
 		t.Errorf("%+v", r)
 	}
 	if v := node.View().Version; v != revision(2) {
-		t.Errorf("the node has gone back to %v", v)
+		t.Errorf("the node returned to version %v, want %v", v, revision(2))
 	}
 	if r := s.command("new-epoch", "--note", "the disk was lost"); r.code != 0 {
 		t.Fatalf("%+v", r)
@@ -60,7 +63,7 @@
 	epoch := configfeed.Version{Epoch: 2, Revision: 1}
 	eventually(t, "the node has the new epoch", func() bool { return node.View().Version == epoch })
 	s.apply("2.1", 3)
-	if r := s.command("apply", document(t, "nodes = 4\n"), "--if-revision", "1.2"); !r.oneLine(exitRefused, "conflict") {
+	if r := s.command("apply", document(t, "nodes = 4\n"), "--if-revision", "1.2"); !r.isErrorLine(exitRefused, "conflict") {
 		t.Errorf("%+v", r)
 	}
 }
--- a/cmd/gorseledge-config/fleetstatus.go
+++ b/cmd/gorseledge-config/fleetstatus.go
@@ -8,45 +8,46 @@
 	"gorseledge/internal/configfeed/controlfile"
 )
 
-// serverReport is what one server reported of itself.
+// serverReport is the status that one server reported of itself.
 type serverReport struct {
 	Name     string             `json:"name"`
 	Region   string             `json:"region"`
-	Error    string             `json:"error,omitempty"` // why the server did not answer; then the rest is zero
+	Error    string             `json:"error,omitempty"` // why the server did not answer; if set, the fields below are zero
 	Version  configfeed.Version `json:"version"`
-	NotReady string             `json:"not_ready,omitempty"` // why the writer takes no proposals
-	Isolated bool               `json:"isolated,omitempty"`  // it does not reach a majority of the servers
-	Diverged []string           `json:"diverged,omitempty"`  // servers that have other entries under its version
-	Nodes    int                `json:"nodes"`               // that poll it
+	NotReady string             `json:"not_ready,omitempty"` // why the writer accepts no proposals
+	Isolated bool               `json:"isolated,omitempty"`  // whether it cannot reach a majority of the servers
+	Diverged []string           `json:"diverged,omitempty"`  // servers that have different entries under its version
+	Nodes    int                `json:"nodes"`               // number of nodes that poll it
 }
 
 // laggingNode is a node that does not have the newest version.
 type laggingNode struct {
 	configfeed.FollowerStatus
-	Lag      float64 `json:"lag_s"`       // seconds since the first revision that it does not have
-	AtLeast  bool    `json:"at_least"`    // Lag is a lower bound, since the history does not reach that revision
-	Server   string  `json:"server"`      // that reported the node
-	HeardAgo float64 `json:"heard_ago_s"` // seconds since its last poll
+	Lag      float64 `json:"lag_s"`       // seconds since the first revision that the node lacks was made
+	AtLeast  bool    `json:"at_least"`    // Lag is a lower bound, since the history does not reach back to that revision
+	Server   string  `json:"server"`      // name of the server that reported the node
+	HeardAgo float64 `json:"heard_ago_s"` // seconds since the node's last poll
 }
 
-// fleetStatus is what all servers know together.
+// fleetStatus is the status of a fleet, merged from the answers of all servers.
 type fleetStatus struct {
-	Newest  configfeed.Version `json:"newest"` // that any server has
+	Newest  configfeed.Version `json:"newest"` // newest version that any server has
 	Writer  string             `json:"writer"`
 	Servers []serverReport     `json:"servers"`
 	Nodes   int                `json:"nodes"`
-	Current int                `json:"current"` // nodes that have the newest version
-	Oldest  configfeed.Version `json:"oldest"`  // that any node has
-	Lagging []laggingNode      `json:"lagging"` // the other nodes, by name
+	Current int                `json:"current"` // number of nodes that have the newest version
+	Oldest  configfeed.Version `json:"oldest"`  // oldest version that any node has
+	Lagging []laggingNode      `json:"lagging"` // nodes that do not have the newest version, by name
 }
 
-// reportedNode is a node as the server reported it that heard it last.
+// reportedNode is the status of a node, as reported by the server that last heard from it.
 type reportedNode struct {
 	status configfeed.FollowerStatus
 	server string
 }
 
-// mergeStatus merges the servers' answers. A node that several servers know counts as the last one that heard it reports.
+// mergeStatus merges the servers' answers. If several servers know a node, the report of the one that heard from it last
+// counts.
 func mergeStatus(now float64, config controlfile.Config, answers []serverAnswer, history []configfeed.Revision) fleetStatus {
 	status := fleetStatus{Writer: config.Writer, Lagging: []laggingNode{}}
 	nodes := map[string]reportedNode{}
@@ -65,7 +66,7 @@
 	return status
 }
 
-// reportOf returns the report of one server's answer.
+// reportOf returns the report of a server from its answer.
 func reportOf(answer serverAnswer) serverReport {
 	report := serverReport{Name: answer.server.Name, Region: answer.server.Region}
 	if answer.err != nil {
@@ -88,7 +89,8 @@
 	return report
 }
 
-// mergeNodes adds the nodes that a server knows, by name. One that heard a node later replaces what was known of it.
+// mergeNodes adds the nodes in a server's answer, by name. If a node is already known, the report of the server that heard
+// from it later is kept.
 func mergeNodes(nodes map[string]reportedNode, answer serverAnswer) {
 	for _, follower := range answer.status.Followers {
 		if follower.Server {
@@ -101,7 +103,7 @@
 	}
 }
 
-// addNode counts a node, and lists it if it does not have the newest version.
+// addNode adds a node to the counts, and to the lagging nodes if it does not have the newest version.
 func (s *fleetStatus) addNode(now float64, node reportedNode, history []configfeed.Revision) {
 	have := node.status.Have
 	if s.Oldest == (configfeed.Version{}) || have.Compare(s.Oldest) < 0 {
@@ -129,8 +131,8 @@
 	return a
 }
 
-// lag returns how many seconds ago the first revision was made that a node does not have. It is a lower bound where the
-// history begins later than that.
+// lag returns the seconds since the first revision that a node with version have lacks was made. If the history does not
+// reach back to that revision, the result is a lower bound and atLeast is true.
 func lag(now float64, have configfeed.Version, history []configfeed.Revision) (seconds float64, atLeast bool) {
 	for i, r := range history {
 		if r.Delta.To.Compare(have) > 0 {
--- a/cmd/gorseledge-config/history.go
+++ b/cmd/gorseledge-config/history.go
@@ -11,10 +11,10 @@
 	"gorseledge/internal/configfeed"
 )
 
-// defaultHistoryLength is how many revisions are shown without the flag limit.
+// defaultHistoryLength is the number of revisions that are shown by default.
 const defaultHistoryLength = 20
 
-// historyOptions are the flags of history.
+// historyOptions holds the flags of history.
 type historyOptions struct {
 	limit  uint64
 	asJSON bool
@@ -26,17 +26,17 @@
 	var options historyOptions
 	c := &cobra.Command{
 		Use:   "history",
-		Short: "Show the newest revisions: when, by whom, what and why",
+		Short: "Show the newest revisions with their time, author, changes and note",
 		Args:  cobra.NoArgs,
 		RunE:  s.run(func(cmd *cobra.Command, _ []string) error { return s.showHistory(cmd, options) }),
 	}
-	c.Flags().Uint64Var(&options.limit, "limit", defaultHistoryLength, "how many")
-	c.Flags().BoolVar(&options.asJSON, "json", false, "as JSON")
-	c.Flags().BoolVar(&options.values, "values", false, "show the keys and values too")
+	c.Flags().Uint64Var(&options.limit, "limit", defaultHistoryLength, "maximum number of revisions")
+	c.Flags().BoolVar(&options.asJSON, "json", false, "print JSON")
+	c.Flags().BoolVar(&options.values, "values", false, "also show the changed keys and their values")
 	return c
 }
 
-// showHistory prints the newest revisions of the writer.
+// showHistory prints the newest revisions that the writer has.
 func (s *session) showHistory(cmd *cobra.Command, options historyOptions) error {
 	history, err := s.client.History(cmd.Context(), s.writer().Address, options.limit)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return table.Flush()
 }
 
-// writeRevision writes the row of a revision, and below it the keys that it changed if values is set.
+// writeRevision writes the table row of a revision, followed by the keys that it changed if values is set.
 func writeRevision(table *tabwriter.Writer, r configfeed.Revision, values bool) {
 	fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%s\n", r.Delta.To, timeText(r.At), r.Author, len(r.Delta.Set),
 		len(r.Delta.Delete), r.Note)
--- a/cmd/gorseledge-config/log_damage_test.go
+++ b/cmd/gorseledge-config/log_damage_test.go
@@ -18,13 +18,13 @@
 const (
 	logFileName     = "configuration.db"
 	loggedRevisions = 40
-	changedBits     = 0x55 // are flipped in the byte that a trial changes
+	changedBits     = 0x55 // bits that are inverted in the byte that a trial changes
 
-	firstOffset  = 5   // bytes from the start of the file to the first changed byte
-	sweepStep    = 997 // bytes between two trials of a sweep: a prime, so that every part of a page is reached
-	sweepShift   = 149 // bytes by which each sweep is shifted against the one before
+	firstOffset  = 5   // offset of the first changed byte, in bytes
+	sweepStep    = 997 // bytes between two trials of a sweep; a prime, so that the trials reach all parts of a page
+	sweepShift   = 149 // bytes by which each sweep is shifted from the previous one
 	maxSweeps    = 20
-	maxServeRuns = 3 // swept bytes with which a server is started: each takes a process
+	maxServeRuns = 3 // trials of the sweeps that also start a server; bounded because each server is a process
 )
 
 // Offsets of the fields of a page's header in the file format of bbolt, in bytes, little endian.
@@ -37,7 +37,7 @@
 	firstDataPage      = 2 // after the two meta pages
 )
 
-// logOf returns the log of a server after some revisions, and what it holds.
+// logOf returns the file of a server's log after a number of revisions, and the decoded content of the log.
 func logOf(t *testing.T, revisions int) ([]byte, configfeed.Stored) {
 	t.Helper()
 	directory := t.TempDir()
@@ -53,7 +53,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := configfeed.Revision{Delta: configfeed.Delta{From: state.Version, To: to, Set: entries, Digest: next.Digest}, Author: "test"}
+		delta := configfeed.Delta{From: state.Version, To: to, Set: entries, Digest: next.Digest}
+		r := configfeed.Revision{Delta: delta, Author: "test"}
 		if err := store.Save(next, []configfeed.Revision{r}); err != nil {
 			t.Fatal(err)
 		}
@@ -71,16 +72,16 @@
 	return text, stored
 }
 
-// freelistPage is the kind of the page that lists the free pages.
+// freelistPage is bbolt's name for the type of page that lists the free pages.
 const freelistPage = "freelist"
 
-// dataPage is one page of a log beside the two meta pages.
+// dataPage is a page of a log other than the two meta pages.
 type dataPage struct {
 	id   int
-	kind string // as bbolt names it: branch, leaf or freelist
+	kind string // bbolt's name of its type: branch, leaf or freelist
 }
 
-// pagesInUse lists the data pages that the newest transaction of a log uses.
+// pagesInUse returns the data pages that the newest transaction of a log uses.
 func pagesInUse(t *testing.T, text []byte) []dataPage {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), logFileName)
@@ -110,9 +111,9 @@
 	return pages
 }
 
-// structureBytes lists, for each page in use, the bytes of its header, of which every change is refused. For those that
-// are marked, the error names the page, whatever the pages hold; the first freed page in the list of free pages is one
-// of them, and only the complete check of bbolt notices that it is wrong.
+// structureBytes returns, for each page in use, the bytes of its header, where any change must be refused. For those with
+// namesPage set, the error must name the page, independent of what the pages hold. One of these is the first entry in the
+// list of free pages: only bbolt's complete check detects that it is wrong.
 func structureBytes(t *testing.T, text []byte) []structureByte {
 	t.Helper()
 	var all []structureByte
@@ -131,23 +132,23 @@
 	return all
 }
 
-// structureByte is a byte of a log that bbolt needs in order to find its pages.
+// structureByte is a byte of a log that belongs to the structure of its pages.
 type structureByte struct {
 	offset    int
-	namesPage bool // the error of a change names the page
-	served    bool // a server is started with the change as well
+	namesPage bool // the error after a change of this byte must name the page
+	served    bool // a server is started with this byte changed, as well as the check
 }
 
-// damageTrial changes single bytes of a log.
+// damageTrial changes single bytes of a log and checks the results.
 type damageTrial struct {
 	t       *testing.T
-	text    []byte            // of the log's file
-	stored  configfeed.Stored // what the log holds
-	server  *server           // is started with some of the changes
-	refused int
+	text    []byte            // content of the log's file
+	stored  configfeed.Stored // decoded content of the log
+	server  *server           // is started with some of the changed logs
+	refused int               // number of changed logs that the check refused
 }
 
-// changedLog writes the log with one byte changed, and returns its directory.
+// changedLog writes a copy of the log with one byte changed, and returns its directory.
 func (d *damageTrial) changedLog(offset int) string {
 	d.t.Helper()
 	directory := d.t.TempDir()
@@ -159,44 +160,47 @@
 	return directory
 }
 
-// check changes a byte and checks the log: it has to be refused in one line, or hold what it held, or what it held one
-// revision earlier. The result is whether it was refused, with what was printed.
+// check changes one byte and runs check-log. The log must be refused with an error of one line, or still have the original
+// content or that of one revision earlier. It returns whether the log was refused, and what check-log printed.
 func (d *damageTrial) check(offset int) (refused bool, printed string) {
 	d.t.Helper()
 	directory := d.changedLog(offset)
 	r := run(d.t, "check-log", directory)
 	if r.code != 0 {
 		d.refused++
-		if !r.oneLine(exitRefused, directory) {
+		if !r.isErrorLine(exitRefused, directory) {
 			d.t.Errorf("byte %d: %+v", offset, r)
 		}
 		return true, r.errors
 	}
 	store, stored, err := feedstore.Open(directory)
 	if err != nil {
-		d.t.Errorf("byte %d: the check passed, and then %v", offset, err)
+		d.t.Errorf("byte %d: the check passed, but opening the log failed: %v", offset, err)
 		return false, ""
 	}
 	store.Close()
 	shorter := len(stored.History) == len(d.stored.History)-1
 	earlier := shorter && reflect.DeepEqual(stored.History, d.stored.History[:len(stored.History)])
 	if !earlier && !reflect.DeepEqual(stored, d.stored) {
-		d.t.Errorf("byte %d: it was taken for %d revisions, version %v", offset, len(stored.History), stored.State.Version)
+		d.t.Errorf("byte %d: the changed log was accepted with %d revisions, version %v", offset, len(stored.History),
+			stored.State.Version)
 	}
 	return false, ""
 }
 
-// serve starts a server with a byte of its log changed. The server has to refuse, and to name the page.
+// serve starts a server with one byte of its log changed. The server must refuse to start, with an error that names the
+// page.
 func (d *damageTrial) serve(offset int) {
 	d.t.Helper()
 	copyDirectory(d.t, d.changedLog(offset), d.server.config.Directory)
-	if r := run(d.t, "serve", d.server.file); !r.oneLine(exitRefused, "page ") {
-		d.t.Errorf("byte %d, served: %+v", offset, r)
+	if r := run(d.t, "serve", d.server.file); !r.isErrorLine(exitRefused, "page ") {
+		d.t.Errorf("byte %d, with a server: %+v", offset, r)
 	}
 }
 
-// checkSweep changes every sweepStep-th byte of the log. A server is started with the first few changes whose error
-// names a page; the result is with how many, served included.
+// checkSweep checks the log with every sweepStep-th byte changed in turn. With the first changed logs whose error names a
+// page, it also starts a server, until maxServeRuns servers have been started in all sweeps. The parameter served is the
+// number of earlier ones; the result includes those of this sweep.
 func (d *damageTrial) checkSweep(sweep, served int) int {
 	d.t.Helper()
 	for offset := firstOffset + sweep*sweepShift%sweepStep; offset < len(d.text); offset += sweepStep {
@@ -209,12 +213,14 @@
 	return served
 }
 
-// A byte that is not what it was is an error of one line, or makes no difference: it is in a page that is not in use.
-// A damaged meta page makes the library take the one before it, which is the state one write earlier.
+// A disk may return a changed byte of the log. A server that started with such a log could crash, hang, or distribute a
+// configuration that no operator made. A changed byte must be refused with an error of one line, or be harmless because it
+// is in a page that is not in use. If a meta page is damaged, bbolt uses the previous one, which has the state of one write
+// earlier.
 func TestChangedByteOfLogIsRefusedOrHarmless(t *testing.T) {
 	text, stored := logOf(t, loggedRevisions)
 	trial := &damageTrial{t: t, text: text, stored: stored, server: newServers(t, 1)[0]}
-	// Where the parts of a page lie differs from log to log: bytes are swept until a server was started with one.
+	// The layout of the pages differs from log to log, so sweeps are repeated until a server was started with a changed log.
 	served := trial.checkSweep(0, 0)
 	for sweep := 1; sweep < maxSweeps && served == 0; sweep++ {
 		served = trial.checkSweep(sweep, served)
@@ -222,7 +228,7 @@
 	for _, b := range structureBytes(t, text) {
 		refused, printed := trial.check(b.offset)
 		if !refused {
-			t.Errorf("byte %d of a page's structure was changed and not refused", b.offset)
+			t.Errorf("byte %d: the change of a page's header was not refused", b.offset)
 		}
 		if b.namesPage && !strings.Contains(printed, "page ") {
 			t.Errorf("byte %d: the error does not name the page: %q", b.offset, printed)
@@ -233,10 +239,12 @@
 		}
 	}
 	if trial.refused == 0 || served == 0 {
-		t.Errorf("%d changes were refused, and %d of them tried with a server", trial.refused, served)
+		t.Errorf("%d changes were refused and %d tried with a server, want at least one of each", trial.refused, served)
 	}
 }
 
+// Opening a truncated log, such as an incomplete copy, could crash the server or lose revisions. The server must refuse to
+// start, with an error of one line that names the directory.
 func TestServerDoesNotStartWithTruncatedLog(t *testing.T) {
 	text, _ := logOf(t, 40)
 	s := newServers(t, 1)[0]
@@ -244,12 +252,12 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(s.config.Directory, logFileName)
-	// The last part of the file is room for what comes next: half of it is certainly too little.
+	// The end of the file is free space that a truncation may remove without loss. Half of the file is always too little.
 	for _, size := range []int{1, 100, os.Getpagesize(), 2*os.Getpagesize() + 1, len(text) / 2} {
 		if err := os.WriteFile(path, text[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if r := run(t, "serve", s.file); !r.oneLine(exitRefused, s.config.Directory) {
+		if r := run(t, "serve", s.file); !r.isErrorLine(exitRefused, s.config.Directory) {
 			t.Errorf("%d of %d bytes: %+v", size, len(text), r)
 		}
 	}
--- a/cmd/gorseledge-config/main.go
+++ b/cmd/gorseledge-config/main.go
@@ -1,5 +1,5 @@
-// Command gorseledge-config runs a control server, which distributes the configuration of a fleet, and has the commands
-// by which operators change and watch the configuration.
+// Command gorseledge-config runs a control server, which distributes the configuration of a fleet to its nodes. It also has
+// the commands with which operators change the configuration and see which nodes have it.
 package main
 
 import (
@@ -20,17 +20,17 @@
 
 // Exit codes.
 const (
-	exitRefused  = 1 // a server refused, was not reached, or the newest revision is another one
-	exitBadInput = 2 // the command line or a file is wrong
+	exitRefused  = 1 // a server refused or was not reached, or the newest revision is not the expected one
+	exitBadInput = 2 // the command line or a file is invalid
 )
 
-// errorPrefix precedes an error on standard error.
+// errorPrefix precedes each error on standard error.
 const errorPrefix = "gorseledge-config: "
 
-// commandTimeout bounds the time of a command that calls servers.
+// commandTimeout bounds the duration of a command that calls servers.
 const commandTimeout = 20 * time.Second
 
-// controlFileVariable is the environment variable that names the control file where there is no flag.
+// controlFileVariable is the environment variable that names the control file if the flag control is not set.
 const controlFileVariable = "GORSECONTROL_FILE"
 
 func main() {
@@ -43,7 +43,8 @@
 	}
 }
 
-// refusedError is the error of valid input that a server refused, or that did not reach it. The exit code is exitRefused.
+// refusedError is the error of a command whose input is valid, but which a server refused or did not answer. Its exit code
+// is exitRefused.
 type refusedError struct{ cause error }
 
 // Error returns the text of the cause.
@@ -57,7 +58,8 @@
 	return &refusedError{cause: fmt.Errorf(format, values...)}
 }
 
-// callError returns the error of a call to a server. One that the server blames on the input has exitBadInput.
+// callError returns the error of a failed call to a server. Its exit code is exitBadInput if the server found the input
+// invalid, otherwise exitRefused.
 func callError(server string, err error) error {
 	var status *feedhttp.StatusError
 	if errors.As(err, &status) && status.Code == http.StatusBadRequest {
@@ -75,17 +77,17 @@
 	return exitBadInput
 }
 
-// session is what the commands of operators share: the control file, and a client of its servers.
+// session holds what the operators' commands share: the control file, and a client of the servers in it.
 type session struct {
-	path   string // of the control file
+	path   string // path of the control file
 	config controlfile.Config
 	client *feedhttp.Client
 }
 
-// open reads the control file and makes a client.
+// open reads the control file and creates the client.
 func (s *session) open() error {
 	if s.path == "" {
-		return fmt.Errorf("no control file: name one with --control or %s", controlFileVariable)
+		return fmt.Errorf("no control file given: set --control or the environment variable %s", controlFileVariable)
 	}
 	config, err := controlfile.Read(s.path)
 	if err != nil {
@@ -96,13 +98,13 @@
 	return nil
 }
 
-// writer returns the server that accepts proposals.
+// writer returns the control file's entry of the server that accepts proposals.
 func (s *session) writer() controlfile.Server {
-	server, _ := s.config.Server(s.config.Writer) // controlfile.Read has checked that it is there
+	server, _ := s.config.Server(s.config.Writer) // controlfile.Read has checked that the entry exists
 	return server
 }
 
-// run returns the function of a command that opens the session first and has a bounded time.
+// run wraps a command: the returned function opens the session first, and ends the command's calls after commandTimeout.
 func (s *session) run(command func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := s.open(); err != nil {
@@ -116,29 +118,30 @@
 	}
 }
 
-// rootCommand returns the program's command with all others below it.
+// rootCommand returns the root command with all subcommands.
 func rootCommand() *cobra.Command {
 	s := &session{}
 	top := &cobra.Command{
 		Use:   "gorseledge-config",
 		Short: "Distributes the configuration of a fleet to its nodes",
-		Long: "Runs a control server, and changes and watches the configuration that the control servers distribute.\n" +
-			"Ends with 0, with 1 where a server refused or the newest revision is another one, with 2 for bad input.",
+		Long: "Runs a control server, and changes and shows the configuration that the control servers distribute.\n" +
+			"The exit code is 0 on success, 1 if a server refused, did not answer, or has another newest revision than\n" +
+			"expected, and 2 if the command line or a file is invalid.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	top.PersistentFlags().StringVar(&s.path, "control", os.Getenv(controlFileVariable),
-		"the control file, of any server ("+controlFileVariable+")")
+		"path of any server's control file; overrides the environment variable "+controlFileVariable)
 	top.AddCommand(serveCommand(), checkCommand(), checkLogCommand(), checkLogHereCommand())
 	top.AddCommand(applyCommand(s), revertCommand(s), newEpochCommand(s), statusCommand(s), historyCommand(s))
 	return top
 }
 
-// checkCommand returns the command that checks a control file.
+// checkCommand returns the command that validates a control file.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a control file, and start nothing",
+		Short: "Validate a control file without starting a server",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := controlfile.Read(args[0]); err != nil {
--- a/cmd/gorseledge-config/main_test.go
+++ b/cmd/gorseledge-config/main_test.go
@@ -19,9 +19,9 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-const eventualTimeout = 30 * time.Second // for a condition that has to hold eventually
+const eventualTimeout = 30 * time.Second // longest wait for a condition to hold
 
-// program is the path of the program that the tests run.
+// program is the path of the gorseledge-config program that the tests run.
 var program string
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,8 @@
 	program = filepath.Join(directory, "gorseledge-config")
 	build := exec.Command("go", "build", "-race", "-o", program, ".")
 	build.Stderr = os.Stderr
-	os.Setenv("GORACE", "atexit_sleep_ms=0") // for the processes that tests start: by default each waits a second at its end
+	// By default, a program with the race detector sleeps for 1 s before it exits.
+	os.Setenv("GORACE", "atexit_sleep_ms=0")
 	code := 1
 	if build.Run() == nil {
 		code = m.Run()
@@ -59,30 +60,31 @@
 	return o.text.String()
 }
 
-// server is one control server of a test, as a process.
+// server is one control server of a test. It runs as a process.
 type server struct {
 	t       testing.TB
 	name    string
-	file    string // the control file
+	file    string // path of the control file
 	config  controlfile.Config
 	process *exec.Cmd
 	log     *output
 }
 
-// newServers writes the control files of that many servers, which do not run yet; the first one is the writer.
+// newServers writes the control files of count servers, without starting them. The first one is the writer.
 func newServers(t testing.TB, count int) []*server {
 	t.Helper()
 	directory := t.TempDir()
 	var tables strings.Builder
 	for i := range count {
-		fmt.Fprintf(&tables, "\n[[server]]\nname = \"c%d\"\naddress = %q\nregion = \"r%d\"\n", i+1, freeAddress(t, i+1), i+1)
+		fmt.Fprintf(&tables, "\n[[server]]\nname = \"c%d\"\naddress = %q\nregion = \"r%d\"\n",
+			i+1, freeAddress(t, i+1), i+1)
 	}
 	var servers []*server
 	for i := range count {
 		name := fmt.Sprint("c", i+1)
 		s := &server{t: t, name: name, file: filepath.Join(directory, name+".toml")}
-		head := fmt.Sprintf("fleet = \"lima\"\nname = %q\nkey = \"00112233445566778899aabbccddeeff\"\ndirectory = %q\nwriter = \"c1\"\n",
-			name, filepath.Join(directory, name))
+		head := fmt.Sprintf("fleet = \"lima\"\nname = %q\nkey = \"00112233445566778899aabbccddeeff\"\n"+
+			"directory = %q\nwriter = \"c1\"\n", name, filepath.Join(directory, name))
 		if err := os.WriteFile(s.file, []byte(head+tables.String()), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -95,7 +97,7 @@
 	return servers
 }
 
-// freeAddress returns a loopback address at which no process listens; the number makes it differ from the others.
+// freeAddress returns a loopback address at which no process listens. Each number selects a different IP address.
 func freeAddress(t testing.TB, number int) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.8.%d.%d:0", os.Getpid()%250, number))
@@ -106,7 +108,7 @@
 	return listener.Addr().String()
 }
 
-// start starts the process and waits until it serves.
+// start starts the server's process and waits until it listens.
 func (s *server) start() {
 	s.t.Helper()
 	s.log = &output{}
@@ -120,16 +122,16 @@
 		process.Process.Kill()
 		process.Wait()
 	})
-	s.logs(`"message":"serves"`)
+	s.waitForLog(`"message":"control server listening"`)
 }
 
-// logs waits until the log has a text.
-func (s *server) logs(text string) {
+// waitForLog waits until the server's log contains a text.
+func (s *server) waitForLog(text string) {
 	s.t.Helper()
 	eventually(s.t, s.name+" logs "+text, func() bool { return strings.Contains(s.log.String(), text) })
 }
 
-// end sends a signal, waits for the process to end and returns its exit code; -1 for one that was killed.
+// end sends a signal to the process, waits for it to end and returns its exit code, which is -1 if it was killed.
 func (s *server) end(signal syscall.Signal) int {
 	s.t.Helper()
 	s.process.Process.Signal(signal)
@@ -137,17 +139,18 @@
 	return s.process.ProcessState.ExitCode()
 }
 
-// eventually waits until a condition holds; what describes it.
-func eventually(t testing.TB, what string, holds func() bool) {
+// eventually waits until a condition holds, and fails the test after eventualTimeout. The description is that of the
+// condition.
+func eventually(t testing.TB, description string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(eventualTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("condition did not hold within %v: %s", eventualTimeout, description)
 		}
 	}
 }
 
-// result is how a command ended.
+// result is the exit code of a command, with what it wrote to standard output and standard error.
 type result struct {
 	code        int
 	out, errors string
@@ -159,7 +162,7 @@
 	return run(s.t, append(arguments, "--control", s.file)...)
 }
 
-// run runs the program to its end.
+// run runs the program with arguments until it exits.
 func run(t testing.TB, arguments ...string) result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), eventualTimeout)
@@ -175,13 +178,13 @@
 	return result{code: c.ProcessState.ExitCode(), out: out.String(), errors: errs.String()}
 }
 
-// oneLine reports whether a command ended with an exit code and one line of error that contains a text.
-func (r result) oneLine(code int, says string) bool {
+// isErrorLine reports whether a command ended with an exit code and one line on standard error that contains a text.
+func (r result) isErrorLine(code int, text string) bool {
 	isOneLine := strings.HasPrefix(r.errors, errorPrefix) && strings.Count(r.errors, "\n") == 1
-	return r.code == code && isOneLine && strings.Contains(r.errors, says)
+	return r.code == code && isOneLine && strings.Contains(r.errors, text)
 }
 
-// document writes a live configuration and returns its path.
+// document writes a live configuration to a file and returns its path.
 func document(t testing.TB, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "live.toml")
@@ -191,7 +194,7 @@
 	return path
 }
 
-// apply applies a document with a number of nodes, and ends the test unless that succeeds.
+// apply proposes a live configuration that sets the number of nodes, and ends the test unless it is accepted.
 func (s *server) apply(expected string, nodes int) {
 	s.t.Helper()
 	r := s.command("apply", document(s.t, fmt.Sprintf("nodes = %d\n", nodes)), "--if-revision", expected)
@@ -203,7 +206,7 @@
 // untilReady waits until the writer accepts proposals.
 func (s *server) untilReady() {
 	s.t.Helper()
-	eventually(s.t, "the writer takes proposals", func() bool {
+	eventually(s.t, "the writer accepts proposals", func() bool {
 		status := s.status()
 		return status.Servers[0].Error == "" && status.Servers[0].NotReady == ""
 	})
@@ -220,7 +223,7 @@
 	return status
 }
 
-// client returns a client of the fleet, which is closed with the test.
+// client returns a client of the fleet, which is closed when the test ends.
 func (s *server) client() *feedhttp.Client {
 	c := feedhttp.NewClient(s.config.Fleet, s.config.Keys, nil)
 	s.t.Cleanup(c.Close)
--- a/cmd/gorseledge-config/output_golden_test.go
+++ b/cmd/gorseledge-config/output_golden_test.go
@@ -19,9 +19,9 @@
 	"gorseledge/internal/livesettings"
 )
 
-// The files in testdata/golden were written by the build of revision 5fa7498, which is in service. They are fixed for
-// good: operators' scripts read the output and the exit codes of the commands. There is no way to rewrite them on
-// purpose.
+// The files in testdata/golden were written by the build of revision 5fa7498, which is in production. Operators' scripts
+// read the output and the exit codes of the commands, so the files must never change. There is deliberately no option to
+// rewrite them.
 const goldenDirectory = "testdata/golden"
 
 // requireGolden fails unless got is byte for byte the content of a golden file.
@@ -42,8 +42,8 @@
 	return text
 }
 
-// requireEveryFieldSet fails for each field, element or map value that is zero, at any depth. Without it, a field that
-// is left out of the encoded form when empty could change its name unnoticed.
+// requireEveryFieldSet fails for each field, element or map value that is zero, at any depth. Otherwise, a change of the
+// JSON key of a field with omitempty could go unnoticed, because an empty field is not encoded.
 func requireEveryFieldSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
@@ -91,6 +91,7 @@
 	}
 }
 
+// A renamed JSON key of the status would break operators' scripts.
 func TestStatusAsJSONMatchesGoldenFile(t *testing.T) {
 	status := goldenStatus()
 	requireEveryFieldSet(t, "status", reflect.ValueOf(status))
@@ -103,7 +104,7 @@
 		t.Fatal(err)
 	}
 	want := goldenStatus()
-	want.Lagging[0].FollowerStatus.Server = false // the key "server" is that of the server which told of the node
+	want.Lagging[0].FollowerStatus.Server = false // the key "server" holds the reporting server's name instead
 	if !reflect.DeepEqual(decoded, want) {
 		t.Errorf("got %+v, want %+v", decoded, want)
 	}
@@ -119,20 +120,21 @@
 	return text.Bytes()
 }
 
+// A changed column or state in the status table would break operators' scripts.
 func TestStatusTableMatchesGoldenFile(t *testing.T) {
 	status := goldenStatus()
-	silent := status.Servers[0]
-	writer := silent
+	unresponsive := status.Servers[0]
+	writer := unresponsive
 	writer.Error = ""
 	follower := serverReport{Name: "c2", Region: "west", Version: configfeed.Version{Epoch: 2, Revision: 17}, Nodes: 1}
 	ready := serverReport{Name: "c1", Region: "east", Version: configfeed.Version{Epoch: 2, Revision: 17}, Nodes: 2}
-	status.Servers = []serverReport{silent, writer, follower, ready}
-	late := status.Lagging[0]
-	late.AtLeast, late.Refused = false, nil
-	status.Lagging = append(status.Lagging, late)
+	status.Servers = []serverReport{unresponsive, writer, follower, ready}
+	lagging := status.Lagging[0]
+	lagging.AtLeast, lagging.Refused = false, nil
+	status.Lagging = append(status.Lagging, lagging)
 	for i := range 45 {
-		late.Name = fmt.Sprintf("node-%02d", i+20)
-		status.Lagging = append(status.Lagging, late)
+		lagging.Name = fmt.Sprintf("node-%02d", i+20)
+		status.Lagging = append(status.Lagging, lagging)
 	}
 	var text bytes.Buffer
 	if err := writeStatus(&text, status); err != nil {
@@ -141,7 +143,8 @@
 	requireGolden(t, "status.txt", text.Bytes())
 }
 
-// startGoldenServer serves the log that feedstore's tests have as a golden file, and returns the path of a control file.
+// startGoldenServer starts a server in this process with a copy of the golden log of feedstore's tests, and returns the path
+// of its control file.
 func startGoldenServer(t *testing.T) (controlFile string) {
 	t.Helper()
 	servers := newServers(t, 1)
@@ -169,7 +172,7 @@
 		Config: serverConfig(config), Store: store, Stored: stored, Check: livesettings.Check})
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(t.Context(), listener) }()
-	t.Cleanup(func() { // the test's context has ended by now
+	t.Cleanup(func() { // t.Context is canceled before cleanup functions run
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
@@ -178,8 +181,8 @@
 	return servers[0].file
 }
 
-// transcript runs a command in this process and returns its exit code and what it writes to standard output. The words
-// of an error are for people and not part of it.
+// transcript runs a command in this process and returns its exit code and what it writes to standard output. It does not
+// include the text of an error, which scripts do not rely on.
 func transcript(arguments ...string) string {
 	command := rootCommand()
 	var out bytes.Buffer
@@ -189,7 +192,7 @@
 	return fmt.Sprintf("exit code %d\n%s", code, &out)
 }
 
-// codeOf returns the exit code of a command that ended with an error or nil.
+// codeOf returns the exit code of a command that returned an error, or 0 for nil.
 func codeOf(err error) int {
 	if err == nil {
 		return 0
@@ -197,7 +200,8 @@
 	return exitCode(err)
 }
 
-// Each command is run on a server of its own, so that none sees what another changed.
+// A change of a command's output or exit code would break operators' scripts. Each command runs with its own server, so that
+// it does not see the changes of another command.
 func TestCommandOutputMatchesGoldenFile(t *testing.T) {
 	golden := func(name string) string { return filepath.Join(goldenDirectory, name) }
 	for name, arguments := range map[string][]string{
@@ -226,7 +230,8 @@
 	}
 }
 
-// What a proposal can come to is told by the exit code: 0, 1 for a refusal by the fleet, 2 for wrong input.
+// Scripts distinguish the outcomes of a proposal by the exit code: 0 for success, 1 if the fleet refused it, 2 for invalid
+// input.
 func TestReportOfEachOutcomeMatchesGoldenFile(t *testing.T) {
 	var text bytes.Buffer
 	for _, kind := range []configfeed.OutcomeKind{"accepted", "conflict", "no_change", "not_writer", "not_ready",
@@ -241,7 +246,8 @@
 	requireGolden(t, "outcomes.txt", text.Bytes())
 }
 
-// The exit codes of the program itself, and the variable that names the control file.
+// The tests above run commands in this process. This one runs the program, to check the exit codes of the process and the
+// environment variable that names the control file.
 func TestExitCodesOfProgram(t *testing.T) {
 	file := startGoldenServer(t)
 	t.Setenv("GORSECONTROL_FILE", file)
@@ -270,7 +276,7 @@
 	}
 }
 
-// commandOutput returns the output that a golden file of a command holds, without its first line.
+// commandOutput returns the output in a command's golden file, which follows the line with the exit code.
 func commandOutput(t *testing.T, name string) string {
 	t.Helper()
 	_, output, _ := strings.Cut(string(readGolden(t, filepath.Join("commands", name+".txt"))), "\n")
--- a/cmd/gorseledge-config/propose.go
+++ b/cmd/gorseledge-config/propose.go
@@ -11,7 +11,7 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-// author returns the user and host that give a command, for the history.
+// author returns the user and host that run the command, for the history.
 func author() string {
 	name := "unknown"
 	if u, err := user.Current(); err == nil {
@@ -23,7 +23,7 @@
 	return name
 }
 
-// newest returns the writer's newest version.
+// newest returns the newest version that the writer has.
 func (s *session) newest(cmd *cobra.Command) (configfeed.Version, error) {
 	status, err := s.client.Status(cmd.Context(), s.writer().Address)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return status.Version, nil
 }
 
-// propose sends a proposal to the writer and reports its outcome.
+// propose sends a proposal to the writer and reports the outcome.
 func (s *session) propose(cmd *cobra.Command, p configfeed.Proposal) error {
 	p.ID = feedhttp.NewProposalID()
 	p.Author = author()
@@ -43,7 +43,7 @@
 	return report(cmd, outcome)
 }
 
-// report prints an outcome, or returns it as an error where nothing was changed.
+// report prints the outcome of a proposal or epoch request, or returns it as an error if the request was refused or failed.
 func report(cmd *cobra.Command, outcome configfeed.Outcome) error {
 	version := outcome.Version
 	switch outcome.Kind {
@@ -56,13 +56,13 @@
 	case configfeed.Conflict:
 		return refused("conflict: the newest revision is %d of epoch %d", version.Revision, version.Epoch)
 	case configfeed.NotWriter:
-		return refused("not the writer: %s is, by that server's control file", outcome.Writer)
+		return refused("the server is not the writer: its control file names %s as the writer", outcome.Writer)
 	case configfeed.NotReady:
 		return refused("the writer is not ready: %s", outcome.Detail)
 	case configfeed.TooLarge, configfeed.Invalid:
 		return fmt.Errorf("%s: %s", outcome.Kind, outcome.Detail)
 	case configfeed.Failed:
-		return refused("the writer's disk failed, and whether the change is kept is not known: %s", outcome.Detail)
+		return refused("the writer failed to save the change, which may or may not be on its disk: %s", outcome.Detail)
 	}
-	return refused("an unknown outcome: %s", outcome.Kind)
+	return refused("the writer answered with an unknown outcome: %s", outcome.Kind)
 }
--- a/cmd/gorseledge-config/revert.go
+++ b/cmd/gorseledge-config/revert.go
@@ -13,16 +13,16 @@
 	var note string
 	c := &cobra.Command{
 		Use:   "revert R",
-		Short: "Put the configuration as of revision R in force again",
+		Short: "Put the configuration of revision R in force again",
 		Args:  cobra.ExactArgs(1),
-		Long:  "Proposes the entries as of revision R of the present epoch as a new revision.",
+		Long:  "Proposes the entries of revision R of the current epoch as a new revision.",
 		RunE:  s.run(func(cmd *cobra.Command, args []string) error { return s.revert(cmd, args[0], note) }),
 	}
-	c.Flags().StringVar(&note, "note", "", "why, for the history")
+	c.Flags().StringVar(&note, "note", "", "reason for the change, shown in the history")
 	return c
 }
 
-// revert proposes the entries as of a revision of the present epoch.
+// revert proposes the entries of a revision of the current epoch.
 func (s *session) revert(cmd *cobra.Command, revisionText, note string) error {
 	revision, err := parseNumber(revisionText, revisionText)
 	if err != nil {
--- a/cmd/gorseledge-config/serve.go
+++ b/cmd/gorseledge-config/serve.go
@@ -18,16 +18,16 @@
 	"gorseledge/internal/logwriter"
 )
 
-// maxProcessors bounds the processors that a server uses. It has little work, which more processors would only spread.
+// maxProcessors bounds the processors that a server uses. It has too little work to gain from more.
 const maxProcessors = 2
 
 // serveCommand returns the command that runs a control server.
 func serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve FILE",
-		Short: "Run the control server of a control file",
+		Short: "Run the control server that a control file configures",
 		Args:  cobra.ExactArgs(1),
-		Long:  "Runs until SIGTERM. The log goes to standard error, one JSON object a line.",
+		Long:  "Runs until SIGTERM. The log goes to standard error, one JSON object per line.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			config, err := controlfile.Read(args[0])
 			if err != nil {
@@ -41,18 +41,18 @@
 // runServer runs the server of a control file until the context ends, and logs that it has stopped.
 func runServer(ctx context.Context, config controlfile.Config) error {
 	runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), maxProcessors))
-	// The writer drops lines when the reader of the log is slow. This prevents that reader from blocking the server.
+	// The writer drops lines if the process that reads the log is slow, so that this process never blocks the server.
 	out := logwriter.New(os.Stderr)
 	defer out.Close()
 	log := zerolog.New(out).With().Timestamp().Str("server", config.Name).Logger()
 	if err := serve(ctx, config, log); err != nil {
 		return &refusedError{cause: err}
 	}
-	log.Info().Msg("stopped")
+	log.Info().Msg("control server stopped")
 	return nil
 }
 
-// serve checks and opens the log, listens, and answers requests until the context ends.
+// serve checks and opens the log, listens on the server's address, and answers requests until the context ends.
 func serve(ctx context.Context, config controlfile.Config, log zerolog.Logger) error {
 	if err := checkLog(ctx, config.Directory); err != nil {
 		return err
@@ -62,14 +62,15 @@
 		return err
 	}
 	defer store.Close()
-	own, _ := config.Server(config.Name) // controlfile.Read has checked that it is there
+	own, _ := config.Server(config.Name) // controlfile.Read has checked that the entry exists
 	listener, err := net.Listen("tcp", own.Address)
 	if err != nil {
 		return err
 	}
 	version := stored.State.Version
 	log.Info().Str("address", own.Address).Str("region", own.Region).Str("writer", config.Writer).
-		Uint64("epoch", version.Epoch).Uint64("revision", version.Revision).Int("history", len(stored.History)).Msg("serves")
+		Uint64("epoch", version.Epoch).Uint64("revision", version.Revision).Int("history", len(stored.History)).
+		Msg("control server listening")
 	server := feedhttp.NewServer(feedhttp.ServerOptions{
 		Fleet:  config.Fleet,
 		Keys:   config.Keys,
@@ -83,7 +84,7 @@
 	return server.Serve(ctx, listener)
 }
 
-// serverConfig returns the configuration of a control file's server.
+// serverConfig returns the feed configuration of the server that a control file names.
 func serverConfig(config controlfile.Config) configfeed.ServerConfig {
 	own, _ := config.Server(config.Name)
 	c := configfeed.ServerConfig{
--- a/cmd/gorseledge-config/serve_test.go
+++ b/cmd/gorseledge-config/serve_test.go
@@ -12,15 +12,17 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
+// A server that ends on SIGTERM with an error, or without a line in the log, would look like a crash to operators.
 func TestServerStopsCleanlyOnSIGTERM(t *testing.T) {
 	s := newServers(t, 1)[0]
 	s.start()
 	code := s.end(syscall.SIGTERM)
-	if code != 0 || !strings.Contains(s.log.String(), `"message":"stopped"`) {
-		t.Errorf("exit %d: %s", code, s.log)
+	if code != 0 || !strings.Contains(s.log.String(), `"message":"control server stopped"`) {
+		t.Errorf("exit code %d, log: %s", code, s.log)
 	}
 }
 
+// A revision that was accepted before it was on disk would be lost if the server was killed right after its answer.
 func TestAcceptedRevisionSurvivesKill(t *testing.T) {
 	s := newServers(t, 1)[0]
 	client := s.client()
@@ -42,7 +44,7 @@
 	}
 }
 
-// copyDirectory replaces a directory with a copy of another one.
+// copyDirectory replaces the directory to with a copy of the directory from.
 func copyDirectory(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.RemoveAll(to); err != nil {
@@ -53,6 +55,8 @@
 	}
 }
 
+// A writer that was restored from a backup lacks the revisions made since then. If it accepted a proposal at once, it would
+// use a revision number a second time. It must first hear from a majority and fetch the revisions that it lacks.
 func TestWriterWithRestoredBackupCatchesUpBeforeItAcceptsProposals(t *testing.T) {
 	servers := newServers(t, 3)
 	writer := servers[0]
@@ -74,10 +78,10 @@
 	}
 	copyDirectory(t, backup, writer.config.Directory)
 
-	// Alone it cannot tell whether the others have newer revisions.
+	// While the writer runs alone, it does not know whether the other servers have newer revisions.
 	writer.start()
 	r := writer.command("apply", document(t, "nodes = 9\n"), "--if-revision", "1")
-	if !r.oneLine(exitRefused, "not ready") {
+	if !r.isErrorLine(exitRefused, "not ready") {
 		t.Fatalf("%+v", r)
 	}
 	servers[1].start()
@@ -86,13 +90,14 @@
 	if status := writer.status(); status.Newest != (configfeed.Version{Epoch: 1, Revision: 3}) {
 		t.Fatalf("%+v", status)
 	}
-	if r := writer.command("apply", document(t, "nodes = 9\n"), "--if-revision", "1"); !r.oneLine(exitRefused, "conflict") {
+	if r := writer.command("apply", document(t, "nodes = 9\n"), "--if-revision", "1"); !r.isErrorLine(exitRefused, "conflict") {
 		t.Errorf("%+v", r)
 	}
 	writer.apply("3", 4)
 	eventually(t, "all servers have the fourth revision", func() bool { return allAt(writer.status(), 4) })
 }
 
+// A server whose disk was lost must get the configuration back from the other servers. This also holds for the writer.
 func TestServerWithLostDirectoryCatchesUpFromOthers(t *testing.T) {
 	servers := newServers(t, 3)
 	for _, s := range servers {
@@ -113,7 +118,7 @@
 	servers[0].apply("1.1", 2)
 }
 
-// allAt reports whether every server has a revision of the first epoch.
+// allAt reports whether the version of every server is a revision of the first epoch.
 func allAt(status fleetStatus, revision uint64) bool {
 	for _, s := range status.Servers {
 		if s.Version != (configfeed.Version{Epoch: 1, Revision: revision}) {
@@ -123,10 +128,11 @@
 	return true
 }
 
+// Two servers that write to the same log would damage it.
 func TestSecondServerOfOneDirectoryDoesNotStart(t *testing.T) {
 	s := newServers(t, 1)[0]
 	s.start()
-	if r := run(t, "serve", s.file); !r.oneLine(exitRefused, "another process has it open") {
+	if r := run(t, "serve", s.file); !r.isErrorLine(exitRefused, "another process has it open") {
 		t.Errorf("%+v", r)
 	}
 }
--- a/cmd/gorseledge-config/status.go
+++ b/cmd/gorseledge-config/status.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	serverTimeout    = 3 * time.Second // for one server's answer
-	lagHistoryLength = 200             // revisions from which the lag of a node is computed
+	serverTimeout    = 3 * time.Second // until a server has answered
+	lagHistoryLength = 200             // newest revisions that are fetched to compute the lag of nodes
 )
 
 // statusCommand returns the command that shows the status of all servers and nodes.
@@ -23,16 +23,16 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Show who has the newest revision, who lags and who refused it",
+		Short: "Show which servers and nodes have the newest revision, lag behind it or refused it",
 		Args:  cobra.NoArgs,
-		Long:  "Asks every server and puts their answers together. Ends with 1 where a server did not answer.",
+		Long:  "Queries all servers and merges their answers. The exit code is 1 if a server did not answer.",
 		RunE:  s.run(func(cmd *cobra.Command, _ []string) error { return s.showStatus(cmd, asJSON) }),
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
-// showStatus prints the status of all servers and nodes. It is an error if a server did not answer.
+// showStatus prints the status of all servers and nodes, and returns an error if a server did not answer.
 func (s *session) showStatus(cmd *cobra.Command, asJSON bool) error {
 	answers := s.queryAll(cmd.Context())
 	history := s.firstHistory(cmd.Context(), answers)
@@ -47,7 +47,7 @@
 	return cmp.Or(err, missingServersError(status))
 }
 
-// missingServersError returns the error of a status for which servers did not answer, or nil.
+// missingServersError returns an error if a status lacks the answers of servers, otherwise nil.
 func missingServersError(status fleetStatus) error {
 	missing := 0
 	for _, server := range status.Servers {
@@ -61,14 +61,14 @@
 	return nil
 }
 
-// serverAnswer is one server's status, or why there is none.
+// serverAnswer is one server's status, or the error of the call for it.
 type serverAnswer struct {
 	server controlfile.Server
 	status configfeed.ServerStatus
 	err    error
 }
 
-// queryAll queries all servers at once and returns their answers in the order of the control file.
+// queryAll queries all servers concurrently and returns their answers in the order of the control file.
 func (s *session) queryAll(ctx context.Context) []serverAnswer {
 	ctx, cancel := context.WithTimeout(ctx, serverTimeout)
 	defer cancel()
@@ -84,8 +84,8 @@
 	return answers
 }
 
-// firstHistory returns the newest revisions of the first server that answers; nil if none does. All servers have the
-// same ones.
+// firstHistory returns the newest revisions of the first server that answers, or nil if none does. Any server will do,
+// since the history is replicated to all of them.
 func (s *session) firstHistory(ctx context.Context, answers []serverAnswer) []configfeed.Revision {
 	for _, answer := range answers {
 		if answer.err != nil {
--- a/cmd/gorseledge-config/statustable.go
+++ b/cmd/gorseledge-config/statustable.go
@@ -7,10 +7,10 @@
 	"text/tabwriter"
 )
 
-// maxTableRows bounds the lagging nodes in the table; the flag json shows all.
+// maxTableRows bounds the lagging nodes in the table. With the flag json, all of them are printed.
 const maxTableRows = 40
 
-// writeStatus writes a status as tables for people.
+// writeStatus writes a status as human-readable tables.
 func writeStatus(w io.Writer, status fleetStatus) error {
 	fmt.Fprintf(w, "newest revision: %s (epoch.revision), writer: %s\n", status.Newest, status.Writer)
 	fmt.Fprintf(w, "nodes: %d, with the newest revision: %d, oldest: %s\n\n", status.Nodes, status.Current,
@@ -33,7 +33,7 @@
 	return table.Flush()
 }
 
-// serverRow returns the row of a server.
+// serverRow returns the table row of a server.
 func serverRow(server serverReport, writer string) string {
 	if server.Error != "" {
 		return fmt.Sprintf("%s\t%s\t-\t-\tno answer: %s", server.Name, server.Region, server.Error)
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("%s\t%s\t%s\t%d\t%s", server.Name, server.Region, server.Version, server.Nodes, state)
 }
 
-// nodeRow returns the row of a lagging node.
+// nodeRow returns the table row of a lagging node.
 func nodeRow(node laggingNode) string {
 	bound := ""
 	if node.AtLeast {
