--- a/internal/configfeed/feedhttp/follower.go
+++ b/internal/configfeed/feedhttp/follower.go
@@ -27,8 +27,9 @@
 	Have configfeed.State
 }
 
-// Follower keeps the configuration of one node up to date by polling the control servers. It uses one goroutine, and for
-// the poll in progress another goroutine and a connection.
+// Follower keeps the configuration of one node up to date by polling the control servers. Its core, a
+// configfeed.Follower, decides when to poll which server. It uses one goroutine, and for the poll in progress another
+// goroutine and a connection.
 type Follower struct {
 	options FollowerOptions
 	core    *configfeed.Follower
--- a/internal/configfeed/feedhttp/poller.go
+++ b/internal/configfeed/feedhttp/poller.go
@@ -23,8 +23,8 @@
 	pathState   = "/v1/state"
 )
 
-// poller sends the polls that a core asks for. Each poll runs on its own goroutine. The goroutine of one loop calls all
-// methods, except for poll and the function report, which the polls' goroutines call.
+// poller sends the polls that the core of a server or follower asks for. Each poll runs on its own goroutine. The goroutine
+// of one loop calls all methods, except for poll and the function report, which the polls' goroutines call.
 type poller struct {
 	caller  *caller
 	log     zerolog.Logger
--- a/internal/configfeed/feedhttp/server.go
+++ b/internal/configfeed/feedhttp/server.go
@@ -47,8 +47,8 @@
 	Check func([]configfeed.Entry) error
 }
 
-// Server is a control server: it passes requests, results of saves and answers of other servers to the core, and carries
-// out the effects that the core returns.
+// Server is a control server. It passes requests, results of saves and answers of other servers to a configfeed.Server, its
+// core, and carries out the effects that the core returns.
 type Server struct {
 	options       ServerOptions
 	authenticator *authenticator
