--- a/internal/serving/bench.go
+++ b/internal/serving/bench.go
@@ -11,19 +11,20 @@
 
 const (
 	hostCount     = 4
-	memoryLimitMB = 4096 // that the node is configured with
-	// microsecondsInSecond converts a process's processor time to the table's unit.
+	memoryLimitMB = 4096 // memory limit in the node's configuration
+	// microsecondsInSecond converts CPU time in seconds to the unit of the table.
 	microsecondsInSecond = 1e6
 )
 
-// bench is one node with its stand-ins. Its owner calls close.
+// bench is one node process with its stand-in hosts and clients. The caller of startBench must call close.
 type bench struct {
 	node    *rig.StandaloneNode
 	hosts   *standin.Hosts
 	clients *clients
 }
 
-// startBench starts hosts and a node that has descriptors for so many connections. The node ends with the context.
+// startBench starts the hosts and a node whose descriptor limit allows the given number of connections. The node process
+// ends when the context does.
 func startBench(ctx context.Context, o Options, connections int, dir string) (*bench, error) {
 	hosts, err := standin.StartHosts(hostCount)
 	if err != nil {
@@ -46,20 +47,20 @@
 	}, nil
 }
 
-// close ends the clients, the node and the hosts, in this order.
+// close shuts down the clients, then the node, then the hosts.
 func (b *bench) close() {
 	b.clients.close()
 	b.node.Kill()
 	b.hosts.Close()
 }
 
-// processorTime returns the processor time that the node spends while a function runs, in microseconds.
-func (b *bench) processorTime(during func() error) (float64, error) {
+// processorTime runs the given function and returns the CPU time that the node uses in that time, in microseconds.
+func (b *bench) processorTime(run func() error) (float64, error) {
 	before, err := usageOf(b.node.Pid())
 	if err != nil {
 		return 0, err
 	}
-	if err := during(); err != nil {
+	if err := run(); err != nil {
 		return 0, err
 	}
 	after, err := usageOf(b.node.Pid())
--- a/internal/serving/bursts.go
+++ b/internal/serving/bursts.go
@@ -9,13 +9,13 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// burstInterval is the pause between two bursts.
+// burstInterval is the pause after each burst.
 const burstInterval = 15 * time.Millisecond
 
 // burstLatencies are the latencies of a series of bursts.
 type burstLatencies struct {
-	each *latencies // of every delivery
-	last *latencies // of the last delivery of each burst, its longest latency
+	each *latencies // latency of every delivery
+	last *latencies // for each burst, the longest latency, which is that of its last delivery
 }
 
 // burstProgress counts the clients that have read the line of one burst. It is safe for concurrent use.
@@ -25,8 +25,8 @@
 	longest time.Duration
 }
 
-// add counts one more client with the latency of its delivery and returns the number of clients and their longest
-// latency. Clients may be counted in another order than the one in which they read.
+// add counts one more client with the latency of its delivery. It returns the number of clients so far and their
+// longest latency. Clients are not necessarily counted in the order in which they read.
 func (p *burstProgress) add(latency time.Duration) (readers int, longest time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +42,7 @@
 	return p.readers
 }
 
-// measureLoadedBursts measures bursts while the other connections carry deliveries at a rate.
+// measureLoadedBursts measures bursts to the first Loaded clients while the other clients receive Load deliveries per second.
 func (r *run) measureLoadedBursts(ctx context.Context, b *bench, repeat int) error {
 	loading, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -61,62 +61,64 @@
 	return loadErr
 }
 
-// measureBursts measures bursts to as many clients as the measurement's size.
+// measureBursts measures Options.Bursts bursts, each to m.size clients.
 func (r *run) measureBursts(ctx context.Context, b *bench, m measurement) error {
-	taken := burstLatencies{each: newLatencies(), last: newLatencies()}
+	measured := burstLatencies{each: newLatencies(), last: newLatencies()}
 	for range r.Bursts {
-		if err := r.burst(ctx, b.clients, b.clients.all[:m.size], taken); err != nil {
+		if err := r.burst(ctx, b.clients, b.clients.all[:m.size], measured); err != nil {
 			return err
 		}
 		if err := pause(ctx, burstInterval); err != nil {
 			return err
 		}
 	}
-	r.record(m, "burst.each_p50", seconds, taken.each.percentile(median))
-	r.record(m, "burst.each_p99", seconds, taken.each.percentile(percentile99))
-	r.record(m, "burst.last_p50", seconds, taken.last.percentile(median))
-	r.record(m, "burst.last_p99", seconds, taken.last.percentile(percentile99))
-	r.report("repeat %d: %s to %d clients, until the last: %.2f ms, 99th %.2f ms", m.repeat, m.phase, m.size,
-		millisecondsInSecond*taken.last.percentile(median), millisecondsInSecond*taken.last.percentile(percentile99))
+	r.record(m, "burst.each_p50", seconds, measured.each.percentile(median))
+	r.record(m, "burst.each_p99", seconds, measured.each.percentile(percentile99))
+	r.record(m, "burst.last_p50", seconds, measured.last.percentile(median))
+	r.record(m, "burst.last_p99", seconds, measured.last.percentile(percentile99))
+	r.report("repeat %d: %s to %d clients, latency of the last delivery: median %.2f ms, 99th percentile %.2f ms", m.repeat, m.phase, m.size,
+		millisecondsInSecond*measured.last.percentile(median), millisecondsInSecond*measured.last.percentile(percentile99))
 	return nil
 }
 
-// burst has all hosts write one line to each of their clients at once, and waits until the last client has read it. It
-// returns an error if that takes longer than deliveryTimeout.
-func (r *run) burst(ctx context.Context, c *clients, to []*client, taken burstLatencies) error {
+// burst makes the hosts write one line to each receiver at once and waits until every receiver has read it. It returns an
+// error if that takes longer than deliveryTimeout.
+func (r *run) burst(ctx context.Context, c *clients, receivers []*client, measured burstLatencies) error {
 	began := time.Since(c.began)
 	done := make(chan time.Duration, 1)
 	var progress burstProgress
 	c.observe(func(written, read time.Duration) {
 		if written != began {
-			return // a delivery of the load
+			return // a delivery of the load that runs during the bursts
 		}
 		latency := read - written
-		taken.each.add(latency)
+		measured.each.add(latency)
 		readers, longest := progress.add(latency)
-		if readers == len(to) {
+		if readers == len(receivers) {
 			done <- longest
 		}
 	})
 	defer c.observe(nil)
-	if err := writeToAll(to, deliveryAt(began, r.LineBytes)); err != nil {
+	if err := writeToAll(receivers, deliveryAt(began, r.LineBytes)); err != nil {
 		return err
 	}
 	select {
 	case latency := <-done:
-		taken.last.add(latency)
+		measured.last.add(latency)
 		return nil
 	case <-time.After(deliveryTimeout):
-		return fmt.Errorf("%d of %d clients have read a line within %v", progress.count(), len(to), deliveryTimeout)
+		return fmt.Errorf("waiting for a burst: only %d of %d clients read the line within %v", progress.count(),
+			len(receivers), deliveryTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// writeToAll has the hosts write a line to their clients, each host to one client after the other and beside the others.
-func writeToAll(to []*client, line []byte) error {
+// writeToAll makes the hosts write a line to the receivers. All hosts write at the same time, each to one of its receivers
+// after the other.
+func writeToAll(receivers []*client, line []byte) error {
 	byHost := map[string][]*client{}
-	for _, c := range to {
+	for _, c := range receivers {
 		address := c.host.LocalAddr().String()
 		byHost[address] = append(byHost[address], c)
 	}
--- a/internal/serving/clients.go
+++ b/internal/serving/clients.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	openTimeout       = 30 * time.Second      // for one client, with all its retries
-	retryInterval     = 10 * time.Millisecond // between two attempts of a client
-	maxConcurrentOpen = 32                    // clients that are opened at the same time
-	clientsPerAddress = 1000                  // that share a source address
-	connectTimeoutMs  = 2000                  // that a client gives the node, in milliseconds
+	openTimeout       = 30 * time.Second      // time limit for opening one client, including its retries
+	retryInterval     = 10 * time.Millisecond // pause between two attempts to open a client
+	maxConcurrentOpen = 32                    // limit of clients that are being opened at the same time
+	clientsPerAddress = 1000                  // number of clients that share a source address
+	connectTimeoutMs  = 2000                  // connect timeout in the opening line, in milliseconds
 )
 
-// errNoFlow is the error of an attempt that the node accepted without a host that has the flow.
-var errNoFlow = errors.New("no host has the flow")
+// errNoFlow reports that the node accepted an attempt, but no host has its flow.
+var errNoFlow = errors.New("the node accepted the attempt, but no host has the flow")
 
-// observer takes a delivery: when its host wrote it and when its client had read it, both since the clients began.
-// Several goroutines call it at once.
+// observer is called for each delivery with the times at which its host wrote it and its client had read it, both counted
+// from clients.began. It must be safe for concurrent use.
 type observer func(written, read time.Duration)
 
-// clients are all clients of a node. Each has a goroutine that reads its deliveries and passes them to the observer;
-// close ends these goroutines.
+// clients are all clients of a node. For each client, a goroutine reads its deliveries and passes them to the observer.
+// The method close ends these goroutines.
 type clients struct {
 	node     string // the address that clients connect to
 	hosts    *standin.Hosts
@@ -42,23 +42,23 @@
 	attempts atomic.Int64
 	retries  atomic.Int64
 	observer atomic.Pointer[observer]
-	lost     atomic.Int64 // connections that ended before the clients closed them
+	lost     atomic.Int64 // number of connections that ended before their client closed them
 }
 
 // client is one client of the node and the host's end of its flow.
 type client struct {
 	socket net.Conn
 	host   net.Conn
-	closed atomic.Bool // by the client itself
+	closed atomic.Bool // whether the client closed the connection itself
 }
 
-// close closes a client's connection, which makes the node close the host's end.
+// close closes the client's connection; the node then closes the host's end.
 func (c *client) close() {
 	c.closed.Store(true)
 	c.socket.Close()
 }
 
-// observe replaces the observer; nil ends the observation.
+// observe replaces the observer. With nil, deliveries are no longer observed.
 func (c *clients) observe(o observer) {
 	if o == nil {
 		c.observer.Store(nil)
@@ -67,12 +67,12 @@
 	c.observer.Store(&o)
 }
 
-// delivery returns the text of a delivery that is written now.
+// delivery returns a delivery line of the given size in bytes, stamped with the current time.
 func (c *clients) delivery(size int) []byte {
 	return deliveryAt(time.Since(c.began), size)
 }
 
-// grow opens clients until there are so many. After an error, the clients that were opened stay.
+// grow opens clients until there are total. If one cannot be opened, grow returns its error and keeps those that were opened.
 func (c *clients) grow(ctx context.Context, total int) error {
 	added := make([]*client, max(total-len(c.all), 0))
 	group, ctx := errgroup.WithContext(ctx)
@@ -92,7 +92,7 @@
 	return err
 }
 
-// open opens one client and retries for openTimeout while the node rejects it.
+// open opens one client. After a failed attempt it tries again, until openTimeout has passed.
 func (c *clients) open(ctx context.Context, number int) (*client, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
@@ -135,7 +135,7 @@
 	return opened, nil
 }
 
-// openError returns why an attempt failed, or nil if it succeeded.
+// openError returns the reason for which an attempt failed, or nil if it succeeded.
 func openError(answer string, readErr error, host net.Conn) error {
 	switch {
 	case readErr != nil:
@@ -148,15 +148,15 @@
 	return nil
 }
 
-// sourceAddress returns the loopback address that a client connects from. The system has too few ports for all clients at
-// one address.
+// sourceAddress returns the loopback address from which a client connects. Clients are spread over several addresses,
+// because one address has too few ports for all of them.
 func sourceAddress(number int) *net.TCPAddr {
 	index := number / clientsPerAddress
 	return &net.TCPAddr{IP: net.IPv4(127, 100, byte(index>>8), byte(1+index&0xff))}
 }
 
-// read passes a client's deliveries to the observer until its connection ends. A line over maxLineBytes, which no host
-// sends, counts as an end.
+// read passes a client's deliveries to the observer until its connection ends. A line longer than maxLineBytes ends it as
+// well; no host sends one.
 func (c *clients) read(from *client, in *bufio.Reader) {
 	for {
 		line, err := in.ReadSlice('\n')
@@ -177,7 +177,7 @@
 	}
 }
 
-// close closes all clients and waits until none reads any more.
+// close closes all clients and waits until their reader goroutines have ended.
 func (c *clients) close() {
 	for _, opened := range c.all {
 		opened.close()
--- a/internal/serving/connections.go
+++ b/internal/serving/connections.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	maxMemory = 8e9 // bytes of the node and this process together
+	maxMemory = 8e9 // limit for the node and this process together, in bytes
 	megabyte  = 1e6 // bytes
 	gigabyte  = 1e9 // bytes
 )
 
-// measureConnections measures idle connections in increasing numbers, up to as many as fit into descriptors and memory.
+// measureConnections measures increasing numbers of idle connections. It ends before the number that would exceed the
+// descriptor limit or maxMemory.
 func (r *run) measureConnections(ctx context.Context, b *bench, repeat int) error {
 	for _, size := range r.connectionSteps() {
 		expected, err := expectedMemory(b, size)
@@ -21,7 +22,7 @@
 			return err
 		}
 		if expected > maxMemory {
-			r.report("repeat %d: no more connections: %d would take %.1f GB, and %.1f GB are the most", repeat, size,
+			r.report("repeat %d: skipping %d connections and more: they would use %.1f GB, limit %.1f GB", repeat, size,
 				expected/gigabyte, maxMemory/gigabyte)
 			return nil
 		}
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// measureIdle measures memory, descriptors and processor time of the node while its connections carry nothing.
+// measureIdle measures memory, descriptors and CPU time of the node while its connections are idle.
 func (r *run) measureIdle(ctx context.Context, b *bench, repeat, size int) error {
 	spent, err := b.processorTime(func() error { return pause(ctx, r.Window) })
 	if err != nil {
@@ -59,7 +60,8 @@
 	return nil
 }
 
-// connectionSteps returns the requested numbers of connections that fit, and the capacity in place of those that do not.
+// connectionSteps returns the requested numbers of connections in ascending order. Numbers above the capacity are replaced
+// by the capacity.
 func (r *run) connectionSteps() []int {
 	steps := slices.DeleteFunc(slices.Clone(r.Connections), func(n int) bool { return n > r.capacity })
 	if len(steps) < len(r.Connections) {
@@ -69,8 +71,8 @@
 	return slices.Compact(steps)
 }
 
-// expectedMemory extrapolates the bytes that the node and this process will take with so many connections from what the
-// present ones take. It returns 0 while there are none.
+// expectedMemory extrapolates the memory of the node and of this process, in bytes, from the present number of connections
+// to the given one. It returns 0 if there are no connections yet.
 func expectedMemory(b *bench, size int) (float64, error) {
 	present := len(b.clients.all)
 	if present == 0 {
--- a/internal/serving/delivery_test.go
+++ b/internal/serving/delivery_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-func TestDeliveryKeepsItsTimeAndLength(t *testing.T) {
+// A delivery whose time or length is wrong would distort every measured latency or byte rate.
+func TestDeliveryHasRequestedTimeAndLength(t *testing.T) {
 	const size = 64
 	line := deliveryAt(3*time.Second, size)
 	if len(line) != size {
@@ -13,15 +14,16 @@
 	}
 	written, valid := parseDelivery(line)
 	if !valid || written != 3*time.Second {
-		t.Errorf("%v, %v, want the time of the delivery", written, valid)
+		t.Errorf("parsed time %v (valid: %v), want 3s", written, valid)
 	}
 }
 
-func TestOtherLinesAreNoDeliveries(t *testing.T) {
+// Clients also read answers of the node, which must not be counted as deliveries.
+func TestOtherLinesAreNotParsedAsDeliveries(t *testing.T) {
 	for _, line := range []string{"", "UP 1\r\n", "M\r\n", "M x 1\r\n"} {
 		t.Run(line, func(t *testing.T) {
 			if written, valid := parseDelivery([]byte(line)); valid {
-				t.Errorf("%q: taken for a delivery that was written at %v", line, written)
+				t.Errorf("%q was parsed as a delivery written at %v", line, written)
 			}
 		})
 	}
--- a/internal/serving/flows.go
+++ b/internal/serving/flows.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// measureFlows measures flows that are opened and closed one after the other, without a delivery.
+// measureFlows measures the CPU time of flows that are opened and closed one after the other, without deliveries.
 func (r *run) measureFlows(ctx context.Context, b *bench, repeat, size int) error {
 	spent, err := b.processorTime(func() error { return b.openAndClose(ctx, size) })
 	if err != nil {
@@ -14,7 +14,7 @@
 	return nil
 }
 
-// openAndClose opens and closes so many flows and waits until the hosts see none of them any more.
+// openAndClose opens and closes the given number of flows, then waits until all of them have ended at the hosts.
 func (b *bench) openAndClose(ctx context.Context, flows int) error {
 	for range flows {
 		c, err := b.clients.open(ctx, len(b.clients.all))
--- a/internal/serving/helpers_test.go
+++ b/internal/serving/helpers_test.go
@@ -35,7 +35,7 @@
 	return m.Run()
 }
 
-// smallOptions returns options with few steps of few connections.
+// smallOptions returns valid options with few steps, few connections and short windows.
 func smallOptions(t *testing.T) Options {
 	t.Helper()
 	return Options{
@@ -57,13 +57,13 @@
 	}
 }
 
-// newRun returns a run with small options and an empty table.
+// newRun returns a run with smallOptions and an empty table.
 func newRun(t *testing.T) *run {
 	t.Helper()
 	return &run{Options: smallOptions(t), table: &figures.Table{}, capacity: 100}
 }
 
-// figure returns the one value of a size, phase and cost, and fails the test if there is none or more than one.
+// figure returns the value of a size, phase and cost. It fails the test unless the table has exactly one.
 func figure(t *testing.T, table *figures.Table, size float64, phase, cost string) float64 {
 	t.Helper()
 	var found []float64
@@ -73,7 +73,7 @@
 		}
 	}
 	if len(found) != 1 {
-		t.Fatalf("%s of %s at %v: %v, want one figure", cost, phase, size, found)
+		t.Fatalf("%s of phase %s at size %v has the figures %v, want exactly one", cost, phase, size, found)
 	}
 	return found[0]
 }
--- a/internal/serving/latencies.go
+++ b/internal/serving/latencies.go
@@ -8,39 +8,38 @@
 )
 
 const (
-	minLatency        = time.Microsecond // that is told from a shorter one
-	maxLatency        = time.Minute      // longer ones count as this
+	minLatency        = time.Microsecond // shorter latencies are not distinguished
+	maxLatency        = time.Minute      // longer latencies are recorded as this value
 	significantDigits = 3
 	median            = 50 // percent
 	percentile99      = 99 // percent
 )
 
-// latencies collects how long deliveries took. Several goroutines may use it at once.
+// latencies is a histogram of delivery latencies. It is safe for concurrent use.
 type latencies struct {
 	mu        sync.Mutex
-	histogram *hdrhistogram.Histogram // nanoseconds
+	histogram *hdrhistogram.Histogram // values in nanoseconds
 }
 
-// newLatencies returns an empty collection.
 func newLatencies() *latencies {
 	return &latencies{histogram: hdrhistogram.New(int64(minLatency), int64(maxLatency), significantDigits)}
 }
 
-// add adds one delivery's latency.
+// add records the latency of one delivery.
 func (l *latencies) add(latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.histogram.RecordValue(int64(min(latency, maxLatency)))
 }
 
-// count returns how many latencies were added.
+// count returns the number of recorded latencies.
 func (l *latencies) count() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.histogram.TotalCount()
 }
 
-// percentile returns a percentile in seconds; percent goes from 0 to 100.
+// percentile returns a percentile of the latencies in seconds. The argument is between 0 and 100.
 func (l *latencies) percentile(percent float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/serving/measurement.go
+++ b/internal/serving/measurement.go
@@ -2,13 +2,13 @@
 
 import "gorseledge/internal/figures"
 
-// dimension is what a measurement varies, as the table names it.
+// dimension is the table's name of the quantity that a measurement varies.
 type dimension string
 
-// phase is what goes on during a measurement, as the table names it.
+// phase is the table's name of the activity during a measurement.
 type phase string
 
-// unit is a unit of the table.
+// unit is a unit of figures in the table.
 type unit string
 
 const (
@@ -31,11 +31,11 @@
 	perSecond             unit = "1/s"
 )
 
-// measurement identifies the rows that one measure adds to the table.
+// measurement identifies the rows that one measurement adds to the table.
 type measurement struct {
 	repeat    int
 	dimension dimension
-	size      int // of the dimension
+	size      int // amount of the dimension
 	phase     phase
 }
 
--- a/internal/serving/options_test.go
+++ b/internal/serving/options_test.go
@@ -7,6 +7,7 @@
 	"gorseledge/internal/figures"
 )
 
+// Options that cannot be measured must be rejected before a node is started.
 func TestInvalidOptionsAreRejected(t *testing.T) {
 	if err := smallOptions(t).Validate(); err != nil {
 		t.Fatal(err)
@@ -21,13 +22,13 @@
 		{"short line", func(o *Options) { o.LineBytes = 8 }},
 		{"long line", func(o *Options) { o.LineBytes = maxLineBytes + 1 }},
 		{"no stall", func(o *Options) { o.Stall = 0 }},
-		{"no carriers of the load", func(o *Options) { o.Loaded = o.Carriers }},
+		{"no carriers left for the load", func(o *Options) { o.Loaded = o.Carriers }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := smallOptions(t)
 			c.change(&o)
 			if err := Measure(t.Context(), o, &figures.Table{}); err == nil {
-				t.Errorf("%s: accepted", c.name)
+				t.Errorf("%s: invalid options were accepted", c.name)
 			}
 		})
 	}
--- a/internal/serving/rate.go
+++ b/internal/serving/rate.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// deliveryInterval is the time between two groups of lines of a rate.
+	// deliveryInterval is the time between two groups of deliveries that are written together.
 	deliveryInterval = time.Millisecond
-	// millisecondsInSecond converts seconds for progress lines.
+	// millisecondsInSecond converts seconds to milliseconds for progress lines.
 	millisecondsInSecond = 1e3
 )
 
-// delivered is what was sent at a rate.
+// delivered is the number of lines that were sent at a rate, and the time that sending them took.
 type delivered struct {
 	lines  int64
-	lasted time.Duration // of the sending, without the wait for the last reader
+	lasted time.Duration // without the wait until the last client has read its line
 }
 
-// measureRate measures deliveries at a rate, to one client after the other.
+// measureRate measures deliveries at a rate, written to one client after the other.
 func (r *run) measureRate(ctx context.Context, b *bench, repeat, rate int) error {
-	taken := newLatencies()
+	measured := newLatencies()
 	from := time.Since(b.clients.began)
 	b.clients.observe(func(written, read time.Duration) {
-		if written >= from { // an earlier line belongs to a discarded measure
-			taken.add(read - written)
+		if written >= from { // earlier lines belong to a discarded measurement
+			measured.add(read - written)
 		}
 	})
 	defer b.clients.observe(nil)
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		return await(ctx, func() bool { return taken.count() == sent.lines })
+		return await(ctx, func() bool { return measured.count() == sent.lines })
 	})
 	if err != nil {
 		return err
@@ -46,15 +46,15 @@
 	m := measurement{repeat: repeat, dimension: byRate, size: rate, phase: deliveryPhase}
 	r.record(m, "node.cpu", microsecondsPerSecond, spent/sent.lasted.Seconds())
 	r.record(m, "deliveries", perSecond, float64(sent.lines)/sent.lasted.Seconds())
-	r.record(m, "delivery.p50", seconds, taken.percentile(median))
-	r.record(m, "delivery.p99", seconds, taken.percentile(percentile99))
-	r.report("repeat %d: %d deliveries a second: %.1f us each, %.2f ms, 99th %.2f ms", repeat, rate,
-		spent/float64(sent.lines), millisecondsInSecond*taken.percentile(median),
-		millisecondsInSecond*taken.percentile(percentile99))
+	r.record(m, "delivery.p50", seconds, measured.percentile(median))
+	r.record(m, "delivery.p99", seconds, measured.percentile(percentile99))
+	r.report("repeat %d: %d deliveries a second: %.1f us each, latency: median %.2f ms, 99th percentile %.2f ms", repeat, rate,
+		spent/float64(sent.lines), millisecondsInSecond*measured.percentile(median),
+		millisecondsInSecond*measured.percentile(percentile99))
 	return nil
 }
 
-// deliverForWindow delivers lines to all clients at a rate for the time of Options.Window.
+// deliverForWindow writes deliveries to all clients at a rate for the duration Options.Window.
 func (r *run) deliverForWindow(ctx context.Context, c *clients, rate int) (delivered, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Window)
 	defer cancel()
@@ -63,9 +63,9 @@
 	return delivered{lines: lines, lasted: time.Since(began)}, err
 }
 
-// deliver writes lines at a rate until the context ends, to one client after the other, and returns how many. Lines that
-// a late timer left out follow at once, so that the rate holds.
-func (r *run) deliver(ctx context.Context, c *clients, to []*client, rate int) (sent int64, err error) {
+// deliver writes lines at a rate to one receiver after the other until the context ends, and returns their number. After a
+// late tick it writes all lines that are due at once, so that the mean rate is kept.
+func (r *run) deliver(ctx context.Context, c *clients, receivers []*client, rate int) (sent int64, err error) {
 	ticker := time.NewTicker(deliveryInterval)
 	defer ticker.Stop()
 	began := time.Now()
@@ -77,7 +77,7 @@
 		}
 		due := int64(time.Since(began).Seconds() * float64(rate))
 		for ; sent < due; sent++ {
-			receiver := to[sent%int64(len(to))]
+			receiver := receivers[sent%int64(len(receivers))]
 			if _, err := receiver.host.Write(c.delivery(r.LineBytes)); err != nil {
 				return sent, fmt.Errorf("writing a delivery: %w", err)
 			}
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -1,9 +1,9 @@
-// Package serving measures what one real node spends on serving: memory and descriptors of a connection, processor time
-// of a flow and of a delivery (a line from a host to a client), and how long lines take from host to client.
+// Package serving measures the resources that one real node uses to serve clients: memory and descriptors per connection,
+// CPU time per flow and per delivery (a line from a host to a client), and the latency of deliveries.
 //
-// The node is a process of its own on loopback, which the package starts and ends. Clients and hosts are stand-ins in
-// the measuring process, whose costs are not counted. The package owns no figures: it adds rows to the caller's table
-// and does not write files outside of the directory that it is given.
+// The package starts the node as a separate process on loopback and ends it. Clients and hosts are stand-ins in the
+// measuring process, whose costs are not counted. The package adds its figures to the caller's table and writes files only
+// below Options.Dir.
 package serving
 
 import (
@@ -17,28 +17,29 @@
 )
 
 const (
-	// spareDescriptors are descriptors of this process beside clients and hosts, and of the node beside flows.
+	// spareDescriptors are reserved for other uses than connections, both in this process and in the node.
 	spareDescriptors = 200
-	// descriptorsPerFlow are the descriptors of a flow at the node, and of its two ends in this process.
+	// descriptorsPerFlow is the number of descriptors that a flow uses in the node, and that its client's and its host's
+	// ends use in this process.
 	descriptorsPerFlow = 2
-	// maxOpenFiles bounds the capacity where the system's limit is higher or absent.
+	// maxOpenFiles bounds the capacity if the system's limit is higher or unlimited.
 	maxOpenFiles = 1 << 20
 )
 
-// run is one measurement in progress. It is used by one goroutine.
+// run is the state of one call of Measure. It is not safe for concurrent use.
 type run struct {
 	Options
 	table     *figures.Table
-	capacity  int // connections for which this process has descriptors
-	discarded int // measures that were discarded because the machine stalled
+	capacity  int // number of connections for which this process has descriptors
+	discarded int // number of measurements that were discarded because the machine stalled
 }
 
-// step measures a part of a repeat at a node that nothing else has used.
+// step measures one part of a repeat with a newly started node.
 type step func(ctx context.Context, b *bench, repeat int) error
 
 // Measure runs all steps and adds their figures to the table. It returns an error if the options are invalid, a step
-// fails or the context ends; the rows of complete measures stay in the table then. Every process, connection and file
-// that it started is gone when it returns.
+// fails or the context ends; the table then keeps the rows of the complete measurements. When Measure returns, it has ended
+// every process, closed every connection and removed every file that it created.
 func Measure(ctx context.Context, o Options, table *figures.Table) error {
 	if err := o.Validate(); err != nil {
 		return err
@@ -48,18 +49,18 @@
 		return err
 	}
 	r := &run{Options: o, table: table, capacity: capacity}
-	r.report("%d connections fit into the limit of open descriptors", capacity)
+	r.report("the descriptor limit allows %d connections", capacity)
 	for repeat := 1; repeat <= o.Repeats; repeat++ {
 		if err := r.repeat(ctx, repeat); err != nil {
 			return fmt.Errorf("repeat %d: %w", repeat, err)
 		}
 	}
-	// This form is part of committed tables.
+	// Committed tables contain this text, so its form is fixed.
 	r.table.Machine += fmt.Sprintf("; %d measures void, as the machine stood still for over %v", r.discarded, o.Stall)
 	return nil
 }
 
-// repeat runs each step once, at a node of its own.
+// repeat runs each step once, each with a new node.
 func (r *run) repeat(ctx context.Context, repeat int) error {
 	for _, measure := range []step{r.measureConnections, r.measureTraffic} {
 		if err := r.withNode(ctx, repeat, measure); err != nil {
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// connectionCapacity returns for how many flows this process can hold both ends. The Go runtime has raised the soft limit
-// of descriptors to the hard one.
+// connectionCapacity returns the number of flows of which this process can hold both ends. The soft descriptor limit is
+// what counts: the Go runtime has already raised it to the hard limit.
 func connectionCapacity() (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -79,15 +80,15 @@
 	return int(min(limit.Cur, maxOpenFiles)-spareDescriptors) / descriptorsPerFlow, nil
 }
 
-// report passes a line to Options.Progress, if there is one.
+// report passes a line of text to Options.Progress unless that is nil.
 func (r *run) report(format string, args ...any) {
 	if r.Progress != nil {
 		r.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// withNode runs a step at a new node. It returns an error if a connection ended before its client closed it, since the
-// step's figures are not those of its stated number of connections then.
+// withNode runs a step with a new node. It returns an error if a connection ended before its client closed it, because the
+// step then measured fewer connections than its figures state.
 func (r *run) withNode(ctx context.Context, repeat int, measure step) error {
 	dir, err := os.MkdirTemp(r.Dir, "serving")
 	if err != nil {
@@ -100,10 +101,10 @@
 	}
 	defer b.close()
 	if err := measure(ctx, b, repeat); err != nil {
-		return cmp.Or(ctx.Err(), err) // the end of the context ends the node, so that steps fail by that as well
+		return cmp.Or(ctx.Err(), err) // when the context ends, so does the node, which makes steps fail with other errors
 	}
 	if lost := b.clients.lost.Load(); lost > 0 {
-		return fmt.Errorf("%d connections ended before they were closed", lost)
+		return fmt.Errorf("%d connections ended before their clients closed them", lost)
 	}
 	return nil
 }
--- a/internal/serving/stalls.go
+++ b/internal/serving/stalls.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	tickInterval = 10 * time.Millisecond // of the watch for stalls
-	minStall     = 2 * tickInterval      // that the watch can tell from a late tick
-	maxAttempts  = 5                     // of one measure
+	tickInterval = 10 * time.Millisecond // interval of the ticks by which stalls are detected
+	minStall     = 2 * tickInterval      // shortest stall that differs from a late tick
+	maxAttempts  = 5                     // attempts of one measurement
 )
 
-// measure takes a measure of the given title. A measure during which this machine stalled is discarded with its rows and
-// taken again, because its times and its processor time are the machine's and not the node's.
-func (r *run) measure(ctx context.Context, title string, take func() error) error {
+// measure runs one measurement; title names it in messages. If the machine stalls during it, measure discards its rows and
+// repeats it, because its latencies and CPU times were affected by the machine and not by the node.
+func (r *run) measure(ctx context.Context, title string, attempt func() error) error {
 	for range maxAttempts {
 		before := len(r.table.Rows)
 		stop := watchStalls()
-		err := take()
+		err := attempt()
 		stalled := stop()
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -28,25 +28,25 @@
 		}
 		r.table.Rows = r.table.Rows[:before]
 		r.discarded++
-		r.report("%s: discarded, the machine stalled for %.2f s: measuring again", title, stalled.Seconds())
+		r.report("%s: discarded because the machine stalled for %.2f s, measuring again", title, stalled.Seconds())
 	}
-	return fmt.Errorf("%s: the machine stalled for over %v in each of %d measures", title, r.Stall, maxAttempts)
+	return fmt.Errorf("%s: the machine stalled for more than %v in each of %d attempts", title, r.Stall, maxAttempts)
 }
 
-// stalls keeps the longest time by which a tick came late.
+// stalls records the longest delay of a tick.
 type stalls struct {
 	last    time.Time
 	longest time.Duration
 }
 
-// tick takes the time of a tick.
+// tick records the delay of a tick that arrived now.
 func (s *stalls) tick(now time.Time) {
 	late := now.Sub(s.last) - tickInterval
 	s.longest = max(s.longest, late)
 	s.last = now
 }
 
-// watchStalls starts a goroutine that watches for stalls. The caller owns it and ends it by calling stop once, which
+// watchStalls starts a goroutine that detects stalls. The caller must call stop exactly once; it ends the goroutine and
 // returns the longest stall.
 func watchStalls() (stop func() time.Duration) {
 	ended := make(chan struct{})
@@ -58,7 +58,7 @@
 	}
 }
 
-// watchUntil takes ticks until the channel is closed and returns the longest stall.
+// watchUntil records ticks until the channel is closed and returns the longest stall.
 func watchUntil(ended <-chan struct{}) time.Duration {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/internal/serving/stalls_test.go
+++ b/internal/serving/stalls_test.go
@@ -7,31 +7,32 @@
 	"gorseledge/internal/figures"
 )
 
-func TestMeasureDuringAStallIsDiscardedAndTakenAgain(t *testing.T) {
+// Rows of a measurement during which the machine stalled would enter the table as costs of the node.
+func TestMeasurementDuringAStallIsDiscardedAndRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		stalled   int // measures during which the machine stalls
-		taken     int
+		stalled   int // attempts during which the machine stalls
+		attempts  int
 		discarded int
 		fails     bool
 	}{
-		{name: "never", stalled: 0, taken: 1, discarded: 0},
-		{name: "once", stalled: 1, taken: 2, discarded: 1},
-		{name: "each time", stalled: maxAttempts, taken: maxAttempts, discarded: maxAttempts, fails: true},
+		{name: "never", stalled: 0, attempts: 1, discarded: 0},
+		{name: "once", stalled: 1, attempts: 2, discarded: 1},
+		{name: "each time", stalled: maxAttempts, attempts: maxAttempts, discarded: maxAttempts, fails: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := &run{Options: Options{Stall: time.Hour}, table: &figures.Table{}}
 			m := measurement{repeat: 1, dimension: byFlows, size: 1, phase: flowsPhase}
-			r.record(m, "node.cpu_total", microseconds, 1) // of another measure
+			r.record(m, "node.cpu_total", microseconds, 1) // a row of an earlier measurement
 			m.size = 2
-			taken := 0
-			err := r.measure(t.Context(), "a measure", func() error {
-				taken++
+			attempts := 0
+			err := r.measure(t.Context(), "a measurement", func() error {
+				attempts++
 				r.Stall = time.Hour
-				if taken <= c.stalled {
-					r.Stall = -time.Hour // every tick is later than that
+				if attempts <= c.stalled {
+					r.Stall = -time.Hour // every tick is later than this
 				}
-				r.record(m, "node.cpu_total", microseconds, float64(taken))
+				r.record(m, "node.cpu_total", microseconds, float64(attempts))
 				return nil
 			})
 			rows := 2
@@ -39,16 +40,17 @@
 				rows = 1
 			}
 			failed := err != nil
-			if failed != c.fails || taken != c.taken || r.discarded != c.discarded || len(r.table.Rows) != rows {
-				t.Errorf("%v: taken %d times, %d discarded, figures %v", err, taken, r.discarded, r.table.Rows)
+			if failed != c.fails || attempts != c.attempts || r.discarded != c.discarded || len(r.table.Rows) != rows {
+				t.Errorf("error %v after %d attempts, %d discarded, rows %v", err, attempts, r.discarded, r.table.Rows)
 			}
-			if !c.fails && r.table.Rows[1].Value != float64(c.taken) {
-				t.Errorf("kept %v, want the last measure's figure", r.table.Rows[1])
+			if !c.fails && r.table.Rows[1].Value != float64(c.attempts) {
+				t.Errorf("the table has the row %v, want that of the last attempt", r.table.Rows[1])
 			}
 		})
 	}
 }
 
+// A later, shorter delay must not replace the longest one.
 func TestLongestStallIsKept(t *testing.T) {
 	began := time.Unix(1000, 0)
 	s := stalls{last: began}
@@ -58,6 +60,6 @@
 	}
 	want := time.Second - 5*tickInterval
 	if s.longest != want {
-		t.Errorf("longest %v, want %v", s.longest, want)
+		t.Errorf("longest stall is %v, want %v", s.longest, want)
 	}
 }
--- a/internal/serving/traffic.go
+++ b/internal/serving/traffic.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// measureTraffic measures flows, deliveries at a rate, bursts of one line to many clients, and bursts beside deliveries.
+// measureTraffic measures flows, deliveries at a rate, bursts of one line to many clients, and bursts during deliveries.
 func (r *run) measureTraffic(ctx context.Context, b *bench, repeat int) error {
 	for _, size := range r.Flows {
 		title := fmt.Sprintf("repeat %d: %d flows", repeat, size)
@@ -35,6 +35,6 @@
 			return err
 		}
 	}
-	title := fmt.Sprintf("repeat %d: bursts beside %d deliveries a second", repeat, r.Load)
+	title := fmt.Sprintf("repeat %d: bursts during %d deliveries a second", repeat, r.Load)
 	return r.measure(ctx, title, func() error { return r.measureLoadedBursts(ctx, b, repeat) })
 }
--- a/internal/serving/usage.go
+++ b/internal/serving/usage.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// nanosecondsInSecond converts the kernel's processor times.
+// nanosecondsInSecond converts the kernel's CPU times to seconds.
 const nanosecondsInSecond = 1e9
 
-// usage is what a process holds and has spent, as the kernel counts it.
+// usage is the resource usage of a process as the kernel reports it.
 type usage struct {
 	processorTime float64 // seconds since the process started, user and system, over all threads
-	memory        float64 // resident bytes, without what the kernel holds for the process's sockets
-	descriptors   float64 // open ones
+	memory        float64 // resident memory in bytes, without the kernel's socket buffers
+	descriptors   float64 // number of open descriptors
 }
 
-// usageOf reads the usage of a process from /proc. It returns an error if there is no such process.
+// usageOf reads the usage of a process from /proc. It returns an error if the process does not exist.
 func usageOf(pid int) (usage, error) {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	var u usage
@@ -39,8 +39,8 @@
 	return u, nil
 }
 
-// processorTime returns the sum of the threads' time on a processor, in seconds. The kernel gives it in nanoseconds. The
-// Go runtime keeps its threads, so that no time is lost with a thread that ended.
+// processorTime returns the CPU time of all threads of a process in seconds. The kernel reports it per thread, in
+// nanoseconds. Ended threads are not counted, but the Go runtime keeps its threads.
 func processorTime(dir string) (float64, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "task", "*", "schedstat"))
 	if err != nil {
@@ -65,7 +65,7 @@
 	return total, nil
 }
 
-// residentMemory returns how many bytes of a process lie in memory.
+// residentMemory returns the resident memory of a process in bytes.
 func residentMemory(dir string) (float64, error) {
 	path := filepath.Join(dir, "statm")
 	text, err := os.ReadFile(path)
--- a/internal/serving/usage_test.go
+++ b/internal/serving/usage_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Usage that is read from a wrong file or field of /proc would make every cost wrong.
 func TestUsageCountsThisProcess(t *testing.T) {
 	before, err := usageOf(os.Getpid())
 	if err != nil {
@@ -21,9 +22,9 @@
 	}
 	if before.memory <= 0 || before.processorTime <= 0 || after.processorTime < before.processorTime ||
 		after.descriptors != before.descriptors+1 {
-		t.Errorf("before %+v, after one more descriptor %+v", before, after)
+		t.Errorf("usage before %+v, after opening one more descriptor %+v", before, after)
 	}
 	if _, err := usageOf(1 << 30); err == nil {
-		t.Error("a process that does not exist has a usage")
+		t.Error("usageOf returned no error for a process that does not exist")
 	}
 }
--- a/internal/serving/wait.go
+++ b/internal/serving/wait.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	settleTime      = time.Second // that the node is left alone after connections were opened
+	settleTime      = time.Second // pause between opening connections and measuring
 	deliveryTimeout = 10 * time.Second
 	pollInterval    = time.Millisecond
 )
 
-// pause waits for a time, or returns the context's error when that ends first.
+// pause waits for a duration. It returns the context's error if the context ends first.
 func pause(ctx context.Context, span time.Duration) error {
 	select {
 	case <-time.After(span):
@@ -22,7 +22,7 @@
 	}
 }
 
-// await polls a condition until it holds. It returns an error after deliveryTimeout.
+// await polls a condition until it is true. It returns an error after deliveryTimeout.
 func await(ctx context.Context, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
