--- a/internal/serving/bursts.go
+++ b/internal/serving/bursts.go
@@ -76,8 +76,9 @@
 	r.record(m, "burst.each_p99", seconds, measured.each.percentile(percentile99))
 	r.record(m, "burst.last_p50", seconds, measured.last.percentile(median))
 	r.record(m, "burst.last_p99", seconds, measured.last.percentile(percentile99))
-	r.report("repeat %d: %s to %d clients, latency of the last delivery: median %.2f ms, 99th percentile %.2f ms", m.repeat, m.phase, m.size,
-		millisecondsInSecond*measured.last.percentile(median), millisecondsInSecond*measured.last.percentile(percentile99))
+	r.report("repeat %d: %s to %d clients, latency of the last delivery: median %.2f ms, 99th percentile %.2f ms",
+		m.repeat, m.phase, m.size, millisecondsInSecond*measured.last.percentile(median),
+		millisecondsInSecond*measured.last.percentile(percentile99))
 	return nil
 }
 
--- a/internal/serving/options.go
+++ b/internal/serving/options.go
@@ -19,7 +19,7 @@
 	Repeats     int           // number of runs of all steps, at least 1
 	Window      time.Duration // duration of a measurement of idle connections or of a rate, at least 100 ms
 	LineBytes   int           // length of a delivery including its line end, 32 to 512 bytes
-	Connections []int         // numbers of idle connections; the descriptor limit replaces larger numbers
+	Connections []int         // numbers of idle connections; numbers above the capacity are lowered to it
 	Flows       []int         // numbers of flows that are opened and closed one after the other
 	Rates       []int         // deliveries per second
 	Carriers    int           // number of connections that carry the rates
