--- a/internal/capacity/chart.go
+++ b/internal/capacity/chart.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// chartPrefix begins the name of each chart of this package, so that charts of others are left alone.
+	// chartPrefix begins the file name of each chart of this package and distinguishes it from charts of other commands.
 	chartPrefix    = "capacity-"
 	chartExtension = ".svg"
 
@@ -29,10 +29,10 @@
 	lineColor  = color.RGBA{R: 200, G: 30, B: 30, A: 255}
 )
 
-// costChart is a chart of a fitted cost against the size.
+// costChart plots the figures of a fitted cost against the size.
 type costChart struct{ result }
 
-// costCharts returns one chart for each distinct fitted cost, in the order of the rows.
+// costCharts returns one chart for each distinct fitted cost, in the order of the plan's rows.
 func (e *evaluation) costCharts() []costChart {
 	var charts []costChart
 	seen := map[string]bool{}
@@ -62,10 +62,10 @@
 	return fmt.Sprintf("%s, %s, against %s (%s)", c.From.Cost, c.From.Phase, c.dimension(), c.From.Source)
 }
 
-// dimension returns the varied dimension in words.
+// dimension returns the name of the varied dimension with spaces in place of underscores.
 func (c costChart) dimension() string { return strings.ReplaceAll(c.From.Dimension, "_", " ") }
 
-// render draws the figures with their line and, below, the residuals. The image ends with the hash of the figures.
+// render returns an SVG image with the figures and their line and, below them, the residuals. It ends with figureHash.
 func (c costChart) render() ([]byte, error) {
 	var values, residuals plotter.XYs
 	for _, p := range c.points {
@@ -90,8 +90,8 @@
 	return append(bytes.TrimRight(image, "\n"), c.figureHash()...), nil
 }
 
-// figureHash returns a comment with a hash of the drawn figures. Charts are compared by it, because the rest of an image
-// may differ in its last digits between machines.
+// figureHash returns an XML comment with a hash of the figures in the chart. Charts are compared by this hash, because
+// coordinates in the image may differ in their last digits between machines.
 func (c costChart) figureHash() string {
 	hash := xxhash.New()
 	fmt.Fprintln(hash, c.title(), c.unit)
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -16,31 +16,31 @@
 	intercept              float64
 	residualDeviation      float64 // standard deviation of the residuals
 	largestResidual        float64 // absolute value
-	rSquared               float64 // part of the variance that the line explains, from 0 to 1
+	rSquared               float64 // fraction of the variance that the line explains, between 0 and 1
 	smallestSize           float64
 	largestSize            float64
 	curvature              float64 // coefficient of the squared size; valid if curvatureFitted
 	curvatureStandardError float64
 	curvatureFitted        bool
 	meanSize               float64
-	sizeSquares            float64 // sum of the squared distances of the sizes from their mean
+	sizeSquares            float64 // sum of the squared deviations of the sizes from their mean
 	meanValue              float64
 }
 
 const (
-	minPoints             = 3     // two points give a line without an error
-	minSizes              = 3     // distinct sizes that a curvature needs
-	curvatureSignificance = 3     // standard errors by which a curvature has to differ from zero
-	roundingTolerance     = 1e-12 // part of the largest value below which a difference is a rounding error
+	minPoints             = 3     // two points determine a line, but not its error
+	minSizes              = 3     // distinct sizes that are necessary to fit a curvature
+	curvatureSignificance = 3     // standard errors by which a significant curvature differs from zero
+	roundingTolerance     = 1e-12 // differences below this fraction of the largest value are rounding errors
 	minSlopeChange        = 0.01  // relative change of the slope below which it counts as constant
 	lineParameters        = 2
 	curveParameters       = 3
 )
 
-// errTooFewPoints reports that the points do not determine a line and its error.
-var errTooFewPoints = errors.New("fewer than three figures, or all at one size")
+// errTooFewPoints reports that a line and its error cannot be computed from the points.
+var errTooFewPoints = errors.New("a line needs at least three figures, which must not all have the same size")
 
-// fitLine fits a line to points. It returns errTooFewPoints for fewer than minPoints, or if all have the same size.
+// fitLine fits a line to points. It returns errTooFewPoints if there are fewer than minPoints or if all have the same size.
 func fitLine(points []point) (line, error) {
 	if len(points) < minPoints {
 		return line{}, errTooFewPoints
@@ -82,7 +82,8 @@
 	}
 }
 
-// fitSlope computes slope and intercept. A slope whose effect over the measured sizes is below the tolerance is zero.
+// fitSlope computes slope and intercept. If the line changes by less than the tolerance over the measured sizes, its slope
+// is set to zero.
 func (l *line) fitSlope(points []point, tolerance float64) {
 	products := 0.0
 	for _, p := range points {
@@ -95,7 +96,7 @@
 	l.intercept = l.meanValue - l.slope*l.meanSize
 }
 
-// measureResiduals computes the statistics of the residuals. Residuals below the tolerance count as zero.
+// measureResiduals computes the statistics of the residuals, with residuals below the tolerance as zero.
 func (l *line) measureResiduals(points []point, tolerance float64) {
 	squares := 0.0
 	total := 0.0
@@ -116,8 +117,8 @@
 	}
 }
 
-// fitCurvature fits the residuals by the component of the squared size that is orthogonal to every line. It leaves
-// curvatureFitted false if there are too few points or distinct sizes.
+// fitCurvature fits the residuals to the component of the squared size that is orthogonal to every straight line. It does
+// nothing, and leaves curvatureFitted false, if there are too few points or distinct sizes.
 func (l *line) fitCurvature(points []point) {
 	if distinctSizes(points) < minSizes || len(points) <= minPoints {
 		return
@@ -148,7 +149,7 @@
 	return len(sizes)
 }
 
-// orthogonalSquares returns, for each point, the squared distance of its size from the mean, less the line through these
+// orthogonalSquares returns, for each point, the squared deviation of its size from the mean, minus the line fitted to these
 // squares.
 func (l *line) orthogonalSquares(points []point) []float64 {
 	squares := make([]float64, len(points))
@@ -175,10 +176,10 @@
 	return value, standardError
 }
 
-// residual returns how far a point lies above the line; it is negative below it.
+// residual returns the vertical distance of a point from the line. It is negative for points below the line.
 func (l line) residual(p point) float64 { return p.y - l.intercept - l.slope*p.x }
 
-// isCurved reports whether the slope changes with the size, both significantly and by more than minSlopeChange.
+// isCurved reports whether the slope changes with the size: significantly, and by more than minSlopeChange.
 func (l line) isCurved() bool {
 	significant := math.Abs(l.curvature) > curvatureSignificance*l.curvatureStandardError
 	return l.curvatureFitted && significant && math.Abs(l.slopeChange()) > minSlopeChange
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -13,7 +13,8 @@
 	}
 }
 
-// Anscombe's first set: the line is known to be 3.00 + 0.500 x, with R2 0.667 and an error of the slope of 0.118.
+// A fit with a wrong slope or error would make every extrapolated cost wrong. The line of Anscombe's first data set is known:
+// 3.00 + 0.500 x, with R2 0.667 and a standard error of the slope of 0.118.
 func TestFitMatchesAnscombesFirstSet(t *testing.T) {
 	x := []float64{10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5}
 	y := []float64{8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68}
@@ -23,15 +24,15 @@
 	}
 	checkNear(t, "slope", l.slope, 0.5001, 1e-4)
 	checkNear(t, "intercept", l.intercept, 3.0001, 1e-4)
-	checkNear(t, "error of the slope", l.slopeStandardError, 0.1179, 1e-4)
+	checkNear(t, "standard error of the slope", l.slopeStandardError, 0.1179, 1e-4)
 	checkNear(t, "R2", l.rSquared, 0.6665, 1e-4)
 	checkNear(t, "deviation", l.residualDeviation, 1.2366, 1e-4)
 	if l.isCurved() {
-		t.Errorf("a bend of %v with an error of %v is taken for sure", l.curvature, l.curvatureStandardError)
+		t.Errorf("a curvature of %v with a standard error of %v counts as significant", l.curvature, l.curvatureStandardError)
 	}
 }
 
-// Anscombe's second set has the same line, and is a parabola.
+// A parabola must not pass for a line. Anscombe's second data set is a parabola with the same fitted line as the first.
 func TestParabolaIsCurved(t *testing.T) {
 	x := []float64{10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5}
 	y := []float64{9.14, 8.14, 8.74, 8.77, 9.26, 8.10, 6.13, 3.10, 9.13, 7.26, 4.74}
@@ -40,9 +41,9 @@
 		t.Fatal(err)
 	}
 	checkNear(t, "slope", l.slope, 0.5, 1e-3)
-	checkNear(t, "bend", l.curvature, -0.1267, 1e-4)
+	checkNear(t, "curvature", l.curvature, -0.1267, 1e-4)
 	if !l.isCurved() || l.slopeChange() >= 0 {
-		t.Errorf("bends %v, by %v; the slope falls", l.isCurved(), l.slopeChange())
+		t.Errorf("curved: %v, slope change %v; want a curve with a falling slope", l.isCurved(), l.slopeChange())
 	}
 }
 
@@ -53,6 +54,7 @@
 	return out
 }
 
+// Rounding errors in points that lie exactly on a line must not be reported as residuals or curvature.
 func TestExactLineHasNoError(t *testing.T) {
 	var points []point
 	for _, x := range []float64{1, 2, 4, 8} {
@@ -69,14 +71,15 @@
 	checkNear(t, "largest residual", l.largestResidual, 0, 1e-12)
 	checkNear(t, "R2", l.rSquared, 1, 1e-12)
 	if l.isCurved() {
-		t.Errorf("what rounding leaves over is taken for a bend of %v ± %v", l.curvature, l.curvatureStandardError)
+		t.Errorf("rounding errors count as a curvature of %v ± %v", l.curvature, l.curvatureStandardError)
 	}
 	if l.smallestSize != 1 || l.largestSize != 8 {
-		t.Errorf("sizes %v to %v", l.smallestSize, l.largestSize)
+		t.Errorf("sizes from %v to %v, want 1 to 8", l.smallestSize, l.largestSize)
 	}
 }
 
-// A cost that grows with the square of the size is found out, also where R2 is close to 1.
+// A cost that grows with the square of the size must not be extrapolated as if it were linear. R2 alone does not reveal it:
+// it is close to 1 here.
 func TestQuadraticCostIsCurved(t *testing.T) {
 	var points []point
 	for _, x := range []float64{50, 100, 215, 430, 860} {
@@ -88,12 +91,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkNear(t, "bend", l.curvature, 0.01, 1e-4)
+	checkNear(t, "curvature", l.curvature, 0.01, 1e-4)
 	if !l.isCurved() || l.rSquared < 0.98 {
-		t.Errorf("bends %v with R2 %v", l.isCurved(), l.rSquared)
+		t.Errorf("curved: %v, R2 %v; want a curve with R2 of at least 0.98", l.isCurved(), l.rSquared)
 	}
 }
 
+// With a constant cost the variance is zero, which must not lead to a division by zero.
 func TestConstantCostHasNoSlope(t *testing.T) {
 	l, err := fitLine([]point{{1, 5}, {2, 5}, {3, 5}, {4, 5}})
 	if err != nil {
@@ -102,14 +106,15 @@
 	checkNear(t, "slope", l.slope, 0, 0)
 	checkNear(t, "R2", l.rSquared, 1, 0)
 	if l.isCurved() {
-		t.Error("a constant bends")
+		t.Error("a constant cost counts as curved")
 	}
 }
 
+// Points that do not determine a line must return an error, not a line with infinite or undefined values.
 func TestTooFewPointsAreRejected(t *testing.T) {
 	for _, points := range [][]point{nil, {{1, 1}, {2, 2}}, {{3, 1}, {3, 2}, {3, 3}}} {
 		if _, err := fitLine(points); !errors.Is(err, errTooFewPoints) {
-			t.Errorf("%v: %v", points, err)
+			t.Errorf("fitLine(%v) returned %v, want errTooFewPoints", points, err)
 		}
 	}
 }
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// significantDigits is the number of digits of a figure on the page.
+	// significantDigits is the number of significant digits of a figure on the page.
 	significantDigits = 3
-	// multipleThreshold is the ratio from which formatRatio writes a multiple.
+	// multipleThreshold is the smallest ratio that formatRatio writes as a multiple.
 	multipleThreshold = 10
 )
 
-// formatNumber writes a figure with three significant digits and a comma between thousands.
+// formatNumber formats a figure with three significant digits and commas between thousands.
 func formatNumber(x float64) string {
 	if x == 0 || math.IsInf(x, 0) || math.IsNaN(x) {
 		return strconv.FormatFloat(x, 'g', -1, 64)
@@ -51,7 +51,7 @@
 	return whole
 }
 
-// formatIn writes a figure with its unit, scaled to a larger or smaller unit where that is easier to read.
+// formatIn formats a figure with its unit. Bytes and times are scaled to the unit that is easiest to read.
 func formatIn(x float64, unit string) string {
 	switch unit {
 	case "B", "B/s":
@@ -70,7 +70,7 @@
 	return formatNumber(x) + " " + unit
 }
 
-// bytePrefixes are the decimal prefixes of formatBytes, the largest first.
+// bytePrefixes are the decimal prefixes of formatBytes in descending order.
 var bytePrefixes = []struct {
 	factor float64
 	prefix string
@@ -107,10 +107,10 @@
 	return formatNumber(x) + " s"
 }
 
-// formatPercent writes a ratio as a percentage.
+// formatPercent formats a ratio as a percentage.
 func formatPercent(ratio float64) string { return formatNumber(100*ratio) + "%" }
 
-// formatRatio writes a ratio as a percentage, or as a multiple from multipleThreshold on.
+// formatRatio formats a ratio as a percentage, or as a multiple if it is at least multipleThreshold.
 func formatRatio(ratio float64) string {
 	if ratio >= multipleThreshold {
 		return formatNumber(ratio) + " times"
@@ -118,7 +118,7 @@
 	return formatPercent(ratio)
 }
 
-// markdownTable returns a table and escapes the column separator in its cells.
+// markdownTable returns a Markdown table. It escapes column separators in the cells.
 func markdownTable(header []string, rows [][]string) string {
 	var table strings.Builder
 	fmt.Fprintf(&table, "| %s |\n|%s\n", strings.Join(header, " | "), strings.Repeat("---|", len(header)))
--- a/internal/capacity/limit.go
+++ b/internal/capacity/limit.go
@@ -11,11 +11,10 @@
 type budgetLimit struct {
 	result
 	limit       float64 // infinite if the cost does not grow
-	shareOfPlan float64 // limit relative to the planned size
+	shareOfPlan float64 // limit divided by the planned size
 }
 
-// limitTable lists the rows with a known limit by ascending share of the planned size. Rows without a mechanism come
-// first.
+// limitTable lists the rows with a known limit in ascending order of shareOfPlan. Rows without a mechanism come first.
 func (e *evaluation) limitTable() string {
 	var limits []budgetLimit
 	for _, r := range e.results {
@@ -33,7 +32,8 @@
 	return markdownTable([]string{"line", "planned size", "budget is used up at", "part of the planned size", "budget"}, rows)
 }
 
-// planShare returns a size relative to the planned size: zero for a row without a mechanism, infinite for an infinite size.
+// planShare returns a size divided by the planned size. It returns zero for a row without a mechanism and infinity for an
+// infinite size.
 func (r result) planShare(size float64) float64 {
 	if !r.hasMechanism() {
 		return 0
@@ -44,7 +44,7 @@
 	return size / r.size.value
 }
 
-// cells returns the columns of limitTable.
+// cells returns the row's cells in limitTable.
 func (b budgetLimit) cells() []string {
 	name := strings.ReplaceAll(b.Group, "_", " ") + ": " + b.Name
 	planned := "-"
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -15,7 +15,7 @@
 	"gorseledge/internal/figures"
 )
 
-// Files and directories below the directory of the docs.
+// Paths of files and directories, relative to the docs directory.
 const (
 	pageFile         = "CAPACITY.md"
 	planFile         = "capacity/plan.toml"
@@ -30,8 +30,8 @@
 	results  []result
 }
 
-// Build returns the contents of the page and of its charts, by their paths below the directory of the docs. It reads the
-// plan, the figures and the present page, whose text outside the tables it keeps. It writes no file.
+// Build returns the contents of the page and of its charts by their paths relative to the docs directory. It reads the plan,
+// the figures and the existing page, and keeps the page's text outside the tables. It does not write files.
 func Build(docs string) (map[string][]byte, error) {
 	e, err := readEvaluation(docs)
 	if err != nil {
@@ -78,11 +78,11 @@
 	return e, nil
 }
 
-// tableMarker matches a table of the page with the comments around it. Its first group is the table's name.
+// tableMarker matches a table of the page and the marker comments around it. Its first group is the table's name.
 var tableMarker = regexp.MustCompile(`(?s)<!-- table: (\w+) -->\n(.*?)<!-- end of table -->`)
 
-// fillTables replaces the text between the markers of each table. It returns an error unless each table has exactly one
-// pair of markers, and each pair a table.
+// fillTables replaces the text between the markers of each table. It returns an error if a table does not have exactly one
+// pair of markers, or if markers name an unknown table.
 func fillTables(page []byte, tables map[string]string) ([]byte, error) {
 	seen := map[string]bool{}
 	var firstErr error
@@ -95,21 +95,22 @@
 		name := string(tableMarker.FindSubmatch(old)[1])
 		text, known := tables[name]
 		if !known || seen[name] {
-			fail(fmt.Errorf("the mark of table %q stands for none, or twice", name))
+			fail(fmt.Errorf("marker of table %q is unknown or occurs twice", name))
 		}
 		seen[name] = true
 		return fmt.Appendf(nil, "<!-- table: %s -->\n%s<!-- end of table -->", name, text)
 	})
 	for _, name := range slices.Sorted(maps.Keys(tables)) {
 		if !seen[name] {
-			fail(fmt.Errorf("no mark for table %q", name))
+			fail(fmt.Errorf("no marker for table %q", name))
 		}
 	}
 	return page, firstErr
 }
 
-// Differences returns the paths of the files that differ from what Build returned, and of charts that Build no longer
-// draws. Pages are compared by their text, charts by the hash of their figures. A missing file counts as different.
+// Differences returns the paths of the files in the docs directory that differ from files, the result of Build, or are
+// missing. It adds the paths of charts that Build no longer returns. Pages are compared by their text, charts by the hash
+// of their figures.
 func Differences(docs string, files map[string][]byte) ([]string, error) {
 	var different []string
 	for _, name := range slices.Sorted(maps.Keys(files)) {
@@ -128,7 +129,7 @@
 	return append(different, stale...), nil
 }
 
-// staleCharts returns the paths of this package's charts that are not among files.
+// staleCharts returns the paths of this package's charts in the docs directory that are not in files.
 func staleCharts(docs string, files map[string][]byte) ([]string, error) {
 	pattern := filepath.Join(docs, chartsDirectory, chartPrefix+"*"+chartExtension)
 	paths, err := filepath.Glob(pattern)
@@ -145,8 +146,8 @@
 	return stale, nil
 }
 
-// comparablePart returns the part of a file that has to be equal: all of a page, and the last line of a chart, which has
-// the hash of its figures.
+// comparablePart returns the part of a file by which it is compared: the whole text of a page, or the last line of a chart,
+// which contains the hash of its figures.
 func comparablePart(name string, text []byte) []byte {
 	if !strings.HasSuffix(name, chartExtension) {
 		return text
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The committed page and charts are what the committed figures give.
+// If figures or the plan are committed without the page, it shows outdated costs. Running the capacity command updates it.
 func TestCommittedPageMatchesFigures(t *testing.T) {
 	const docs = "../../docs"
 	files, err := Build(docs)
@@ -18,11 +18,11 @@
 	}
 	different, err := Differences(docs, files)
 	if err != nil || len(different) > 0 {
-		t.Errorf("not as the figures give it: %v, %v (go run ./cmd/gorseledge-lab capacity)", different, err)
+		t.Errorf("files that differ from the figures: %v, error %v (run: go run ./cmd/gorseledge-lab capacity)", different, err)
 	}
 }
 
-// pageText returns a page with empty markers for each table.
+// pageText returns a page with markers for each table and no text between them.
 func pageText() string {
 	page := "# Capacity\n\nWritten by hand.\n"
 	for _, name := range slices.Sorted(maps.Keys((&evaluation{plan: &Plan{}}).tables())) {
@@ -31,7 +31,7 @@
 	return page + "\nAnd the end.\n"
 }
 
-// newDocs returns a directory with a plan, figures, and the page and charts that Build writes for them.
+// newDocs returns a directory with a plan, figures, and the page and charts that Build returns for them.
 func newDocs(t *testing.T) string {
 	t.Helper()
 	docs := t.TempDir()
@@ -68,11 +68,12 @@
 	}
 	changed := strings.Replace(string(text), from, to, 1)
 	if changed == string(text) {
-		t.Fatalf("%s has no %q", path, from)
+		t.Fatalf("%s does not contain %q", path, from)
 	}
 	writeFile(t, path, changed)
 }
 
+// Build must not overwrite the page's text outside the tables.
 func TestBuildFillsTablesAndKeepsText(t *testing.T) {
 	docs := newDocs(t)
 	text, err := os.ReadFile(filepath.Join(docs, pageFile))
@@ -82,49 +83,50 @@
 	for _, want := range []string{"Written by hand.\n", "And the end.\n", "| memory | a table | 50 B a node ±",
 		"| shards | none yet: a hash over members |", "| calls | a watch | 0.3 a second |", "charts/capacity-rest-virtual-nodes-rest-node-memory.svg"} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("no %q in\n%s", want, text)
+			t.Errorf("the page does not contain %q:\n%s", want, text)
 		}
 	}
 	if strings.Index(string(text), "| serving: shards |") > strings.Index(string(text), "| node control: memory |") {
-		t.Error("what reaches nothing does not stand first")
+		t.Error("the row without a mechanism is not the first of the limits")
 	}
 }
 
 const testChart = "charts/capacity-rest-virtual-nodes-rest-node-memory.svg"
 
+// A change that Differences misses would leave outdated tables or charts in the docs.
 func TestDifferencesListsChangedFiles(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(t *testing.T, docs string)
 		want   []string
 	}{
 		"nothing changed": {func(*testing.T, string) {}, nil},
-		"a figure": {func(t *testing.T, docs string) {
+		"changed figure": {func(t *testing.T, docs string) {
 			editFile(t, filepath.Join(docs, "capacity/rest.csv"), "5095", "5195")
 		}, []string{pageFile, testChart}},
-		"where a run was": {func(t *testing.T, docs string) {
+		"changed provenance": {func(t *testing.T, docs string) {
 			editFile(t, filepath.Join(docs, "capacity/rest.csv"), "# cores: 1", "# cores: 2")
 		}, []string{pageFile}},
-		"the plan": {func(t *testing.T, docs string) {
+		"changed plan": {func(t *testing.T, docs string) {
 			editFile(t, filepath.Join(docs, planFile), "nodes = 860", "nodes = 870")
 		}, []string{pageFile}},
-		"a table of the page": {func(t *testing.T, docs string) {
+		"edited table": {func(t *testing.T, docs string) {
 			editFile(t, filepath.Join(docs, pageFile), "50 B a node", "40 B a node")
 		}, []string{pageFile}},
-		"a chart": {func(t *testing.T, docs string) {
+		"changed hash of a chart": {func(t *testing.T, docs string) {
 			editFile(t, filepath.Join(docs, testChart), "<!-- figures ", "<!-- figures 0")
 		}, []string{testChart}},
-		"no chart": {func(t *testing.T, docs string) {
+		"missing chart": {func(t *testing.T, docs string) {
 			if err := os.Remove(filepath.Join(docs, testChart)); err != nil {
 				t.Fatal(err)
 			}
 		}, []string{testChart}},
-		"a chart of old": {func(t *testing.T, docs string) {
+		"stale chart": {func(t *testing.T, docs string) {
 			writeFile(t, filepath.Join(docs, "charts/capacity-old.svg"), "<svg/>")
 		}, []string{"charts/capacity-old.svg"}},
-		"a chart of others": {func(t *testing.T, docs string) {
+		"chart of another command": {func(t *testing.T, docs string) {
 			writeFile(t, filepath.Join(docs, "charts/members-30.svg"), "<svg/>")
 		}, nil},
-		"what was written by hand": {func(t *testing.T, docs string) {
+		"edited text outside the tables": {func(t *testing.T, docs string) {
 			editFile(t, filepath.Join(docs, pageFile), "Written by hand", "Written anew")
 		}, nil},
 	} {
@@ -137,27 +139,29 @@
 			}
 			got, err := Differences(docs, files)
 			if err != nil || !slices.Equal(got, c.want) {
-				t.Errorf("%v, %v; want %v", got, err, c.want)
+				t.Errorf("Differences returned %v, error %v; want %v", got, err, c.want)
 			}
 		})
 	}
 }
 
+// A table without its marker, or a misspelt marker, would leave a table of the page outdated without notice.
 func TestFillTablesRejectsUnmatchedMarkers(t *testing.T) {
 	for name, c := range map[string]struct{ page, want string }{
-		"unknown":  {"<!-- table: a -->\n<!-- end of table -->\n<!-- table: b -->\n<!-- end of table -->", `"b" stands for none`},
-		"twice":    {strings.Repeat("<!-- table: a -->\n<!-- end of table -->\n", 2), "twice"},
-		"missing":  {"nothing", `no mark for table "a"`},
-		"no end":   {"<!-- table: a -->\n", `no mark for table "a"`},
+		"unknown":  {"<!-- table: a -->\n<!-- end of table -->\n<!-- table: b -->\n<!-- end of table -->", 
+			`marker of table "b" is unknown`},
+		"twice":    {strings.Repeat("<!-- table: a -->\n<!-- end of table -->\n", 2), `marker of table "a" is unknown or occurs twice`},
+		"missing":  {"nothing", `no marker for table "a"`},
+		"no end":   {"<!-- table: a -->\n", `no marker for table "a"`},
 		"complete": {"<!-- table: a -->\nold\n<!-- end of table -->", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			page, err := fillTables([]byte(c.page), map[string]string{"a": "new\n"})
 			switch {
 			case c.want == "" && (err != nil || string(page) != "<!-- table: a -->\nnew\n<!-- end of table -->"):
-				t.Errorf("%q, %v", page, err)
+				t.Errorf("fillTables returned %q, error %v", page, err)
 			case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want %q", err, c.want)
 			}
 		})
 	}
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -1,6 +1,7 @@
-// Package capacity computes what each role of a fleet costs at the planned size: it fits a line to measured figures and
-// compares the line's value at that size with a budget. It owns the tables of docs/CAPACITY.md and their charts, and finds
-// where they differ from the figures. docs/capacity/plan.toml configures it. The package measures nothing.
+// Package capacity computes the cost of each role of a fleet at the planned size: it fits a line to measured figures and
+// compares the line's value at that size with a budget. It generates the tables of docs/CAPACITY.md and their charts, and
+// detects differences between these files and the figures. docs/capacity/plan.toml configures it. The package does not
+// measure anything.
 package capacity
 
 import (
@@ -12,7 +13,7 @@
 	"gorseledge/internal/strict"
 )
 
-// Plan is the content of docs/capacity/plan.toml.
+// Plan is the decoded form of docs/capacity/plan.toml.
 type Plan struct {
 	Size    Size         `toml:"size"`
 	Assumed []Assumption `toml:"assumed"`
@@ -20,14 +21,14 @@
 	Compare []Comparison `toml:"compare"`
 }
 
-// Comparison selects a cost by which real and hollow nodes of one table are compared.
+// Comparison selects a cost of one table for the comparison of real and hollow nodes.
 type Comparison struct {
 	Table string `toml:"table"`
 	Phase string `toml:"phase"`
 	Cost  string `toml:"cost"`
 }
 
-// Size is the planned size of the fleet. Every field has to be greater than zero; times are in seconds, memory in bytes.
+// Size is the planned size of the fleet. Every field must be greater than zero. Times are in seconds, memory is in bytes.
 type Size struct {
 	Nodes           float64 `toml:"nodes"`
 	Connections     float64 `toml:"connections"`
@@ -35,7 +36,7 @@
 	LargestTopic    float64 `toml:"largest_topic_listeners"`
 	Deliveries      float64 `toml:"deliveries_per_s"`
 	DeliveryWithin  float64 `toml:"delivery_within_s"`
-	DeliveryPart    float64 `toml:"delivery_part"` // part of the deliveries that DeliveryWithin holds for
+	DeliveryPart    float64 `toml:"delivery_part"` // fraction of the deliveries that must arrive within DeliveryWithin
 	Regions         float64 `toml:"regions"`
 	Zones           float64 `toml:"zones"`
 	ChangesPerDay   float64 `toml:"changes_a_day"`
@@ -57,44 +58,44 @@
 	Why   string  `toml:"why"`
 }
 
-// Row is one cost of one role. At most one of From and AssumedSlope is set; with neither, the row has no value.
+// Row is one cost of one role. At most one of From and AssumedSlope may be set; without both, the row has no value.
 type Row struct {
-	Group        string          `toml:"group"` // the table of the page that has the row
+	Group        string          `toml:"group"` // the table of the page that contains the row
 	Name         string          `toml:"name"`
 	Mechanism    string          `toml:"mechanism"` // begins with "none yet" if there is no mechanism
-	Size         string          `toml:"size"`      // name of the quantity that is the planned size
-	Per          string          `toml:"per"`       // what one unit of the size is, for example "a node"
+	Size         string          `toml:"size"`      // name of the quantity whose value is the planned size
+	Per          string          `toml:"per"`       // one unit of the size in words, for example "a node"
 	SlopeUnit    string          `toml:"slope_unit"`
 	From         *FigureSelector `toml:"from"`
 	AssumedSlope *AssumedSlope   `toml:"reckoned"`
-	Budget       string          `toml:"budget"` // name of the quantity that is the budget, or empty
+	Budget       string          `toml:"budget"` // name of the quantity whose value is the budget; empty if there is none
 	Note         string          `toml:"note"`
 }
 
-// FigureSelector selects the figures that a row is evaluated by.
+// FigureSelector selects the figures from which the cost of a row is computed.
 type FigureSelector struct {
 	Table     string `toml:"table"`
 	Source    string `toml:"source"`
 	Dimension string `toml:"dimension"`
 	Phase     string `toml:"phase"`
 	Cost      string `toml:"cost"`
-	// MeasuredAtSize uses the median of the figures at the planned size instead of a line.
+	// MeasuredAtSize makes the row use the median of the figures at the planned size instead of a fitted line.
 	MeasuredAtSize bool `toml:"measured_at_size"`
-	// SlopeOnly multiplies the slope by the size and leaves out the intercept, for a cost that adds to another.
+	// SlopeOnly leaves out the intercept: the cost is the slope times the size. It is for costs that add to another cost.
 	SlopeOnly bool `toml:"slope_only"`
 }
 
-// AssumedSlope is a cost for each unit of the size that was not measured.
+// AssumedSlope is an assumed, not measured, cost per unit of the size.
 type AssumedSlope struct {
 	Slope float64 `toml:"slope"`
 	Unit  string  `toml:"unit"`
 	Basis string  `toml:"basis"` // the reason for the assumption
 }
 
-// noMechanism begins the mechanism of a row that has none yet.
+// noMechanism begins the Mechanism text of a row whose mechanism does not exist yet.
 const noMechanism = "none yet"
 
-// ReadPlan reads and validates a plan. Errors state the file and line.
+// ReadPlan reads and validates a plan. Validation errors state the file and line.
 func ReadPlan(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return parsePlan(path, text)
 }
 
-// parsePlan decodes and validates a plan; path is for error messages.
+// parsePlan decodes and validates a plan. It uses the path for error messages only.
 func parsePlan(path string, text []byte) (*Plan, error) {
 	plan := &Plan{}
 	if err := strict.Decode(path, text, plan); err != nil {
@@ -111,12 +112,12 @@
 	}
 	if key := plan.Size.missing(); key != "" {
 		place := strict.Place{Table: "size", Key: key}
-		return nil, place.Wrap(path, text, fmt.Errorf("%s is missing or not over nothing", key))
+		return nil, place.Wrap(path, text, fmt.Errorf("%s is missing or not greater than 0", key))
 	}
 	for i, assumption := range plan.Assumed {
 		if assumption.Name == "" || assumption.Why == "" {
 			place := strict.Place{Table: "assumed", Index: i, Key: "name"}
-			return nil, place.Wrap(path, text, errors.New("an assumption has a name, and why it is made"))
+			return nil, place.Wrap(path, text, errors.New("an assumption needs a name and a reason (why)"))
 		}
 	}
 	quantities := plan.quantities()
@@ -129,7 +130,7 @@
 	return plan, nil
 }
 
-// missing returns the key of the first figure that is not greater than zero, or "".
+// missing returns the key of the first figure that is not greater than zero, or "" if there is none.
 func (s Size) missing() string {
 	for _, figure := range s.figures() {
 		if figure.value <= 0 {
@@ -139,23 +140,23 @@
 	return ""
 }
 
-// check returns the first fault of a row and the key that has it.
+// check returns an error for the first invalid key of a row, with the name of that key.
 func (r Row) check(quantities map[string]quantity) (key string, err error) {
 	_, sizeKnown := quantities[r.Size]
 	_, budgetKnown := quantities[r.Budget]
 	switch {
 	case !slices.Contains(groups, r.Group):
-		return "group", fmt.Errorf("no table %q", r.Group)
+		return "group", fmt.Errorf("unknown group %q", r.Group)
 	case r.Name == "":
-		return "name", errors.New("a row has a name")
+		return "name", errors.New("the row has no name")
 	case r.Mechanism == "":
-		return "mechanism", errors.New("a row names what carries it, or says " + noMechanism)
+		return "mechanism", errors.New("the row has no mechanism; write " + noMechanism + " if none exists")
 	case r.From != nil && r.AssumedSlope != nil:
-		return "reckoned", errors.New("a row is either fitted or reckoned")
+		return "reckoned", errors.New("from and reckoned are mutually exclusive")
 	case (r.From != nil || r.AssumedSlope != nil) && !sizeKnown:
-		return "size", fmt.Errorf("no quantity %q", r.Size)
+		return "size", fmt.Errorf("unknown quantity %q for the size", r.Size)
 	case r.Budget != "" && !budgetKnown:
-		return "budget", fmt.Errorf("no quantity %q", r.Budget)
+		return "budget", fmt.Errorf("unknown quantity %q for the budget", r.Budget)
 	}
 	return "", nil
 }
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// planText is a plan of the planned size with three rows: one fitted, one reckoned, one that nothing carries.
+// planText is a valid plan with three rows: one with a fitted cost, one with an assumed slope and one without a mechanism.
 const planText = `[size]
 nodes = 860
 connections = 45e6
@@ -62,38 +62,41 @@
 size = "shards_a_node"
 `
 
+// An invalid plan must be rejected with its line instead of producing a page with wrong or missing costs.
 func TestInvalidPlanIsRejected(t *testing.T) {
 	if _, err := parsePlan("plan.toml", []byte(planText)); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct{ from, to, want string }{
-		"unknown key":           {"[[row]]", "[[rows]]", "plan.toml:33: unknown key"},
-		"unknown key in from":   {"cost =", "price =", "unknown key"},
-		"no nodes":              {"nodes = 860", "", "plan.toml:1: nodes is missing"},
-		"none of a figure":      {"zones = 8", "zones = 0", "plan.toml:10: zones is missing or not over nothing"},
-		"no reason":             {`why = "for a test"`, "", "why it is made"},
-		"no such table":         {`group = "discovery"`, `group = "weather"`, `plan.toml:43: calls: no table "weather"`},
-		"no such size":          {`size = "nodes"`, `size = "moons"`, `plan.toml:37: memory: no quantity "moons"`},
-		"no such budget":        {`budget = "control_memory"`, `budget = "pocket_money"`, "memory: no quantity \"pocket_money\""},
-		"nothing said of it":    {`mechanism = "a table"`, "", "a row names what carries it"},
-		"no name":               {`name = "calls"`, "", "a row has a name"},
-		"fitted and reckoned":   {`budget = "control_memory"`, `reckoned = {slope = 1, unit = "B", basis = "x"}`, "either fitted or reckoned"},
-		"a word for a figure":   {"zones = 8", `zones = "eight"`, "plan.toml:10:"},
-		"an assumption unnamed": {`name = "room"`, "", "an assumption has a name"},
+		"unknown key":         {"[[row]]", "[[rows]]", "plan.toml:33: unknown key"},
+		"unknown key in from": {"cost =", "price =", "unknown key"},
+		"no nodes":            {"nodes = 860", "", "plan.toml:1: nodes is missing"},
+		"zero figure":         {"zones = 8", "zones = 0", "plan.toml:10: zones is missing or not greater than 0"},
+		"no reason":           {`why = "for a test"`, "", "an assumption needs a name and a reason (why)"},
+		"unknown group":       {`group = "discovery"`, `group = "weather"`, `plan.toml:43: calls: unknown group "weather"`},
+		"unknown size":        {`size = "nodes"`, `size = "moons"`, `plan.toml:37: memory: unknown quantity "moons" for the size`},
+		"unknown budget":      {`budget = "control_memory"`, `budget = "pocket_money"`,
+			`memory: unknown quantity "pocket_money" for the budget`},
+		"no mechanism":        {`mechanism = "a table"`, "", "the row has no mechanism"},
+		"row without a name":  {`name = "calls"`, "", "the row has no name"},
+		"from and reckoned":   {`budget = "control_memory"`, `reckoned = {slope = 1, unit = "B", basis = "x"}`,
+			"from and reckoned are mutually exclusive"},
+		"text for a figure":   {"zones = 8", `zones = "eight"`, "plan.toml:10:"},
+		"unnamed assumption":  {`name = "room"`, "", "an assumption needs a name"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(planText, c.from, c.to, 1)
 			if text == planText {
-				t.Fatal("nothing was changed")
+				t.Fatalf("the plan does not contain %q", c.from)
 			}
 			if _, err := parsePlan("plan.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want %q", err, c.want)
 			}
 		})
 	}
 }
 
-// The figures that the operators' page gets by division, as it rounds them.
+// Derived quantities must agree with the operators' page, which computes them by division and rounds them.
 func TestDerivedQuantitiesMatchOperatorsPage(t *testing.T) {
 	p, err := parsePlan("plan.toml", []byte(planText))
 	if err != nil {
@@ -110,12 +113,13 @@
 	}
 }
 
+// Rows refer to quantities by name, so a name that occurs twice would select the wrong one.
 func TestDerivedQuantitiesAreUniqueAndHaveUnits(t *testing.T) {
 	p := &Plan{}
 	names := map[string]bool{}
 	for _, d := range p.derived() {
 		if names[d.name] || d.unit == "" || d.text == "" {
-			t.Errorf("%q stands twice, or lacks its unit or text", d.name)
+			t.Errorf("quantity %q occurs twice or has no unit or text", d.name)
 		}
 		names[d.name] = true
 	}
--- a/internal/capacity/quantities.go
+++ b/internal/capacity/quantities.go
@@ -2,20 +2,20 @@
 
 const (
 	secondsPerDay = 86400
-	// changesAtOnce is the number of changes within ten seconds that the operators plan for.
+	// changesAtOnce is the number of changes within ten seconds for which the operators plan.
 	changesAtOnce         = 10
 	microsecondsPerSecond = 1e6
 )
 
 // planFigure is one figure of the plan.
 type planFigure struct {
-	key   string // in plan.toml
-	text  string // on the page
+	key   string // key in plan.toml
+	text  string // name on the page
 	value float64
 	unit  string
 }
 
-// figures returns the planned sizes in the order of the page.
+// figures returns the planned sizes in the order in which the page lists them.
 func (s Size) figures() []planFigure {
 	return []planFigure{
 		{"nodes", "nodes", s.Nodes, "1"},
@@ -39,24 +39,24 @@
 	}
 }
 
-// quantity is a value that rows refer to by name.
+// quantity is a value with a unit to which rows refer by name.
 type quantity struct {
 	value      float64
 	unit       string
 	derivation string // how the value follows from the plan; empty if the plan states it
 }
 
-// derivedQuantity is a quantity that follows from the plan, with its name in plan.toml and its text on the page.
+// derivedQuantity is a quantity that is computed from the plan, with its name in plan.toml and its text on the page.
 type derivedQuantity struct {
 	name string
 	text string
 	quantity
 }
 
-// nodesPerRackName names the assumption of how many nodes a rack has.
+// nodesPerRackName is the name of the assumption for the number of nodes in a rack.
 const nodesPerRackName = "nodes_a_rack"
 
-// assumedValue returns the value of an assumption, or 0 if the plan lacks it.
+// assumedValue returns the value of an assumption, or 0 if the plan does not have it.
 func (p *Plan) assumedValue(name string) float64 {
 	for _, assumption := range p.Assumed {
 		if assumption.Name == name {
@@ -66,7 +66,7 @@
 	return 0
 }
 
-// derived returns the quantities that follow from the plan, in the order of the page.
+// derived returns the quantities that are computed from the plan, in the order in which the page lists them.
 func (p *Plan) derived() []derivedQuantity {
 	s := p.Size
 	remainingNodes := s.Nodes * (s.Zones - 1) / s.Zones
@@ -106,7 +106,7 @@
 	}
 }
 
-// quantities returns every quantity that a row may refer to, by name. An assumption replaces a derived quantity of the same
+// quantities returns every quantity to which a row may refer, by name. An assumption replaces a derived quantity of the same
 // name.
 func (p *Plan) quantities() map[string]quantity {
 	quantities := map[string]quantity{}
@@ -119,5 +119,5 @@
 	return quantities
 }
 
-// assumedDerivation is the derivation of a quantity that is assumed.
+// assumedDerivation is the derivation of assumed quantities.
 const assumedDerivation = "assumed"
--- a/internal/capacity/result_test.go
+++ b/internal/capacity/result_test.go
@@ -8,7 +8,8 @@
 	"gorseledge/internal/figures"
 )
 
-// measured returns a table of one cost: 100 bytes and 50 for each node, with scatter that no line explains.
+// measured returns a table of one cost, 100 bytes plus 50 bytes per node, with two figures per size that differ from it by
+// 5 bytes.
 func measured(sizes ...float64) map[string]*figures.Table {
 	t := &figures.Table{Name: "rest", Provenance: figures.Provenance{Command: "c", Revision: "r", Date: "d", Cores: 1, Machine: "m",
 		Repeats: 2}}
@@ -28,6 +29,7 @@
 
 var someQuantities = map[string]quantity{"nodes": {860, "1", ""}, "memory": {86e3, "B", ""}, "seconds": {6, "s", ""}}
 
+// A cost, budget share or limit that does not follow from the fitted line would mislead the operators' planning.
 func TestFittedRowIsEvaluatedAtPlannedSize(t *testing.T) {
 	r, err := memoryRow().evaluate(someQuantities, measured(100, 200, 400))
 	if err != nil {
@@ -36,28 +38,30 @@
 	checkNear(t, "value", r.value, 43100, 1e-6)
 	checkNear(t, "slope", r.slope, 50, 1e-9)
 	part, _ := r.budgetShare()
-	checkNear(t, "part of the budget", part, 43100/86e3, 1e-9)
-	reach, _ := r.sizeAtBudget()
-	checkNear(t, "size at which the budget ends", reach, (86e3-100)/50, 1e-6)
+	checkNear(t, "used fraction of the budget", part, 43100/86e3, 1e-9)
+	limit, _ := r.sizeAtBudget()
+	checkNear(t, "size at which the budget is used up", limit, (86e3-100)/50, 1e-6)
 	cells := strings.Join(r.cells(), " | ")
 	for _, want := range []string{"50 B a node ±", "`rest`, virtual, 6 figures, R2 1, largest residual 5 B",
 		"43.1 kB ±", "at 860", "86 kB", "50.1%", "extrapolated 2.15 times, from 400", "steady"} {
 		if !strings.Contains(cells, want) {
-			t.Errorf("no %q in\n%s", want, cells)
+			t.Errorf("the cells do not contain %q:\n%s", want, cells)
 		}
 	}
 }
 
+// The page must distinguish values between measured sizes from extrapolated ones.
 func TestValueWithinTheMeasuredSizesIsNotExtrapolated(t *testing.T) {
 	r, err := memoryRow().evaluate(someQuantities, measured(100, 400, 900))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := r.basis(); got != "measured from 100 to 900" {
-		t.Errorf("how it was got: %s", got)
+		t.Errorf("basis is %q", got)
 	}
 }
 
+// The slope of a flat cost is only scatter; dividing the budget by it would result in an arbitrary limit.
 func TestFlatCostHasNoLimit(t *testing.T) {
 	tables := measured(100, 200, 400)
 	for i := range tables["rest"].Rows {
@@ -67,12 +71,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if reach, known := r.sizeAtBudget(); !known || !math.IsInf(reach, 1) || r.linearity() != "does not grow" {
-		t.Errorf("reaches %v (%v), %s", reach, known, r.linearity())
+	if limit, known := r.sizeAtBudget(); !known || !math.IsInf(limit, 1) || r.linearity() != "does not grow" {
+		t.Errorf("limit %v (known: %v), linearity %q; want an infinite limit", limit, known, r.linearity())
 	}
 }
 
-// A slope that cannot be told from none does not make a cost at the planned size smaller than what was measured.
+// Extrapolating a slope that falls by chance would make the cost at the planned size smaller than every measured one.
 func TestFlatFallingCostIsAtLeastItsMean(t *testing.T) {
 	tables := measured(100, 200, 400)
 	for i, y := range []float64{100, 40, 120, 30, 60, 50} {
@@ -83,11 +87,12 @@
 		t.Fatal(err)
 	}
 	if !r.isFlat() || r.slope >= 0 {
-		t.Fatalf("slope %v ± %v", r.slope, r.line.slopeStandardError)
+		t.Fatalf("slope %v ± %v, want a flat falling one", r.slope, r.line.slopeStandardError)
 	}
 	checkNear(t, "value", r.value, 400.0/6, 1e-9)
 }
 
+// The relative error of a slope of zero is undefined and must not be shown as NaN.
 func TestConstantCostShowsNoSlopeError(t *testing.T) {
 	tables := measured(100, 200, 400)
 	for i := range tables["rest"].Rows {
@@ -102,6 +107,7 @@
 	}
 }
 
+// A row with measured_at_size must not use figures of other sizes.
 func TestMeasuredAtSizeUsesMedian(t *testing.T) {
 	row := memoryRow()
 	row.From.MeasuredAtSize = true
@@ -110,13 +116,13 @@
 		t.Fatal(err)
 	}
 	checkNear(t, "value", r.value, 43100, 0)
-	if _, err := row.evaluate(someQuantities, measured(430)); err == nil || !strings.Contains(err.Error(), "no figure at 860") {
-		t.Errorf("without a figure at the size: %v", err)
+	if _, err := row.evaluate(someQuantities, measured(430)); err == nil || !strings.Contains(err.Error(), "no figure at size 860") {
+		t.Errorf("without a figure at the planned size: error %v", err)
 	}
 }
 
-// What is added to something that is there costs the slope each; what there is without any of it is not in it. What comes
-// so many times a second costs that each second.
+// With slope_only, the intercept must not be counted: it is the cost of what exists before the first unit is added. If the
+// size is a rate, the cost is one per second and its unit must say so.
 func TestSlopeOnlyMultipliesSlopeBySize(t *testing.T) {
 	for _, c := range []struct{ sizeUnit, unit string }{{"1", "B"}, {"1/s", "B/s"}} {
 		row := memoryRow()
@@ -127,11 +133,12 @@
 		}
 		checkNear(t, "value", r.value, 43000, 1e-6)
 		if r.unit != c.unit || r.slopeUnit != "B" || r.basis() != "slope measured from 100 to 400" {
-			t.Errorf("%s, %s, %s", r.unit, r.slopeUnit, r.basis())
+			t.Errorf("unit %q, slope unit %q, basis %q", r.unit, r.slopeUnit, r.basis())
 		}
 	}
 }
 
+// The page must not show an assumed cost as a measured one.
 func TestAssumedSlopeIsShownAsAssumed(t *testing.T) {
 	row := memoryRow()
 	row.From, row.AssumedSlope = nil, &AssumedSlope{Slope: 60, Unit: "B", Basis: "the page of another"}
@@ -141,10 +148,11 @@
 	}
 	checkNear(t, "value", r.value, 51600, 0)
 	if got := r.basis(); got != "assumed: the page of another" {
-		t.Errorf("how it was got: %s", got)
+		t.Errorf("basis is %q", got)
 	}
 }
 
+// A row without a mechanism must be listed as the tightest limit, not left out.
 func TestRowWithoutMechanismHasZeroLimit(t *testing.T) {
 	row := memoryRow()
 	row.From, row.Mechanism = nil, "none yet: a snapshot and deltas"
@@ -152,22 +160,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if reach, known := r.sizeAtBudget(); reach != 0 || !known || r.hasMechanism() {
-		t.Errorf("reaches %v (%v), carried %v", reach, known, r.hasMechanism())
+	if limit, known := r.sizeAtBudget(); limit != 0 || !known || r.hasMechanism() {
+		t.Errorf("limit %v (known: %v), has a mechanism: %v", limit, known, r.hasMechanism())
 	}
 }
 
+// A row whose figures are missing, incomplete or in another unit than its budget must not become an empty or wrong value.
 func TestRowsWithoutFiguresAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Row, map[string]*figures.Table)
 		want   string
 	}{
-		"no table":       {func(r *Row, _ map[string]*figures.Table) { r.From.Table = "gone" }, "no table gone.csv"},
+		"no table":       {func(r *Row, _ map[string]*figures.Table) { r.From.Table = "gone" }, "table gone.csv does not exist"},
 		"no such cost":   {func(r *Row, _ map[string]*figures.Table) { r.From.Cost = "node.hope" }, "has no figure"},
 		"another source": {func(r *Row, _ map[string]*figures.Table) { r.From.Source = "real" }, "has no figure"},
-		"other unit":     {func(r *Row, _ map[string]*figures.Table) { r.Budget = "seconds" }, "a budget in s for a cost in B"},
+		"other unit":     {func(r *Row, _ map[string]*figures.Table) { r.Budget = "seconds" },
+			"the budget is in s, but the cost is in B"},
 		"two units": {func(_ *Row, tables map[string]*figures.Table) { tables["rest"].Rows[0].Unit = "kB" },
-			"in kB and in B"},
+			"different units: kB and B"},
 		"one size": {func(_ *Row, tables map[string]*figures.Table) { tables["rest"].Rows = tables["rest"].Rows[:2] },
 			errTooFewPoints.Error()},
 	} {
@@ -176,7 +186,7 @@
 			c.change(&row, tables)
 			if _, err := row.evaluate(someQuantities, tables); err == nil || !strings.Contains(err.Error(), c.want) ||
 				!strings.Contains(err.Error(), "node_control, memory") {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want %q", err, c.want)
 			}
 		})
 	}
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -10,10 +10,10 @@
 	"gorseledge/internal/figures"
 )
 
-// extrapolationTolerance is the factor over the largest measured size up to which a value counts as measured.
+// extrapolationTolerance is the ratio of planned to largest measured size up to which a value counts as measured.
 const extrapolationTolerance = 1.0001
 
-// groups names the tables of rows, in the order of the page.
+// groups are the valid groups of rows, in the order of their tables on the page.
 var groups = []string{"serving", "node_control", "control_machines", "discovery", "clients_and_hosts", "failures"}
 
 // tables returns the text of each table of the page by its name.
@@ -52,7 +52,7 @@
 	return markdownTable([]string{"assumed", "figure", "why"}, rows)
 }
 
-// groupTable returns the rows of one role.
+// groupTable returns the table of the rows of one group.
 func (e *evaluation) groupTable(group string) string {
 	var rows [][]string
 	for _, r := range e.results {
@@ -64,7 +64,7 @@
 		"measured, extrapolated or assumed", "the slope itself"}, rows)
 }
 
-// cells returns the columns of groupTable.
+// cells returns the row's cells in groupTable.
 func (r result) cells() []string {
 	share := "-"
 	if used, known := r.budgetShare(); known {
@@ -74,7 +74,7 @@
 		r.linearityCell()}
 }
 
-// label is the row's name with its note.
+// label returns the row's name and, if it has one, its note.
 func (r result) label() string {
 	if r.Note == "" {
 		return r.Name
@@ -144,11 +144,11 @@
 	return r.linearity()
 }
 
-// slopeText returns the slope with its unit and what one unit of the size is.
+// slopeText returns the slope with its unit and the unit of the size to which it refers.
 func (r result) slopeText() string {
 	text := formatIn(r.slope, r.slopeUnit)
 	if r.slopeUnit == "us/s" {
-		// One unit of the size uses too small a part of a core to be read as a percentage.
+		// The percentage of a core for one unit of the size would be too small to read.
 		text = formatNumber(r.slope) + " us/s"
 	}
 	if r.Per != "" {
@@ -157,7 +157,7 @@
 	return text
 }
 
-// basis states whether the value was measured, extrapolated or assumed. The result has to have a value.
+// basis states whether the value was measured, extrapolated or assumed. It must only be called if hasValue is true.
 func (r result) basis() string {
 	switch {
 	case r.AssumedSlope != nil:
@@ -174,7 +174,7 @@
 	return fmt.Sprintf("extrapolated %s times, from %s", formatNumber(r.size.value/r.line.largestSize), formatNumber(r.line.largestSize))
 }
 
-// linearity states whether the slope changes with the size. The result has to be fitted.
+// linearity states whether the slope changes with the size. It must only be called if fitted is true.
 func (r result) linearity() string {
 	change := r.line.slopeChange()
 	switch {
@@ -190,7 +190,7 @@
 	return fmt.Sprintf("falls by %s over the measured sizes", formatPercent(min(-change, 1)))
 }
 
-// sourcesTable compares real and hollow nodes where both were measured.
+// sourcesTable compares the costs of real and hollow nodes at the sizes at which both were measured.
 func (e *evaluation) sourcesTable() string {
 	var rows [][]string
 	for _, c := range e.plan.Compare {
@@ -202,7 +202,7 @@
 	return markdownTable([]string{"run", "cost, phase", "size", "real", "hollow", "hollow / real"}, rows)
 }
 
-// compare returns a row for each size at which both kinds of node were measured.
+// compare returns a row of sourcesTable for each size at which both kinds of node were measured.
 func (e *evaluation) compare(c Comparison) [][]string {
 	table := e.measured[c.Table]
 	if table == nil {
@@ -248,7 +248,7 @@
 	return markdownTable([]string{"run", "command", "revision", "date", "cores", "machine", "repeats", "figures"}, rows)
 }
 
-// chartsTable links the charts.
+// chartsTable lists the charts with links.
 func (e *evaluation) chartsTable() string {
 	var rows [][]string
 	for _, d := range e.costCharts() {
