--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -148,7 +148,7 @@
 // A table without its marker, or a misspelt marker, would leave a table of the page outdated without notice.
 func TestFillTablesRejectsUnmatchedMarkers(t *testing.T) {
 	for name, c := range map[string]struct{ page, want string }{
-		"unknown":  {"<!-- table: a -->\n<!-- end of table -->\n<!-- table: b -->\n<!-- end of table -->", 
+		"unknown": {"<!-- table: a -->\n<!-- end of table -->\n<!-- table: b -->\n<!-- end of table -->",
 			`marker of table "b" is unknown`},
 		"twice":    {strings.Repeat("<!-- table: a -->\n<!-- end of table -->\n", 2), `marker of table "a" is unknown or occurs twice`},
 		"missing":  {"nothing", `no marker for table "a"`},
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -75,14 +75,14 @@
 		"no reason":           {`why = "for a test"`, "", "an assumption needs a name and a reason (why)"},
 		"unknown group":       {`group = "discovery"`, `group = "weather"`, `plan.toml:43: calls: unknown group "weather"`},
 		"unknown size":        {`size = "nodes"`, `size = "moons"`, `plan.toml:37: memory: unknown quantity "moons" for the size`},
-		"unknown budget":      {`budget = "control_memory"`, `budget = "pocket_money"`,
+		"unknown budget": {`budget = "control_memory"`, `budget = "pocket_money"`,
 			`memory: unknown quantity "pocket_money" for the budget`},
-		"no mechanism":        {`mechanism = "a table"`, "", "the row has no mechanism"},
-		"row without a name":  {`name = "calls"`, "", "the row has no name"},
-		"from and reckoned":   {`budget = "control_memory"`, `reckoned = {slope = 1, unit = "B", basis = "x"}`,
+		"no mechanism":       {`mechanism = "a table"`, "", "the row has no mechanism"},
+		"row without a name": {`name = "calls"`, "", "the row has no name"},
+		"from and reckoned": {`budget = "control_memory"`, `reckoned = {slope = 1, unit = "B", basis = "x"}`,
 			"from and reckoned are mutually exclusive"},
-		"text for a figure":   {"zones = 8", `zones = "eight"`, "plan.toml:10:"},
-		"unnamed assumption":  {`name = "room"`, "", "an assumption needs a name"},
+		"text for a figure":  {"zones = 8", `zones = "eight"`, "plan.toml:10:"},
+		"unnamed assumption": {`name = "room"`, "", "an assumption needs a name"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(planText, c.from, c.to, 1)
--- a/internal/capacity/result_test.go
+++ b/internal/capacity/result_test.go
@@ -174,7 +174,7 @@
 		"no table":       {func(r *Row, _ map[string]*figures.Table) { r.From.Table = "gone" }, "table gone.csv does not exist"},
 		"no such cost":   {func(r *Row, _ map[string]*figures.Table) { r.From.Cost = "node.hope" }, "has no figure"},
 		"another source": {func(r *Row, _ map[string]*figures.Table) { r.From.Source = "real" }, "has no figure"},
-		"other unit":     {func(r *Row, _ map[string]*figures.Table) { r.Budget = "seconds" },
+		"other unit": {func(r *Row, _ map[string]*figures.Table) { r.Budget = "seconds" },
 			"the budget is in s, but the cost is in B"},
 		"two units": {func(_ *Row, tables map[string]*figures.Table) { tables["rest"].Rows[0].Unit = "kB" },
 			"different units: kB and B"},
