--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,5 +1,4 @@
-// Package chart renders plots as SVG. It owns the arrangement of several plots in one image; what the plots show is up to
-// their callers.
+// Package chart renders plots as SVG and arranges several plots in one image. The callers define the plots.
 package chart
 
 import (
@@ -12,13 +11,13 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// SVG renders plots in one column, each with the given width and height. Text and lines may differ in their last digits
-// between machines, so callers must not compare images byte for byte.
+// SVG renders plots below each other, each with the given width and height. Coordinates may differ in their last digits
+// between machines, so callers must not compare images byte by byte.
 func SVG(width, height vg.Length, plots ...*plot.Plot) ([]byte, error) {
 	canvas := vgsvg.New(width, height*vg.Length(len(plots)))
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1}
-	for row, panel := range plots {
-		panel.Draw(tiles.At(draw.New(canvas), 0, row))
+	for row, rowPlot := range plots {
+		rowPlot.Draw(tiles.At(draw.New(canvas), 0, row))
 	}
 	var text bytes.Buffer
 	if _, err := canvas.WriteTo(&text); err != nil {
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -8,13 +8,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// size is the part of an SVG document that states its extent in points.
+// size is the part of an SVG document that contains its width and height in points.
 type size struct {
 	XMLName xml.Name `xml:"svg"`
 	Width   string   `xml:"width,attr"`
 	Height  string   `xml:"height,attr"`
 }
 
+// An image that is too low for its plots would cut off the last ones.
 func TestSVGStacksPlots(t *testing.T) {
 	for name, test := range map[string]struct {
 		plots  int
--- a/internal/figures/csv.go
+++ b/internal/figures/csv.go
@@ -20,7 +20,7 @@
 // header names the columns of a table, in the order of Row's fields.
 var header = []string{"run", "source", "dimension", "size", "phase", "cost", "unit", "value"}
 
-// CSV returns the table in the format that Parse reads. Figures are rounded to six significant digits.
+// CSV encodes the table in the format that Parse reads. It rounds numbers to six significant digits.
 func (t *Table) CSV() []byte {
 	var output bytes.Buffer
 	for _, entry := range t.Provenance.entries() {
@@ -53,15 +53,15 @@
 
 func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', significantDigits, 64) }
 
-// Parse reads a table in this package's format or in that of "gorseledge-lab scale". The name becomes the table's name
-// and precedes each error. Parse rejects incomplete provenance, unknown columns and invalid rows.
+// Parse decodes a table in this package's format or in that of "gorseledge-lab scale". The name becomes the table's name
+// and the prefix of each error. Parse rejects incomplete provenance, unknown columns and invalid rows.
 func Parse(name string, text []byte) (*Table, error) {
 	provenance, err := parseProvenance(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if key := provenance.missing(); key != "" {
-		return nil, fmt.Errorf("%s: no provenance: %s is missing", name, key)
+		return nil, fmt.Errorf("%s: incomplete provenance: %s is missing", name, key)
 	}
 	rows, err := parseRows(text)
 	if err != nil {
@@ -76,7 +76,7 @@
 	reader.Comment = '#'
 	records, err := reader.ReadAll()
 	if err != nil {
-		return nil, fmt.Errorf("reading columns: %w", err)
+		return nil, fmt.Errorf("reading CSV: %w", err)
 	}
 	if len(records) == 0 {
 		return nil, errHeader
@@ -99,10 +99,10 @@
 	return rows, nil
 }
 
-// errHeader reports that a table has no header or one of an unknown format.
-var errHeader = fmt.Errorf("the first row is not %s", strings.Join(header, ","))
+// errHeader reports that a table has no header or an unknown one.
+var errHeader = fmt.Errorf("the first row is not the header %s", strings.Join(header, ","))
 
-// rowParser returns the function that reads the rows below the given header.
+// rowParser returns the function that parses rows with the given columns.
 func rowParser(columns []string) (func(record []string) (Row, error), error) {
 	if slices.Equal(columns, scaleHeader) {
 		return parseScaleRow, nil
@@ -113,7 +113,7 @@
 	return nil, errHeader
 }
 
-// parseRow reads one row whose columns are those of header.
+// parseRow parses a row with the columns of header.
 func parseRow(record []string) (Row, error) {
 	run, err := strconv.Atoi(record[0])
 	if err != nil {
@@ -139,8 +139,8 @@
 	}, nil
 }
 
-// ReadDir reads every CSV file of a directory and returns the tables by name. An invalid table is an error; a directory
-// without tables is not.
+// ReadDir reads every CSV file of a directory and returns the tables by name. It returns an error if a table is invalid, but
+// not if there are no tables.
 func ReadDir(dir string) (map[string]*Table, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*"+fileExtension))
 	if err != nil {
--- a/internal/figures/figures_golden_test.go
+++ b/internal/figures/figures_golden_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: committed figures have these columns, so nothing
-// rewrites them, and a test that fails here means that a name or a form has changed.
+// The files under testdata were written by the deployed version 5fa7498. They are never regenerated, because committed tables
+// have the same columns: a golden test that fails means that a name or the format of the tables has changed.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -29,12 +29,12 @@
 	}
 }
 
-// checkNoZero checks that no exported field of a value is zero, at any depth, so that a field that is no longer read from
-// a golden file is noticed.
+// checkNoZero checks that no exported field of a value is zero, at any depth. It detects fields that are no longer read from
+// a golden file.
 func checkNoZero(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	if value.IsZero() || value.Kind() == reflect.Slice && value.Len() == 0 || value.Kind() == reflect.Map && value.Len() == 0 {
-		t.Errorf("%s is zero", path)
+		t.Errorf("%s is zero: the golden file has no value for it, or it was not read", path)
 		return
 	}
 	switch value.Kind() {
@@ -65,6 +65,7 @@
 			{4, Server, "nodes", 40, "rest", "sent_bytes.all", "B/s", 863.008}, {5, Fleet, "nodes", 30, "kill", "gone_last", "s", 18.625}}}
 }
 
+// A changed name or format would make committed tables unreadable.
 func TestGoldenTable(t *testing.T) {
 	want := goldenTable()
 	checkGolden(t, "table.csv", want.CSV())
@@ -73,13 +74,13 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read\n%+v\nwant\n%+v", got, want)
+		t.Errorf("Parse returned\n%+v\nwant\n%+v", got, want)
 	}
 	checkNoZero(t, "Table", reflect.ValueOf(got))
 	checkGolden(t, "table.csv", got.CSV())
 }
 
-// A table of a scale run is read as one of this package.
+// Tables of "gorseledge-lab scale" have another header and must be converted to the rows of this package.
 func TestGoldenTableOfAScaleRun(t *testing.T) {
 	got, err := Parse("scale", readGolden(t, "scale.csv"))
 	if err != nil {
@@ -88,7 +89,7 @@
 	checkGolden(t, "scale-read.csv", got.CSV())
 }
 
-// The committed tables of this package's form are written as they were read.
+// Reading and writing a committed table must not change it, or figures would be lost in the next rewrite.
 func TestGoldenCommittedTables(t *testing.T) {
 	const dir = "../../docs/capacity"
 	tables, err := ReadDir(dir)
@@ -102,11 +103,11 @@
 				t.Fatal(err)
 			}
 			if tables[name] == nil || !bytes.Equal(tables[name].CSV(), text) {
-				t.Errorf("%s.csv is written otherwise than it was read", name)
+				t.Errorf("%s.csv changes when it is read and written again", name)
 			}
 		})
 	}
 	if want := []Source{"real", "hollow", "virtual", "server", "fleet"}; !slices.Equal(sources, want) {
-		t.Errorf("sources %v, want %v", sources, want)
+		t.Errorf("sources are %v, want %v", sources, want)
 	}
 }
--- a/internal/figures/provenance.go
+++ b/internal/figures/provenance.go
@@ -15,18 +15,18 @@
 const (
 	dateLayout      = "2006-01-02 15:04 UTC"
 	unknownRevision = "unknown"
-	// valueSeparator stands between the differing values of a table that was assembled from several runs.
+	// valueSeparator separates the different values of a key in a table that was assembled from several runs.
 	valueSeparator = " / "
 )
 
-// Provenance states how a table was produced. Every field is required: Parse rejects a table in which one is zero.
+// Provenance states how the figures of a table were measured. Parse rejects a table in which one of the fields is zero.
 type Provenance struct {
-	Command  string // Command is the command line that measured the figures.
-	Revision string // Revision is the git commit, with "-dirty" appended where files differ from it.
-	Date     string // Date is the start of the run in UTC.
+	Command  string // Command is the command line of the measurement.
+	Revision string // Revision is the git commit, followed by "-dirty" if the working tree had changes.
+	Date     string // Date is the start time of the run in UTC.
 	Cores    int    // Cores is the number of logical CPUs of the machine.
-	Machine  string // Machine describes the machine and what else ran on it.
-	Repeats  int    // Repeats is the number of runs of each measurement.
+	Machine  string // Machine describes the machine and its other load during the run.
+	Repeats  int    // Repeats is the number of repeats of each measurement.
 }
 
 // NewProvenance returns the provenance of a run that starts now in the current checkout.
@@ -41,7 +41,7 @@
 	}
 }
 
-// currentRevision describes the commit of the working directory, or returns unknownRevision outside a checkout.
+// currentRevision returns the git commit of the working directory, or unknownRevision outside a checkout.
 func currentRevision() string {
 	output, err := exec.Command("git", "describe", "--always", "--dirty", "--exclude=*").Output()
 	if err != nil {
@@ -53,7 +53,7 @@
 // provenanceEntry is one comment line of a table.
 type provenanceEntry struct{ key, value string }
 
-// entries returns the comment lines in the order in which they are written.
+// entries returns the provenance's comment lines in the order in which they are written.
 func (p Provenance) entries() []provenanceEntry {
 	return []provenanceEntry{
 		{"command", p.Command},
@@ -87,8 +87,8 @@
 	return provenance, nil
 }
 
-// set stores the value of one comment line and ignores unknown keys, which are remarks. A table that was assembled from
-// several runs repeats its keys: differing texts are joined, and the last number is kept.
+// set stores the value of one comment line. It ignores unknown keys, which are remarks. In a table that was assembled from
+// several runs, keys occur more than once: set joins different texts and keeps the last number.
 func (p *Provenance) set(key, value string) error {
 	var err error
 	switch key {
@@ -108,7 +108,7 @@
 	return err
 }
 
-// joinDistinct appends value to the joined values unless it is already one of them.
+// joinDistinct appends a value to the joined values unless they already contain it.
 func joinDistinct(values, value string) string {
 	if values == "" {
 		return value
@@ -119,7 +119,7 @@
 	return values + valueSeparator + value
 }
 
-// missing returns the first key without a value, or "" if the provenance is complete.
+// missing returns the first key that has no value, or "" if the provenance is complete.
 func (p Provenance) missing() string {
 	for _, entry := range p.entries() {
 		if entry.value == "" || entry.value == "0" {
--- a/internal/figures/scale.go
+++ b/internal/figures/scale.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// scaleRun is the run of each figure: "gorseledge-lab scale" measures each size once.
+	// scaleRun is the run number of each figure, because "gorseledge-lab scale" measures each size once.
 	scaleRun = 1
-	// scaleDimension is the only quantity that "gorseledge-lab scale" varies.
+	// scaleDimension is the dimension of each figure: "gorseledge-lab scale" varies only the number of nodes.
 	scaleDimension = "nodes"
 )
 
-// scaleHeader names the columns of a table of "gorseledge-lab scale".
+// scaleHeader names the columns of tables of "gorseledge-lab scale".
 var scaleHeader = []string{"nodes", "kind", "nodes_of_kind", "phase", "cost", "unit", "value"}
 
-// unitConversion converts a value to another unit by a factor.
+// unitConversion is a target unit and the factor by which values are multiplied to convert them to it.
 type unitConversion struct {
 	unit   string
 	factor float64
 }
 
-// scaleUnits maps units of "gorseledge-lab scale" to those of this package. Other units are the same in both.
+// scaleUnits maps units of "gorseledge-lab scale" to those of this package. Units that are not listed need no conversion.
 var scaleUnits = map[string]unitConversion{
 	"cores": {unit: "us/s", factor: 1e6},
 	"part":  {unit: "1", factor: 1},
 }
 
-// parseScaleRow reads one row whose columns are those of scaleHeader.
+// parseScaleRow parses a row with the columns of scaleHeader.
 func parseScaleRow(record []string) (Row, error) {
 	size, err := strconv.ParseFloat(record[0], 64)
 	if err != nil {
