--- a/cmd/gorseledge-lab/capacity.go
+++ b/cmd/gorseledge-lab/capacity.go
@@ -12,21 +12,22 @@
 	"gorseledge/internal/lab"
 )
 
-// differs says which files are not what the figures give.
-type differs []string
+// outdatedFiles is the error of a check that found files which differ from the figures; its values are their paths.
+type outdatedFiles []string
 
-func (d differs) Error() string {
-	return fmt.Sprintf("not as the figures give it: %s (gorseledge-lab capacity writes it)", strings.Join(d, ", "))
+func (o outdatedFiles) Error() string {
+	return fmt.Sprintf("files differ from the committed figures: %s (run gorseledge-lab capacity to update them)",
+		strings.Join(o, ", "))
 }
 
-// capacityCommand writes the tables of the capacity page.
+// capacityCommand returns the command that writes or checks the tables of the capacity page.
 func capacityCommand() *cobra.Command {
 	var docs string
 	var check bool
 	c := &cobra.Command{Use: "capacity", Args: cobra.NoArgs,
 		Short: "Write the tables of docs/CAPACITY.md and their charts from the committed figures, or check them",
-		Long: "Fits lines to the figures of docs/capacity/*.csv as docs/capacity/plan.toml says and writes what each role costs at\n" +
-			"the planned size. With --check nothing is written, and the exit is 1 where page or charts differ.",
+		Long: "Fits lines to the figures of docs/capacity/*.csv as docs/capacity/plan.toml specifies and writes the cost of each\n" +
+			"role at the planned size. With --check it writes nothing and exits with 1 if the page or charts differ.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			files, err := capacity.Build(docs)
 			if err != nil {
@@ -38,25 +39,25 @@
 			}
 			if check {
 				if len(different) > 0 {
-					return differs(different)
+					return outdatedFiles(different)
 				}
 				return nil
 			}
 			for _, name := range different {
 				fmt.Fprintln(cmd.OutOrStdout(), name)
-				if err := replace(filepath.Join(docs, name), files[name]); err != nil {
+				if err := updateFile(filepath.Join(docs, name), files[name]); err != nil {
 					return err
 				}
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&docs, "docs", "docs", "the directory of the page")
-	c.Flags().BoolVar(&check, "check", false, "write nothing, and end with 1 where page or charts differ from the figures")
+	c.Flags().StringVar(&docs, "docs", "docs", "directory that contains CAPACITY.md")
+	c.Flags().BoolVar(&check, "check", false, "write nothing, exit with 1 if the page or charts differ from the figures")
 	return c
 }
 
-// replace writes a file, or takes it away where nothing is to stand in it.
-func replace(path string, text []byte) error {
+// updateFile writes a file, or removes it if text is nil.
+func updateFile(path string, text []byte) error {
 	if text == nil {
 		return os.Remove(path)
 	}
--- a/cmd/gorseledge-lab/fleet.go
+++ b/cmd/gorseledge-lab/fleet.go
@@ -20,44 +20,45 @@
 	"gorseledge/internal/rig"
 )
 
-// maxFleetSeeds bounds --seeds: each run takes tens of seconds.
+// maxFleetSeeds is the upper limit of --seeds, because each run lasts tens of seconds.
 const maxFleetSeeds = 10000
 
 // fleetOptions are the flags of the fleet command.
 type fleetOptions struct {
-	from, seeds uint64
-	out         string // directory for what is kept; none where empty
-	program     string // path of the built node; built from this checkout where empty
-	control     string // the same of the control server
-	quiet       bool
+	firstSeed uint64
+	seeds     uint64 // number of seeds
+	out       string // directory for results; empty to store none
+	program   string // path of the node program; if empty, it is built from this checkout
+	control   string // path of the control server program; if empty, it is built from this checkout
+	quiet     bool   // print no progress
 }
 
 // fleetCommand returns the command that runs a script with processes of the built program.
 func fleetCommand() *cobra.Command {
 	var o fleetOptions
 	c := &cobra.Command{Use: "fleet SCRIPT", Args: cobra.ExactArgs(1),
-		Short: "Start several nodes with stand-ins for hosts, discovery and clients, and break what lies between them",
-		Long: "Starts processes of the built program on loopback addresses of their own, with stand-ins for hosts, discovery\n" +
-			"and clients, brings the script's faults about and judges what was seen. Ends with 0 where all held, 1 where\n" +
-			"something broke, 2 where the script or the machine is at fault.",
+		Short: "Run a script of faults on several nodes with stand-ins for hosts, discovery and clients",
+		Long: "Starts node processes on separate loopback addresses, with stand-ins for hosts, discovery and clients, injects the\n" +
+			"faults of the script and checks the observed events against its rules. Exits with 0 if all rules held, 1 if a\n" +
+			"rule was violated, and 2 if the run failed because of the script or the machine.",
 		RunE: func(cmd *cobra.Command, args []string) error { return runFleets(cmd, args[0], o) }}
-	c.Flags().Uint64Var(&o.from, "seed", 1, "all chance of the rig comes from it")
-	c.Flags().Uint64Var(&o.seeds, "seeds", 1, "how many seeds, from that one on")
-	c.Flags().StringVar(&o.out, "out", "", "keep history, result, timeline and the nodes' directories here")
-	c.Flags().StringVar(&o.program, "node", "", "the built node; built from this checkout where it is missing")
-	c.Flags().StringVar(&o.control, "control", "", "the built control server; built from this checkout where it is missing")
-	c.Flags().BoolVar(&o.quiet, "quiet", false, "say only how it ended")
+	c.Flags().Uint64Var(&o.firstSeed, "seed", 1, "seed of all random choices of the rig")
+	c.Flags().Uint64Var(&o.seeds, "seeds", 1, "number of consecutive seeds, beginning with --seed")
+	c.Flags().StringVar(&o.out, "out", "", "directory for the histories, results, timelines and the nodes' directories")
+	c.Flags().StringVar(&o.program, "node", "", "path of the node program; built from this checkout by default")
+	c.Flags().StringVar(&o.control, "control", "", "path of the control server program; built from this checkout by default")
+	c.Flags().BoolVar(&o.quiet, "quiet", false, "print only the results, no progress")
 	return c
 }
 
-// runFleets runs a script with each seed and reports the results. It returns brokenRules where a rule was broken.
+// runFleets runs a script with each seed and prints the results. It returns a violationCount if rules were violated.
 func runFleets(cmd *cobra.Command, path string, o fleetOptions) error {
 	script, err := rig.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	if o.seeds < 1 || o.seeds > maxFleetSeeds {
-		return fmt.Errorf("--seeds is %d, and goes from 1 to %d", o.seeds, maxFleetSeeds)
+		return fmt.Errorf("--seeds must be between 1 and %d, got %d", maxFleetSeeds, o.seeds)
 	}
 	scratch, err := os.MkdirTemp("", "gorseledge-lab")
 	if err != nil {
@@ -74,28 +75,28 @@
 			return err
 		}
 	}
-	broken := 0
+	violations := 0
 	var results []*rig.Result
-	for seed := o.from; seed < o.from+o.seeds; seed++ {
+	for seed := o.firstSeed; seed < o.firstSeed+o.seeds; seed++ {
 		result, err := runFleet(cmd, script, seed, scratch, o)
 		if err != nil {
 			return err
 		}
-		report(cmd.OutOrStdout(), result, o.seeds == 1)
-		broken += len(result.Violations)
-		result.Events = nil // of many seeds they would fill the memory
+		writeReport(cmd.OutOrStdout(), result, o.seeds == 1)
+		violations += len(result.Violations)
+		result.Events = nil // the events of many seeds would use too much memory
 		results = append(results, result)
 	}
 	if o.seeds > 1 {
-		summary(cmd.OutOrStdout(), results)
+		writeSummary(cmd.OutOrStdout(), results)
 	}
-	if broken > 0 {
-		return brokenRules(broken)
+	if violations > 0 {
+		return violationCount(violations)
 	}
 	return nil
 }
 
-// runFleet runs a script with one seed and keeps what the options ask for.
+// runFleet runs a script with one seed and stores the result if the options name a directory.
 func runFleet(cmd *cobra.Command, script *rig.Script, seed uint64, scratch string, o fleetOptions) (*rig.Result, error) {
 	temporary := filepath.Join(scratch, fmt.Sprint(seed))
 	defer os.RemoveAll(temporary)
@@ -114,33 +115,33 @@
 	if err != nil {
 		return nil, err
 	}
-	return result, keep(o.out, result)
+	return result, storeResult(o.out, result)
 }
 
-// build builds a program of this checkout into a directory and returns its path.
+// build compiles a program of the current checkout into a directory and returns the program's path.
 func build(cmd *cobra.Command, dir, name string) (string, error) {
 	mod, err := exec.Command("go", "env", "GOMOD").Output()
 	root := filepath.Dir(strings.TrimSpace(string(mod)))
 	if err != nil || root == "." || root == "/dev" {
-		return "", errors.New("no checkout to build the programs from: name them with --node and --control")
+		return "", errors.New("building the programs: not in a checkout; pass their paths with --node and --control")
 	}
 	program := filepath.Join(dir, name)
 	b := exec.CommandContext(cmd.Context(), "go", "build", "-o", program, "./cmd/"+name)
 	b.Dir, b.Stderr = root, cmd.ErrOrStderr()
 	if err := b.Run(); err != nil {
-		return "", fmt.Errorf("%s does not build: %w", name, err)
+		return "", fmt.Errorf("building %s: %w", name, err)
 	}
 	return program, nil
 }
 
-// keep writes the result and the timeline of a run into a directory; an empty name keeps nothing.
-func keep(out string, r *rig.Result) error {
+// storeResult writes the result and the timeline of a run into the directory out. It does nothing if out is empty.
+func storeResult(out string, r *rig.Result) error {
 	if out == "" {
 		return nil
 	}
-	short := *r
-	short.Events = nil
-	text, err := json.MarshalIndent(short, "", "  ")
+	withoutEvents := *r
+	withoutEvents.Events = nil
+	text, err := json.MarshalIndent(withoutEvents, "", "  ")
 	if err != nil {
 		return err
 	}
@@ -153,23 +154,23 @@
 	return lab.WriteFile(filepath.Join(out, fmt.Sprintf("timeline-%d.svg", r.Seed)), text)
 }
 
-// quantity is a row of the summary: what was measured, and the values of all runs in seconds.
-type quantity struct {
+// distribution is a row of the summary: a measured time and its values in all runs, in seconds.
+type distribution struct {
 	name   string
 	values []float64
 }
 
-// summary prints a table over the runs of several seeds: counts, and the median and 99th percentile of times.
-func summary(w io.Writer, played []*rig.Result) {
-	var calls, faults, broken int
+// writeSummary prints a table for the runs of several seeds: counts, and the median and 99th percentile of times.
+func writeSummary(w io.Writer, results []*rig.Result) {
+	var calls, faults, violations int
 	changes := map[string]int{}
-	var met, agreed, first, last, inForce []float64
-	for _, r := range played {
-		calls, faults, broken = calls+r.Requests, faults+r.FaultCount(), broken+len(r.Violations)
+	var joined, agreed, first, last, inForce []float64
+	for _, r := range results {
+		calls, faults, violations = calls+r.Requests, faults+r.FaultCount(), violations+len(r.Violations)
 		for outcome, count := range r.Changes {
 			changes[outcome] += count
 		}
-		met, inForce = append(met, r.JoinTime), append(inForce, r.InForce...)
+		joined, inForce = append(joined, r.JoinTime), append(inForce, r.InForce...)
 		if r.AgreementTime >= 0 {
 			agreed = append(agreed, r.AgreementTime)
 		}
@@ -181,10 +182,10 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
-	fmt.Fprintf(t, "seeds\t%d\ncalls\t%d\nfaults\t%d\nbroken\t%d\n", len(played), calls, faults, broken)
+	fmt.Fprintf(t, "seeds\t%d\ncalls\t%d\nfaults\t%d\nbroken\t%d\n", len(results), calls, faults, violations)
 	writeCounts(t, "changes answered", changes)
-	for _, q := range []quantity{
-		{"met", met},
+	for _, q := range []distribution{
+		{"met", joined},
 		{"agreed after the last fault", agreed},
 		{"death known to the first", first},
 		{"death known to the last", last},
@@ -197,25 +198,25 @@
 	}
 }
 
-// report prints the violations of a run and its last line, with a table before them where whole is true.
-func report(w io.Writer, r *rig.Result, whole bool) {
-	if whole {
+// writeReport prints the violations and the summary line of a run. If withTable is true, it prints the run's table first.
+func writeReport(w io.Writer, r *rig.Result, withTable bool) {
+	if withTable {
 		reportTable(w, r)
 	}
-	for _, b := range r.Violations {
-		fmt.Fprintln(w, "broken:", b)
+	for _, violation := range r.Violations {
+		fmt.Fprintln(w, "broken:", violation)
 	}
 	fmt.Fprintln(w, r.Summary())
 }
 
-// writeCounts prints a row for each answer with its count.
+// writeCounts prints a row for each answer, in alphabetical order, with its count.
 func writeCounts(w io.Writer, title string, counts map[string]int) {
 	for _, answer := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(w, "%s %s\t%d\n", title, answer, counts[answer])
 	}
 }
 
-// reportTable prints the table of a run.
+// reportTable prints the table of one run.
 func reportTable(w io.Writer, r *rig.Result) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "nodes\t%d\nmet after\t%.1f s\n", r.Nodes, r.JoinTime)
--- a/cmd/gorseledge-lab/gorselab_golden_test.go
+++ b/cmd/gorseledge-lab/gorselab_golden_test.go
@@ -15,9 +15,8 @@
 	"gorseledge/internal/rig"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: scripts of operators
-// call the commands and read the tables, so nothing rewrites them, and a test that fails here means that a name or a form
-// has changed.
+// The files under testdata were written by the deployed version 5fa7498. They are never regenerated, because operators' scripts
+// call the commands and parse the tables: a golden test that fails means that a name or the format of the output has changed.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -35,7 +34,8 @@
 	}
 }
 
-// The subcommands with their flags and the types of those. The program's own name is left out.
+// A renamed subcommand or flag, or a flag of another type, would break operators' scripts. The golden file lists all of them,
+// without the name of the program.
 func TestGoldenCommands(t *testing.T) {
 	var out bytes.Buffer
 	var write func(c *cobra.Command, names []string)
@@ -53,9 +53,10 @@
 	checkGolden(t, "commands.txt", out.Bytes())
 }
 
+// Operators' scripts distinguish rule violations from runs that failed by the exit code.
 func TestGoldenExitCodes(t *testing.T) {
-	if exitBroken != 1 || exitFailed != 2 {
-		t.Errorf("exits %d and %d, want 1 and 2", exitBroken, exitFailed)
+	if exitViolations != 1 || exitError != 2 {
+		t.Errorf("exit codes are %d and %d, want 1 and 2", exitViolations, exitError)
 	}
 }
 
@@ -69,16 +70,16 @@
 		Deaths: []rig.Death{{Node: 1, First: 4.5, Last: 5.5 * times, Known: 8}}}
 }
 
-// What the command fleet prints of one run, and of several.
+// Operators' scripts parse the output of the fleet command for one run and for several.
 func TestGoldenReports(t *testing.T) {
 	var one, several bytes.Buffer
-	report(&one, goldenResult(1), true)
+	writeReport(&one, goldenResult(1), true)
 	checkGolden(t, "fleet.txt", one.Bytes())
-	summary(&several, []*rig.Result{goldenResult(1), goldenResult(2), goldenResult(3)})
+	writeSummary(&several, []*rig.Result{goldenResult(1), goldenResult(2), goldenResult(3)})
 	checkGolden(t, "fleets.txt", several.Bytes())
 }
 
-// A row of the command members.
+// Operators' scripts parse the rows of the members command.
 func TestGoldenMembersRow(t *testing.T) {
 	found := []members.Measurement{{Seed: 1, FirstSuspicion: 1.5, FirstDeath: 2.5, LastDeath: 3.5, KnownFraction: 0.5, FalseSuspicions: 8, FalseDeaths: 9, IdleBytes: 100},
 		{Seed: 2, FirstSuspicion: 2.5, FirstDeath: 3.5, LastDeath: 4.5, KnownFraction: 1, FalseSuspicions: 10, FalseDeaths: 11, IdleBytes: 200}}
--- a/cmd/gorseledge-lab/main.go
+++ b/cmd/gorseledge-lab/main.go
@@ -1,7 +1,7 @@
-// Command gorseledge-lab runs experiments: fleets on the emulator's virtual clock, fleets of the membership core, and fleets of
-// real processes under faults. Figures of the virtual clock are simulated.
+// Command gorseledge-lab runs experiments with fleets on the emulator's virtual clock, with fleets of the membership core, and
+// with fleets of real processes in which it injects faults. Figures from the virtual clock are simulated.
 //
-// It exits with 0 where all held, 1 where a rule was broken, and 2 where it could not run.
+// It exits with 0 if all rules held, 1 if a rule was violated or a checked file is outdated, and 2 if it could not run.
 package main
 
 import (
@@ -20,34 +20,35 @@
 )
 
 const (
-	exitBroken = 1 // a rule was broken
-	exitFailed = 2 // the command could not run
+	exitViolations = 1 // a rule was violated or a checked file is outdated
+	exitError      = 2 // the command could not run
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	err := rootCommand().ExecuteContext(ctx)
 	stop()
-	var broken brokenRules
-	var different differs
+	var violations violationCount
+	var outdated outdatedFiles
 	switch {
-	case errors.As(err, &broken), errors.As(err, &different):
+	case errors.As(err, &violations), errors.As(err, &outdated):
 		fmt.Fprintln(os.Stderr, "gorseledge-lab:", err)
-		os.Exit(exitBroken)
+		os.Exit(exitViolations)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "gorseledge-lab:", err)
-		os.Exit(exitFailed)
+		os.Exit(exitError)
 	}
 }
 
-// brokenRules is the error of a run in which rules were broken; its value is the number of times.
-type brokenRules int
+// violationCount is the error of runs in which rules were violated; its value is the number of violations.
+type violationCount int
 
-func (b brokenRules) Error() string { return fmt.Sprintf("rules broken: %d times", int(b)) }
+func (v violationCount) Error() string { return fmt.Sprintf("%d rule violations", int(v)) }
 
 // rootCommand returns the command with all subcommands.
 func rootCommand() *cobra.Command {
-	top := &cobra.Command{Use: "gorseledge-lab", Short: "Plays fleets on a virtual clock and keeps what came of it (simulated)",
+	top := &cobra.Command{Use: "gorseledge-lab",
+		Short:        "Run experiments with fleets, simulated on a virtual clock or as real processes",
 		SilenceUsage: true, SilenceErrors: true}
 	top.AddCommand(emulateCommand(), sweepCommand(), compareCommand(), fleetCommand(), membersCommand(), costCommand(),
 		servingCommand(), capacityCommand(), scaleCommand(), hollowCommand())
@@ -58,8 +59,10 @@
 func emulateCommand() *cobra.Command {
 	var seed uint64
 	var permute, trace bool
-	c := &cobra.Command{Use: "emulate SCRIPT", Short: "Play a script once and print its figures", Args: cobra.ExactArgs(1),
-		Long: "Plays the script under one seed. The same seed gives the same trace, byte by byte. Ends with 1 if a rule was broken.",
+	c := &cobra.Command{Use: "emulate SCRIPT", Args: cobra.ExactArgs(1),
+		Short: "Run a script once on a virtual clock and print its figures (simulated)",
+		Long: "Runs the script with one seed. The same seed produces the same trace, byte for byte.\n" +
+			"Exits with 1 if a rule was violated.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := emulator.ReadFile(args[0])
 			if err != nil {
@@ -71,30 +74,30 @@
 			}
 			r := emulator.Run(s, seed, o)
 			fmt.Fprintf(cmd.OutOrStdout(), "%s\ntrace %016x\n", lab.CSV([]*emulator.Result{r}), r.TraceHash)
-			return reportBroken(cmd, r)
+			return reportViolations(cmd, r)
 		}}
-	c.Flags().Uint64Var(&seed, "seed", 1, "all chance comes from it")
-	c.Flags().BoolVar(&permute, "permute", false, "draw the order of events of one instant from the seed")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of all random choices")
+	c.Flags().BoolVar(&permute, "permute", false, "process simultaneous events in an order chosen at random by the seed")
 	c.Flags().BoolVar(&trace, "trace", false, "print the trace")
 	return c
 }
 
-// reportBroken prints the first violation of each result with its seed and the steps before it. It returns brokenRules
-// where there are any.
-func reportBroken(cmd *cobra.Command, results ...*emulator.Result) error {
+// reportViolations prints the first violation of each result with its seed and the trace lines before it. It returns a
+// violationCount if there are violations.
+func reportViolations(cmd *cobra.Command, results ...*emulator.Result) error {
 	n := 0
 	for _, r := range results {
-		for i, b := range r.Violations {
+		for i, violation := range r.Violations {
 			if n++; i == 0 {
-				fmt.Fprintf(cmd.ErrOrStderr(), "seed %d: %v\n", r.Seed, b)
-				for _, line := range b.RecentTrace {
+				fmt.Fprintf(cmd.ErrOrStderr(), "seed %d: %v\n", r.Seed, violation)
+				for _, line := range violation.RecentTrace {
 					fmt.Fprintln(cmd.ErrOrStderr(), "   ", line)
 				}
 			}
 		}
 	}
 	if n > 0 {
-		return brokenRules(n)
+		return violationCount(n)
 	}
 	return nil
 }
@@ -105,14 +108,15 @@
 	var atOnce int
 	var out string
 	var permute bool
-	c := &cobra.Command{Use: "sweep SCRIPT", Short: "Play a script under many seeds, in parallel", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "sweep SCRIPT", Args: cobra.ExactArgs(1),
+		Short: "Run a script with many seeds in parallel on a virtual clock (simulated)",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := emulator.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
 			if count < 1 || count > 1e6 {
-				return fmt.Errorf("--seeds is %d, and goes from 1 to 1000000", count)
+				return fmt.Errorf("--seeds must be between 1 and 1000000, got %d", count)
 			}
 			seeds := make([]uint64, count)
 			for i := range seeds {
@@ -128,20 +132,21 @@
 				}
 			}
 			cmd.OutOrStdout().Write(lab.Markdown(results))
-			return reportBroken(cmd, results...)
+			return reportViolations(cmd, results...)
 		}}
 	c.Flags().Uint64Var(&from, "from", 1, "first seed")
-	c.Flags().Uint64Var(&count, "seeds", 20, "how many seeds")
-	c.Flags().IntVar(&atOnce, "at-once", runtime.NumCPU(), "plays side by side")
-	c.Flags().StringVar(&out, "out", "", "keep a table of all plays here (CSV)")
-	c.Flags().BoolVar(&permute, "permute", false, "draw the order of events of one instant from the seed")
+	c.Flags().Uint64Var(&count, "seeds", 20, "number of consecutive seeds, beginning with --from")
+	c.Flags().IntVar(&atOnce, "at-once", runtime.NumCPU(), "number of runs in parallel")
+	c.Flags().StringVar(&out, "out", "", "file for a table of all runs (CSV)")
+	c.Flags().BoolVar(&permute, "permute", false, "process simultaneous events in an order chosen at random by the seed")
 	return c
 }
 
 // compareCommand returns the command that compares two tables of results.
 func compareCommand() *cobra.Command {
-	return &cobra.Command{Use: "compare BEFORE AFTER", Short: "Compare two tables of the same seeds", Args: cobra.ExactArgs(2),
-		Long: "A difference is claimed only where it is over twice the error of the differences, seed by seed.",
+	return &cobra.Command{Use: "compare BEFORE AFTER", Args: cobra.ExactArgs(2),
+		Short: "Compare two tables of results with the same seeds",
+		Long:  "Compares the results seed by seed. A difference counts only if it exceeds twice the standard error of the differences.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			before, err := os.ReadFile(args[0])
 			if err != nil {
--- a/cmd/gorseledge-lab/scale_test.go
+++ b/cmd/gorseledge-lab/scale_test.go
@@ -10,7 +10,7 @@
 	"gorseledge/internal/scale"
 )
 
-// command runs the command line and gives what it printed.
+// command runs a command line and returns its output.
 func command(t *testing.T, arguments ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -22,24 +22,24 @@
 	return out.String(), err
 }
 
-// A script that cannot be played is one line with file and line, before anything is built or started.
-func TestScaleRefusesABadScript(t *testing.T) {
+// An invalid script or size must fail before programs are built and started, with a single line that names the place.
+func TestScaleRejectsInvalidScriptAndSize(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scale.toml")
 	if err := os.WriteFile(path, []byte("name = \"bad\"\nsizes = [1]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_, err := command(t, "scale", path)
 	if err == nil || !strings.Contains(err.Error(), path+":2: sizes") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one line that begins with the file and line", err)
 	}
 	if _, err := command(t, "scale", "../../docs/scenarios/scale-sizes.toml", "--only", "77"); err == nil ||
 		!strings.Contains(err.Error(), "77") {
-		t.Errorf("a size that the script does not have: %v", err)
+		t.Errorf("--only with a size that the script does not have: error %v", err)
 	}
 }
 
-// Tables of several runs become one, with the provenance of all and a chart of each cost that two sizes have.
-func TestScaleChartsPutTablesTogether(t *testing.T) {
+// Merging tables must not lose rows or the provenance of a run, and must draw a chart of each cost with several sizes.
+func TestScaleChartsMergesTables(t *testing.T) {
 	dir := t.TempDir()
 	var paths []string
 	for _, size := range []int{50, 100, 200} {
@@ -61,12 +61,12 @@
 		t.Fatal(err)
 	}
 	defer in.Close()
-	from, rows, err := scale.ReadCSV(in)
-	if err != nil || len(from) != 3 || len(rows) != 6 {
-		t.Errorf("%d lines of provenance, %d rows, %v", len(from), len(rows), err)
+	provenance, rows, err := scale.ReadCSV(in)
+	if err != nil || len(provenance) != 3 || len(rows) != 6 {
+		t.Errorf("%d lines of provenance and %d rows, error %v; want 3 and 6", len(provenance), len(rows), err)
 	}
 	charts, _ := filepath.Glob(filepath.Join(out, "*.svg"))
 	if len(charts) != 1 || filepath.Base(charts[0]) != "scale-rest-cpu.svg" {
-		t.Errorf("charts: %v", charts)
+		t.Errorf("charts are %v, want only scale-rest-cpu.svg", charts)
 	}
 }
