--- a/cmd/gorseledge-lab/members.go
+++ b/cmd/gorseledge-lab/members.go
@@ -89,8 +89,8 @@
 		}
 		return o.table.write(table)
 	}
-	fmt.Fprintln(t, "core\tnodes\tseeds\tfirst suspicion, median\t99th\tdeath known to the first, median\tto the last, median\t99th\t"+
-		"known by\tfalse suspicions an hour\tfalse deaths an hour\tbytes a member and second")
+	fmt.Fprintln(t, "core\tnodes\tseeds\tfirst suspicion, median\t99th\tdeath known to the first, median\tto the last, median\t"+
+		"99th\tknown by\tfalse suspicions an hour\tfalse deaths an hour\tbytes a member and second")
 	for _, size := range o.nodes {
 		o.fleet.Nodes = size
 		if err := measureSize(cmd.Context(), t, table, o); err != nil {
--- a/cmd/gorseledge-lab/serving.go
+++ b/cmd/gorseledge-lab/serving.go
@@ -59,7 +59,7 @@
 	f.IntVar(&o.Cores, "cores", 1, "number of CPU cores that the node may use at once")
 	f.IntVar(&o.Repeats, "repeats", 3, "number of runs of all steps, each with new nodes")
 	f.DurationVar(&o.Window, "window", 5*time.Second, "duration of a measurement at rest or at a rate")
-	f.DurationVar(&o.Stall, "stall", 500*time.Millisecond, "longest stall of the machine during a measurement; after a longer one it is repeated")
+	f.DurationVar(&o.Stall, "stall", 500*time.Millisecond, "repeat a measurement if the machine stalls for longer during it")
 	f.IntVar(&o.LineBytes, "line", 100, "length of a delivered line in bytes, including its line end")
 	f.IntSliceVar(&o.Connections, "connections", []int{1000, 2000, 4000, 8000, 16000},
 		"numbers of idle connections, lowered to the descriptor limit")
