--- a/internal/capacity/result_test.go
+++ b/internal/capacity/result_test.go
@@ -172,7 +172,7 @@
 		want   string
 	}{
 		"no table":       {func(r *Row, _ map[string]*figures.Table) { r.From.Table = "gone" }, "table gone.csv does not exist"},
-		"no such cost":   {func(r *Row, _ map[string]*figures.Table) { r.From.Cost = "node.hope" }, "has no figure"},
+		"no such cost":   {func(r *Row, _ map[string]*figures.Table) { r.From.Cost = "node.unknown" }, "has no figure"},
 		"another source": {func(r *Row, _ map[string]*figures.Table) { r.From.Source = "real" }, "has no figure"},
 		"other unit": {func(r *Row, _ map[string]*figures.Table) { r.Budget = "seconds" },
 			"the budget is in s, but the cost is in B"},
@@ -212,7 +212,7 @@
 	for i, source := range []figures.Source{figures.Real, figures.Hollow, figures.Real, figures.Virtual} {
 		tables["rest"].Rows[i].Source = source
 	}
-	e := &evaluation{plan: &Plan{Compare: []Comparison{{"rest", "rest", "node.memory"}, {"rest", "rest", "node.hope"}, {"gone", "rest", "node.memory"}}}, measured: tables}
+	e := &evaluation{plan: &Plan{Compare: []Comparison{{"rest", "rest", "node.memory"}, {"rest", "rest", "node.unknown"}, {"gone", "rest", "node.memory"}}}, measured: tables}
 	if text := e.sourcesTable(); !strings.Contains(text, "| `rest` | node.memory, rest | 100 nodes | 5.09 kB | 5.11 kB | 1 |") ||
 		strings.Count(text, "\n") != 3 {
 		t.Error(text)
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -57,7 +57,7 @@
 		"invalid number": {"47.25", "fast", "figure 2"},
 		"not finite":     {"47.25", "NaN", "figure 2"},
 		"unknown source": {"virtual", "guessed", `unknown source "guessed"`},
-		"empty column":   {"node.memory", "", "must not be empty"},
+		"empty column":   {"node.memory", "", "dimension, phase, cost and unit must not be empty"},
 		"short row":      {",47.25", "", "wrong number of fields"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/serving/bench.go
+++ b/internal/serving/bench.go
@@ -56,13 +56,13 @@
 
 // processorTime runs the given function and returns the CPU time that the node uses in that time, in microseconds.
 func (b *bench) processorTime(run func() error) (float64, error) {
-	before, err := usageOf(b.node.Pid())
+	before, err := readUsage(b.node.Pid())
 	if err != nil {
 		return 0, err
 	}
 	if err := run(); err != nil {
 		return 0, err
 	}
-	after, err := usageOf(b.node.Pid())
+	after, err := readUsage(b.node.Pid())
 	return microsecondsInSecond * (after.processorTime - before.processorTime), err
 }
--- a/internal/serving/connections.go
+++ b/internal/serving/connections.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	u, err := usageOf(b.node.Pid())
+	u, err := readUsage(b.node.Pid())
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	}
 	total := 0.0
 	for _, pid := range []int{b.node.Pid(), os.Getpid()} {
-		u, err := usageOf(pid)
+		u, err := readUsage(pid)
 		if err != nil {
 			return 0, err
 		}
--- a/internal/serving/usage.go
+++ b/internal/serving/usage.go
@@ -18,8 +18,8 @@
 	descriptors   float64 // number of open descriptors
 }
 
-// usageOf reads the usage of a process from /proc. It returns an error if the process does not exist.
-func usageOf(pid int) (usage, error) {
+// readUsage reads the usage of a process from /proc. It returns an error if the process does not exist.
+func readUsage(pid int) (usage, error) {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	var u usage
 	var err error
--- a/internal/serving/usage_test.go
+++ b/internal/serving/usage_test.go
@@ -7,7 +7,7 @@
 
 // Usage that is read from a wrong file or field of /proc would make every cost wrong.
 func TestUsageCountsThisProcess(t *testing.T) {
-	before, err := usageOf(os.Getpid())
+	before, err := readUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	defer opened.Close()
-	after, err := usageOf(os.Getpid())
+	after, err := readUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 		after.descriptors != before.descriptors+1 {
 		t.Errorf("usage before %+v, after opening one more descriptor %+v", before, after)
 	}
-	if _, err := usageOf(1 << 30); err == nil {
-		t.Error("usageOf returned no error for a process that does not exist")
+	if _, err := readUsage(1 << 30); err == nil {
+		t.Error("readUsage returned no error for a process that does not exist")
 	}
 }
