--- a/internal/serving/usage_test.go
+++ b/internal/serving/usage_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
+// Usage that is read from a wrong file or field of /proc would make every cost wrong.
 func TestUsageCountsThisProcess(t *testing.T) {
-	before, err := usageOf(os.Getpid())
+	before, err := readUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -15,15 +16,15 @@
 		t.Fatal(err)
 	}
 	defer opened.Close()
-	after, err := usageOf(os.Getpid())
+	after, err := readUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if before.memory <= 0 || before.processorTime <= 0 || after.processorTime < before.processorTime ||
 		after.descriptors != before.descriptors+1 {
-		t.Errorf("before %+v, after one more descriptor %+v", before, after)
+		t.Errorf("usage before %+v, after opening one more descriptor %+v", before, after)
 	}
-	if _, err := usageOf(1 << 30); err == nil {
-		t.Error("a process that does not exist has a usage")
+	if _, err := readUsage(1 << 30); err == nil {
+		t.Error("readUsage returned no error for a process that does not exist")
 	}
 }
