--- a/internal/rig/check.go
+++ b/internal/rig/check.go
@@ -18,12 +18,12 @@
 
 // The rules of a run, as they stand in reports.
 const (
-	RuleDeath  = "no blameless member is held for dead"
-	RuleAnswer = "each flow gets one final answer"
-	RuleAgree  = "all agree within the stated time after the last fault"
-	RuleKnown  = "a death is known everywhere within the stated time"
-	RuleExit   = "no process ends by itself"
-	RuleBudget = "all nodes together stay within a cold host's budget"
+	RuleNoFalseDeath     = "no blameless member is held for dead"
+	RuleOneAnswer        = "each flow gets one final answer"
+	RuleAgreement        = "all agree within the stated time after the last fault"
+	RuleDeathDetected    = "a death is known everywhere within the stated time"
+	RuleNoUnexpectedExit = "no process ends by itself"
+	RuleBudget           = "all nodes together stay within a cold host's budget"
 )
 
 // Check returns the violations in a run, by their times. It reads the events of the result and the times that the script
@@ -36,7 +36,7 @@
 	out = append(out, checkBudgets(r.Events)...)
 	out = append(out, checkControl(s, r.Events)...)
 	if disagreement != "" {
-		out = append(out, Violation{RuleAgree, endOf(r.Events), disagreement})
+		out = append(out, Violation{RuleAgreement, endOf(r.Events), disagreement})
 	}
 	slices.SortStableFunc(out, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return out
--- a/internal/rig/check_rules.go
+++ b/internal/rig/check_rules.go
@@ -8,16 +8,16 @@
 // checkDeaths checks that no node without a fault of its own is declared dead. The fault of the node that declares it
 // does not count: one that was stopped or cut off must not declare others dead when it is back.
 func checkDeaths(s *Script, events []Event) (out []Violation) {
-	intervals := excusedIntervals(s, events)
+	intervals := exemptIntervals(s, events)
 	for _, e := range events {
 		if e.Kind != eventMember || e.State != memberDead {
 			continue
 		}
 		excused := slices.ContainsFunc(intervals[nodeIndex(e.Member)], func(w interval) bool {
-			return e.At >= w.from && e.At <= w.to+excusePeriods*s.Period
+			return e.At >= w.from && e.At <= w.to+exemptionPeriods*s.ProbePeriod
 		})
 		if !excused {
-			out = append(out, Violation{RuleDeath, e.At, fmt.Sprintf("n%d holds %s for dead", e.Node, e.Member)})
+			out = append(out, Violation{RuleNoFalseDeath, e.At, fmt.Sprintf("n%d holds %s for dead", e.Node, e.Member)})
 		}
 	}
 	return out
@@ -40,14 +40,14 @@
 			continue
 		}
 		excused := slices.ContainsFunc(disturbed[e.Node], func(w interval) bool {
-			return w.from <= e.At && w.to >= e.Began
+			return w.from <= e.At && w.to >= e.StartedAt
 		})
 		switch {
-		case e.Count > 1:
-			out = append(out, Violation{RuleAnswer, e.At, fmt.Sprintf("a flow through n%d got %d answers", e.Node, e.Count)})
+		case e.AnswerCount > 1:
+			out = append(out, Violation{RuleOneAnswer, e.At, fmt.Sprintf("a flow through n%d got %d answers", e.Node, e.AnswerCount)})
 		case excused:
-		case e.Count == 0 || e.Answer == "failed" || e.Answer == "up" && e.Ended == "cut":
-			out = append(out, Violation{RuleAnswer, e.At, fmt.Sprintf("a flow through n%d: %s %s", e.Node, e.Answer, e.Ended)})
+		case e.AnswerCount == 0 || e.Answer == "failed" || e.Answer == "up" && e.Ending == "cut":
+			out = append(out, Violation{RuleOneAnswer, e.At, fmt.Sprintf("a flow through n%d: %s %s", e.Node, e.Answer, e.Ending)})
 		}
 	}
 	return out
@@ -56,15 +56,15 @@
 // checkExits checks that a process ends only because of a fault that ends it.
 func checkExits(events []Event) (out []Violation) {
 	for i, e := range events {
-		if e.Kind != eventExit {
+		if e.Kind != eventProcessExit {
 			continue
 		}
 		endedByFault := slices.ContainsFunc(events[:i], func(f Event) bool {
-			return f.Kind == eventFault && f.Fault != nil && faultKinds[f.Fault.Kind].endsProcess &&
+			return f.Kind == eventFaultStart && f.Fault != nil && faultKinds[f.Fault.Kind].endsProcess &&
 				slices.Contains(f.Fault.Nodes, e.Node)
 		})
 		if !endedByFault {
-			out = append(out, Violation{RuleExit, e.At, fmt.Sprintf("n%d ended: %s", e.Node, e.Note)})
+			out = append(out, Violation{RuleNoUnexpectedExit, e.At, fmt.Sprintf("n%d ended: %s", e.Node, e.Note)})
 		}
 	}
 	return out
@@ -74,7 +74,7 @@
 // script's liveness time.
 func checkKnownDeaths(s *Script, events []Event) (out []Violation) {
 	for _, f := range events {
-		if !endsForLong(s, f) || endOf(events) < f.At+s.Liveness {
+		if !endsForLong(s, f) || endOf(events) < f.At+s.DetectionTimeout {
 			continue
 		}
 		for _, dead := range f.Fault.Nodes {
@@ -87,10 +87,10 @@
 // endsForLong reports whether an event is the begin of a fault that leaves a process down for long enough that all
 // nodes have to declare it dead.
 func endsForLong(s *Script, e Event) bool {
-	if e.Kind != eventFault || !faultKinds[e.Fault.Kind].staysDown {
+	if e.Kind != eventFaultStart || !faultKinds[e.Fault.Kind].staysDown {
 		return false
 	}
-	return e.Fault.For >= s.Liveness+excusePeriods*s.Period || e.Fault.For <= 0
+	return e.Fault.Duration >= s.DetectionTimeout+exemptionPeriods*s.ProbePeriod || e.Fault.Duration <= 0
 }
 
 // checkKnownDeath checks that all nodes without a fault of their own declare a node dead that went down at a time.
@@ -99,11 +99,11 @@
 		return nil
 	}
 	for n := range s.Nodes {
-		if n == dead || affectedAfter(events, n, at) || declaredDead(events, n, dead, interval{at, at + s.Liveness}) {
+		if n == dead || affectedAfter(events, n, at) || declaredDead(events, n, dead, interval{at, at + s.DetectionTimeout}) {
 			continue
 		}
 		text := fmt.Sprintf("n%d does not know that n%d is dead", n, dead)
-		out = append(out, Violation{RuleKnown, at + s.Liveness, text})
+		out = append(out, Violation{RuleDeathDetected, at + s.DetectionTimeout, text})
 	}
 	return out
 }
@@ -119,8 +119,8 @@
 // checkBudgets checks that all nodes together never granted more than a cold host's budget.
 func checkBudgets(events []Event) (out []Violation) {
 	for _, e := range events {
-		if e.Kind == eventBudget && e.Part > 1 {
-			out = append(out, Violation{RuleBudget, e.At, fmt.Sprintf("%.2f of it", e.Part)})
+		if e.Kind == eventBudget && e.BudgetShare > 1 {
+			out = append(out, Violation{RuleBudget, e.At, fmt.Sprintf("%.2f of it", e.BudgetShare)})
 		}
 	}
 	return out
--- a/internal/rig/check_test.go
+++ b/internal/rig/check_test.go
@@ -26,13 +26,13 @@
 }
 
 func TestCheckersReportViolationsAndExcuses(t *testing.T) {
-	s := &Script{Nodes: 5, Period: 0.25, Liveness: 10, Settle: 10}
-	stop := &Fault{At: 1, Kind: "stop", Nodes: []int{1}, For: 5}
-	short := &Fault{At: 1, Kind: "stop", Nodes: []int{1}, For: 0.5}
+	s := &Script{Nodes: 5, ProbePeriod: 0.25, DetectionTimeout: 10, SettleTimeout: 10}
+	stop := &Fault{At: 1, Kind: "stop", Nodes: []int{1}, Duration: 5}
+	short := &Fault{At: 1, Kind: "stop", Nodes: []int{1}, Duration: 0.5}
 	kill := &Fault{At: 1, Kind: "kill", Nodes: []int{1}}
-	oneWay := &Fault{At: 1, Kind: "cut", Nodes: []int{0}, To: []int{1}, For: 5}
-	loss := &Fault{At: 1, Kind: "loss", Nodes: []int{0, 1, 2, 3, 4}, For: 5, By: 0.2}
-	heavy := &Fault{At: 1, Kind: "loss", Nodes: []int{0, 1, 2, 3, 4}, For: 5, By: 0.4}
+	oneWay := &Fault{At: 1, Kind: "cut", Nodes: []int{0}, To: []int{1}, Duration: 5}
+	loss := &Fault{At: 1, Kind: "loss", Nodes: []int{0, 1, 2, 3, 4}, Duration: 5, Amount: 0.2}
+	heavy := &Fault{At: 1, Kind: "loss", Nodes: []int{0, 1, 2, 3, 4}, Duration: 5, Amount: 0.4}
 	dead := Event{At: 7, Kind: "member", Node: 2, Member: "n1", State: "dead"}
 	for _, c := range []struct {
 		name         string
@@ -40,27 +40,27 @@
 		disagreement string
 		rule         string // that is violated; none where empty
 	}{
-		{"death without a fault", []Event{dead}, "", RuleDeath},
+		{"death without a fault", []Event{dead}, "", RuleNoFalseDeath},
 		{"death after a long stop", during(stop, 6, dead), "", ""},
-		{"death after a short stop", during(short, 1.5, dead), "", RuleDeath},
-		{"death in a cut that leaves a path", during(oneWay, 6, dead), "", RuleDeath},
-		{"death at a loss of 0.2", during(loss, 6, dead), "", RuleDeath},
+		{"death after a short stop", during(short, 1.5, dead), "", RuleNoFalseDeath},
+		{"death in a cut that leaves a path", during(oneWay, 6, dead), "", RuleNoFalseDeath},
+		{"death at a loss of 0.2", during(loss, 6, dead), "", RuleNoFalseDeath},
 		{"death at a loss of 0.4", during(heavy, 6, dead), "", ""},
 		{"death of a node that was not stopped", during(stop, 6, Event{At: 7, Kind: "member", Node: 1, Member: "n3", State: "dead"}), "",
-			RuleDeath},
+			RuleNoFalseDeath},
 		{"death known by all", during(kill, 0, declaredByAllBut(-1)...), "", ""},
-		{"death not known by one node", during(kill, 0, declaredByAllBut(3)...), "", RuleKnown},
-		{"flow without an answer", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "silent"}}, "", RuleAnswer},
-		{"flow with two answers", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "up", Count: 2, Ended: "client"}}, "", RuleAnswer},
-		{"flow broken without a fault", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "up", Count: 1, Ended: "cut"}}, "", RuleAnswer},
-		{"flow moved", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "up", Count: 1, Ended: "move"}}, "", ""},
-		{"flow broken by a kill", during(kill, 0, append(declaredByAllBut(-1), Event{At: 3, Began: 0.5, Kind: "flow", Node: 1, Answer: "cut"})...),
+		{"death not known by one node", during(kill, 0, declaredByAllBut(3)...), "", RuleDeathDetected},
+		{"flow without an answer", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "silent"}}, "", RuleOneAnswer},
+		{"flow with two answers", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "up", AnswerCount: 2, Ending: "client"}}, "", RuleOneAnswer},
+		{"flow broken without a fault", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "up", AnswerCount: 1, Ending: "cut"}}, "", RuleOneAnswer},
+		{"flow moved", []Event{{At: 3, Kind: "flow", Node: 2, Answer: "up", AnswerCount: 1, Ending: "move"}}, "", ""},
+		{"flow broken by a kill", during(kill, 0, append(declaredByAllBut(-1), Event{At: 3, StartedAt: 0.5, Kind: "flow", Node: 1, Answer: "cut"})...),
 			"", ""},
-		{"process ended without a fault", []Event{{At: 3, Kind: "exit", Node: 2, Note: "exit status 2"}}, "", RuleExit},
+		{"process ended without a fault", []Event{{At: 3, Kind: "exit", Node: 2, Note: "exit status 2"}}, "", RuleNoUnexpectedExit},
 		{"process ended by a kill", during(kill, 0, append(declaredByAllBut(-1), Event{At: 3, Kind: "exit", Node: 1})...), "", ""},
-		{"half of the budget", []Event{{At: 3, Kind: "budget", Part: 0.5}}, "", ""},
-		{"more than the budget", []Event{{At: 3, Kind: "budget", Part: 1.2}}, "", RuleBudget},
-		{"no agreement", nil, "n1 holds n2 for dead", RuleAgree},
+		{"half of the budget", []Event{{At: 3, Kind: "budget", BudgetShare: 0.5}}, "", ""},
+		{"more than the budget", []Event{{At: 3, Kind: "budget", BudgetShare: 1.2}}, "", RuleBudget},
+		{"no agreement", nil, "n1 holds n2 for dead", RuleAgreement},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var rules []string
@@ -76,7 +76,7 @@
 }
 
 func TestDeathsReportsDetectionTimes(t *testing.T) {
-	s := &Script{Nodes: 4, Period: 0.25, Lasts: 20}
+	s := &Script{Nodes: 4, ProbePeriod: 0.25, Duration: 20}
 	killed := &Fault{At: 1, Kind: "kill", Nodes: []int{1}}
 	events := []Event{{At: 1, Kind: "fault", Fault: killed}, {At: 1, Kind: "over", Fault: killed}} // for good
 	for n, at := range map[int]float64{0: 4, 2: 5, 3: 7} {
@@ -86,7 +86,7 @@
 	if got := Deaths(s, events); !slices.Equal(got, []Death{{1, 3, 6, 3}}) {
 		t.Errorf("%v", got)
 	}
-	killed.For = 1
+	killed.Duration = 1
 	if got := Deaths(s, append(events, Event{At: 2, Kind: "over", Fault: killed})); len(got) != 0 {
 		t.Errorf("after a second: %v", got)
 	}
--- a/internal/rig/control_check.go
+++ b/internal/rig/control_check.go
@@ -9,12 +9,12 @@
 
 // The rules of the configuration's distribution.
 const (
-	RuleNoReturn = "no node goes back a revision"
-	RuleComplete = "no node has a part of a change in force"
-	RuleDurable  = "no accepted change is lost while its disk lives"
-	RuleInForce  = "a change is in force everywhere within the stated time"
-	RuleAccept   = "after all faults a change is accepted"
-	RuleServer   = "no control server ends by itself"
+	RuleNoOlderVersion         = "no node goes back a revision"
+	RuleWholeChanges           = "no node has a part of a change in force"
+	RuleDurable                = "no accepted change is lost while its disk lives"
+	RuleInForce                = "a change is in force everywhere within the stated time"
+	RuleAccept                 = "after all faults a change is accepted"
+	RuleNoUnexpectedServerExit = "no control server ends by itself"
 )
 
 // replicationTime is the time in seconds in which an accepted change reaches servers that are not cut off or down.
@@ -28,14 +28,14 @@
 	if s.Control == 0 {
 		return nil
 	}
-	out = append(out, checkNoReturn(events)...)
-	out = append(out, checkComplete(events)...)
+	out = append(out, checkNoOlderVersion(events)...)
+	out = append(out, checkWholeChanges(events)...)
 	out = append(out, checkDurable(s, events)...)
 	out = append(out, checkInForce(s, events)...)
 	out = append(out, checkAccept(events)...)
 	for _, e := range events {
 		if e.Kind == eventServerDied {
-			out = append(out, Violation{RuleServer, e.At, fmt.Sprintf("c%d: %s", e.Control.Server, e.Note)})
+			out = append(out, Violation{RuleNoUnexpectedServerExit, e.At, fmt.Sprintf("c%d: %s", e.Control.Server, e.Note)})
 		}
 	}
 	return out
@@ -44,7 +44,7 @@
 // checkAccept checks the last proposal, which is made after all faults and without a concurrent one.
 func checkAccept(events []Event) (out []Violation) {
 	for _, e := range slices.Backward(events) {
-		if e.Kind != eventApply {
+		if e.Kind != eventProposal {
 			continue
 		}
 		if e.Control.Outcome != string(configfeed.Accepted) {
@@ -55,25 +55,25 @@
 	return out
 }
 
-// checkNoReturn checks that the versions of a node only go up. A node that had no process for a while has lost its
+// checkNoOlderVersion checks that the versions of a node only go up. A node that had no process for a while has lost its
 // version and starts without one.
-func checkNoReturn(events []Event) (out []Violation) {
+func checkNoOlderVersion(events []Event) (out []Violation) {
 	processes := map[int]int{}
 	versions := map[int]configfeed.Version{}
 	for _, e := range events {
 		switch e.Kind {
-		case eventStart:
+		case eventProcessStart:
 			processes[e.Node]++
 			if processes[e.Node] == 1 {
 				delete(versions, e.Node)
 			}
-		case eventExit:
+		case eventProcessExit:
 			processes[e.Node]--
 		case eventConfig:
 			previous, current := versions[e.Node], e.Control.Version
 			if current.Compare(previous) < 0 {
 				text := fmt.Sprintf("n%d from %s to %s", e.Node, previous, current)
-				out = append(out, Violation{RuleNoReturn, e.At, text})
+				out = append(out, Violation{RuleNoOlderVersion, e.At, text})
 			}
 			versions[e.Node] = current
 		}
@@ -81,16 +81,16 @@
 	return out
 }
 
-// checkComplete checks that a node has, under each version, the entries of a change that was accepted as that version, or
+// checkWholeChanges checks that a node has, under each version, the entries of a change that was accepted as that version, or
 // of one whose answer was lost or came later.
-func checkComplete(events []Event) (out []Violation) {
+func checkWholeChanges(events []Event) (out []Violation) {
 	accepted := map[configfeed.Version][]string{}
 	unknown := map[string]bool{}
 	for _, e := range events {
 		switch {
-		case e.Kind == eventApply && e.Control.Outcome == string(configfeed.Accepted), e.Kind == eventEpoch:
+		case e.Kind == eventProposal && e.Control.Outcome == string(configfeed.Accepted), e.Kind == eventEpoch:
 			accepted[e.Control.Version] = append(accepted[e.Control.Version], e.Control.Digest)
-		case e.Kind == eventApply && (e.Control.Outcome == outcomeUnknown || e.Control.Outcome == string(configfeed.Failed)):
+		case e.Kind == eventProposal && (e.Control.Outcome == outcomeUnknown || e.Control.Outcome == string(configfeed.Failed)):
 			unknown[e.Control.Digest] = true
 		}
 	}
@@ -103,7 +103,7 @@
 			continue
 		}
 		text := fmt.Sprintf("n%d has digest %s under %s, accepted was %v", e.Node, c.Digest, c.Version, accepted[c.Version])
-		out = append(out, Violation{RuleComplete, e.At, text})
+		out = append(out, Violation{RuleWholeChanges, e.At, text})
 	}
 	return out
 }
@@ -119,10 +119,10 @@
 	open := map[string]int{}
 	for _, e := range events {
 		switch e.Kind {
-		case eventControlFault:
+		case eventControlFaultStart:
 			open[fmt.Sprint(*e.Control.Fault)] = len(out)
 			out = append(out, controlEpisode{*e.Control.Fault, interval{e.At, forever}})
-		case eventControlOver:
+		case eventControlFaultEnd:
 			out[open[fmt.Sprint(*e.Control.Fault)]].to = e.At
 		}
 	}
@@ -132,14 +132,14 @@
 // checkDurable checks that the writer holds every accepted change at the end, unless its disk was taken away after the
 // change and other faults may have kept the change from the others.
 func checkDurable(s *Script, events []Event) (out []Violation) {
-	at := slices.IndexFunc(events, func(e Event) bool { return e.Kind == eventMarks })
+	at := slices.IndexFunc(events, func(e Event) bool { return e.Kind == eventHeldProposals })
 	if at < 0 {
 		return nil
 	}
 	faults := controlEpisodes(events)
 	for _, e := range events {
-		if e.Kind != eventApply || e.Control.Outcome != string(configfeed.Accepted) ||
-			slices.Contains(events[at].Control.Marks, e.Control.ID) || mayBeLost(e.At, faults) {
+		if e.Kind != eventProposal || e.Control.Outcome != string(configfeed.Accepted) ||
+			slices.Contains(events[at].Control.ProposalIDs, e.Control.ID) || mayBeLost(e.At, faults) {
 			continue
 		}
 		text := fmt.Sprintf("%s was accepted as %s", e.Control.ID, e.Control.Version)
@@ -170,14 +170,14 @@
 // nodes in time.
 func checkInForce(s *Script, events []Event) (out []Violation) {
 	for _, e := range events {
-		if e.Kind == eventLate {
-			out = append(out, Violation{RuleInForce, e.At, fmt.Sprintf("not within %g s: %s", s.InForce, e.Note)})
+		if e.Kind == eventNotInForce {
+			out = append(out, Violation{RuleInForce, e.At, fmt.Sprintf("not within %g s: %s", s.InForceTimeout, e.Note)})
 		}
 	}
 	for _, change := range measuredChanges(s, events) {
-		if change.took > s.InForce+observationDelay {
+		if change.delay > s.InForceTimeout+observationDelay {
 			out = append(out, Violation{RuleInForce, change.at,
-				fmt.Sprintf("%s at n%d after %.2f s", change.version, change.last, change.took)})
+				fmt.Sprintf("%s at n%d after %.2f s", change.version, change.lastNode, change.delay)})
 		}
 	}
 	return out
@@ -186,17 +186,17 @@
 // inForceTimes returns for each measured change the seconds until it was in force at the last node.
 func inForceTimes(s *Script, events []Event) (times []float64) {
 	for _, change := range measuredChanges(s, events) {
-		times = append(times, change.took)
+		times = append(times, change.delay)
 	}
 	return times
 }
 
 // measuredChange is an accepted change and the node that had it in force last.
 type measuredChange struct {
-	at      float64 // when it was accepted, in seconds from the start of the rig
-	version configfeed.Version
-	took    float64 // seconds until it was in force at the last node, infinite where it never was
-	last    int     // index of that node
+	at       float64 // when it was accepted, in seconds from the start of the rig
+	version  configfeed.Version
+	delay    float64 // seconds until it was in force at the last node, infinite where it never was
+	lastNode int     // index of that node
 }
 
 // measuredChanges returns the accepted changes in whose time at most one fault of control servers lasted, which was neither
@@ -206,22 +206,22 @@
 	nodeFaults := episodes(events)
 	end := endOf(events)
 	for _, e := range events {
-		if e.Kind != eventApply || e.Control.Outcome != string(configfeed.Accepted) {
+		if e.Kind != eventProposal || e.Control.Outcome != string(configfeed.Accepted) {
 			continue
 		}
-		window := interval{e.At - s.InForce, e.At + s.InForce}
-		if window.to > end || keptFromNodes(faults, window) {
+		window := interval{e.At - s.InForceTimeout, e.At + s.InForceTimeout}
+		if window.to > end || mayDelayChange(faults, window) {
 			continue
 		}
 		change := measuredChange{at: e.At, version: e.Control.Version}
 		for node := range s.Nodes {
-			if disturbed(nodeFaults, node, window) {
+			if hasProcessFault(nodeFaults, node, window) {
 				continue
 			}
 			took := firstInForce(events, node, e.Control.Version) - e.At
-			if took > change.took {
-				change.took = took
-				change.last = node
+			if took > change.delay {
+				change.delay = took
+				change.lastNode = node
 			}
 		}
 		out = append(out, change)
@@ -229,9 +229,9 @@
 	return out
 }
 
-// keptFromNodes reports whether faults of control servers may keep a change from nodes for longer than is stated: more
+// mayDelayChange reports whether faults of control servers may keep a change from nodes for longer than is stated: more
 // than one at a time, one of the writer's process, a region's cut, or a restart of several servers.
-func keptFromNodes(faults []controlEpisode, window interval) bool {
+func mayDelayChange(faults []controlEpisode, window interval) bool {
 	lasting := 0
 	for _, f := range faults {
 		if f.from > window.to || f.to < window.from {
@@ -246,8 +246,8 @@
 	return lasting > 1
 }
 
-// disturbed reports whether a node had a fault of its process within a time.
-func disturbed(faults []episode, node int, window interval) bool {
+// hasProcessFault reports whether a node had a fault of its process within a time.
+func hasProcessFault(faults []episode, node int, window interval) bool {
 	return slices.ContainsFunc(faults, func(f episode) bool {
 		return !faultKinds[f.Kind].onLink && slices.Contains(f.Nodes, node) && f.from <= window.to && f.to >= window.from
 	})
--- a/internal/rig/control_faults.go
+++ b/internal/rig/control_faults.go
@@ -20,16 +20,16 @@
 			if err := waitUntil(f.At); err != nil {
 				return err
 			}
-			c.record(eventControlFault, ControlEvent{Fault: &f})
+			c.record(eventControlFaultStart, ControlEvent{Fault: &f})
 			c.rig.progressf("%5.1f s  %s", f.At, f)
 			if err := c.changeFault(f, false); err != nil {
 				return err
 			}
-			if err := waitUntil(f.At + f.For); err != nil {
+			if err := waitUntil(f.At + f.Duration); err != nil {
 				return err
 			}
 			err := c.changeFault(f, true)
-			c.record(eventControlOver, ControlEvent{Fault: &f})
+			c.record(eventControlFaultEnd, ControlEvent{Fault: &f})
 			return err
 		})
 	}
@@ -59,7 +59,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for l, relay := range c.relays {
-		if !c.cutBy(f, l) {
+		if !c.cutsLink(f, l) {
 			continue
 		}
 		if over {
@@ -71,8 +71,8 @@
 	}
 }
 
-// cutBy reports whether a fault cuts a link.
-func (c *control) cutBy(f ControlFault, l link) bool {
+// cutsLink reports whether a fault cuts a link.
+func (c *control) cutsLink(f ControlFault, l link) bool {
 	switch f.Kind {
 	case faultCutNodes:
 		return !l.server && slices.Contains(f.Nodes, l.from) && slices.Contains(f.Servers, l.to)
--- a/internal/rig/control_run.go
+++ b/internal/rig/control_run.go
@@ -41,9 +41,9 @@
 	client  *feedhttp.Client
 	random  *rand.Rand
 
-	mu      sync.Mutex   // protects the fields below
-	cuts    map[link]int // number of faults that cut each link
-	applied int          // number of proposals made
+	mu            sync.Mutex   // protects the fields below
+	cuts          map[link]int // number of faults that cut each link
+	proposalCount int          // number of proposals made
 }
 
 func newControl(r *Rig) *control {
@@ -82,7 +82,7 @@
 // runWithFaults proposes changes of configuration while the faults of nodes and control servers are injected, and waits
 // until the configuration is in force after them.
 func (c *control) runWithFaults(ctx context.Context, nodeFaults func() error) error {
-	if err := c.firstChange(ctx); err != nil {
+	if err := c.awaitFirstChange(ctx); err != nil {
 		return err
 	}
 	watching, stopWatching := context.WithCancel(ctx)
@@ -96,13 +96,13 @@
 		return err
 	}
 	for _, s := range c.servers {
-		if err := s.keepCopy(); err != nil {
+		if err := s.copyData(); err != nil {
 			return err
 		}
 	}
 	applying, stopApplying := context.WithCancel(ctx)
 	var appliers sync.WaitGroup
-	appliers.Go(func() { c.applyAll(applying) })
+	appliers.Go(func() { c.proposeChanges(applying) })
 	group := new(errgroup.Group)
 	group.Go(nodeFaults)
 	group.Go(func() error { return c.applyFaults(ctx) })
@@ -115,8 +115,8 @@
 	return c.settle(ctx)
 }
 
-// firstChange waits until the writer takes proposals and has accepted a first one.
-func (c *control) firstChange(ctx context.Context) error {
+// awaitFirstChange waits until the writer takes proposals and has accepted a first one.
+func (c *control) awaitFirstChange(ctx context.Context) error {
 	last := ""
 	for end := time.Now().Add(firstApplyTimeout); time.Now().Before(end); {
 		if last = c.apply(ctx, configfeed.State{}, c.nextID()); last == string(configfeed.Accepted) {
@@ -142,8 +142,8 @@
 func (c *control) nextID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.applied++
-	return fmt.Sprint(c.applied)
+	c.proposalCount++
+	return fmt.Sprint(c.proposalCount)
 }
 
 // apply proposes the entries of a state with an entry that identifies the proposal, and records and returns the outcome.
@@ -163,7 +163,7 @@
 	if err != nil {
 		e.Outcome, e.Version, note = outcomeUnknown, configfeed.Version{}, err.Error()
 	}
-	c.rig.history.add(Event{Kind: eventApply, Began: began, Note: note, Control: &e})
+	c.rig.history.add(Event{Kind: eventProposal, StartedAt: began, Note: note, Control: &e})
 	return e.Outcome
 }
 
@@ -180,15 +180,15 @@
 	return c.client.State(ctx, c.writer().address, status.Version.Revision)
 }
 
-// applyAll proposes changes until the context ends; each third time two at once, on top of the same version.
-func (c *control) applyAll(ctx context.Context) {
-	if c.rig.script.Applies <= 0 {
+// proposeChanges proposes changes until the context ends; each third time two at once, on top of the same version.
+func (c *control) proposeChanges(ctx context.Context) {
+	if c.rig.script.ChangeRate <= 0 {
 		return
 	}
 	var group sync.WaitGroup
 	defer group.Wait()
 	for count := 0; ; count++ {
-		if sleep(ctx, time.Duration(c.random.ExpFloat64()/c.rig.script.Applies*1e9)) != nil {
+		if sleep(ctx, time.Duration(c.random.ExpFloat64()/c.rig.script.ChangeRate*1e9)) != nil {
 			return
 		}
 		group.Go(func() {
@@ -197,7 +197,7 @@
 				return
 			}
 			var both sync.WaitGroup
-			for range proposalsAtOnce(count) {
+			for range concurrentProposals(count) {
 				both.Go(func() { c.apply(context.WithoutCancel(ctx), from, c.nextID()) })
 			}
 			both.Wait()
@@ -205,8 +205,8 @@
 	}
 }
 
-// proposalsAtOnce returns how many changes to propose on top of the same version: two each third time, otherwise one.
-func proposalsAtOnce(count int) int {
+// concurrentProposals returns how many changes to propose on top of the same version: two each third time, otherwise one.
+func concurrentProposals(count int) int {
 	if count%3 == 2 {
 		return 2
 	}
--- a/internal/rig/control_run_test.go
+++ b/internal/rig/control_run_test.go
@@ -81,7 +81,7 @@
 	}
 	accepted, conflicts := 0, 0
 	for _, e := range r.Events {
-		if e.Kind != eventApply {
+		if e.Kind != eventProposal {
 			continue
 		}
 		switch configfeed.OutcomeKind(e.Control.Outcome) {
--- a/internal/rig/control_script.go
+++ b/internal/rig/control_script.go
@@ -23,19 +23,19 @@
 
 // ControlFault is one fault of control servers. Times are seconds, counted as those of other faults.
 type ControlFault struct {
-	At      float64 `toml:"at" json:"at"`
-	Kind    string  `toml:"kind" json:"kind"`
-	Servers []int   `toml:"servers" json:"servers,omitempty"` // affected servers; for a cut, those that do not reach others
-	To      []int   `toml:"to" json:"to,omitempty"`           // for a cut, the servers not reached; all others where missing
-	Nodes   []int   `toml:"nodes" json:"nodes,omitempty"`     // for cut_nodes, the nodes that do not reach the servers
-	Region  string  `toml:"region" json:"region,omitempty"`
-	For     float64 `toml:"for" json:"for"` // duration
+	At       float64 `toml:"at" json:"at"`
+	Kind     string  `toml:"kind" json:"kind"`
+	Servers  []int   `toml:"servers" json:"servers,omitempty"` // affected servers; for a cut, those that do not reach others
+	To       []int   `toml:"to" json:"to,omitempty"`           // for a cut, the servers not reached; all others where missing
+	Nodes    []int   `toml:"nodes" json:"nodes,omitempty"`     // for cut_nodes, the nodes that do not reach the servers
+	Region   string  `toml:"region" json:"region,omitempty"`
+	Duration float64 `toml:"for" json:"for"` // duration
 }
 
 // String describes the fault for progress lines, without its time.
 func (f ControlFault) String() string {
 	return fmt.Sprintf("control %s of servers %v to %v, nodes %v, region %q, for %g s", f.Kind, f.Servers, f.To, f.Nodes,
-		f.Region, f.For)
+		f.Region, f.Duration)
 }
 
 // controlKinds are the kinds of faults of control servers: whether each acts on links.
@@ -48,10 +48,10 @@
 	switch {
 	case !known:
 		return "kind", fmt.Errorf("kind: no fault of control servers is called %q", f.Kind)
-	case !(f.At >= 0 && f.At <= s.Lasts):
-		return "at", fmt.Errorf("at: %g is not between 0 and %g", f.At, s.Lasts)
-	case !(f.For > 0) || f.At+f.For > s.Lasts:
-		return "for", fmt.Errorf("for: %g is not a valid duration, or the fault outlasts the script", f.For)
+	case !(f.At >= 0 && f.At <= s.Duration):
+		return "at", fmt.Errorf("at: %g is not between 0 and %g", f.At, s.Duration)
+	case !(f.Duration > 0) || f.At+f.Duration > s.Duration:
+		return "for", fmt.Errorf("for: %g is not a valid duration, or the fault outlasts the script", f.Duration)
 	case f.Kind == faultRegion && !slices.Contains(regions, f.Region):
 		return "region", fmt.Errorf("region: there is no region %q", f.Region)
 	case f.Kind != faultRegion && len(f.Servers) == 0:
@@ -95,8 +95,8 @@
 func (s *Script) generateControlFault(random *rand.Rand) ControlFault {
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
 	kinds := []string{faultStop, faultKill, faultWipe, faultRollback, faultRestart, faultCut, faultCutNodes, faultRegion}
-	f := ControlFault{Kind: kinds[random.IntN(len(kinds))], For: round(0.5 + random.Float64()*s.Lasts/5)}
-	f.At = round(random.Float64() * (s.Lasts - f.For))
+	f := ControlFault{Kind: kinds[random.IntN(len(kinds))], Duration: round(0.5 + random.Float64()*s.Duration/5)}
+	f.At = round(random.Float64() * (s.Duration - f.Duration))
 	switch f.Kind {
 	case faultRegion:
 		f.Region = regions[random.IntN(len(regions))]
@@ -126,7 +126,7 @@
 	}
 	disabled := len(f.Servers)
 	for _, other := range faults {
-		if controlKinds[other.Kind] || other.At > f.At+f.For || f.At > other.At+other.For {
+		if controlKinds[other.Kind] || other.At > f.At+f.Duration || f.At > other.At+other.Duration {
 			continue
 		}
 		disabled += len(other.Servers)
--- a/internal/rig/control_server.go
+++ b/internal/rig/control_server.go
@@ -157,8 +157,8 @@
 	s.mu.Unlock()
 }
 
-func (s *controlServer) kill()  { s.end(func(p *process) { p.cmd.Process.Kill() }) }
-func (s *controlServer) leave() { s.end(func(p *process) { p.leave() }) }
+func (s *controlServer) kill()     { s.end(func(p *process) { p.cmd.Process.Kill() }) }
+func (s *controlServer) shutDown() { s.end(func(p *process) { p.shutDown() }) }
 
 // setStopped stops the server's process, or continues it where stopped is false.
 func (s *controlServer) setStopped(stopped bool) {
@@ -174,17 +174,17 @@
 	s.current.cmd.Process.Signal(signal)
 }
 
-// keepCopy copies the server's directory; restore puts that copy back, and wipe empties it.
-func (s *controlServer) keepCopy() error { return copyFiles(s.data(), s.data()+".old") }
+// copyData copies the server's directory; restore puts that copy back, and wipe empties it.
+func (s *controlServer) copyData() error { return copyFiles(s.data(), s.data()+".old") }
 
-func (s *controlServer) restore() error {
+func (s *controlServer) restoreData() error {
 	if err := os.RemoveAll(s.data()); err != nil {
 		return err
 	}
 	return copyFiles(s.data()+".old", s.data())
 }
 
-func (s *controlServer) wipe() error {
+func (s *controlServer) wipeData() error {
 	if err := os.RemoveAll(s.data()); err != nil {
 		return err
 	}
@@ -199,13 +199,13 @@
 	case faultKill:
 		s.kill()
 	case faultRestart:
-		s.leave()
+		s.shutDown()
 	case faultWipe:
 		s.kill()
-		return s.wipe()
+		return s.wipeData()
 	case faultRollback:
 		s.kill()
-		return s.restore()
+		return s.restoreData()
 	}
 	return nil
 }
--- a/internal/rig/control_settle.go
+++ b/internal/rig/control_settle.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return fmt.Errorf("reading the state of the writer: %w", err)
 	}
-	c.record(eventMarks, ControlEvent{Version: last.Version, Digest: digestText(last.Digest), Marks: marksOf(last)})
+	c.record(eventHeldProposals, ControlEvent{Version: last.Version, Digest: digestText(last.Digest), ProposalIDs: marksOf(last)})
 	return nil
 }
 
@@ -53,7 +53,9 @@
 }
 
 // inForceTimeout is the time within which a change is to be in force.
-func (c *control) inForceTimeout() time.Duration { return time.Duration(c.rig.script.InForce * 1e9) }
+func (c *control) inForceTimeout() time.Duration {
+	return time.Duration(c.rig.script.InForceTimeout * 1e9)
+}
 
 // newEpoch starts a new epoch, as an operator does.
 func (c *control) newEpoch(ctx context.Context) (configfeed.Outcome, error) {
@@ -69,7 +71,7 @@
 // awaitInForce waits until all nodes have the writer's version in force, for the stated time at most, and records how
 // that ended.
 func (c *control) awaitInForce(ctx context.Context) error {
-	c.record(eventAwait, ControlEvent{})
+	c.record(eventAwaitInForce, ControlEvent{})
 	behind := "the writer does not answer"
 	for end := time.Now().Add(c.inForceTimeout()); time.Now().Before(end); {
 		want, err := c.state(ctx)
@@ -84,7 +86,7 @@
 			return err
 		}
 	}
-	c.rig.history.add(Event{Kind: eventLate, Note: behind})
+	c.rig.history.add(Event{Kind: eventNotInForce, Note: behind})
 	return nil
 }
 
--- a/internal/rig/detection.go
+++ b/internal/rig/detection.go
@@ -12,7 +12,7 @@
 // other faults there were meanwhile.
 func Deaths(s *Script, events []Event) (out []Death) {
 	for _, f := range episodes(events) {
-		if !faultKinds[f.Kind].staysDown || f.For > 0 && f.For < s.Lasts/3 {
+		if !faultKinds[f.Kind].staysDown || f.Duration > 0 && f.Duration < s.Duration/3 {
 			continue
 		}
 		for _, node := range f.Nodes {
--- a/internal/rig/excuses.go
+++ b/internal/rig/exemptions.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// excusePeriods is the number of periods after a fault in which others may still declare the affected member dead
+// exemptionPeriods is the number of periods after a fault in which others may still declare the affected member dead
 // because of it: the longest suspicion time, lengthened by a node's local health score.
-const excusePeriods = 120.0
+const exemptionPeriods = 120.0
 
 // tolerablePeriods is the number of periods for which a process may be stopped, or cut off from all, without being
 // declared dead: the shortest suspicion time.
@@ -51,13 +51,13 @@
 			continue
 		}
 		key := fmt.Sprintf("%v", *e.Fault)
-		if e.Kind == eventFault {
+		if e.Kind == eventFaultStart {
 			open[key] = len(out)
 			out = append(out, episode{*e.Fault, interval{e.At, forever}})
 			continue
 		}
 		i, begun := open[key]
-		staysDown := e.Fault.For == 0 && faultKinds[e.Fault.Kind].staysDown
+		staysDown := e.Fault.Duration == 0 && faultKinds[e.Fault.Kind].staysDown
 		if begun && !staysDown {
 			out[i].to = e.At
 			delete(open, key)
@@ -66,20 +66,20 @@
 	return out
 }
 
-// excusedIntervals returns, by node, the times in which others may declare it dead: it was down, stopped for long, cut
+// exemptIntervals returns, by node, the times in which others may declare it dead: it was down, stopped for long, cut
 // off from or by all others, behind links with more loss or delay than the rules cover, or in a cut that leaves no path
 // through another node.
-func excusedIntervals(s *Script, events []Event) map[int][]interval {
+func exemptIntervals(s *Script, events []Event) map[int][]interval {
 	out := map[int][]interval{}
 	for _, e := range episodes(events) {
-		addExcuses(s, out, e.Fault, e.interval)
+		addExemptions(s, out, e.Fault, e.interval)
 	}
 	return out
 }
 
-// addExcuses adds to out the interval w for each node that the fault excuses.
-func addExcuses(s *Script, out map[int][]interval, f Fault, w interval) {
-	long := w.to-w.from >= tolerablePeriods*s.Period
+// addExemptions adds to out the interval w for each node that the fault excuses.
+func addExemptions(s *Script, out map[int][]interval, f Fault, w interval) {
+	long := w.to-w.from >= tolerablePeriods*s.ProbePeriod
 	add := func(nodes []int) {
 		for _, n := range nodes {
 			out[n] = append(out[n], w)
@@ -112,11 +112,11 @@
 		add(f.Nodes)
 		add(f.To)
 	case faultLoss:
-		if f.By > tolerableLoss && len(f.To) == 0 {
+		if f.Amount > tolerableLoss && len(f.To) == 0 {
 			add(f.Nodes)
 		}
 	case faultDelay: // longer than the timeout of a probe
-		if f.By > s.Period/10 && len(f.To) == 0 {
+		if f.Amount > s.ProbePeriod/10 && len(f.To) == 0 {
 			add(f.Nodes)
 		}
 	}
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -32,21 +32,21 @@
 		if !waitUntil(f.At) {
 			break
 		}
-		r.history.add(Event{Kind: eventFault, Fault: &f})
+		r.history.add(Event{Kind: eventFaultStart, Fault: &f})
 		r.progressf("%5.1f s  %s", f.At, f)
 		group.Go(func() error {
 			if err := r.changeFault(f, false); err != nil {
 				return err
 			}
-			if !waitUntil(f.At + f.For) {
+			if !waitUntil(f.At + f.Duration) {
 				return nil
 			}
 			err := r.changeFault(f, true)
-			r.history.add(Event{Kind: eventOver, Fault: &f})
+			r.history.add(Event{Kind: eventFaultEnd, Fault: &f})
 			return err
 		})
 	}
-	waitUntil(r.script.Lasts)
+	waitUntil(r.script.Duration)
 	if err := group.Wait(); err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 
 // setLinkFault sets what a fault changes of a link, or sets it back where the fault is over.
 func setLinkFault(w *LinkConditions, f Fault, over bool) {
-	amount := f.By
+	amount := f.Amount
 	if over {
 		amount = 0
 	}
@@ -133,7 +133,7 @@
 	case faultStop:
 		n.setStopped(false)
 	case faultKill, faultWipe, faultRollback:
-		if f.For > 0 {
+		if f.Duration > 0 {
 			return n.start()
 		}
 	case faultRestart:
@@ -156,7 +156,7 @@
 				continue
 			}
 			r.relays[nodeLink{from: from, to: k}].Set(change)
-			if f.Both {
+			if f.BothWays {
 				r.relays[nodeLink{from: k, to: from}].Set(change)
 			}
 		}
--- a/internal/rig/generate.go
+++ b/internal/rig/generate.go
@@ -48,18 +48,18 @@
 func (s *Script) generateFault(random *rand.Rand, kinds []string) Fault {
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
 	f := Fault{Kind: kinds[random.IntN(len(kinds))], Nodes: []int{random.IntN(s.Nodes)}}
-	f.For = round(min(s.Period*(1+20*random.Float64()*random.Float64()), s.Lasts/2))
+	f.Duration = round(min(s.ProbePeriod*(1+20*random.Float64()*random.Float64()), s.Duration/2))
 	if f.Kind == faultKill && random.IntN(3) == 0 {
-		f.For = round(s.Lasts / 2)
+		f.Duration = round(s.Duration / 2)
 	}
-	f.At = round(random.Float64() * (s.Lasts - f.For))
+	f.At = round(random.Float64() * (s.Duration - f.Duration))
 	if faultKinds[f.Kind].onLink {
-		f.Both = random.IntN(2) == 0
+		f.BothWays = random.IntN(2) == 0
 		if random.IntN(2) == 0 {
 			f.To = []int{(f.Nodes[0] + 1 + random.IntN(s.Nodes-1)) % s.Nodes}
 		}
 	}
-	f.By = round(s.generateAmount(random, f.Kind))
+	f.Amount = round(s.generateAmount(random, f.Kind))
 	return f
 }
 
@@ -69,7 +69,7 @@
 	case faultLoss:
 		return 0.05 + 0.35*random.Float64()
 	case faultDelay:
-		return s.Period * random.Float64()
+		return s.ProbePeriod * random.Float64()
 	case faultRepeat:
 		return 0.1 + 0.4*random.Float64()
 	case faultReplay:
@@ -87,7 +87,7 @@
 func (s *Script) canAdd(faults []Fault, generated Fault) bool {
 	down := 1
 	for _, other := range faults {
-		if generated.At >= other.At+other.For+1 || other.At >= generated.At+generated.For+1 {
+		if generated.At >= other.At+other.Duration+1 || other.At >= generated.At+generated.Duration+1 {
 			continue
 		}
 		if !faultKinds[other.Kind].onLink {
--- a/internal/rig/generate_test.go
+++ b/internal/rig/generate_test.go
@@ -5,7 +5,7 @@
 )
 
 func TestGeneratedFaultsAreReproducibleAndLeaveEnoughNodes(t *testing.T) {
-	s := &Script{Nodes: 9, Period: 0.25, Lasts: 60, GeneratedFaults: 30}
+	s := &Script{Nodes: 9, ProbePeriod: 0.25, Duration: 60, GeneratedFaults: 30}
 	for seed := range uint64(20) {
 		faults := s.GenerateFaults(seed)
 		if len(faults) < 10 {
@@ -19,7 +19,7 @@
 		for at := 0.0; at < 60; at += 0.1 {
 			down := 0
 			for _, f := range faults {
-				if !faultKinds[f.Kind].onLink && at >= f.At && at < f.At+f.For {
+				if !faultKinds[f.Kind].onLink && at >= f.At && at < f.At+f.Duration {
 					down++
 				}
 			}
--- a/internal/rig/history.go
+++ b/internal/rig/history.go
@@ -10,14 +10,14 @@
 
 // The values of Event.Kind.
 const (
-	eventStart  = "start"  // a process was started
-	eventExit   = "exit"   // a process ended
-	eventFault  = "fault"  // a fault began
-	eventOver   = "over"   // a fault ended
-	eventMember = "member" // a node saw a member change its state
-	eventFlow   = "flow"   // a client's flow ended
-	eventAgree  = "agree"  // all running nodes agree after the last fault
-	eventBudget = "budget" // the share of a cold host's budget that all nodes grant together
+	eventProcessStart = "start"  // a process was started
+	eventProcessExit  = "exit"   // a process ended
+	eventFaultStart   = "fault"  // a fault began
+	eventFaultEnd     = "over"   // a fault ended
+	eventMember       = "member" // a node saw a member change its state
+	eventFlow         = "flow"   // a client's flow ended
+	eventAgreement    = "agree"  // all running nodes agree after the last fault
+	eventBudget       = "budget" // the share of a cold host's budget that all nodes grant together
 )
 
 // The states of a member in events and views.
@@ -30,18 +30,18 @@
 
 // Event is something that the rig did or observed. At and Began are seconds from the start of the rig.
 type Event struct {
-	At     float64 `json:"at"`
-	Kind   string  `json:"what"` // kind of the event: one of the constants above
-	Node   int     `json:"node"`
-	Fault  *Fault  `json:"fault,omitempty"`
-	Member string  `json:"member,omitempty"` // the member whose state changed
-	State  string  `json:"state,omitempty"`
-	Answer string  `json:"answer,omitempty"` // of a flow: a standin.Answer
-	Count  int     `json:"count,omitempty"`  // final answers of a flow
-	Ended  string  `json:"ended,omitempty"`  // how an established flow ended
-	Began  float64 `json:"began,omitempty"`  // when a flow began
-	Part   float64 `json:"part,omitempty"`   // of a cold host's budget, that all running nodes give out
-	Note   string  `json:"note,omitempty"`
+	At          float64 `json:"at"`
+	Kind        string  `json:"what"` // kind of the event: one of the constants above
+	Node        int     `json:"node"`
+	Fault       *Fault  `json:"fault,omitempty"`
+	Member      string  `json:"member,omitempty"` // the member whose state changed
+	State       string  `json:"state,omitempty"`
+	Answer      string  `json:"answer,omitempty"` // of a flow: a standin.Answer
+	AnswerCount int     `json:"count,omitempty"`  // final answers of a flow
+	Ending      string  `json:"ended,omitempty"`  // how an established flow ended
+	StartedAt   float64 `json:"began,omitempty"`  // when a flow began
+	BudgetShare float64 `json:"part,omitempty"`   // of a cold host's budget, that all running nodes give out
+	Note        string  `json:"note,omitempty"`
 
 	Control *ControlEvent `json:"control,omitempty"` // of control servers and the configuration
 }
--- a/internal/rig/nodes.go
+++ b/internal/rig/nodes.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	h.observe = o.Observe
-	r := &Rig{Options: Options{Program: o.Program, Seed: o.Seed, Dir: o.Dir}, script: &Script{Flows: o.Flows}, history: h,
+	r := &Rig{Options: Options{Program: o.Program, Seed: o.Seed, Dir: o.Dir}, script: &Script{FlowRate: o.Flows}, history: h,
 		rand:   rand.New(rand.NewPCG(o.Seed, 11)),
 		client: &http.Client{Timeout: viewTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	n := &Nodes{rig: r}
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -114,7 +114,7 @@
 	command := exec.Command(n.rig.Program)
 	command.Env = append(os.Environ(), "LB_CONFIG="+filepath.Join(n.dir, "config.json"), "TMPDIR="+n.dir)
 	return n.rig.launch(command, filepath.Join(n.dir, "log"), processObserver{started: func(pid int) {
-		n.rig.history.add(Event{Kind: eventStart, Node: n.index, Note: fmt.Sprint(pid)})
+		n.rig.history.add(Event{Kind: eventProcessStart, Node: n.index, Note: fmt.Sprint(pid)})
 	}, logged: func(p *process, l logLine) {
 		switch l.Message {
 		case logMemberChanged:
@@ -123,7 +123,7 @@
 			p.once.Do(func() { close(p.ready) })
 		}
 	}, exited: func(note string) {
-		n.rig.history.add(Event{Kind: eventExit, Node: n.index, Note: note})
+		n.rig.history.add(Event{Kind: eventProcessExit, Node: n.index, Note: note})
 	}})
 }
 
@@ -209,8 +209,8 @@
 	n.mu.Unlock()
 }
 
-// leave asks a process to shut down gracefully and waits until it has ended; it is killed after shutdownTimeout.
-func (p *process) leave() {
+// shutDown asks a process to shut down gracefully and waits until it has ended; it is killed after shutdownTimeout.
+func (p *process) shutDown() {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
@@ -223,7 +223,7 @@
 // leave asks the node's processes to shut down gracefully and waits until they have ended.
 func (n *node) leave() {
 	for _, p := range n.processes() {
-		p.leave()
+		p.shutDown()
 	}
 	n.mu.Lock()
 	n.current, n.predecessor = nil, nil
@@ -265,7 +265,7 @@
 	case <-p.exited:
 	case <-time.After(shutdownTimeout):
 	}
-	predecessor.leave()
+	predecessor.shutDown()
 	n.mu.Lock()
 	if n.predecessor == predecessor {
 		n.predecessor = nil
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -21,7 +21,7 @@
 }
 
 const (
-	relayStream          = 5  // separates the random numbers of relays from others of the same seed
+	relayRandomStream    = 5  // separates the random numbers of relays from others of the same seed
 	relayPortAttempts    = 20 // further attempts to find a port that is free for both TCP and UDP
 	maxDatagramBytes     = 64 << 10
 	streamBufferBytes    = 16 << 10
@@ -59,7 +59,7 @@
 		streams:     streams,
 		to:          to,
 		closed:      make(chan struct{}),
-		rand:        rand.New(rand.NewPCG(seed, relayStream)),
+		rand:        rand.New(rand.NewPCG(seed, relayRandomStream)),
 		connections: map[net.Conn]bool{},
 	}
 	r.group.Go(r.forwardDatagrams)
--- a/internal/rig/rig_golden_test.go
+++ b/internal/rig/rig_golden_test.go
@@ -64,18 +64,18 @@
 
 // goldenScript has every key, and values other than the defaults.
 func goldenScript() *Script {
-	s := &Script{Name: "golden", Lasts: 100, Settle: 30, Nodes: 6, Zones: 3, Period: 0.5, Hosts: 7, Flows: 8.5, GeneratedFaults: 9, Liveness: 15,
-		GeneratedKinds: []string{"stop", "kill"}, Control: 5, Applies: 0.75, InForce: 4, GeneratedControlFaults: 2}
+	s := &Script{Name: "golden", Duration: 100, SettleTimeout: 30, Nodes: 6, Zones: 3, ProbePeriod: 0.5, Hosts: 7, FlowRate: 8.5, GeneratedFaults: 9, DetectionTimeout: 15,
+		GeneratedKinds: []string{"stop", "kill"}, Control: 5, ChangeRate: 0.75, InForceTimeout: 4, GeneratedControlFaults: 2}
 	for i, kind := range goldenFaultKinds {
-		f := Fault{At: float64(1 + i), Kind: kind, Nodes: []int{1, 2}, To: []int{}, For: 2.5, By: 0.25}
+		f := Fault{At: float64(1 + i), Kind: kind, Nodes: []int{1, 2}, To: []int{}, Duration: 2.5, Amount: 0.25}
 		if faultKinds[kind].onLink {
-			f.To, f.Both = []int{3}, true
+			f.To, f.BothWays = []int{3}, true
 		}
 		s.Faults = append(s.Faults, f)
 	}
 	for i, kind := range goldenControlKinds {
 		s.ControlFaults = append(s.ControlFaults, ControlFault{At: float64(1 + i), Kind: kind, Servers: []int{1, 2}, To: []int{3},
-			Nodes: []int{4}, Region: "west", For: 3.5})
+			Nodes: []int{4}, Region: "west", Duration: 3.5})
 	}
 	return s
 }
@@ -164,11 +164,11 @@
 
 // goldenEvent has every field; no run writes such an event.
 func goldenEvent() Event {
-	return Event{At: 1.5, Kind: eventFlow, Node: 2, Fault: &Fault{At: 3.5, Kind: faultCut, Nodes: []int{4}, To: []int{5}, Both: true, For: 6.5,
-		By: 0.25}, Member: "n1", State: memberSuspect, Answer: "up", Count: 7, Ended: "cut", Began: 8.5, Part: 0.125, Note: "a note",
+	return Event{At: 1.5, Kind: eventFlow, Node: 2, Fault: &Fault{At: 3.5, Kind: faultCut, Nodes: []int{4}, To: []int{5}, BothWays: true, Duration: 6.5,
+		Amount: 0.25}, Member: "n1", State: memberSuspect, Answer: "up", AnswerCount: 7, Ending: "cut", StartedAt: 8.5, BudgetShare: 0.125, Note: "a note",
 		Control: &ControlEvent{Server: 9, ID: "p1", Outcome: "accepted", Version: configfeed.Version{Epoch: 2, Revision: 41},
-			Digest: "00000000000000ff", Marks: []string{"p1", "p2"}, Fault: &ControlFault{At: 10.5, Kind: faultRegion, Servers: []int{1},
-				To: []int{2}, Nodes: []int{3}, Region: "west", For: 11.5}}}
+			Digest: "00000000000000ff", ProposalIDs: []string{"p1", "p2"}, Fault: &ControlFault{At: 10.5, Kind: faultRegion, Servers: []int{1},
+				To: []int{2}, Nodes: []int{3}, Region: "west", Duration: 11.5}}}
 }
 
 // checkJSON checks that a value encodes to a file, and that the file decodes to the value and encodes to itself.
@@ -226,9 +226,9 @@
 
 // The words of events and states in histories.
 func TestGoldenWords(t *testing.T) {
-	got := []string{eventStart, eventExit, eventFault, eventOver, eventMember, eventFlow, eventAgree, eventBudget,
-		eventServerStart, eventServerExit, eventServerDied, eventControlFault, eventControlOver, eventApply, eventConfig, eventEpoch, eventAwait, eventInForce, eventLate,
-		eventMarks, outcomeUnknown, markPrefix, markSuffix, memberAlive, memberSuspect, memberDead, memberLeft}
+	got := []string{eventProcessStart, eventProcessExit, eventFaultStart, eventFaultEnd, eventMember, eventFlow, eventAgreement, eventBudget,
+		eventServerStart, eventServerExit, eventServerDied, eventControlFaultStart, eventControlFaultEnd, eventProposal, eventConfig, eventEpoch, eventAwaitInForce, eventInForce, eventNotInForce,
+		eventHeldProposals, outcomeUnknown, markPrefix, markSuffix, memberAlive, memberSuspect, memberDead, memberLeft}
 	var out bytes.Buffer
 	for _, word := range got {
 		fmt.Fprintln(&out, word)
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -85,11 +85,11 @@
 	if err := r.injectFaults(ctx, res.Faults); err != nil {
 		return "", err
 	}
-	if res.AgreementTime, disagreement, err = r.awaitAgreement(ctx, r.script.Settle); err != nil {
+	if res.AgreementTime, disagreement, err = r.awaitAgreement(ctx, r.script.SettleTimeout); err != nil {
 		return "", err
 	}
 	if disagreement == "" {
-		r.history.add(Event{Kind: eventAgree, Note: fmt.Sprintf("%.2f s after the last fault", res.AgreementTime)})
+		r.history.add(Event{Kind: eventAgreement, Note: fmt.Sprintf("%.2f s after the last fault", res.AgreementTime)})
 	}
 	stopFlows()
 	r.flows.Wait()
@@ -129,7 +129,7 @@
 		case eventFlow:
 			r.Requests++
 			r.Answers[e.Answer]++
-		case eventApply:
+		case eventProposal:
 			r.Requests++
 			r.Changes[e.Control.Outcome]++
 		}
--- a/internal/rig/run_test.go
+++ b/internal/rig/run_test.go
@@ -153,11 +153,11 @@
 for = 1.9
 `, 1)
 	for _, b := range r.Violations {
-		if b.Rule == RuleDeath {
+		if b.Rule == RuleNoFalseDeath {
 			return
 		}
 	}
-	t.Errorf("no violation of %q: %v", RuleDeath, r.Violations)
+	t.Errorf("no violation of %q: %v", RuleNoFalseDeath, r.Violations)
 }
 
 func TestInterruptLeavesNoProcessAndNoPartialFile(t *testing.T) {
--- a/internal/rig/script.go
+++ b/internal/rig/script.go
@@ -11,35 +11,35 @@
 
 // Script describes one run: the fleet, the load that clients put on it and the faults. Times are seconds.
 type Script struct {
-	Name            string   `toml:"name"`
-	Lasts           float64  `toml:"lasts"`  // duration of the run, counted from when all nodes have found each other
-	Settle          float64  `toml:"settle"` // after the last fault is over, for all to agree
-	Nodes           int      `toml:"nodes"`  // 3 to 30
-	Zones           int      `toml:"zones"`
-	Period          float64  `toml:"period"` // of the members' probes
-	Hosts           int      `toml:"hosts"`
-	Flows           float64  `toml:"flows"` // new clients a second
-	Faults          []Fault  `toml:"fault"`
-	GeneratedFaults int      `toml:"drawn_faults"` // number of further faults, generated from the seed
-	GeneratedKinds  []string `toml:"drawn_kinds"`  // kinds of generated faults; where missing, all but those of streams
-	Liveness        float64  `toml:"liveness"`     // within which a death is known everywhere; Settle where missing
+	Name             string   `toml:"name"`
+	Duration         float64  `toml:"lasts"`  // duration of the run, counted from when all nodes have found each other
+	SettleTimeout    float64  `toml:"settle"` // after the last fault is over, for all to agree
+	Nodes            int      `toml:"nodes"`  // 3 to 30
+	Zones            int      `toml:"zones"`
+	ProbePeriod      float64  `toml:"period"` // of the members' probes
+	Hosts            int      `toml:"hosts"`
+	FlowRate         float64  `toml:"flows"` // new clients a second
+	Faults           []Fault  `toml:"fault"`
+	GeneratedFaults  int      `toml:"drawn_faults"` // number of further faults, generated from the seed
+	GeneratedKinds   []string `toml:"drawn_kinds"`  // kinds of generated faults; where missing, all but those of streams
+	DetectionTimeout float64  `toml:"liveness"`     // within which a death is known everywhere; Settle where missing
 
 	Control                int            `toml:"control"`              // control servers that the nodes follow: 0, 3 or 5
-	Applies                float64        `toml:"applies"`              // changes of configuration a second; each third is two at once
-	InForce                float64        `toml:"in_force"`             // within which a change is in force at every reachable node
+	ChangeRate             float64        `toml:"applies"`              // changes of configuration a second; each third is two at once
+	InForceTimeout         float64        `toml:"in_force"`             // within which a change is in force at every reachable node
 	ControlFaults          []ControlFault `toml:"control_fault"`        // faults of control servers
 	GeneratedControlFaults int            `toml:"drawn_control_faults"` // number of further ones, generated from the seed
 }
 
 // Fault is one fault that the rig injects. Times are seconds from when all nodes have found each other.
 type Fault struct {
-	At    float64 `toml:"at" json:"at"`
-	Kind  string  `toml:"kind" json:"kind"`             // a key of faultKinds
-	Nodes []int   `toml:"nodes" json:"nodes,omitempty"` // affected nodes; for a fault of links, the senders
-	To    []int   `toml:"to" json:"to,omitempty"`       // for a fault of links, the receivers; all others where missing
-	Both  bool    `toml:"both" json:"both,omitempty"`   // the links in both directions
-	For   float64 `toml:"for" json:"for"`               // duration
-	By    float64 `toml:"by" json:"by,omitempty"`       // amount, in the unit that the kind says
+	At       float64 `toml:"at" json:"at"`
+	Kind     string  `toml:"kind" json:"kind"`             // a key of faultKinds
+	Nodes    []int   `toml:"nodes" json:"nodes,omitempty"` // affected nodes; for a fault of links, the senders
+	To       []int   `toml:"to" json:"to,omitempty"`       // for a fault of links, the receivers; all others where missing
+	BothWays bool    `toml:"both" json:"both,omitempty"`   // the links in both directions
+	Duration float64 `toml:"for" json:"for"`               // duration
+	Amount   float64 `toml:"by" json:"by,omitempty"`       // amount, in the unit that the kind says
 }
 
 // String describes the fault for progress lines, without its time.
@@ -47,7 +47,7 @@
 	text := fmt.Sprintf("%s %v", f.Kind, f.Nodes)
 	if faultKinds[f.Kind].onLink {
 		arrow := "to"
-		if f.Both {
+		if f.BothWays {
 			arrow = "both ways"
 		}
 		if text += " " + arrow; len(f.To) > 0 {
@@ -56,11 +56,11 @@
 			text += " all"
 		}
 	}
-	if f.By > 0 {
-		text += fmt.Sprintf(" by %g", f.By)
+	if f.Amount > 0 {
+		text += fmt.Sprintf(" by %g", f.Amount)
 	}
-	if f.For > 0 {
-		text += fmt.Sprintf(" for %g s", f.For)
+	if f.Duration > 0 {
+		text += fmt.Sprintf(" for %g s", f.Duration)
 	}
 	return text
 }
@@ -123,12 +123,12 @@
 
 // Read reads a script from text and sets the defaults of missing keys. The path is used in errors only.
 func Read(path string, text []byte) (*Script, error) {
-	s := &Script{Lasts: 20, Settle: 20, Nodes: 5, Period: 0.25, Hosts: 4, Flows: 10, Applies: 0.5, InForce: 6}
+	s := &Script{Duration: 20, SettleTimeout: 20, Nodes: 5, ProbePeriod: 0.25, Hosts: 4, FlowRate: 10, ChangeRate: 0.5, InForceTimeout: 6}
 	if err := strict.Decode(path, text, s); err != nil {
 		return nil, err
 	}
-	if s.Liveness == 0 {
-		s.Liveness = s.Settle
+	if s.DetectionTimeout == 0 {
+		s.DetectionTimeout = s.SettleTimeout
 	}
 	if where, err := s.check(); err != nil {
 		return nil, where.Wrap(path, text, err)
@@ -147,18 +147,18 @@
 func (s *Script) check() (strict.Place, error) {
 	top := func(key string) strict.Place { return strict.Place{Key: key} }
 	for _, r := range []keyRange{
-		{"lasts", s.Lasts, 1, 3600},
-		{"settle", s.Settle, 1, 600},
+		{"lasts", s.Duration, 1, 3600},
+		{"settle", s.SettleTimeout, 1, 600},
 		{"nodes", float64(s.Nodes), 3, 30},
 		{"zones", float64(s.Zones), 0, 10},
-		{"period", s.Period, 0.05, 10},
+		{"period", s.ProbePeriod, 0.05, 10},
 		{"hosts", float64(s.Hosts), 1, 50},
-		{"flows", s.Flows, 0, 500},
+		{"flows", s.FlowRate, 0, 500},
 		{"drawn_faults", float64(s.GeneratedFaults), 0, 200},
-		{"liveness", s.Liveness, 1, 600},
+		{"liveness", s.DetectionTimeout, 1, 600},
 		{"control", float64(s.Control), 0, float64(len(serverRegions))},
-		{"applies", s.Applies, 0, 20},
-		{"in_force", s.InForce, 1, 60},
+		{"applies", s.ChangeRate, 0, 20},
+		{"in_force", s.InForceTimeout, 1, 60},
 		{"drawn_control_faults", float64(s.GeneratedControlFaults), 0, 200},
 	} {
 		if !(r.value >= r.least && r.value <= r.most) {
@@ -192,15 +192,15 @@
 	switch {
 	case !known:
 		return "kind", fmt.Errorf("kind: no fault is called %q", f.Kind)
-	case !(f.At >= 0 && f.At <= s.Lasts):
-		return "at", fmt.Errorf("at: %g is not between 0 and %g", f.At, s.Lasts)
-	case !(f.For >= 0) || kind.needsDuration && f.For == 0 || f.At+f.For > s.Lasts:
-		return "for", fmt.Errorf("for: %g is not a valid duration, or the fault outlasts the script", f.For)
-	case kind.needsAmount && !(f.By > 0) || f.By < 0 || (f.Kind == faultLoss || f.Kind == faultRepeat) && f.By > 1:
-		return "by", fmt.Errorf("by: %g is not a valid amount", f.By)
+	case !(f.At >= 0 && f.At <= s.Duration):
+		return "at", fmt.Errorf("at: %g is not between 0 and %g", f.At, s.Duration)
+	case !(f.Duration >= 0) || kind.needsDuration && f.Duration == 0 || f.At+f.Duration > s.Duration:
+		return "for", fmt.Errorf("for: %g is not a valid duration, or the fault outlasts the script", f.Duration)
+	case kind.needsAmount && !(f.Amount > 0) || f.Amount < 0 || (f.Kind == faultLoss || f.Kind == faultRepeat) && f.Amount > 1:
+		return "by", fmt.Errorf("by: %g is not a valid amount", f.Amount)
 	case len(f.Nodes) == 0:
 		return "nodes", errors.New("nodes: no affected node is named")
-	case !kind.onLink && (len(f.To) > 0 || f.Both):
+	case !kind.onLink && (len(f.To) > 0 || f.BothWays):
 		return "to", errors.New("to: the fault acts on processes, not on links")
 	}
 	for _, n := range slices.Concat(f.Nodes, f.To) {
--- a/internal/rig/setup.go
+++ b/internal/rig/setup.go
@@ -100,7 +100,7 @@
 	if err := os.MkdirAll(n.dir, 0o755); err != nil {
 		return err
 	}
-	file := fleet.Config{Fleet: r.fleetName(), Address: n.fleet, Period: r.script.Period,
+	file := fleet.Config{Fleet: r.fleetName(), Address: n.fleet, Period: r.script.ProbePeriod,
 		Key: hex.EncodeToString([]byte(fleetKey)), Via: map[string]string{}}
 	if r.script.Zones > 0 {
 		file.Zone = string(rune('a' + n.index%r.script.Zones))
--- a/internal/rig/traffic.go
+++ b/internal/rig/traffic.go
@@ -22,12 +22,12 @@
 // traffic starts clients at random times, each at a random node that runs, until the first context ends. A client that
 // has come stays until its flow is over or the second context ends.
 func (r *Rig) traffic(ctx, runContext context.Context) {
-	if r.script.Flows <= 0 {
+	if r.script.FlowRate <= 0 {
 		return
 	}
 	for id := 1; ; id++ {
 		r.mu.Lock()
-		gap := r.rand.ExpFloat64() / r.script.Flows
+		gap := r.rand.ExpFloat64() / r.script.FlowRate
 		n := r.nodes[r.rand.IntN(len(r.nodes))]
 		key := r.rand.Uint64()
 		r.mu.Unlock()
@@ -53,8 +53,8 @@
 			if runContext.Err() != nil { // the run was interrupted
 				return
 			}
-			r.history.add(Event{Kind: eventFlow, Node: n.index, Answer: string(f.Answer), Count: f.Answers, Ended: string(f.Ended),
-				Began: began})
+			r.history.add(Event{Kind: eventFlow, Node: n.index, Answer: string(f.Answer), AnswerCount: f.Answers, Ending: string(f.Ended),
+				StartedAt: began})
 		})
 	}
 }
@@ -75,7 +75,7 @@
 			}
 		}
 		if sum > 0 && ctx.Err() == nil {
-			r.history.add(Event{Kind: eventBudget, Part: sum})
+			r.history.add(Event{Kind: eventBudget, BudgetShare: sum})
 		}
 	}
 }
--- a/internal/rig/views.go
+++ b/internal/rig/views.go
@@ -12,7 +12,7 @@
 	"gorseledge/internal/fleet/view"
 )
 
-const agreementPoll = 100 * time.Millisecond // between two checks of whether all nodes agree
+const agreementPollInterval = 100 * time.Millisecond // between two checks of whether all nodes agree
 
 // view asks a node for its view of its fleet.
 func (r *Rig) view(ctx context.Context, n *node) (v view.View, err error) {
@@ -37,18 +37,18 @@
 	return json.NewDecoder(io.LimitReader(res.Body, 1<<20)).Decode(v)
 }
 
-// answer is the view that a running node returned, or the error.
-type answer struct {
+// viewResult is the view that a running node returned, or the error.
+type viewResult struct {
 	node *node
 	view view.View
 	err  error
 }
 
 // views asks all running nodes for their views, in parallel.
-func (r *Rig) views(ctx context.Context) (out []answer) {
+func (r *Rig) views(ctx context.Context) (out []viewResult) {
 	for _, n := range r.nodes {
 		if n.up() {
-			out = append(out, answer{node: n})
+			out = append(out, viewResult{node: n})
 		}
 	}
 	var all sync.WaitGroup
@@ -100,7 +100,7 @@
 			return -1, disagreement, ctx.Err()
 		}
 		select {
-		case <-time.After(agreementPoll):
+		case <-time.After(agreementPollInterval):
 		case <-ctx.Done():
 			return -1, disagreement, ctx.Err()
 		}
