--- a/cmd/gorseledge-lab/fleet.go
+++ b/cmd/gorseledge-lab/fleet.go
@@ -69,7 +69,7 @@
 			return err
 		}
 	}
-	if o.control == "" && script.Control > 0 {
+	if o.control == "" && script.ControlServers > 0 {
 		if o.control, err = build(cmd, scratch, "gorseledge-config"); err != nil {
 			return err
 		}
--- a/internal/rig/control_check.go
+++ b/internal/rig/control_check.go
@@ -25,7 +25,7 @@
 
 // checkControl returns the violations of the rules of the configuration's distribution.
 func checkControl(s *Script, events []Event) (out []Violation) {
-	if s.Control == 0 {
+	if s.ControlServers == 0 {
 		return nil
 	}
 	out = append(out, checkNoOlderVersion(events)...)
--- a/internal/rig/control_check_test.go
+++ b/internal/rig/control_check_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestControlCheckersReportViolationsOfVersions(t *testing.T) {
-	s := &Script{Nodes: 1, Control: 5, InForceTimeout: 6}
+	s := &Script{Nodes: 1, ControlServers: 5, InForceTimeout: 6}
 	start, exit := Event{Kind: eventProcessStart}, Event{Kind: eventProcessExit}
 	lost := Event{At: 3, Kind: eventProposal, Control: &ControlEvent{ID: "x", Outcome: outcomeUnknown, Digest: "dx"}}
 	noReturn, complete := eventsOnly(checkNoOlderVersion), eventsOnly(checkWholeChanges)
@@ -81,7 +81,7 @@
 }
 
 func TestControlCheckersReportLostChanges(t *testing.T) {
-	s := &Script{Nodes: 1, Control: 5, InForceTimeout: 6}
+	s := &Script{Nodes: 1, ControlServers: 5, InForceTimeout: 6}
 	wipe := ControlFault{At: 20, Kind: faultWipe, Servers: []int{0}, Duration: 1}
 	stop := ControlFault{At: 15, Kind: faultStop, Servers: []int{2}, Duration: 8}
 	other := ControlFault{At: 0, Kind: faultWipe, Servers: []int{1}, Duration: 3}
@@ -103,7 +103,7 @@
 }
 
 func TestControlCheckersReportLateChangesAndEndedServers(t *testing.T) {
-	s := &Script{Nodes: 1, Control: 5, InForceTimeout: 6}
+	s := &Script{Nodes: 1, ControlServers: 5, InForceTimeout: 6}
 	start := Event{Kind: eventProcessStart}
 	late := ControlFault{At: 11, Kind: faultStop, Servers: []int{2}, Duration: 4}
 	lateStopped, lateContinued := faultOf(late)
--- a/internal/rig/control_script.go
+++ b/internal/rig/control_script.go
@@ -58,7 +58,7 @@
 		return "servers", errors.New("servers: none is named")
 	}
 	for _, i := range slices.Concat(f.Servers, f.To) {
-		if i < 0 || i >= s.Control {
+		if i < 0 || i >= s.ControlServers {
 			return "servers", fmt.Errorf("servers: there is no server %d", i)
 		}
 	}
@@ -103,7 +103,7 @@
 		return f
 	case faultRestart:
 		if random.IntN(allRestartedOneIn) == 0 {
-			for i := range s.Control {
+			for i := range s.ControlServers {
 				f.Servers = append(f.Servers, i)
 			}
 			return f
@@ -111,9 +111,9 @@
 	case faultCutNodes:
 		f.Nodes = []int{random.IntN(s.Nodes), random.IntN(s.Nodes)}
 	}
-	f.Servers = []int{random.IntN(s.Control)}
+	f.Servers = []int{random.IntN(s.ControlServers)}
 	if f.Kind == faultCut && random.IntN(2) == 0 {
-		f.To = []int{(f.Servers[0] + 1 + random.IntN(s.Control-1)) % s.Control}
+		f.To = []int{(f.Servers[0] + 1 + random.IntN(s.ControlServers-1)) % s.ControlServers}
 	}
 	return f
 }
--- a/internal/rig/control_server.go
+++ b/internal/rig/control_server.go
@@ -39,7 +39,7 @@
 // startControl opens the relays to the control servers and starts them.
 func startControl(r *Rig) (*control, error) {
 	c := newControl(r)
-	for i := range r.script.Control {
+	for i := range r.script.ControlServers {
 		address, err := freeAddress(firstServerAddress + i)
 		if err != nil {
 			return c, err
--- a/internal/rig/rig_golden_test.go
+++ b/internal/rig/rig_golden_test.go
@@ -65,7 +65,7 @@
 // goldenScript has every key, and values other than the defaults.
 func goldenScript() *Script {
 	s := &Script{Name: "golden", Duration: 100, SettleTimeout: 30, Nodes: 6, Zones: 3, ProbePeriod: 0.5, Hosts: 7, FlowRate: 8.5, GeneratedFaults: 9, DetectionTimeout: 15,
-		GeneratedKinds: []string{"stop", "kill"}, Control: 5, ChangeRate: 0.75, InForceTimeout: 4, GeneratedControlFaults: 2}
+		GeneratedKinds: []string{"stop", "kill"}, ControlServers: 5, ChangeRate: 0.75, InForceTimeout: 4, GeneratedControlFaults: 2}
 	for i, kind := range goldenFaultKinds {
 		f := Fault{At: float64(1 + i), Kind: kind, Nodes: []int{1, 2}, To: []int{}, Duration: 2.5, Amount: 0.25}
 		if faultKinds[kind].onLink {
--- a/internal/rig/script.go
+++ b/internal/rig/script.go
@@ -24,7 +24,7 @@
 	GeneratedKinds   []string `toml:"drawn_kinds"`  // kinds of generated faults; where missing, all but those of streams
 	DetectionTimeout float64  `toml:"liveness"`     // within which a death is known everywhere; Settle where missing
 
-	Control                int            `toml:"control"`              // control servers that the nodes follow: 0, 3 or 5
+	ControlServers                int            `toml:"control"`              // control servers that the nodes follow: 0, 3 or 5
 	ChangeRate             float64        `toml:"applies"`              // changes of configuration a second; each third is two at once
 	InForceTimeout         float64        `toml:"in_force"`             // within which a change is in force at every reachable node
 	ControlFaults          []ControlFault `toml:"control_fault"`        // faults of control servers
@@ -156,7 +156,7 @@
 		{"flows", s.FlowRate, 0, 500},
 		{"drawn_faults", float64(s.GeneratedFaults), 0, 200},
 		{"liveness", s.DetectionTimeout, 1, 600},
-		{"control", float64(s.Control), 0, float64(len(serverRegions))},
+		{"control", float64(s.ControlServers), 0, float64(len(serverRegions))},
 		{"applies", s.ChangeRate, 0, 20},
 		{"in_force", s.InForceTimeout, 1, 60},
 		{"drawn_control_faults", float64(s.GeneratedControlFaults), 0, 200},
@@ -175,8 +175,8 @@
 			return strict.Place{Table: "fault", Index: i, Key: key}, err
 		}
 	}
-	if s.Control > 0 && s.Control%2 == 0 || s.Control == 1 {
-		return top("control"), fmt.Errorf("control: %d servers, and 0, 3 or 5 are possible", s.Control)
+	if s.ControlServers > 0 && s.ControlServers%2 == 0 || s.ControlServers == 1 {
+		return top("control"), fmt.Errorf("control: %d servers, and 0, 3 or 5 are possible", s.ControlServers)
 	}
 	for i, f := range s.ControlFaults {
 		if key, err := s.checkControlFault(f); err != nil {
--- a/internal/rig/setup.go
+++ b/internal/rig/setup.go
@@ -43,7 +43,7 @@
 	if err := r.startRelays(); err != nil {
 		return err
 	}
-	if r.script.Control > 0 {
+	if r.script.ControlServers > 0 {
 		if r.control, err = startControl(r); err != nil {
 			return err
 		}
