--- a/cmd/gorseledge-lab/fleet.go
+++ b/cmd/gorseledge-lab/fleet.go
@@ -169,7 +169,7 @@
 		for outcome, count := range r.Changes {
 			changes[outcome] += count
 		}
-		met, inForce = append(met, r.JoinTime), append(inForce, r.InForce...)
+		met, inForce = append(met, r.JoinTime), append(inForce, r.InForceTimes...)
 		if r.AgreementTime >= 0 {
 			agreed = append(agreed, r.AgreementTime)
 		}
@@ -222,9 +222,9 @@
 	if r.AgreementTime >= 0 {
 		fmt.Fprintf(t, "agreed after the last fault\t%.1f s\n", r.AgreementTime)
 	}
-	if len(r.InForce) > 0 {
+	if len(r.InForceTimes) > 0 {
 		fmt.Fprintf(t, "a change in force at the last node, median and longest\t%.2f s\t%.2f s\t(%d)\n",
-			members.Quantile(r.InForce, 0.5), slices.Max(r.InForce), len(r.InForce))
+			members.Quantile(r.InForceTimes, 0.5), slices.Max(r.InForceTimes), len(r.InForceTimes))
 	}
 	writeCounts(t, "changes answered", r.Changes)
 	writeCounts(t, "flows answered", r.Answers)
--- a/cmd/gorseledge-lab/gorselab_golden_test.go
+++ b/cmd/gorseledge-lab/gorselab_golden_test.go
@@ -65,7 +65,7 @@
 		Events: []rig.Event{{Kind: "member", State: "suspect"}, {Kind: "member", State: "dead"}, {Kind: "member", State: "left"},
 			{Kind: "flow", State: "dead"}},
 		Violations: []rig.Violation{{Rule: "a rule", At: 1.5, Text: "was broken"}}, Requests: 20, Answers: map[string]int{"up": 18, "busy": 2},
-		JoinTime: 2.5 * times, AgreementTime: 3.5 * times, Changes: map[string]int{"accepted": 4, "answer lost": 1}, InForce: []float64{0.25, 0.5 * times},
+		JoinTime: 2.5 * times, AgreementTime: 3.5 * times, Changes: map[string]int{"accepted": 4, "answer lost": 1}, InForceTimes: []float64{0.25, 0.5 * times},
 		Deaths: []rig.Death{{Node: 1, First: 4.5, Last: 5.5 * times, Known: 8}}}
 }
 
--- a/internal/rig/control_run_test.go
+++ b/internal/rig/control_run_test.go
@@ -137,8 +137,8 @@
 // caches encoded answers.
 func TestNodesLeaveAnIsolatedServer(t *testing.T) {
 	r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 7}, onlyServerIsolated)
-	if len(r.Violations) > 0 || len(r.InForce) == 0 {
-		t.Errorf("violations: %v; %d changes were measured", r.Violations, len(r.InForce))
+	if len(r.Violations) > 0 || len(r.InForceTimes) == 0 {
+		t.Errorf("violations: %v; %d changes were measured", r.Violations, len(r.InForceTimes))
 	}
 }
 
@@ -147,8 +147,8 @@
 	t.Run("correct build", func(t *testing.T) {
 		t.Parallel()
 		r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 1}, onlyServerStopped)
-		if len(r.Violations) > 0 || len(r.InForce) == 0 {
-			t.Errorf("violations: %v; %d changes were measured", r.Violations, len(r.InForce))
+		if len(r.Violations) > 0 || len(r.InForceTimes) == 0 {
+			t.Errorf("violations: %v; %d changes were measured", r.Violations, len(r.InForceTimes))
 		}
 	})
 	t.Run("build that polls one server", func(t *testing.T) {
--- a/internal/rig/rig_golden_test.go
+++ b/internal/rig/rig_golden_test.go
@@ -220,7 +220,7 @@
 	event := goldenEvent()
 	checkJSON(t, "result.json", &Result{Seed: 1, Faults: []Fault{*event.Fault}, ControlFaults: []ControlFault{*event.Control.Fault},
 		Events: []Event{event}, Violations: []Violation{{Rule: "no blameless member is held for dead", At: 1.5, Text: "n1 holds n2 for dead"}}, Requests: 2,
-		Answers: map[string]int{"up": 3, "busy": 4}, JoinTime: 5.5, AgreementTime: 6.5, Changes: map[string]int{"accepted": 7}, InForce: []float64{8.5, 9.5},
+		Answers: map[string]int{"up": 3, "busy": 4}, JoinTime: 5.5, AgreementTime: 6.5, Changes: map[string]int{"accepted": 7}, InForceTimes: []float64{8.5, 9.5},
 		Deaths: []Death{{Node: 1, First: 10.5, Last: 11.5, Known: 12}}, Nodes: 13})
 }
 
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -22,7 +22,7 @@
 	JoinTime      float64        `json:"Met"`    // until all nodes had found each other
 	AgreementTime float64        `json:"Agreed"` // from the end of the last fault until all agreed, -1 where they did not
 	Changes       map[string]int // proposed changes of configuration by their outcome
-	InForce       []float64      // from each accepted change without cuts until it was in force at the last node
+	InForceTimes  []float64      `json:"InForce"` // from each accepted change without cuts until it was in force at the last node
 	Deaths        []Death        // of processes that were down for long enough that all had time to know
 	Nodes         int
 }
@@ -62,7 +62,7 @@
 	res.countRequests()
 	res.Violations = Check(s, res, disagreement)
 	res.Deaths = Deaths(s, res.Events)
-	res.InForce = inForceTimes(s, res.Events)
+	res.InForceTimes = inForceTimes(s, res.Events)
 	return res, nil
 }
 
--- a/internal/rig/script.go
+++ b/internal/rig/script.go
@@ -24,7 +24,7 @@
 	GeneratedKinds   []string `toml:"drawn_kinds"`  // kinds of generated faults; where missing, all but those of streams
 	DetectionTimeout float64  `toml:"liveness"`     // within which a death is known everywhere; Settle where missing
 
-	ControlServers                int            `toml:"control"`              // control servers that the nodes follow: 0, 3 or 5
+	ControlServers         int            `toml:"control"`              // control servers that the nodes follow: 0, 3 or 5
 	ChangeRate             float64        `toml:"applies"`              // changes of configuration a second; each third is two at once
 	InForceTimeout         float64        `toml:"in_force"`             // within which a change is in force at every reachable node
 	ControlFaults          []ControlFault `toml:"control_fault"`        // faults of control servers
