--- a/internal/rig/single.go
+++ b/internal/rig/single.go
@@ -50,8 +50,8 @@
 	return s, nil
 }
 
-// Pid returns the process id.
-func (s *StandaloneNode) Pid() int { return s.cmd.Process.Pid }
+// PID returns the process id.
+func (s *StandaloneNode) PID() int { return s.cmd.Process.Pid }
 
 // Leave asks the node to shut down gracefully, waits for its end and returns the processor time that it used, user and
 // system, in microseconds.
--- a/internal/serving/bench.go
+++ b/internal/serving/bench.go
@@ -55,13 +55,13 @@
 
 // processorTime returns the processor time that the node spends while a function runs, in microseconds.
 func (b *bench) processorTime(during func() error) (float64, error) {
-	before, err := usageOf(b.node.Pid())
+	before, err := usageOf(b.node.PID())
 	if err != nil {
 		return 0, err
 	}
 	if err := during(); err != nil {
 		return 0, err
 	}
-	after, err := usageOf(b.node.Pid())
+	after, err := usageOf(b.node.PID())
 	return microsecondsInSecond * (after.processorTime - before.processorTime), err
 }
--- a/internal/serving/connections.go
+++ b/internal/serving/connections.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	u, err := usageOf(b.node.Pid())
+	u, err := usageOf(b.node.PID())
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 		return 0, nil
 	}
 	total := 0.0
-	for _, pid := range []int{b.node.Pid(), os.Getpid()} {
+	for _, pid := range []int{b.node.PID(), os.Getpid()} {
 		u, err := usageOf(pid)
 		if err != nil {
 			return 0, err
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -65,7 +65,7 @@
 	r.Connections = []int{10}
 	var pid int
 	err := r.withNode(ctx, 1, func(ctx context.Context, b *bench, repeat int) error {
-		pid = b.node.Pid()
+		pid = b.node.PID()
 		if err := b.clients.grow(ctx, 10); err != nil {
 			return err
 		}
