--- a/internal/rig/standin/client.go
+++ b/internal/rig/standin/client.go
@@ -14,7 +14,7 @@
 // Answer is the outcome of a client's request to open a flow. The values are stored in histories.
 type Answer string
 
-// The answers. After ConnectFailed, Disconnected and TimedOut the client had no answer of the node.
+// The answers. With ConnectFailed, Disconnected and TimedOut the client received no answer from the node.
 const (
 	Established   Answer = "up"      // the flow is established
 	Busy          Answer = "busy"    // the node rejected the flow
@@ -34,7 +34,7 @@
 	EndedByCut    Ending = "cut"    // the connection broke
 )
 
-// echoTimeout is the time, beyond the grace time, in which a line on an established flow has to come back.
+// echoTimeout is the time, in addition to the grace time, within which a line on an established flow must be echoed.
 const echoTimeout = 5 * time.Second
 
 // FlowRequest describes one client's flow.
@@ -42,8 +42,8 @@
 	Address string        // the node's client address
 	ID      string        // identifies the flow at the host
 	Key     uint64        // client key
-	Timeout time.Duration // within which the node is asked to answer; sent in milliseconds
-	Grace   time.Duration // added to Timeout, so that a late answer is still seen
+	Timeout time.Duration // time within which the node is asked to answer; sent in milliseconds
+	Grace   time.Duration // time after Timeout in which a late answer is still received
 	Lines   int           // lines to send on the established flow, one after the other
 	Gap     time.Duration // pause after each line
 }
@@ -51,11 +51,11 @@
 // Flow is the result of a client's flow.
 type Flow struct {
 	Answer  Answer
-	Answers int    // final answers received; more than one is a fault of the node
-	Ended   Ending // empty unless the flow was established
+	Answers int    // number of final answers received; more than one is an error of the node
+	Ended   Ending // empty if the flow was not established
 }
 
-// RunFlow opens a flow at a node, sends its lines and closes it. An end of the context breaks the flow.
+// RunFlow opens a flow at a node, sends its lines and closes it. If the context ends, the flow is broken.
 func RunFlow(ctx context.Context, request FlowRequest) Flow {
 	began := time.Now()
 	dialer := net.Dialer{Timeout: request.Timeout}
--- a/internal/rig/standin/client_test.go
+++ b/internal/rig/standin/client_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// startNode starts a listener that answers the opening line of one connection with a text and sends nothing more.
+// startNode starts a listener that accepts one connection, answers its opening line with a text and closes the connection.
 func startNode(t *testing.T, answer string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,11 +26,12 @@
 		in.ReadString('\n')
 		io.WriteString(connection, answer)
 		connection.(*net.TCPConn).CloseWrite()
-		io.Copy(io.Discard, in) // closing with unread lines would reset the connection before the client has read all
+		io.Copy(io.Discard, in) // closing with unread data would reset the connection before the client has read the answer
 	}()
 	return listener.Addr().String()
 }
 
+// The rules of a run are checked against these results: RunFlow must distinguish the node's answers and count repeated ones.
 func TestRunFlowReportsAnswerOfNode(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -39,7 +40,7 @@
 		{"rejected", "BUSY 5\r\n", Flow{Answer: Busy, Answers: 1}},
 		{"error", "ERR\r\n", Flow{Answer: Failed, Answers: 1}},
 		{"closed without an answer", "", Flow{Answer: Disconnected}},
-		{"established and broken", "UP h0\r\n", Flow{Answer: Established, Answers: 1, Ended: EndedByCut}},
+		{"established and cut off", "UP h0\r\n", Flow{Answer: Established, Answers: 1, Ended: EndedByCut}},
 		{"established and moved", "UP h0\r\nMOVE\r\n", Flow{Answer: Established, Answers: 1, Ended: EndedByMove}},
 		{"answered twice", "UP h0\r\nERR\r\nBYE\r\n", Flow{Answer: Established, Answers: 2, Ended: EndedByMove}},
 	} {
@@ -52,6 +53,7 @@
 	}
 }
 
+// A node that accepts no connections must not be mistaken for one that accepts them and does not answer.
 func TestRunFlowReportsClosedListener(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,6 +66,7 @@
 	}
 }
 
+// A host that does not echo lines would make each flow of a run look cut off.
 func TestHostEchoesLinesOfFlow(t *testing.T) {
 	hosts, err := StartHosts(1)
 	if err != nil {
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// watchEventCapacity is the number of unread notifications that Discovery keeps; further ones are dropped.
+	// watchEventCapacity is the number of unread values that WatchOpened and WatchClosed each keep; further ones are dropped.
 	watchEventCapacity = 16
 
-	// watchKeepAlive is the time after which a watch without news receives an empty line.
+	// watchKeepAlive is the time without a published list after which a watch receives an empty line.
 	watchKeepAlive = time.Second
 )
 
-// Discovery is a discovery service. A new watch receives the last complete endpoint list and all changes published
-// since, then each list as it is published. Use StartDiscovery; the zero value is not usable.
+// Discovery is a discovery service. A new watch receives the last complete endpoint list and all changes published since
+// then, and further lists as they are published. Use StartDiscovery; the zero value is not usable.
 type Discovery struct {
 	WatchOpened <-chan bool // receives a value for each watch that a node opens
 	WatchClosed <-chan bool // receives a value for each watch that a node closes
@@ -36,7 +36,7 @@
 	changed      chan struct{} // closed and replaced when a list is published
 }
 
-// StartDiscovery starts a discovery service that has not published anything. The caller must close it.
+// StartDiscovery starts a discovery service without any published list. The caller must close it.
 func StartDiscovery() *Discovery {
 	opened := make(chan bool, watchEventCapacity)
 	closed := make(chan bool, watchEventCapacity)
@@ -51,14 +51,14 @@
 	return d
 }
 
-// Address returns the host and port on which nodes reach the service.
+// Address returns the host and port of the service.
 func (d *Discovery) Address() string { return d.server.Listener.Addr().String() }
 
 // Publish sends an endpoint list, complete or as a change, to all watches. It panics if the list cannot be encoded.
 func (d *Discovery) Publish(list endpoint.List) {
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(fmt.Sprintf("encoding an endpoint list: %v", err)) // impossible: a list holds only numbers and strings
+		panic(fmt.Sprintf("encoding an endpoint list: %v", err)) // impossible: a list contains only values that JSON can represent
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,7 +76,7 @@
 	d.server.Close()
 }
 
-// serveWatch answers a watch request until the client closes it.
+// serveWatch sends lists to a watch until its client closes it.
 func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
 	notify(d.watchOpened)
 	next := d.watchStart()
@@ -105,7 +105,7 @@
 	return d.lastComplete
 }
 
-// publishedSince returns the lists from an index on and a channel that is closed when the next one is published.
+// publishedSince returns the lists published from index next on, and a channel that is closed when another is published.
 func (d *Discovery) publishedSince(next int) (lists [][]byte, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/rig/standin/discovery_test.go
+++ b/internal/rig/standin/discovery_test.go
@@ -9,6 +9,7 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
+// A new watch that did not start with the last complete list would leave a node without hosts, or with outdated ones.
 func TestNewWatchStartsWithLastCompleteList(t *testing.T) {
 	discovery := StartDiscovery()
 	t.Cleanup(discovery.Close)
--- a/internal/rig/standin/hosts.go
+++ b/internal/rig/standin/hosts.go
@@ -11,7 +11,7 @@
 	"gorseledge/internal/discovery/endpoint"
 )
 
-// firstHostNumber is the number in the name of the first host; the others follow it.
+// firstHostNumber is the number in the name of the first host; further hosts are numbered from there.
 const firstHostNumber = 100
 
 // Hosts are backend hosts that accept every flow and echo every line. Use StartHosts; the zero value is not usable.
@@ -22,7 +22,7 @@
 
 	mu          sync.Mutex // protects the fields below
 	connections map[net.Conn]bool
-	flows       map[string]net.Conn // by flow id
+	flows       map[string]net.Conn // by flow ID
 }
 
 // StartHosts starts count hosts, each with a listener of its own. The caller must close them.
@@ -55,8 +55,8 @@
 	return list
 }
 
-// FlowConnection returns the host's connection that carries a flow, or nil if no host carries it. What is written to
-// the connection goes to the flow's client.
+// FlowConnection returns the host's connection that carries a flow, or nil if no host carries it. Data written to the
+// connection is sent to the flow's client.
 func (h *Hosts) FlowConnection(id string) net.Conn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,7 +79,7 @@
 	h.group.Wait()
 }
 
-// closeConnections closes the open connections; their goroutines remove them.
+// closeConnections closes the open connections. Their goroutines then remove them from the map.
 func (h *Hosts) closeConnections() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,8 +103,8 @@
 	}
 }
 
-// serve answers the lines of a connection until it ends: requests to open a flow, health checks, and all others by
-// themselves.
+// serve answers the lines of a connection until it ends. It accepts requests to open a flow, answers health checks and echoes
+// all other lines.
 func (h *Hosts) serve(host int, connection net.Conn) {
 	defer connection.Close()
 	in := bufio.NewReader(connection)
@@ -139,7 +139,7 @@
 	delete(h.connections, connection)
 }
 
-// addFlow records the flow that a connection carries and returns its id, which is the second word of the opening line.
+// addFlow records the flow that a connection carries and returns its ID, which is the second word of the opening line.
 func (h *Hosts) addFlow(connection net.Conn, opening string) (id string) {
 	if fields := strings.Fields(opening); len(fields) > 1 {
 		id = fields[1]
@@ -150,7 +150,7 @@
 	return id
 }
 
-// removeFlow removes a flow unless another connection has taken it over.
+// removeFlow removes a flow unless it is now carried by another connection.
 func (h *Hosts) removeFlow(connection net.Conn, id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
