--- a/internal/rig/check.go
+++ b/internal/rig/check.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Violation is a violation of one of the rules of a run. At is in seconds from the start of the rig.
+// Violation is a violation of one of the rules at a time, in seconds from the start of the rig.
 type Violation struct {
 	Rule string  `json:"rule"`
 	At   float64 `json:"at"`
@@ -16,18 +16,19 @@
 // String returns the violation as one line of a report.
 func (v Violation) String() string { return fmt.Sprintf("%.2f s: %s: %s", v.At, v.Rule, v.Text) }
 
-// The rules of a run, as they stand in reports.
+// The rules for nodes, as reports name them.
 const (
 	RuleNoFalseDeath     = "no blameless member is held for dead"
 	RuleOneAnswer        = "each flow gets one final answer"
-	RuleAgreement        = "all agree within the stated time after the last fault"
-	RuleDeathDetected    = "a death is known everywhere within the stated time"
-	RuleNoUnexpectedExit = "no process ends by itself"
+	RuleAgreement        = "all running nodes agree on the members within the settle time after the last fault"
+	RuleDeathDetected    = "all nodes detect a death within the liveness time"
+	RuleNoUnexpectedExit = "no process of a node ends without a fault that ends it"
 	RuleBudget           = "all nodes together stay within a cold host's budget"
 )
 
-// Check returns the violations in a run, by their times. It reads the events of the result and the times that the script
-// states; disagreement is what Run found when it waited for agreement, empty where all nodes agreed.
+// Check returns the violations of the rules in a run, sorted by time. It reads the events of the result and the script's
+// time limits. disagreement describes the last disagreement between the nodes when Run gave up waiting for agreement; it
+// is empty if all nodes agreed.
 func Check(s *Script, r *Result, disagreement string) (out []Violation) {
 	out = append(out, checkDeaths(s, r.Events)...)
 	out = append(out, checkAnswers(r.Events)...)
--- a/internal/rig/check_rules.go
+++ b/internal/rig/check_rules.go
@@ -5,55 +5,56 @@
 	"slices"
 )
 
-// checkDeaths checks that no node without a fault of its own is declared dead. The fault of the node that declares it
-// does not count: one that was stopped or cut off must not declare others dead when it is back.
+// checkDeaths checks that no node is declared dead without a fault of its own. A fault of the declaring node is no
+// exemption: a node that was stopped or cut off must not declare others dead when it is back.
 func checkDeaths(s *Script, events []Event) (out []Violation) {
 	intervals := exemptIntervals(s, events)
 	for _, e := range events {
 		if e.Kind != eventMember || e.State != memberDead {
 			continue
 		}
-		excused := slices.ContainsFunc(intervals[nodeIndex(e.Member)], func(w interval) bool {
-			return e.At >= w.from && e.At <= w.to+exemptionPeriods*s.ProbePeriod
+		exempt := slices.ContainsFunc(intervals[nodeIndex(e.Member)], func(i interval) bool {
+			return e.At >= i.from && e.At <= i.to+exemptionPeriods*s.ProbePeriod
 		})
-		if !excused {
+		if !exempt {
 			out = append(out, Violation{RuleNoFalseDeath, e.At, fmt.Sprintf("n%d holds %s for dead", e.Node, e.Member)})
 		}
 	}
 	return out
 }
 
-// checkAnswers checks that each flow got exactly one final answer and was not cut off, unless its node was killed, stopped
-// or asked to leave during it. More than one answer is never excused.
+// checkAnswers checks that each flow got exactly one final answer and was not cut off. A flow during which its node had a
+// process fault is exempt, but must not get more than one answer either.
 func checkAnswers(events []Event) (out []Violation) {
-	disturbed := map[int][]interval{}
+	faulty := map[int][]interval{}
 	for _, e := range episodes(events) {
 		if faultKinds[e.Kind].onLink {
 			continue
 		}
 		for _, n := range e.Nodes {
-			disturbed[n] = append(disturbed[n], interval{e.from, e.to + 1}) // until the front sees that it is back
+			faulty[n] = append(faulty[n], interval{e.from, e.to + 1}) // a second for the front to notice that the node is back
 		}
 	}
 	for _, e := range events {
 		if e.Kind != eventFlow {
 			continue
 		}
-		excused := slices.ContainsFunc(disturbed[e.Node], func(w interval) bool {
-			return w.from <= e.At && w.to >= e.StartedAt
+		exempt := slices.ContainsFunc(faulty[e.Node], func(i interval) bool {
+			return i.from <= e.At && i.to >= e.StartedAt
 		})
 		switch {
 		case e.AnswerCount > 1:
 			out = append(out, Violation{RuleOneAnswer, e.At, fmt.Sprintf("a flow through n%d got %d answers", e.Node, e.AnswerCount)})
-		case excused:
+		case exempt:
 		case e.AnswerCount == 0 || e.Answer == "failed" || e.Answer == "up" && e.Ending == "cut":
-			out = append(out, Violation{RuleOneAnswer, e.At, fmt.Sprintf("a flow through n%d: %s %s", e.Node, e.Answer, e.Ending)})
+			text := fmt.Sprintf("a flow through n%d: answer %q, ending %q", e.Node, e.Answer, e.Ending)
+			out = append(out, Violation{RuleOneAnswer, e.At, text})
 		}
 	}
 	return out
 }
 
-// checkExits checks that a process ends only because of a fault that ends it.
+// checkExits checks that a process of a node ends only after a fault that ends processes of this node.
 func checkExits(events []Event) (out []Violation) {
 	for i, e := range events {
 		if e.Kind != eventProcessExit {
@@ -70,11 +71,11 @@
 	return out
 }
 
-// checkKnownDeaths checks that all nodes without a fault of their own declare a process that stays down dead within the
-// script's liveness time.
+// checkKnownDeaths checks that a process that stays down is declared dead within the script's liveness time by all nodes
+// that have no fault of their own.
 func checkKnownDeaths(s *Script, events []Event) (out []Violation) {
 	for _, f := range events {
-		if !endsForLong(s, f) || endOf(events) < f.At+s.DetectionTimeout {
+		if !requiresDetection(s, f) || endOf(events) < f.At+s.DetectionTimeout {
 			continue
 		}
 		for _, dead := range f.Fault.Nodes {
@@ -84,16 +85,17 @@
 	return out
 }
 
-// endsForLong reports whether an event is the begin of a fault that leaves a process down for long enough that all
-// nodes have to declare it dead.
-func endsForLong(s *Script, e Event) bool {
+// requiresDetection reports whether an event begins a fault that keeps a process down for so long that all nodes must declare it
+// dead.
+func requiresDetection(s *Script, e Event) bool {
 	if e.Kind != eventFaultStart || !faultKinds[e.Fault.Kind].staysDown {
 		return false
 	}
 	return e.Fault.Duration >= s.DetectionTimeout+exemptionPeriods*s.ProbePeriod || e.Fault.Duration <= 0
 }
 
-// checkKnownDeath checks that all nodes without a fault of their own declare a node dead that went down at a time.
+// checkKnownDeath checks that a node that went down at a time is declared dead by all nodes without a fault of their own.
+// If the dead node has another fault later, nothing is checked.
 func checkKnownDeath(s *Script, events []Event, dead int, at float64) (out []Violation) {
 	if affectedAfter(events, dead, at+sameFaultTime) {
 		return nil
@@ -102,13 +104,13 @@
 		if n == dead || affectedAfter(events, n, at) || declaredDead(events, n, dead, interval{at, at + s.DetectionTimeout}) {
 			continue
 		}
-		text := fmt.Sprintf("n%d does not know that n%d is dead", n, dead)
+		text := fmt.Sprintf("n%d did not declare n%d dead", n, dead)
 		out = append(out, Violation{RuleDeathDetected, at + s.DetectionTimeout, text})
 	}
 	return out
 }
 
-// declaredDead reports whether a node declared another one dead within a time.
+// declaredDead reports whether a node declared another one dead within an interval.
 func declaredDead(events []Event, node, dead int, within interval) bool {
 	return slices.ContainsFunc(events, func(e Event) bool {
 		return e.Kind == eventMember && e.Node == node && nodeIndex(e.Member) == dead && e.State == memberDead &&
@@ -116,17 +118,17 @@
 	})
 }
 
-// checkBudgets checks that all nodes together never granted more than a cold host's budget.
+// checkBudgets checks that all nodes together never grant more than a cold host's budget.
 func checkBudgets(events []Event) (out []Violation) {
 	for _, e := range events {
 		if e.Kind == eventBudget && e.BudgetShare > 1 {
-			out = append(out, Violation{RuleBudget, e.At, fmt.Sprintf("%.2f of it", e.BudgetShare)})
+			out = append(out, Violation{RuleBudget, e.At, fmt.Sprintf("all nodes together grant %.2f of the budget", e.BudgetShare)})
 		}
 	}
 	return out
 }
 
-// affectedAfter reports whether a fault affected a node at or after a time.
+// affectedAfter reports whether a fault that affects a node began or ended at or after a time.
 func affectedAfter(events []Event, n int, after float64) bool {
 	for _, e := range events {
 		if e.Fault != nil && e.At >= after && (slices.Contains(e.Fault.Nodes, n) || len(e.Fault.To) == 0 && faultKinds[e.Fault.Kind].onLink ||
--- a/internal/rig/control_check.go
+++ b/internal/rig/control_check.go
@@ -7,23 +7,24 @@
 	"gorseledge/internal/configfeed"
 )
 
-// The rules of the configuration's distribution.
+// The rules for control servers and the distribution of the configuration, as reports name them.
 const (
-	RuleNoOlderVersion         = "no node goes back a revision"
-	RuleWholeChanges           = "no node has a part of a change in force"
-	RuleDurable                = "no accepted change is lost while its disk lives"
-	RuleInForce                = "a change is in force everywhere within the stated time"
-	RuleAccept                 = "after all faults a change is accepted"
-	RuleNoUnexpectedServerExit = "no control server ends by itself"
+	RuleNoOlderVersion         = "no node goes back to an older version"
+	RuleWholeChanges           = "no node has only part of a change in force"
+	RuleDurable                = "no accepted change is lost unless the disks that hold it are lost"
+	RuleInForce                = "a change is in force at all nodes within the in_force time"
+	RuleAccept                 = "a change is accepted after the last fault"
+	RuleNoUnexpectedServerExit = "no control server ends without a fault that ends it"
 )
 
-// replicationTime is the time in seconds in which an accepted change reaches servers that are not cut off or down.
+// replicationTime is the time in seconds within which an accepted change reaches all servers that are running and not cut
+// off.
 const replicationTime = 5.0
 
-// observationDelay is the time in seconds by which the rig may see a node's version late.
+// observationDelay is the maximum time in seconds from when a node has a version in force until the rig observes it.
 const observationDelay = 0.5
 
-// checkControl returns the violations of the rules of the configuration's distribution.
+// checkControl returns the violations of the rules for control servers and the configuration.
 func checkControl(s *Script, events []Event) (out []Violation) {
 	if s.ControlServers == 0 {
 		return nil
@@ -41,22 +42,23 @@
 	return out
 }
 
-// checkAccept checks the last proposal, which is made after all faults and without a concurrent one.
+// checkAccept checks that the last proposal was accepted. It is made after all faults and has no concurrent proposal.
 func checkAccept(events []Event) (out []Violation) {
 	for _, e := range slices.Backward(events) {
 		if e.Kind != eventProposal {
 			continue
 		}
 		if e.Control.Outcome != string(configfeed.Accepted) {
-			out = append(out, Violation{RuleAccept, e.At, fmt.Sprintf("it was answered %s: %s", e.Control.Outcome, e.Note)})
+			text := fmt.Sprintf("the outcome of the last proposal is %q: %s", e.Control.Outcome, e.Note)
+			out = append(out, Violation{RuleAccept, e.At, text})
 		}
 		return out
 	}
 	return out
 }
 
-// checkNoOlderVersion checks that the versions of a node only go up. A node that had no process for a while has lost its
-// version and starts without one.
+// checkNoOlderVersion checks that the version of a node never decreases while a process of the node is running. A node that
+// had no process in between starts without a version.
 func checkNoOlderVersion(events []Event) (out []Violation) {
 	processes := map[int]int{}
 	versions := map[int]configfeed.Version{}
@@ -72,7 +74,7 @@
 		case eventConfig:
 			previous, current := versions[e.Node], e.Control.Version
 			if current.Compare(previous) < 0 {
-				text := fmt.Sprintf("n%d from %s to %s", e.Node, previous, current)
+				text := fmt.Sprintf("n%d went from version %s back to %s", e.Node, previous, current)
 				out = append(out, Violation{RuleNoOlderVersion, e.At, text})
 			}
 			versions[e.Node] = current
@@ -81,17 +83,18 @@
 	return out
 }
 
-// checkWholeChanges checks that a node has, under each version, the entries of a change that was accepted as that version, or
-// of one whose answer was lost or came later.
+// checkWholeChanges checks that the entries that a node has in force under a version are those of a change that was accepted
+// as this version. Also allowed are the entries of a proposal with an unknown outcome, because its answer was lost or
+// reported a disk error: the writer may have accepted it all the same.
 func checkWholeChanges(events []Event) (out []Violation) {
 	accepted := map[configfeed.Version][]string{}
-	unknown := map[string]bool{}
+	unknownOutcome := map[string]bool{}
 	for _, e := range events {
 		switch {
 		case e.Kind == eventProposal && e.Control.Outcome == string(configfeed.Accepted), e.Kind == eventEpoch:
 			accepted[e.Control.Version] = append(accepted[e.Control.Version], e.Control.Digest)
 		case e.Kind == eventProposal && (e.Control.Outcome == outcomeUnknown || e.Control.Outcome == string(configfeed.Failed)):
-			unknown[e.Control.Digest] = true
+			unknownOutcome[e.Control.Digest] = true
 		}
 	}
 	for _, e := range events {
@@ -99,22 +102,22 @@
 			continue
 		}
 		c := e.Control
-		if slices.Contains(accepted[c.Version], c.Digest) || unknown[c.Digest] {
+		if slices.Contains(accepted[c.Version], c.Digest) || unknownOutcome[c.Digest] {
 			continue
 		}
-		text := fmt.Sprintf("n%d has digest %s under %s, accepted was %v", e.Node, c.Digest, c.Version, accepted[c.Version])
+		text := fmt.Sprintf("n%d has digest %s in version %s, accepted were %v", e.Node, c.Digest, c.Version, accepted[c.Version])
 		out = append(out, Violation{RuleWholeChanges, e.At, text})
 	}
 	return out
 }
 
-// controlEpisode is a fault of control servers with the time for which it lasted.
+// controlEpisode is a fault of control servers with the interval in which it was active.
 type controlEpisode struct {
 	ControlFault
 	interval
 }
 
-// controlEpisodes pairs the begin of each fault of control servers with its end.
+// controlEpisodes pairs the start of each fault of control servers with its end.
 func controlEpisodes(events []Event) (out []controlEpisode) {
 	open := map[string]int{}
 	for _, e := range events {
@@ -129,8 +132,8 @@
 	return out
 }
 
-// checkDurable checks that the writer holds every accepted change at the end, unless its disk was taken away after the
-// change and other faults may have kept the change from the others.
+// checkDurable checks that the writer holds every accepted change at the end of the run. Exempt are changes that may be lost
+// because the writer's directory was wiped or rolled back before the other servers had the change.
 func checkDurable(s *Script, events []Event) (out []Violation) {
 	at := slices.IndexFunc(events, func(e Event) bool { return e.Kind == eventHeldProposals })
 	if at < 0 {
@@ -142,16 +145,18 @@
 			slices.Contains(events[at].Control.ProposalIDs, e.Control.ID) || mayBeLost(e.At, faults) {
 			continue
 		}
-		text := fmt.Sprintf("%s was accepted as %s", e.Control.ID, e.Control.Version)
+		text := fmt.Sprintf("the writer no longer holds proposal %s, accepted as version %s", e.Control.ID, e.Control.Version)
 		out = append(out, Violation{RuleDurable, e.At, text})
 	}
 	return out
 }
 
-// mayBeLost reports whether a change that was accepted at a time need not be held any more.
+// mayBeLost reports whether a change that was accepted at a time may be lost at the end of the run. It may be if the writer's
+// directory was lost before the change was replicated, together with other directories, or near another fault of control
+// servers, which may have prevented the replication or the recovery.
 func mayBeLost(accepted float64, faults []controlEpisode) bool {
 	for _, lost := range faults {
-		if !touchesDirectory(lost.ControlFault) || !slices.Contains(lost.Servers, 0) || lost.to < accepted {
+		if !changesDirectory(lost.ControlFault) || !slices.Contains(lost.Servers, 0) || lost.to < accepted {
 			continue
 		}
 		if lost.from < accepted+replicationTime || len(lost.Servers) > 1 {
@@ -166,24 +171,25 @@
 	return false
 }
 
-// checkInForce checks that the waits of the rig for a version succeeded, and that each measured change was in force at all
-// nodes in time.
+// checkInForce checks that the rig never waited in vain for the writer's version to be in force at all nodes, and that each
+// measured change was in force at all nodes within the in_force time.
 func checkInForce(s *Script, events []Event) (out []Violation) {
 	for _, e := range events {
 		if e.Kind == eventNotInForce {
-			out = append(out, Violation{RuleInForce, e.At, fmt.Sprintf("not within %g s: %s", s.InForceTimeout, e.Note)})
+			text := fmt.Sprintf("the writer's version is not in force within %g s: %s", s.InForceTimeout, e.Note)
+			out = append(out, Violation{RuleInForce, e.At, text})
 		}
 	}
 	for _, change := range measuredChanges(s, events) {
 		if change.delay > s.InForceTimeout+observationDelay {
 			out = append(out, Violation{RuleInForce, change.at,
-				fmt.Sprintf("%s at n%d after %.2f s", change.version, change.lastNode, change.delay)})
+				fmt.Sprintf("version %s in force at n%d after %.2f s", change.version, change.lastNode, change.delay)})
 		}
 	}
 	return out
 }
 
-// inForceTimes returns for each measured change the seconds until it was in force at the last node.
+// inForceTimes returns for each measured change the time in seconds until it was in force at the last node.
 func inForceTimes(s *Script, events []Event) (times []float64) {
 	for _, change := range measuredChanges(s, events) {
 		times = append(times, change.delay)
@@ -191,16 +197,16 @@
 	return times
 }
 
-// measuredChange is an accepted change and the node that had it in force last.
+// measuredChange is an accepted change with the time that it took to be in force at all nodes.
 type measuredChange struct {
 	at       float64 // when it was accepted, in seconds from the start of the rig
 	version  configfeed.Version
-	delay    float64 // seconds until it was in force at the last node, infinite where it never was
-	lastNode int     // index of that node
+	delay    float64 // seconds until it was in force at the last node, infinite if it never was
+	lastNode int     // index of the node that had it in force last
 }
 
-// measuredChanges returns the accepted changes in whose time at most one fault of control servers lasted, which was neither
-// one of the writer's process nor a region's cut. Nodes that were not up for the whole time do not count.
+// measuredChanges returns the accepted changes that no fault of control servers may have delayed: see mayDelayChange. Nodes
+// with a process fault around the change are not considered.
 func measuredChanges(s *Script, events []Event) (out []measuredChange) {
 	faults := controlEpisodes(events)
 	nodeFaults := episodes(events)
@@ -218,9 +224,9 @@
 			if hasProcessFault(nodeFaults, node, window) {
 				continue
 			}
-			took := firstInForce(events, node, e.Control.Version) - e.At
-			if took > change.delay {
-				change.delay = took
+			delay := firstInForce(events, node, e.Control.Version) - e.At
+			if delay > change.delay {
+				change.delay = delay
 				change.lastNode = node
 			}
 		}
@@ -229,10 +235,11 @@
 	return out
 }
 
-// mayDelayChange reports whether faults of control servers may keep a change from nodes for longer than is stated: more
-// than one at a time, one of the writer's process, a region's cut, or a restart of several servers.
+// mayDelayChange reports whether faults of control servers in a window may keep a change from nodes for longer than the
+// in_force time. That holds for a fault of the writer's process, a region that is cut off, a fault of several servers, and
+// for more than one fault in the window.
 func mayDelayChange(faults []controlEpisode, window interval) bool {
-	lasting := 0
+	active := 0
 	for _, f := range faults {
 		if f.from > window.to || f.to < window.from {
 			continue
@@ -241,19 +248,19 @@
 		if ofWriter || f.Kind == faultRegion || len(f.Servers) > 1 {
 			return true
 		}
-		lasting++
+		active++
 	}
-	return lasting > 1
+	return active > 1
 }
 
-// hasProcessFault reports whether a node had a fault of its process within a time.
+// hasProcessFault reports whether a fault of a node's process was active within a window.
 func hasProcessFault(faults []episode, node int, window interval) bool {
 	return slices.ContainsFunc(faults, func(f episode) bool {
 		return !faultKinds[f.Kind].onLink && slices.Contains(f.Nodes, node) && f.from <= window.to && f.to >= window.from
 	})
 }
 
-// firstInForce returns when a node was first seen with a version or a newer one, or infinity.
+// firstInForce returns when the rig first observed a version or a newer one in force at a node, or infinity.
 func firstInForce(events []Event, node int, v configfeed.Version) float64 {
 	for _, e := range events {
 		if e.Kind == eventConfig && e.Node == node && e.Control.Version.Compare(v) >= 0 {
--- a/internal/rig/control_faults.go
+++ b/internal/rig/control_faults.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// applyFaults applies the faults of control servers at their times and returns when the last is over.
+// applyFaults begins each fault of control servers at its time and ends it after its duration. It returns when the last has
+// ended.
 func (c *control) applyFaults(ctx context.Context) error {
 	started := time.Now()
 	waitUntil := func(seconds float64) error {
@@ -36,7 +37,7 @@
 	return group.Wait()
 }
 
-// changeFault begins a fault, or ends it where over is true.
+// changeFault begins a fault, or ends it if over is true.
 func (c *control) changeFault(f ControlFault, over bool) error {
 	if controlKinds[f.Kind] {
 		c.changeLinks(f, over)
@@ -54,7 +55,7 @@
 	return group.Wait()
 }
 
-// changeLinks cuts the links of a fault, or ends that. A link passes again once no fault cuts it.
+// changeLinks cuts the links that a fault affects, or ends that cut. A link forwards again once no fault cuts it.
 func (c *control) changeLinks(f ControlFault, over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,12 +68,12 @@
 		} else {
 			c.cuts[l]++
 		}
-		relay.Set(func(w *LinkConditions) { w.Cut = c.cuts[l] > 0 })
+		relay.Set(func(conditions *LinkConditions) { conditions.Cut = c.cuts[l] > 0 })
 	}
 }
 
 // cutsLink reports whether a fault cuts a link.
-func (c *control) cutsLink(f ControlFault, l link) bool {
+func (c *control) cutsLink(f ControlFault, l controlLink) bool {
 	switch f.Kind {
 	case faultCutNodes:
 		return !l.server && slices.Contains(f.Nodes, l.from) && slices.Contains(f.Servers, l.to)
--- a/internal/rig/control_run.go
+++ b/internal/rig/control_run.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	configPollInterval = 50 * time.Millisecond // between two requests for a node's or the writer's configuration
-	applyTimeout       = 5 * time.Second       // for one request to the writer
-	firstApplyTimeout  = 20 * time.Second      // until a newly started writer accepts a change
+	configPollInterval = 50 * time.Millisecond // interval between requests for the configuration of a node or the writer
+	applyTimeout       = 5 * time.Second       // time limit of one request to the writer
+	firstApplyTimeout  = 20 * time.Second      // time limit for a newly started writer to accept a change
 
-	// markPrefix and markSuffix enclose the ID of a proposal in the key of the entry that identifies it.
-	markPrefix = "tenants.mark-"
-	markSuffix = ".connections"
+	// proposalKeyPrefix and markSuffix enclose the ID of a proposal in the key of the entry that identifies the proposal.
+	proposalKeyPrefix = "tenants.mark-"
+	proposalKeySuffix = ".connections"
 )
 
-// link identifies the connection from a node or a control server to a control server, both by index.
-type link struct {
-	server   bool // from a control server, otherwise from a node
+// controlLink identifies the connection from a node or a control server to a control server, both by index.
+type controlLink struct {
+	server   bool // from is a control server; otherwise it is a node
 	from, to int
 }
 
-// control owns the control servers of a run, the relays to them and the changes of configuration.
+// control owns the control servers of a run and the relays to them, and proposes changes of the configuration.
 type control struct {
 	rig     *Rig
 	servers []*controlServer
-	relays  map[link]*Relay
+	relays  map[controlLink]*Relay
 	client  *feedhttp.Client
 	random  *rand.Rand
 
-	mu            sync.Mutex   // protects the fields below
-	cuts          map[link]int // number of faults that cut each link
-	proposalCount int          // number of proposals made
+	mu            sync.Mutex          // protects the fields below
+	cuts          map[controlLink]int // number of active faults that cut each link
+	proposalCount int                 // number of proposals so far
 }
 
 func newControl(r *Rig) *control {
-	return &control{rig: r, relays: map[link]*Relay{}, cuts: map[link]int{},
+	return &control{rig: r, relays: map[controlLink]*Relay{}, cuts: map[controlLink]int{},
 		client: feedhttp.NewClient(r.fleetName(), [][]byte{[]byte(fleetKey)}, nil),
 		random: rand.New(rand.NewPCG(r.Seed, controlRandomStream+1))}
 }
@@ -55,12 +55,12 @@
 // fleetName is the fleet's id.
 func (r *Rig) fleetName() string { return fmt.Sprintf("rig-%d", r.Seed) }
 
-func (c *control) addRelay(l link, address string) (err error) {
+func (c *control) addRelay(l controlLink, address string) (err error) {
 	c.relays[l], err = NewRelay(address, c.rig.Seed*1000+uint64(500000+l.from*100+l.to))
 	return err
 }
 
-// close ends the servers and the relays to them.
+// close kills the servers and closes the relays to them.
 func (c *control) close() {
 	for _, s := range c.servers {
 		s.kill()
@@ -75,12 +75,12 @@
 
 func (c *control) writer() *controlServer { return c.servers[0] }
 
-func (c *control) record(what string, e ControlEvent) {
-	c.rig.history.add(Event{Kind: what, Control: &e})
+func (c *control) record(kind string, e ControlEvent) {
+	c.rig.history.add(Event{Kind: kind, Control: &e})
 }
 
-// runWithFaults proposes changes of configuration while the faults of nodes and control servers are injected, and waits
-// until the configuration is in force after them.
+// runWithFaults injects the faults of nodes and control servers, proposes changes of the configuration during them, and
+// afterwards waits until the configuration is in force.
 func (c *control) runWithFaults(ctx context.Context, nodeFaults func() error) error {
 	if err := c.awaitFirstChange(ctx); err != nil {
 		return err
@@ -115,21 +115,21 @@
 	return c.settle(ctx)
 }
 
-// awaitFirstChange waits until the writer takes proposals and has accepted a first one.
+// awaitFirstChange makes proposals until the writer accepts one.
 func (c *control) awaitFirstChange(ctx context.Context) error {
-	last := ""
+	outcome := ""
 	for end := time.Now().Add(firstApplyTimeout); time.Now().Before(end); {
-		if last = c.apply(ctx, configfeed.State{}, c.nextID()); last == string(configfeed.Accepted) {
+		if outcome = c.apply(ctx, configfeed.State{}, c.nextID()); outcome == string(configfeed.Accepted) {
 			return nil
 		}
 		if err := sleep(ctx, configPollInterval); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("the control servers accepted no change within %v: %s", firstApplyTimeout, last)
+	return fmt.Errorf("the writer accepted no change within %v of its start, last outcome: %s", firstApplyTimeout, outcome)
 }
 
-// sleep waits unless the context ends.
+// sleep waits for a duration. If the context ends first, it returns its error.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -146,9 +146,9 @@
 	return fmt.Sprint(c.proposalCount)
 }
 
-// apply proposes the entries of a state with an entry that identifies the proposal, and records and returns the outcome.
+// apply proposes the entries of a state and one more, which identifies the proposal. It records and returns the outcome.
 func (c *control) apply(ctx context.Context, from configfeed.State, id string) string {
-	entries := append([]configfeed.Entry{{Key: markPrefix + id + markSuffix, Value: "1000"}}, from.Entries...)
+	entries := append([]configfeed.Entry{{Key: proposalKeyPrefix + id + proposalKeySuffix, Value: "1000"}}, from.Entries...)
 	next, err := configfeed.NewState(configfeed.Version{}, entries)
 	if err != nil {
 		return err.Error()
@@ -180,7 +180,8 @@
 	return c.client.State(ctx, c.writer().address, status.Version.Revision)
 }
 
-// proposeChanges proposes changes until the context ends; each third time two at once, on top of the same version.
+// proposeChanges proposes changes at random times until the context ends. Every third time it proposes two at once that are
+// based on the same version, of which the writer can accept only one.
 func (c *control) proposeChanges(ctx context.Context) {
 	if c.rig.script.ChangeRate <= 0 {
 		return
@@ -196,16 +197,16 @@
 			if err != nil {
 				return
 			}
-			var both sync.WaitGroup
+			var proposals sync.WaitGroup
 			for range concurrentProposals(count) {
-				both.Go(func() { c.apply(context.WithoutCancel(ctx), from, c.nextID()) })
+				proposals.Go(func() { c.apply(context.WithoutCancel(ctx), from, c.nextID()) })
 			}
-			both.Wait()
+			proposals.Wait()
 		})
 	}
 }
 
-// concurrentProposals returns how many changes to propose on top of the same version: two each third time, otherwise one.
+// concurrentProposals returns the number of proposals to base on the same version: two every third time, otherwise one.
 func concurrentProposals(count int) int {
 	if count%3 == 2 {
 		return 2
@@ -213,7 +214,7 @@
 	return 1
 }
 
-// watch records each version that a node has in force, until the context ends.
+// watch records each configuration that a node has in force, until the context ends.
 func (c *control) watch(ctx context.Context, n *node) {
 	var last ControlEvent
 	for sleep(ctx, configPollInterval) == nil {
@@ -221,15 +222,15 @@
 		if err != nil {
 			continue
 		}
-		now := ControlEvent{Version: configfeed.Version{Epoch: v.Epoch, Revision: v.Revision}, Digest: v.Digest}
-		if now.Version != last.Version || now.Digest != last.Digest {
-			c.rig.history.add(Event{Kind: eventConfig, Node: n.index, Control: &now})
+		current := ControlEvent{Version: configfeed.Version{Epoch: v.Epoch, Revision: v.Revision}, Digest: v.Digest}
+		if current.Version != last.Version || current.Digest != last.Digest {
+			c.rig.history.add(Event{Kind: eventConfig, Node: n.index, Control: &current})
 		}
-		last = now
+		last = current
 	}
 }
 
-// config asks a node which configuration it has in force.
+// config reads the configuration that a node has in force.
 func (c *control) config(ctx context.Context, n *node) (v view.Config, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.admin+"/-/config", nil)
 	if err != nil {
@@ -241,7 +242,7 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return v, fmt.Errorf("%s answers %s", n.name(), answer.Status)
+		return v, fmt.Errorf("reading the configuration of %s: status %s", n.name(), answer.Status)
 	}
 	return v, json.NewDecoder(io.LimitReader(answer.Body, 1<<20)).Decode(&v)
 }
--- a/internal/rig/control_run_test.go
+++ b/internal/rig/control_run_test.go
@@ -7,8 +7,9 @@
 	"gorseledge/internal/configfeed"
 )
 
-// serverFaults is a scenario for five servers and four nodes: a server stopped, one killed, one put back to an older state
-// while it is cut off, a region cut off, a node restarted and one upgraded, all servers restarted.
+// serverFaults is a script for five servers and four nodes. One server is stopped, one is killed, and one is rolled back to an
+// older state while it is cut off. A region is cut off, one node is restarted and one is upgraded. All servers are restarted,
+// and the writer is rolled back.
 const serverFaults = `
 nodes = 4
 lasts = 22
@@ -74,10 +75,12 @@
 for = 0.5
 `
 
+// Faults of control servers must not lose accepted changes, return nodes to older versions or keep changes from them. The run
+// must contain accepted changes and conflicts, otherwise the rules would hold for lack of events.
 func TestConfigurationIsInForceUnderServerFaults(t *testing.T) {
 	r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 1}, serverFaults)
-	for _, b := range r.Violations {
-		t.Error(b)
+	for _, violation := range r.Violations {
+		t.Error(violation)
 	}
 	accepted, conflicts := 0, 0
 	for _, e := range r.Events {
@@ -92,11 +95,11 @@
 		}
 	}
 	if accepted < 5 || conflicts == 0 {
-		t.Errorf("%d changes were accepted, %d of two at once were in conflict", accepted, conflicts)
+		t.Errorf("%d changes were accepted, want at least 5; %d were in conflict, want at least 1", accepted, conflicts)
 	}
 }
 
-// onlyServerStopped is a scenario in which the only server of a node's region is stopped for longer than a change may take.
+// onlyServerStopped is a script in which the only server of a node's region is stopped for longer than the in_force time.
 const onlyServerStopped = `
 nodes = 3
 lasts = 24
@@ -114,8 +117,8 @@
 for = 20
 `
 
-// onlyServerIsolated is a scenario in which the only server of a node's region reaches no other server, while all reach it.
-// Changes are rare, so that the server has answered polls with nothing new by then.
+// onlyServerIsolated is a script in which the only server of a node's region reaches no other server, while all others and the
+// nodes reach it. Changes are rare, so that the server has answered polls without a new version before it is isolated.
 const onlyServerIsolated = `
 nodes = 3
 lasts = 24
@@ -133,29 +136,31 @@
 for = 18
 `
 
-// TestNodesLeaveAnIsolatedServer shows that the nodes learn that their server is isolated, also where it
-// caches encoded answers.
-func TestNodesLeaveAnIsolatedServer(t *testing.T) {
+// A node that polls an isolated server receives no new versions. The node must notice this from the server's answers and poll
+// another server, even though the server caches its encoded answers.
+func TestNodesLeaveIsolatedServer(t *testing.T) {
 	r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 7}, onlyServerIsolated)
 	if len(r.Violations) > 0 || len(r.InForceTimes) == 0 {
-		t.Errorf("violations: %v; %d changes were measured", r.Violations, len(r.InForceTimes))
+		t.Errorf("violations %v, want none; %d measured changes, want at least 1", r.Violations, len(r.InForceTimes))
 	}
 }
 
+// A node that polls only one server receives no changes while that server is stopped. The run must report this for a build
+// with this fault, and must report nothing for the correct build.
 func TestNodeThatPollsOneStoppedServerIsDetected(t *testing.T) {
-	late := func(b Violation) bool { return b.Rule == RuleInForce }
+	isLateChange := func(v Violation) bool { return v.Rule == RuleInForce }
 	t.Run("correct build", func(t *testing.T) {
 		t.Parallel()
 		r := runWithOptions(t, Options{Program: nodeProgram, Control: serverProgram, Seed: 1}, onlyServerStopped)
 		if len(r.Violations) > 0 || len(r.InForceTimes) == 0 {
-			t.Errorf("violations: %v; %d changes were measured", r.Violations, len(r.InForceTimes))
+			t.Errorf("violations %v, want none; %d measured changes, want at least 1", r.Violations, len(r.InForceTimes))
 		}
 	})
 	t.Run("build that polls one server", func(t *testing.T) {
 		t.Parallel()
 		r := runWithOptions(t, Options{Program: singleServerProgram, Control: serverProgram, Seed: 1}, onlyServerStopped)
-		if !slices.ContainsFunc(r.Violations, late) {
-			t.Errorf("no late change is reported: %v", r.Violations)
+		if !slices.ContainsFunc(r.Violations, isLateChange) {
+			t.Errorf("no violation of %q, got %v", RuleInForce, r.Violations)
 		}
 	})
 }
--- a/internal/rig/control_script.go
+++ b/internal/rig/control_script.go
@@ -9,76 +9,79 @@
 	"slices"
 )
 
-// serverRegions are the regions of the control servers; nodes are assigned to the regions in turn.
+// serverRegions are the regions of the control servers, by index.
 var serverRegions = []string{"north", "south", "west", "north", "south"}
 
-// regions are all regions.
+// regions are all regions; nodes are assigned to them in turn.
 var regions = []string{"north", "south", "west"}
 
-// faultRegion and faultCutNodes are the kinds of faults that only control servers have; the others are those of nodes.
+// The kinds of faults that only control servers have; their other kinds are those of nodes.
 const (
-	faultRegion   = "region"    // a region's nodes and servers reach no server of the others, and the reverse
-	faultCutNodes = "cut_nodes" // nodes do not reach servers
+	faultRegion   = "region"    // cuts all links to servers between a region and the others, in both directions
+	faultCutNodes = "cut_nodes" // cuts links from nodes to servers
 )
 
-// ControlFault is one fault of control servers. Times are seconds, counted as those of other faults.
+// ControlFault is one fault of control servers or of the links to them. Times are in seconds, from the same start as those
+// of Fault.
 type ControlFault struct {
 	At       float64 `toml:"at" json:"at"`
 	Kind     string  `toml:"kind" json:"kind"`
-	Servers  []int   `toml:"servers" json:"servers,omitempty"` // affected servers; for a cut, those that do not reach others
-	To       []int   `toml:"to" json:"to,omitempty"`           // for a cut, the servers not reached; all others where missing
-	Nodes    []int   `toml:"nodes" json:"nodes,omitempty"`     // for cut_nodes, the nodes that do not reach the servers
-	Region   string  `toml:"region" json:"region,omitempty"`
-	Duration float64 `toml:"for" json:"for"` // duration
+	Servers  []int   `toml:"servers" json:"servers,omitempty"` // affected servers; for a cut, the senders
+	To       []int   `toml:"to" json:"to,omitempty"`           // for a cut, the receivers; if missing, all other servers
+	Nodes    []int   `toml:"nodes" json:"nodes,omitempty"`     // for cut_nodes, the nodes that are cut off from the servers
+	Region   string  `toml:"region" json:"region,omitempty"`   // for region, the region that is cut off
+	Duration float64 `toml:"for" json:"for"`                   // duration
 }
 
-// String describes the fault for progress lines, without its time.
+// String describes the fault without its time, for progress lines and to find the event that ends it.
 func (f ControlFault) String() string {
 	return fmt.Sprintf("control %s of servers %v to %v, nodes %v, region %q, for %g s", f.Kind, f.Servers, f.To, f.Nodes,
 		f.Region, f.Duration)
 }
 
-// controlKinds are the kinds of faults of control servers: whether each acts on links.
+// controlKinds are the kinds of faults of control servers. A value reports whether the kind acts on links; otherwise it acts
+// on processes.
 var controlKinds = map[string]bool{faultStop: false, faultKill: false, faultWipe: false, faultRollback: false,
 	faultRestart: false, faultCut: true, faultCutNodes: true, faultRegion: true}
 
-// checkControlFault returns the first error in a fault of control servers, and the key that it concerns.
+// checkControlFault returns the first error in a fault of control servers, with the key that it concerns.
 func (s *Script) checkControlFault(f ControlFault) (key string, err error) {
 	_, known := controlKinds[f.Kind]
 	switch {
 	case !known:
-		return "kind", fmt.Errorf("kind: no fault of control servers is called %q", f.Kind)
+		return "kind", fmt.Errorf("kind: unknown kind of fault of control servers %q", f.Kind)
 	case !(f.At >= 0 && f.At <= s.Duration):
-		return "at", fmt.Errorf("at: %g is not between 0 and %g", f.At, s.Duration)
+		return "at", fmt.Errorf("at: must be between 0 and %g s (lasts), got %g", s.Duration, f.At)
 	case !(f.Duration > 0) || f.At+f.Duration > s.Duration:
-		return "for", fmt.Errorf("for: %g is not a valid duration, or the fault outlasts the script", f.Duration)
+		return "for", fmt.Errorf("for: must be above 0, and the fault must end within %g s (lasts), got %g", s.Duration, f.Duration)
 	case f.Kind == faultRegion && !slices.Contains(regions, f.Region):
-		return "region", fmt.Errorf("region: there is no region %q", f.Region)
+		return "region", fmt.Errorf("region: must be one of %q, got %q", regions, f.Region)
 	case f.Kind != faultRegion && len(f.Servers) == 0:
-		return "servers", errors.New("servers: none is named")
+		return "servers", errors.New("servers: at least one affected server is required")
 	}
 	for _, i := range slices.Concat(f.Servers, f.To) {
 		if i < 0 || i >= s.ControlServers {
-			return "servers", fmt.Errorf("servers: there is no server %d", i)
+			return "servers", fmt.Errorf("servers: server index must be between 0 and %d, got %d", s.ControlServers-1, i)
 		}
 	}
 	for _, i := range f.Nodes {
 		if i < 0 || i >= s.Nodes {
-			return "nodes", fmt.Errorf("nodes: there is no node %d", i)
+			return "nodes", fmt.Errorf("nodes: node index must be between 0 and %d, got %d", s.Nodes-1, i)
 		}
 	}
 	return "", nil
 }
 
-// Shares and bounds of generated faults of control servers.
+// Parameters of generated faults of control servers.
 const (
 	controlRandomStream = 0x636f6e74 // separates their random numbers from others of the same seed
-	allRestartedOneIn   = 8
-	maxServersDisabled  = 2
+	allRestartedOneIn   = 8          // one in this many generated restarts affects all servers
+	maxServersDisabled  = 2          // servers with generated faults of their processes at a time
 )
 
-// GenerateControlFaults returns the script's faults of control servers and those that are generated from the seed, by their times. At
-// most two servers are down or stopped at once, but for a restart of all; at most one directory is touched at a time.
+// GenerateControlFaults returns the script's faults of control servers and those generated from the seed, sorted by start. At
+// most two servers are down or stopped at once, except when all are restarted, and at most one generated fault at a time
+// changes a directory.
 func (s *Script) GenerateControlFaults(seed uint64) []ControlFault {
 	faults := slices.Clone(s.ControlFaults)
 	random := rand.New(rand.NewPCG(seed, controlRandomStream))
@@ -118,8 +121,8 @@
 	return f
 }
 
-// canAddControlFault reports whether a generated fault leaves enough servers beside the others, and no server with two faults of
-// its process at once.
+// canAddControlFault reports whether a generated fault can be added to the others. Together they must leave enough servers
+// running, must not give one server two faults of its process at once and must not change two directories at once.
 func (s *Script) canAddControlFault(faults []ControlFault, f ControlFault) bool {
 	if controlKinds[f.Kind] {
 		return true
@@ -130,7 +133,7 @@
 			continue
 		}
 		disabled += len(other.Servers)
-		if touchesDirectory(f) && touchesDirectory(other) || slices.ContainsFunc(f.Servers, func(i int) bool {
+		if changesDirectory(f) && changesDirectory(other) || slices.ContainsFunc(f.Servers, func(i int) bool {
 			return slices.Contains(other.Servers, i)
 		}) {
 			return false
@@ -139,5 +142,5 @@
 	return disabled <= maxServersDisabled || disabled == len(f.Servers)
 }
 
-// touchesDirectory reports whether a fault takes away what a server has on its disk.
-func touchesDirectory(f ControlFault) bool { return f.Kind == faultWipe || f.Kind == faultRollback }
+// changesDirectory reports whether a fault deletes or replaces the directory of a server.
+func changesDirectory(f ControlFault) bool { return f.Kind == faultWipe || f.Kind == faultRollback }
--- a/internal/rig/control_server.go
+++ b/internal/rig/control_server.go
@@ -15,7 +15,7 @@
 	"gorseledge/internal/fleet"
 )
 
-// firstServerAddress is the index from which control servers have their loopback addresses, apart from those of nodes.
+// firstServerAddress is the index of the loopback address of the first control server. It is above all indices of nodes.
 const firstServerAddress = 1000
 
 // controlServer is a control server of the rig: its address, its directory and its process.
@@ -27,14 +27,14 @@
 
 	mu      sync.Mutex // protects the fields below
 	current *process
-	ending  bool // the rig ends the process
+	ending  bool // the rig is ending the process, so that its exit is expected
 }
 
 func (s *controlServer) name() string   { return fmt.Sprintf("c%d", s.index) }
 func (s *controlServer) region() string { return serverRegions[s.index] }
 
-// data is the directory that a wipe and a rollback act on.
-func (s *controlServer) data() string { return filepath.Join(s.dir, "data") }
+// dataDir returns the server's dataDir directory, which the faults wipe and rollback delete or replace.
+func (s *controlServer) dataDir() string { return filepath.Join(s.dir, "data") }
 
 // startControl opens the relays to the control servers and starts them.
 func startControl(r *Rig) (*control, error) {
@@ -50,13 +50,13 @@
 	for k, to := range c.servers {
 		for i := range c.servers {
 			if i != k {
-				if err := c.addRelay(link{server: true, from: i, to: k}, to.address); err != nil {
+				if err := c.addRelay(controlLink{server: true, from: i, to: k}, to.address); err != nil {
 					return c, err
 				}
 			}
 		}
 		for i := range r.nodes {
-			if err := c.addRelay(link{from: i, to: k}, to.address); err != nil {
+			if err := c.addRelay(controlLink{from: i, to: k}, to.address); err != nil {
 				return c, err
 			}
 		}
@@ -72,7 +72,7 @@
 	return c, nil
 }
 
-// prepare writes the server's directory anew; an earlier run may have used the same one.
+// prepare creates the server's directory. It removes an existing one, which an earlier run may have left.
 func (s *controlServer) prepare() error {
 	if err := os.RemoveAll(s.dir); err != nil {
 		return err
@@ -80,39 +80,39 @@
 	return s.writeFile()
 }
 
-// addTo names the control servers in a node's fleet file.
-func (c *control) addTo(file *fleet.Config, node int) {
+// addToFleetFile adds the control servers and the relays to them to a node's fleet file.
+func (c *control) addToFleetFile(file *fleet.Config, node int) {
 	file.Region = regions[node%len(regions)]
 	for k, s := range c.servers {
 		file.Control = append(file.Control, fleet.ControlServer{Name: s.name(), Address: s.address, Region: s.region()})
-		file.Via[s.address] = c.relays[link{from: node, to: k}].Address()
+		file.Via[s.address] = c.relays[controlLink{from: node, to: k}].Address()
 	}
 }
 
 // writeFile writes the server's control file.
 func (s *controlServer) writeFile() error {
-	if err := os.MkdirAll(s.data(), 0o755); err != nil {
+	if err := os.MkdirAll(s.dataDir(), 0o755); err != nil {
 		return err
 	}
 	file := controlfile.Config{Fleet: s.control.rig.fleetName(), Name: s.name(), Key: hex.EncodeToString([]byte(fleetKey)),
-		Directory: s.data(), Writer: s.control.servers[0].name(), Via: map[string]string{}}
+		Directory: s.dataDir(), Writer: s.control.servers[0].name(), Via: map[string]string{}}
 	for k, other := range s.control.servers {
 		file.Servers = append(file.Servers,
 			controlfile.Server{Name: other.name(), Address: other.address, Region: other.region()})
 		if k != s.index {
-			file.Via[other.address] = s.control.relays[link{server: true, from: s.index, to: k}].Address()
+			file.Via[other.address] = s.control.relays[controlLink{server: true, from: s.index, to: k}].Address()
 		}
 	}
 	text, err := toml.Marshal(file)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(s.path(), text, 0o600)
+	return os.WriteFile(s.configPath(), text, 0o600)
 }
 
-func (s *controlServer) path() string { return filepath.Join(s.dir, "control.toml") }
+func (s *controlServer) configPath() string { return filepath.Join(s.dir, "control.toml") }
 
-// start starts the server unless it runs.
+// start starts the server unless it is running.
 func (s *controlServer) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 	s.ending = false
 	rig := s.control.rig
-	command := exec.Command(rig.Control, "serve", s.path())
+	command := exec.Command(rig.Control, "serve", s.configPath())
 	p, err := rig.launch(command, filepath.Join(s.dir, "log"), processObserver{started: func(int) {
 		rig.history.add(Event{Kind: eventServerStart, Control: &ControlEvent{Server: s.index}})
 	}, logged: func(*process, logLine) {}, exited: s.exited})
@@ -134,14 +134,14 @@
 	s.mu.Lock()
 	ending := s.ending
 	s.mu.Unlock()
-	what := eventServerExit
+	kind := eventServerExit
 	if !ending {
-		what = eventServerDied
+		kind = eventServerDied
 	}
-	s.control.rig.history.add(Event{Kind: what, Note: note, Control: &ControlEvent{Server: s.index}})
+	s.control.rig.history.add(Event{Kind: kind, Note: note, Control: &ControlEvent{Server: s.index}})
 }
 
-// end ends the server's process by a function and waits for it.
+// end calls a function that ends the server's process and waits until the process has ended.
 func (s *controlServer) end(endProcess func(*process)) {
 	s.mu.Lock()
 	p := s.current
@@ -160,7 +160,7 @@
 func (s *controlServer) kill()     { s.end(func(p *process) { p.cmd.Process.Kill() }) }
 func (s *controlServer) shutDown() { s.end(func(p *process) { p.shutDown() }) }
 
-// setStopped stops the server's process, or continues it where stopped is false.
+// setStopped stops the server's process, or continues it if stopped is false.
 func (s *controlServer) setStopped(stopped bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,21 +174,23 @@
 	s.current.cmd.Process.Signal(signal)
 }
 
-// copyData copies the server's directory; restore puts that copy back, and wipe empties it.
-func (s *controlServer) copyData() error { return copyFiles(s.data(), s.data()+".old") }
+// copyData copies the server's data directory to one beside it.
+func (s *controlServer) copyData() error { return copyFiles(s.dataDir(), s.dataDir()+".old") }
 
+// restoreData replaces the data directory by the copy of copyData.
 func (s *controlServer) restoreData() error {
-	if err := os.RemoveAll(s.data()); err != nil {
+	if err := os.RemoveAll(s.dataDir()); err != nil {
 		return err
 	}
-	return copyFiles(s.data()+".old", s.data())
+	return copyFiles(s.dataDir()+".old", s.dataDir())
 }
 
+// wipeData empties the data directory.
 func (s *controlServer) wipeData() error {
-	if err := os.RemoveAll(s.data()); err != nil {
+	if err := os.RemoveAll(s.dataDir()); err != nil {
 		return err
 	}
-	return os.MkdirAll(s.data(), 0o755)
+	return os.MkdirAll(s.dataDir(), 0o755)
 }
 
 // beginFault begins a fault of the server's process.
@@ -210,7 +212,7 @@
 	return nil
 }
 
-// endFault ends a fault of the server's process.
+// endFault ends a fault of the server's process: it continues a stopped process and starts an ended one again.
 func (s *controlServer) endFault(f ControlFault) error {
 	if f.Kind == faultStop {
 		s.setStopped(false)
--- a/internal/rig/control_settle.go
+++ b/internal/rig/control_settle.go
@@ -10,12 +10,13 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-// settle waits, after all faults, until the writer's version is in force; where the writer is not ready by then, an
-// operator starts a new epoch. Then a last change has to come into force, and the writer is asked for its entries.
+// settle runs after all faults. If the writer does not become ready, it starts a new epoch, as an operator would. It waits
+// until the writer's version is in force, makes a last proposal, waits until that is in force, and records the proposals
+// that the writer then holds.
 func (c *control) settle(ctx context.Context) error {
 	if c.awaitReady(ctx) != nil {
 		outcome, err := c.newEpoch(ctx)
-		c.rig.progressf("new epoch: %+v, %v", outcome, err)
+		c.rig.progressf("the writer is not ready; starting a new epoch: outcome %+v, error %v", outcome, err)
 	}
 	if err := c.awaitInForce(ctx); err != nil {
 		return err
@@ -32,11 +33,12 @@
 	if err != nil {
 		return fmt.Errorf("reading the state of the writer: %w", err)
 	}
-	c.record(eventHeldProposals, ControlEvent{Version: last.Version, Digest: digestText(last.Digest), ProposalIDs: marksOf(last)})
+	c.record(eventHeldProposals, ControlEvent{Version: last.Version, Digest: digestText(last.Digest),
+		ProposalIDs: heldProposalIDs(last)})
 	return nil
 }
 
-// awaitReady waits for the stated time at most until the writer takes proposals.
+// awaitReady waits until the writer is ready for proposals, or returns an error after the in_force time.
 func (c *control) awaitReady(ctx context.Context) error {
 	reason := ""
 	for end := time.Now().Add(c.inForceTimeout()); time.Now().Before(end); {
@@ -49,15 +51,15 @@
 			return err
 		}
 	}
-	return fmt.Errorf("the writer is not ready: %s", reason)
+	return fmt.Errorf("the writer is not ready for proposals after %v: %s", c.inForceTimeout(), reason)
 }
 
-// inForceTimeout is the time within which a change is to be in force.
+// inForceTimeout returns the time within which a change must be in force.
 func (c *control) inForceTimeout() time.Duration {
 	return time.Duration(c.rig.script.InForceTimeout * 1e9)
 }
 
-// newEpoch starts a new epoch, as an operator does.
+// newEpoch starts a new epoch, as an operator would.
 func (c *control) newEpoch(ctx context.Context) (configfeed.Outcome, error) {
 	from, err := c.state(ctx)
 	if err != nil {
@@ -68,11 +70,11 @@
 	return outcome, err
 }
 
-// awaitInForce waits until all nodes have the writer's version in force, for the stated time at most, and records how
-// that ended.
+// awaitInForce waits until all running nodes have the writer's version in force, at most for the in_force time, and records
+// whether they had.
 func (c *control) awaitInForce(ctx context.Context) error {
 	c.record(eventAwaitInForce, ControlEvent{})
-	behind := "the writer does not answer"
+	behind := "reading the state of the writer failed"
 	for end := time.Now().Add(c.inForceTimeout()); time.Now().Before(end); {
 		want, err := c.state(ctx)
 		if err == nil {
@@ -90,9 +92,9 @@
 	return nil
 }
 
-// nodesBehind describes the running nodes that do not have a state in force; it is empty if there are none.
+// nodesBehind describes the running nodes that do not have a state in force. It returns an empty string if all have it.
 func (c *control) nodesBehind(ctx context.Context, want configfeed.State) string {
-	var names []string
+	var behind []string
 	for _, n := range c.rig.nodes {
 		if !n.up() {
 			continue
@@ -100,17 +102,17 @@
 		v, err := c.config(ctx, n)
 		if err != nil || v.Epoch != want.Version.Epoch || v.Revision != want.Version.Revision ||
 			v.Digest != digestText(want.Digest) {
-			names = append(names, fmt.Sprintf("%s at %d:%d, not %s", n.name(), v.Epoch, v.Revision, want.Version))
+			behind = append(behind, fmt.Sprintf("%s at version %d:%d, not %s", n.name(), v.Epoch, v.Revision, want.Version))
 		}
 	}
-	return strings.Join(names, ", ")
+	return strings.Join(behind, ", ")
 }
 
-// marksOf returns the IDs of the proposals that entries of a state identify.
-func marksOf(s configfeed.State) (ids []string) {
+// heldProposalIDs returns the IDs of the proposals whose identifying entries a state contains.
+func heldProposalIDs(s configfeed.State) (ids []string) {
 	for _, e := range s.Entries {
-		if id, ok := strings.CutPrefix(e.Key, markPrefix); ok {
-			ids = append(ids, strings.TrimSuffix(id, markSuffix))
+		if id, ok := strings.CutPrefix(e.Key, proposalKeyPrefix); ok {
+			ids = append(ids, strings.TrimSuffix(id, proposalKeySuffix))
 		}
 	}
 	return ids
--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -10,63 +10,66 @@
 	"gorseledge/internal/rig/standin"
 )
 
-// costClientKey is the client key of all flows of a measurement.
+// costClientKey is the client key of all flows in a measurement.
 const costClientKey = 7
 
-// CPUCost is the processor time that a node's process uses, user and system, in microseconds.
+// CPUCost is the CPU time, user and system, that a node's process uses for parts of its work, in microseconds.
 type CPUCost struct {
-	Start float64 // of a process from its start to its end, with one flow
-	Flow  float64 // of a flow without lines
-	Line  float64 // of a line to the host and back, one at a time
-	Idle  float64 // of a second without clients
+	Start float64 // for a process from its start to its end, with two flows without lines
+	Flow  float64 // for a flow without lines
+	Line  float64 // for a line to the host and back, with one line at a time
+	Idle  float64 // for a second without clients
 }
 
 // Load is the work that a node does in a measurement.
 type Load struct {
-	Flows, Lines int
-	Idle         time.Duration
+	Flows int           // flows without lines, one after the other
+	Lines int           // lines of one further flow
+	Idle  time.Duration // time without clients
 }
 
-// MeasureCosts measures the programs in turn, rounds times each, and returns the medians of each program.
+// MeasureCosts measures each program the given number of rounds, alternating between the programs, and returns the medians
+// of each.
 func MeasureCosts(ctx context.Context, programs []string, rounds int, load Load) ([]CPUCost, error) {
 	all := make([][]CPUCost, len(programs))
 	for range rounds {
 		for i, p := range programs {
 			c, err := measureOnce(ctx, p, load)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", p, err)
+				return nil, fmt.Errorf("measuring %s: %w", p, err)
 			}
 			all[i] = append(all[i], c)
 		}
 	}
 	out := make([]CPUCost, len(programs))
-	for i, of := range all {
+	for i, costs := range all {
 		out[i] = CPUCost{
-			Start: median(of, func(c CPUCost) float64 { return c.Start }),
-			Flow:  median(of, func(c CPUCost) float64 { return c.Flow }),
-			Line:  median(of, func(c CPUCost) float64 { return c.Line }),
-			Idle:  median(of, func(c CPUCost) float64 { return c.Idle }),
+			Start: median(costs, func(c CPUCost) float64 { return c.Start }),
+			Flow:  median(costs, func(c CPUCost) float64 { return c.Flow }),
+			Line:  median(costs, func(c CPUCost) float64 { return c.Line }),
+			Idle:  median(costs, func(c CPUCost) float64 { return c.Idle }),
 		}
 	}
 	return out, nil
 }
 
-// median returns the median of one figure of the costs; of an even number, the upper one of the two in the middle.
-func median(costs []CPUCost, figure func(CPUCost) float64) float64 {
+// median returns the median of one field of the costs. Of an even number of costs, it returns the upper of the two middle
+// values.
+func median(costs []CPUCost, field func(CPUCost) float64) float64 {
 	var values []float64
 	for _, c := range costs {
-		values = append(values, figure(c))
+		values = append(values, field(c))
 	}
 	slices.Sort(values)
 	return values[len(values)/2]
 }
 
-// measureOnce measures a program once.
+// measureOnce measures the costs of a program in one round.
 func measureOnce(ctx context.Context, program string, load Load) (c CPUCost, err error) {
 	if c.Start, err = processorTime(ctx, program, Load{}); err != nil {
 		return c, err
 	}
-	// perUnit is the cost of one unit of a load, without that of the start.
+	// perUnit returns the cost of one unit of a load, without the cost of the start.
 	perUnit := func(load Load, units float64) (float64, error) {
 		total, err := processorTime(ctx, program, load)
 		return (total - c.Start) / units, err
@@ -81,7 +84,8 @@
 	return c, err
 }
 
-// processorTime runs a node without a fleet, puts a load on it after a first flow and returns the processor time of its process, in microseconds.
+// processorTime runs a node without a fleet, runs a first flow and then the load through it, and returns the CPU time of its
+// process in microseconds.
 func processorTime(ctx context.Context, program string, load Load) (us float64, err error) {
 	dir, err := os.MkdirTemp("", "cost")
 	if err != nil {
@@ -112,7 +116,7 @@
 		return 0, err
 	}
 	if f.Ended != standin.EndedByClient {
-		return 0, fmt.Errorf("a flow of %d lines ends by %q", load.Lines, f.Ended)
+		return 0, fmt.Errorf("a flow of %d lines ended by %q, want %q", load.Lines, f.Ended, standin.EndedByClient)
 	}
 	select {
 	case <-time.After(load.Idle):
@@ -121,15 +125,16 @@
 	return n.Leave()
 }
 
-// costClients runs the flows of a measurement, one at a time.
+// costClients runs the flows of a measurement one at a time.
 type costClients struct {
 	address string
-	last    int // number of the last flow
+	last    int // number of the last flow, for its ID
 }
 
-// run runs one established flow. It retries, as a node that has just started accepts few flows.
+// run opens a flow, sends its lines and closes it. It retries until the flow is established, because a node that has just
+// started accepts few flows.
 func (c *costClients) run(ctx context.Context, lines int) (standin.Flow, error) {
-	for from := time.Now(); ; {
+	for began := time.Now(); ; {
 		c.last++
 		flow := standin.RunFlow(ctx, standin.FlowRequest{
 			Address: c.address,
@@ -142,8 +147,8 @@
 		if flow.Answer == standin.Established {
 			return flow, nil
 		}
-		if time.Since(from) > shutdownTimeout || ctx.Err() != nil {
-			return flow, fmt.Errorf("opening a flow: the node answers %q", flow.Answer)
+		if time.Since(began) > shutdownTimeout || ctx.Err() != nil {
+			return flow, fmt.Errorf("opening a flow through %s: last answer %q", c.address, flow.Answer)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/rig/exemptions.go
+++ b/internal/rig/exemptions.go
@@ -8,24 +8,25 @@
 	"strings"
 )
 
-// exemptionPeriods is the number of periods after a fault in which others may still declare the affected member dead
-// because of it: the longest suspicion time, lengthened by a node's local health score.
+// exemptionPeriods is the number of probe periods after a fault during which other nodes may still declare the affected
+// member dead: the longest suspicion timeout, extended by a node's local health score.
 const exemptionPeriods = 120.0
 
-// tolerablePeriods is the number of periods for which a process may be stopped, or cut off from all, without being
-// declared dead: the shortest suspicion time.
+// tolerablePeriods is the number of probe periods for which a process may be stopped, or cut off from all others, and must
+// still not be declared dead: the shortest suspicion timeout.
 const tolerablePeriods = 4.0
 
 // tolerableLoss is the share of lost datagrams up to which a member must not be declared dead.
 const tolerableLoss = 0.2
 
-// sameFaultTime is the time in seconds after the begin of a fault in which no other fault is looked for.
+// sameFaultTime is the time in seconds after the start of a fault in which events of faults are considered to belong to
+// this fault, not to a further one.
 const sameFaultTime = 0.01
 
-// interval is the time from the begin to the end of something, in seconds from the start of the rig.
+// interval is a span of time, in seconds from the start of the rig. Both ends belong to it.
 type interval struct{ from, to float64 }
 
-// endOf returns the time of the last event.
+// endOf returns the time of the last event, or 0 if there are no events.
 func endOf(events []Event) float64 {
 	if len(events) == 0 {
 		return 0
@@ -33,8 +34,8 @@
 	return events[len(events)-1].At
 }
 
-// episode is a fault with the time for which it lasted. One that was not over when the run ended, or that leaves its
-// process down, lasts forever.
+// episode is a fault with the interval in which it was active. The interval is without end if the fault had not ended when
+// the run did, or if it leaves the process down for the rest of the run.
 type episode struct {
 	Fault
 	interval
@@ -43,7 +44,7 @@
 // forever is the end of an interval that does not end within the run.
 var forever = math.Inf(1)
 
-// episodes pairs the begin of each fault with its end.
+// episodes pairs the start of each fault of nodes or links with its end.
 func episodes(events []Event) (out []episode) {
 	open := map[string]int{}
 	for _, e := range events {
@@ -66,9 +67,9 @@
 	return out
 }
 
-// exemptIntervals returns, by node, the times in which others may declare it dead: it was down, stopped for long, cut
-// off from or by all others, behind links with more loss or delay than the rules cover, or in a cut that leaves no path
-// through another node.
+// exemptIntervals returns, by node, the intervals in which other nodes may declare it dead, because it was down, stopped for
+// long, cut off from all others, behind links with more loss or delay than the rules cover, or in a cut that leaves no
+// path through another node.
 func exemptIntervals(s *Script, events []Event) map[int][]interval {
 	out := map[int][]interval{}
 	for _, e := range episodes(events) {
@@ -77,12 +78,12 @@
 	return out
 }
 
-// addExemptions adds to out the interval w for each node that the fault excuses.
-func addExemptions(s *Script, out map[int][]interval, f Fault, w interval) {
-	long := w.to-w.from >= tolerablePeriods*s.ProbePeriod
+// addExemptions adds the interval of a fault to out for each node that others may declare dead because of the fault.
+func addExemptions(s *Script, out map[int][]interval, f Fault, active interval) {
+	long := active.to-active.from >= tolerablePeriods*s.ProbePeriod
 	add := func(nodes []int) {
 		for _, n := range nodes {
-			out[n] = append(out[n], w)
+			out[n] = append(out[n], active)
 		}
 	}
 	if faultKinds[f.Kind].endsProcess {
@@ -97,9 +98,9 @@
 		if !long {
 			return
 		}
-		if len(f.To) == 0 { // no other node receives anything from it
+		if len(f.To) == 0 { // no other node receives datagrams from it
 			add(f.Nodes)
-			if len(f.Nodes) > 1 { // the remaining nodes may be too few for a path
+			if len(f.Nodes) > 1 { // the remaining nodes may have no path to each other either
 				for n := range s.Nodes {
 					add([]int{n})
 				}
@@ -115,14 +116,14 @@
 		if f.Amount > tolerableLoss && len(f.To) == 0 {
 			add(f.Nodes)
 		}
-	case faultDelay: // longer than the timeout of a probe
+	case faultDelay: // a delay above a tenth of the period is longer than the timeout of a probe
 		if f.Amount > s.ProbePeriod/10 && len(f.To) == 0 {
 			add(f.Nodes)
 		}
 	}
 }
 
-// leavesPath reports whether a cut leaves a node untouched, so that all others can be reached through it.
+// leavesPath reports whether a cut leaves at least one node unaffected, through which all others can reach each other.
 func leavesPath(s *Script, f Fault) bool {
 	for n := range s.Nodes {
 		if !slices.Contains(f.Nodes, n) && !slices.Contains(f.To, n) {
@@ -132,7 +133,7 @@
 	return false
 }
 
-// nodeIndex returns the index of a node by its name, -1 where the name is not one of the rig's.
+// nodeIndex returns the index in a node's name ("n3"), or -1 if there is no number after the n.
 func nodeIndex(name string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 	if err != nil {
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -9,13 +9,12 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// garbageDatagrams and garbageBytes are the number of datagrams of one garbage fault and the bound of their size.
 const (
-	garbageDatagrams = 200
-	garbageBytes     = 400
+	garbageDatagrams = 200 // datagrams that one garbage fault sends
+	garbageBytes     = 400 // exclusive upper bound of the size of such a datagram
 )
 
-// applyFaults applies the faults at their times, ends each after its duration and returns when the script is over.
+// applyFaults begins each fault at its time and ends it after its duration. It returns at the end of the script.
 func (r *Rig) applyFaults(ctx context.Context, faults []Fault) error {
 	outer := ctx
 	group, ctx := errgroup.WithContext(outer)
@@ -53,10 +52,10 @@
 	return outer.Err()
 }
 
-// changeFault begins a fault, or ends it where over is true.
+// changeFault begins a fault, or ends it if over is true.
 func (r *Rig) changeFault(f Fault, over bool) error {
 	if faultKinds[f.Kind].onLink {
-		r.changeLinks(f, func(w *LinkConditions) { setLinkFault(w, f, over) })
+		r.changeLinks(f, func(conditions *LinkConditions) { setLinkFault(conditions, f, over) })
 		return nil
 	}
 	for _, i := range f.Nodes {
@@ -73,29 +72,29 @@
 	return nil
 }
 
-// setLinkFault sets what a fault changes of a link, or sets it back where the fault is over.
-func setLinkFault(w *LinkConditions, f Fault, over bool) {
+// setLinkFault sets the condition of a link that a fault changes, or resets it if over is true.
+func setLinkFault(conditions *LinkConditions, f Fault, over bool) {
 	amount := f.Amount
 	if over {
 		amount = 0
 	}
 	switch f.Kind {
 	case faultCut:
-		w.Cut = !over
+		conditions.Cut = !over
 	case faultLoss:
-		w.Loss = amount
+		conditions.Loss = amount
 	case faultDelay:
-		w.Delay, w.Jitter = amount, amount
+		conditions.Delay, conditions.Jitter = amount, amount
 	case faultRepeat:
-		w.Repeat = amount
+		conditions.Repeat = amount
 	case faultReplay:
-		w.Replay = amount
+		conditions.Replay = amount
 	case faultTear:
-		w.BreakAfter = int64(amount)
+		conditions.BreakAfter = int64(amount)
 	case faultSlow:
-		w.SecondsPerByte = 0
+		conditions.SecondsPerByte = 0
 		if amount > 0 {
-			w.SecondsPerByte = 1 / amount
+			conditions.SecondsPerByte = 1 / amount
 		}
 	}
 }
@@ -126,8 +125,8 @@
 	return nil
 }
 
-// endNodeFault ends a fault of a node's process: the process continues, or is started again unless it stays down for
-// the whole run.
+// endNodeFault ends a fault of a node's process: it continues a stopped process and starts an ended one again, unless the
+// node is to stay down for the rest of the run.
 func (r *Rig) endNodeFault(n *node, f Fault) error {
 	switch f.Kind {
 	case faultStop:
@@ -142,7 +141,7 @@
 	return nil
 }
 
-// changeLinks changes the relays of a fault's links.
+// changeLinks changes the conditions of all links that a fault affects.
 func (r *Rig) changeLinks(f Fault, change func(*LinkConditions)) {
 	for _, from := range f.Nodes {
 		to := f.To
@@ -163,7 +162,8 @@
 	}
 }
 
-// sendGarbage sends random datagrams to a node; half of them begin with the right version.
+// sendGarbage sends datagrams of random bytes to a node. About half of them begin with the version byte of members'
+// messages, so that the node's decoder reads past it.
 func (r *Rig) sendGarbage(n *node) error {
 	c, err := net.Dial("udp", n.fleet)
 	if err != nil {
@@ -178,9 +178,9 @@
 			text[i] = byte(r.rand.Uint32())
 		}
 		if len(text) > 0 && r.rand.IntN(2) == 0 {
-			text[0] = 1 // the version of members' messages
+			text[0] = 1 // version byte of members' messages
 		}
-		c.Write(text) // an error is no fault of the run: the node may be down
+		c.Write(text) // errors are ignored: the node may be down
 	}
 	return nil
 }
--- a/internal/rig/generate.go
+++ b/internal/rig/generate.go
@@ -9,12 +9,12 @@
 
 const (
 	faultRandomStream  = 0x7269670a // separates the random numbers of faults from others of the same seed
-	generationAttempts = 50         // for each generated fault, to find one that leaves enough nodes running
+	generationAttempts = 50         // attempts per generated fault to find one that can be added to the others
 )
 
-// GenerateFaults returns the script's faults and those that are generated from the seed, in the order of their times. generated
-// process faults take down or stop at most a third of the nodes at once, and generated cuts do not overlap, so that
-// the remaining nodes have a path to each other.
+// GenerateFaults returns the script's faults and those generated from the seed, sorted by start. Generated process faults
+// take down or stop at most a third of the nodes at once, and generated cuts do not overlap, so that the remaining nodes
+// have a path to each other.
 func (s *Script) GenerateFaults(seed uint64) []Fault {
 	faults := slices.Clone(s.Faults)
 	random := rand.New(rand.NewPCG(seed, faultRandomStream))
@@ -44,7 +44,7 @@
 	return names
 }
 
-// generateFault generates one fault. Its times and its amount have two decimals.
+// generateFault generates one fault. Its times and its amount are rounded to two decimals.
 func (s *Script) generateFault(random *rand.Rand, kinds []string) Fault {
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
 	f := Fault{Kind: kinds[random.IntN(len(kinds))], Nodes: []int{random.IntN(s.Nodes)}}
@@ -63,7 +63,7 @@
 	return f
 }
 
-// generateAmount generates a fault's amount, 0 for a kind that has none.
+// generateAmount generates the amount of a fault of a kind; it returns 0 for a kind without an amount.
 func (s *Script) generateAmount(random *rand.Rand, kind string) float64 {
 	switch kind {
 	case faultLoss:
@@ -82,8 +82,8 @@
 	return 0
 }
 
-// canAdd reports whether a generated fault can be added to the others: at most a third of the nodes are affected by
-// process faults at once, no node by two of them, and no two cuts overlap.
+// canAdd reports whether a generated fault can be added to the others. Process faults must affect at most a third of the
+// nodes at once, no node may have two of them at once, and no two cuts may overlap.
 func (s *Script) canAdd(faults []Fault, generated Fault) bool {
 	down := 1
 	for _, other := range faults {
@@ -96,7 +96,7 @@
 				return false
 			}
 		}
-		if generated.Kind == faultCut && other.Kind == faultCut { // two may leave no path
+		if generated.Kind == faultCut && other.Kind == faultCut { // two cuts may leave some nodes without a path to each other
 			return false
 		}
 	}
--- a/internal/rig/generate_test.go
+++ b/internal/rig/generate_test.go
@@ -4,12 +4,14 @@
 	"testing"
 )
 
+// A seed must always generate the same faults, or a failed run could not be repeated. Generated process faults must affect at
+// most a third of the nodes at once, or the remaining nodes could not be expected to agree.
 func TestGeneratedFaultsAreReproducibleAndLeaveEnoughNodes(t *testing.T) {
 	s := &Script{Nodes: 9, ProbePeriod: 0.25, Duration: 60, GeneratedFaults: 30}
 	for seed := range uint64(20) {
 		faults := s.GenerateFaults(seed)
 		if len(faults) < 10 {
-			t.Errorf("seed %d: %d faults", seed, len(faults))
+			t.Errorf("seed %d: %d faults, want at least 10", seed, len(faults))
 		}
 		for i, f := range s.GenerateFaults(seed) {
 			if f.String() != faults[i].String() || f.At != faults[i].At {
@@ -24,7 +26,7 @@
 				}
 			}
 			if down > 3 {
-				t.Errorf("seed %d, %.1f s: %d down", seed, at, down)
+				t.Errorf("seed %d, %.1f s: %d nodes with process faults, want at most 3", seed, at, down)
 			}
 		}
 	}
--- a/internal/rig/history.go
+++ b/internal/rig/history.go
@@ -10,14 +10,14 @@
 
 // The values of Event.Kind.
 const (
-	eventProcessStart = "start"  // a process was started
-	eventProcessExit  = "exit"   // a process ended
-	eventFaultStart   = "fault"  // a fault began
-	eventFaultEnd     = "over"   // a fault ended
-	eventMember       = "member" // a node saw a member change its state
+	eventProcessStart = "start"  // a process of a node was started
+	eventProcessExit  = "exit"   // a process of a node ended
+	eventFaultStart   = "fault"  // a fault of nodes or links began
+	eventFaultEnd     = "over"   // a fault of nodes or links ended
+	eventMember       = "member" // a node logged that a member changed its state
 	eventFlow         = "flow"   // a client's flow ended
-	eventAgreement    = "agree"  // all running nodes agree after the last fault
-	eventBudget       = "budget" // the share of a cold host's budget that all nodes grant together
+	eventAgreement    = "agree"  // after the last fault, all running nodes listed each other and no other member as alive
+	eventBudget       = "budget" // the share of a cold host's budget that all running nodes grant together was computed
 )
 
 // The states of a member in events and views.
@@ -28,25 +28,26 @@
 	memberLeft    = "left"
 )
 
-// Event is something that the rig did or observed. At and Began are seconds from the start of the rig.
+// Event is an action or an observation of the rig. At and StartedAt are in seconds from the start of the rig.
 type Event struct {
 	At          float64 `json:"at"`
 	Kind        string  `json:"what"` // kind of the event: one of the constants above
-	Node        int     `json:"node"`
+	Node        int     `json:"node"` // index of the node; 0 for events without a node
 	Fault       *Fault  `json:"fault,omitempty"`
 	Member      string  `json:"member,omitempty"` // the member whose state changed
 	State       string  `json:"state,omitempty"`
-	Answer      string  `json:"answer,omitempty"` // of a flow: a standin.Answer
-	AnswerCount int     `json:"count,omitempty"`  // final answers of a flow
-	Ending      string  `json:"ended,omitempty"`  // how an established flow ended
-	StartedAt   float64 `json:"began,omitempty"`  // when a flow began
-	BudgetShare float64 `json:"part,omitempty"`   // of a cold host's budget, that all running nodes give out
+	Answer      string  `json:"answer,omitempty"` // outcome of a flow, a standin.Answer
+	AnswerCount int     `json:"count,omitempty"`  // number of final answers that a flow received
+	Ending      string  `json:"ended,omitempty"`  // how an established flow ended, a standin.Ending
+	StartedAt   float64 `json:"began,omitempty"`  // when a flow or a proposal was started
+	BudgetShare float64 `json:"part,omitempty"`   // share of a cold host's budget that all running nodes grant together
 	Note        string  `json:"note,omitempty"`
 
-	Control *ControlEvent `json:"control,omitempty"` // of control servers and the configuration
+	Control *ControlEvent `json:"control,omitempty"` // set for events that concern control servers or the configuration
 }
 
-// history keeps the events of a run in order and writes them as JSON Lines. It is safe for concurrent use.
+// history keeps the events of a run in the order in which they were added and writes them to a file as JSON Lines. It is
+// safe for concurrent use.
 type history struct {
 	mu      sync.Mutex
 	began   time.Time
@@ -57,8 +58,8 @@
 	observe func(Event) // called with each event, At in Unix seconds; may be nil
 }
 
-// newHistory returns a history that writes to a file, which gets its name when the history is closed as complete. With an
-// empty path it writes no file.
+// newHistory returns a history that writes to a temporary file, which close renames to path if the run is complete. If
+// path is empty, the history writes no file.
 func newHistory(path string) (*history, error) {
 	h := &history{began: time.Now(), path: path}
 	if path == "" {
@@ -75,7 +76,7 @@
 // now returns the seconds since the start of the rig.
 func (h *history) now() float64 { return time.Since(h.began).Seconds() }
 
-// add records an event, at the present time where it has none.
+// add records an event. If it has no time, it gets the present time.
 func (h *history) add(e Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -112,7 +113,7 @@
 	return n
 }
 
-// close gives the file its name where the run is complete, and removes it otherwise.
+// close renames the temporary file to its path if the run is complete, and removes it otherwise.
 func (h *history) close(complete bool) error {
 	if h.file == nil {
 		return nil
--- a/internal/rig/history_test.go
+++ b/internal/rig/history_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// A history file of an interrupted run could be mistaken for one of a complete run. Only a complete run may leave a file.
 func TestHistoryIsCompleteOrAbsent(t *testing.T) {
 	dir := t.TempDir()
 	for _, complete := range []bool{false, true} {
@@ -18,7 +19,7 @@
 		}
 		left, _ := filepath.Glob(filepath.Join(dir, "*"))
 		if complete != (len(left) == 1) {
-			t.Errorf("complete %v: %v", complete, left)
+			t.Errorf("complete %v: files left: %v", complete, left)
 		}
 	}
 }
--- a/internal/rig/nodes.go
+++ b/internal/rig/nodes.go
@@ -13,8 +13,8 @@
 	"gorseledge/internal/rig/standin"
 )
 
-// Nodes are nodes of the built program with their stand-ins, for runs that no Script describes: the caller chooses
-// names and fleet files and injects its own faults.
+// Nodes are nodes of the built program with their stand-ins, for callers that do not run a Script. The caller chooses the
+// names and fleet files of the nodes and injects its own faults.
 type Nodes struct {
 	rig   *Rig
 	nodes []*Node
@@ -23,20 +23,20 @@
 // Node is one node of Nodes.
 type Node struct {
 	node *node
-	File fleet.Config // its fleet file; Address is set by Add where it is empty
+	File fleet.Config // content of its fleet file; Add sets Address if it is empty
 }
 
 // NodesOptions configure Nodes.
 type NodesOptions struct {
-	Program string
-	Dir     string // for the nodes' directories
-	Seed    uint64
+	Program string      // path of the built node
+	Dir     string      // parent of the nodes' directories
+	Seed    uint64      // seeds all random numbers of the clients
 	Hosts   int         // number of stand-in hosts
-	Flows   float64     // new clients a second, over all nodes
+	Flows   float64     // new clients per second, over all nodes
 	Observe func(Event) // called with each event, At in Unix seconds; may be nil
 }
 
-// NewNodes starts the stand-ins. Close ends them and all nodes.
+// NewNodes starts the stand-ins, without any node yet. Close ends the stand-ins and all nodes.
 func NewNodes(o NodesOptions) (*Nodes, error) {
 	h, err := newHistory("")
 	if err != nil {
@@ -55,11 +55,12 @@
 	return n, nil
 }
 
-// viewTimeout is the time for an answer from a node that knows a large fleet, on a busy machine.
+// viewTimeout is the time limit of a request to a node. It is long enough for a node that lists a large fleet on a busy
+// machine.
 const viewTimeout = 5 * time.Second
 
-// Add prepares a node with a name and a fleet file of its own; settled is the number of nodes that its settings
-// speak of. Prepare writes its files, Start starts it.
+// Add adds a node with a name and a fleet file, and assigns free addresses to it. Prepare writes its files, and Start starts
+// it.
 func (n *Nodes) Add(name string, file fleet.Config) (*Node, error) {
 	i := len(n.rig.nodes)
 	added := &node{rig: n.rig, index: i, label: name, dir: filepath.Join(n.rig.Dir, name), fleet: file.Address}
@@ -79,8 +80,8 @@
 	return result, nil
 }
 
-// Traffic starts clients in the background until ctx ends; flows that are open then may continue until runContext ends.
-// Close waits for them.
+// Traffic starts clients in the background until ctx ends. Flows that are open at that time may continue until runContext
+// ends; Close waits for them.
 func (n *Nodes) Traffic(ctx, runContext context.Context) {
 	n.rig.flows.Go(func() { n.rig.traffic(ctx, runContext) })
 }
@@ -99,24 +100,25 @@
 // Close stops all nodes, clients and stand-ins and waits until they have ended.
 func (n *Nodes) Close() { n.rig.close() }
 
-// Prepare writes the node's directory; settled is the number of nodes that its settings speak of.
-func (n *Node) Prepare(settled int) error {
+// Prepare creates the node's directory with its files. nodeCount is the number of nodes in the fleet according to the node's
+// settings.
+func (n *Node) Prepare(nodeCount int) error {
 	if err := os.MkdirAll(n.node.dir, 0o755); err != nil {
 		return err
 	}
-	return n.node.rig.writeFiles(n.node, n.File, settled)
+	return n.node.rig.writeFiles(n.node, n.File, nodeCount)
 }
 
-// Start starts the node unless it runs.
+// Start starts the node unless it is running.
 func (n *Node) Start() error { return n.node.start() }
 
-// Kill ends the node's process at once.
+// Kill kills the node's processes and waits until they have ended.
 func (n *Node) Kill() { n.node.kill() }
 
-// Leave asks the node to leave, and waits for it.
+// Leave asks the node to leave its fleet and shut down, and waits until it has ended.
 func (n *Node) Leave() { n.node.leave() }
 
-// PID returns the id of the process that serves, 0 if there is none.
+// PID returns the ID of the process that serves, or 0 if there is none.
 func (n *Node) PID() int {
 	n.node.mu.Lock()
 	defer n.node.mu.Unlock()
@@ -126,10 +128,10 @@
 	return n.node.current.cmd.Process.Pid
 }
 
-// View asks the node for what it knows of its fleet.
+// View reads the node's view of its fleet.
 func (n *Node) View(ctx context.Context) (view.View, error) { return n.node.rig.view(ctx, n.node) }
 
-// Config asks the node for the configuration that it has in force.
+// Config reads the configuration that the node has in force.
 func (n *Node) Config(ctx context.Context) (c view.Config, err error) {
 	err = n.node.rig.fetch(ctx, n.node, "/-/config", &c)
 	return c, err
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// shutdownTimeout is the time after which a process that was asked to shut down is killed, as the platform does.
+// shutdownTimeout is the time after which a process that was asked to shut down is killed, as the deployment platform does.
 const shutdownTimeout = 5 * time.Second
 
-// The messages of a node's log that the rig acts on. Nodes of earlier versions log them too.
+// The messages of a node's log that the rig reads. Nodes of earlier versions log the same messages.
 const (
 	logMemberChanged = "member"            // a member changed its state
 	logJoinedFleet   = "member of a fleet" // the node has joined its fleet
@@ -25,15 +25,15 @@
 // maxLogLineBytes is the length of a log line beyond which the rig stops reading the log.
 const maxLogLineBytes = 1 << 20
 
-// process is a running process of the program.
+// process is a process of a node or a control server.
 type process struct {
 	cmd    *exec.Cmd
-	exited chan struct{}
-	ready  chan struct{} // closed when its log says that it is a member of its fleet
-	once   sync.Once
+	exited chan struct{} // closed after the process has ended and its log is complete
+	ready  chan struct{} // closed when the process has logged that it is a member of its fleet
+	once   sync.Once     // closes ready
 }
 
-// logLine holds the fields that the rig reads of a line of a node's log.
+// logLine holds the fields of a line of a node's log that the rig reads.
 type logLine struct {
 	Message string `json:"message"`
 	Member  string `json:"member"`
@@ -44,16 +44,16 @@
 type node struct {
 	rig    *Rig
 	index  int
-	label  string // its name, where that is not its number
+	label  string // its name; if empty, the name is made of its index
 	dir    string
-	client string // addresses
-	admin  string
-	fleet  string
+	client string // address that clients connect to
+	admin  string // admin address
+	fleet  string // address for members' messages
 
 	mu          sync.Mutex // protects the fields below
 	current     *process   // the process that serves
-	predecessor *process   // hands over to now in an upgrade
-	stopped     bool       // by SIGSTOP
+	predecessor *process   // hands over to current during an upgrade
+	stopped     bool       // whether the processes are stopped by SIGSTOP
 }
 
 func (n *node) name() string {
@@ -63,15 +63,15 @@
 	return fmt.Sprintf("n%d", n.index)
 }
 
-// processObserver receives what happens to a process. Its functions are called one after the other.
+// processObserver has the functions that are called for the events of a process, one at a time.
 type processObserver struct {
 	started func(pid int)
 	logged  func(*process, logLine) // for each line of the log that is a JSON object
-	exited  func(note string)       // with the exit status, "0" for success
+	exited  func(note string)       // with the exit error, or "0" for success
 }
 
-// launch starts a process and writes its standard error to a log until it has ended. A goroutine of the process reads
-// the log and waits for its end; it closes exited last.
+// launch starts a process and appends its standard error to a log file. A goroutine reads the standard error and waits for
+// the end of the process; it closes exited last.
 func (r *Rig) launch(command *exec.Cmd, logPath string, observer processObserver) (*process, error) {
 	p := &process{cmd: command, exited: make(chan struct{}), ready: make(chan struct{})}
 	pipe, err := p.cmd.StderrPipe()
@@ -109,7 +109,7 @@
 	return p, nil
 }
 
-// launch starts a process of the node and records what it logs until it has ended.
+// launch starts a process of the node. It records its start, its end and the changes of members that it logs.
 func (n *node) launch() (*process, error) {
 	command := exec.Command(n.rig.Program)
 	command.Env = append(os.Environ(), "LB_CONFIG="+filepath.Join(n.dir, "config.json"), "TMPDIR="+n.dir)
@@ -127,7 +127,7 @@
 	}})
 }
 
-// start starts the node unless it runs.
+// start starts the node unless it is running.
 func (n *node) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -139,7 +139,7 @@
 	return err
 }
 
-// copyDir copies the node's directory to a directory beside it, without the log and the sockets of a handover.
+// copyDir copies the node's directory to one beside it, without the log and the handover sockets.
 func (n *node) copyDir() error { return copyFiles(n.dir, n.dir+".old") }
 
 // restoreDir replaces the node's directory by the copy of copyDir.
@@ -169,7 +169,7 @@
 			return nil
 		}
 		text, err := os.ReadFile(path)
-		if errors.Is(err, os.ErrNotExist) { // the node has removed it meanwhile
+		if errors.Is(err, os.ErrNotExist) { // the node has removed it since the directory was read
 			return nil
 		}
 		if err != nil {
@@ -179,14 +179,14 @@
 	})
 }
 
-// up reports whether the node runs and is not stopped.
+// up reports whether the node is running and not stopped.
 func (n *node) up() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current != nil && !n.stopped
 }
 
-// processes returns the node's processes.
+// processes returns the node's running processes.
 func (n *node) processes() (out []*process) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -230,7 +230,7 @@
 	n.mu.Unlock()
 }
 
-// setStopped stops the node's processes, or continues them where stopped is false.
+// setStopped stops the node's processes, or continues them if stopped is false.
 func (n *node) setStopped(stopped bool) {
 	sig := syscall.SIGCONT
 	if stopped {
@@ -244,8 +244,8 @@
 	n.mu.Unlock()
 }
 
-// upgrade starts a second process, which takes over from the serving one. The predecessor is asked to leave once the
-// new process is a member, or after shutdownTimeout.
+// upgrade starts a second process, to which the serving one hands over. The predecessor is asked to shut down when the new
+// process is a member or has ended, but no later than after shutdownTimeout.
 func (n *node) upgrade() error {
 	n.mu.Lock()
 	predecessor := n.current
--- a/internal/rig/progress.go
+++ b/internal/rig/progress.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// progressf formats a progress line and passes it on.
+// progressf formats a progress line and passes it to the Progress option.
 func (r *Rig) progressf(format string, args ...any) {
 	if r.Progress != nil {
 		r.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// progressInterval is the time between two progress lines about the state of a run.
+// progressInterval is the interval between progress lines about the state of a run.
 const progressInterval = 2 * time.Second
 
-// reportProgress reports the state of the run at intervals until the context ends or the returned function is called,
-// which waits for the last report.
+// reportProgress reports the state of the run at intervals until the context ends or the caller calls the returned function,
+// which waits until the last report is done.
 func (r *Rig) reportProgress(ctx context.Context) func() {
 	if r.Progress == nil {
 		return func() {}
@@ -41,9 +41,9 @@
 	}
 }
 
-// reportState reports how many nodes run, how many members they hold for alive and how many flows have ended.
+// reportState reports how many nodes are running, how many members they list as alive, and how many flows have ended.
 func (r *Rig) reportState(ctx context.Context) {
-	least, most := len(r.nodes)+1, 0
+	minAlive, maxAlive := len(r.nodes)+1, 0
 	answers := r.views(ctx)
 	for _, a := range answers {
 		if a.err != nil {
@@ -55,10 +55,10 @@
 				alive++
 			}
 		}
-		least, most = min(least, alive), max(most, alive)
+		minAlive, maxAlive = min(minAlive, alive), max(maxAlive, alive)
 	}
-	if ctx.Err() == nil && most > 0 {
-		r.progressf("%5.1f s  %d of %d run, each sees %d to %d alive, %d flows", r.history.now(), len(answers),
-			len(r.nodes), least, most, r.history.flows())
+	if ctx.Err() == nil && maxAlive > 0 {
+		r.progressf("%5.1f s  %d of %d nodes running, each lists %d to %d members as alive, %d flows ended",
+			r.history.now(), len(answers), len(r.nodes), minAlive, maxAlive, r.history.flows())
 	}
 }
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// LinkConditions are the faults of a link between two processes. The zero value is a link without faults.
+// LinkConditions are the faults of a link between two processes. The zero value describes a link without faults.
 type LinkConditions struct {
-	Cut            bool    // nothing passes
-	Loss           float64 // share of the datagrams that is lost, 0 to 1
+	Cut            bool    // no datagram passes, and streams are broken
+	Loss           float64 // share of the datagrams that is dropped, 0 to 1
 	Delay          float64 // seconds by which datagrams and streams are delayed
 	Jitter         float64 // upper bound of a random further delay of datagrams, in seconds; it reorders them
-	Repeat         float64 // share of the datagrams that arrives twice, 0 to 1
-	Replay         float64 // old datagrams sent again, per second
-	BreakAfter     int64   // bytes after which a stream breaks; 0 for never
-	SecondsPerByte float64 // time that a byte of a stream takes
+	Repeat         float64 // share of the datagrams that is forwarded twice, 0 to 1
+	Replay         float64 // number of recorded datagrams sent again per second
+	BreakAfter     int64   // bytes after which one direction of a stream breaks the stream; 0 for never
+	SecondsPerByte float64 // time that a byte of a stream takes, in seconds
 }
 
 const (
-	relayRandomStream    = 5  // separates the random numbers of relays from others of the same seed
-	relayPortAttempts    = 20 // further attempts to find a port that is free for both TCP and UDP
-	maxDatagramBytes     = 64 << 10
-	streamBufferBytes    = 16 << 10
+	relayRandomStream    = 5        // separates the random numbers of relays from others of the same seed
+	relayPortAttempts    = 20       // further attempts to find a port that is free for both TCP and UDP
+	maxDatagramBytes     = 64 << 10 // size of the buffer for a received datagram
+	streamBufferBytes    = 16 << 10 // size of the buffer for one direction of a stream
 	streamDialTimeout    = time.Second
-	maxRecordedDatagrams = 256                    // kept of a link for replay
-	replayInterval       = 100 * time.Millisecond // between two batches of replayed datagrams
+	maxRecordedDatagrams = 256                    // datagrams of a link that are kept for replay
+	replayInterval       = 100 * time.Millisecond // interval between batches of replayed datagrams
 )
 
-// Relay forwards datagrams and streams to one address under conditions that may change at any time. It owns its
-// sockets and goroutines, which end with Close. Use NewRelay; the zero value is not usable. The methods are safe for
+// Relay forwards datagrams and streams to one address, with the faults of its conditions, which may change at any time. It
+// owns its sockets and goroutines, which end with Close. Use NewRelay; the zero value is not usable. The methods are safe for
 // concurrent use, but Close may be called only once.
 type Relay struct {
 	in      *net.UDPConn
@@ -45,10 +45,10 @@
 	rand        *rand.Rand
 	connections map[net.Conn]bool // both ends of each open stream
 	recorded    [][]byte          // a random sample of the datagrams, for replay
-	passed      int               // number of datagrams received
+	passed      int               // number of datagrams received so far
 }
 
-// NewRelay opens a relay to an address. It accepts datagrams and streams on one loopback port.
+// NewRelay opens a relay to an address. The relay accepts datagrams and streams on one loopback port.
 func NewRelay(to string, seed uint64) (*Relay, error) {
 	streams, in, err := listenOnOnePort()
 	if err != nil {
@@ -90,7 +90,7 @@
 // Address returns the address on which the relay accepts datagrams and streams.
 func (r *Relay) Address() string { return r.in.LocalAddr().String() }
 
-// Set changes the conditions by a function. If the link is cut afterwards, its open streams break.
+// Set calls a function that changes the conditions. If the link is cut afterwards, its open streams are broken.
 func (r *Relay) Set(change func(*LinkConditions)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rig/relay_datagrams.go
+++ b/internal/rig/relay_datagrams.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// forwardDatagrams forwards datagrams until the relay is closed, and waits for those that are delayed.
+// forwardDatagrams forwards datagrams until the relay is closed, and then waits until the delayed ones are sent.
 func (r *Relay) forwardDatagrams() {
 	to, err := net.ResolveUDPAddr("udp", r.to)
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// receive records a datagram and returns the delay of each copy to forward; none if the datagram is lost.
+// receive records a datagram and returns the delays of the copies to forward. It returns none if the datagram is dropped.
 func (r *Relay) receive(datagram []byte) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +60,7 @@
 	return 1
 }
 
-// sendAfter sends a datagram after a delay, at once if there is none. A delayed datagram is copied and counted as
+// sendAfter sends a datagram after a delay, or at once if the delay is 0. A delayed datagram is copied and counted as
 // pending until it is sent.
 func sendAfter(pending *sync.WaitGroup, delay time.Duration, datagram []byte, send func([]byte)) {
 	if delay <= 0 {
@@ -106,8 +106,8 @@
 	}
 }
 
-// replayBatch draws the datagrams to send again after one interval. It takes and returns the number that is due; while
-// the link is cut, due datagrams are dropped.
+// replayBatch selects the datagrams to send again after one interval, at random. due is the number of datagrams left from
+// earlier intervals, and left is the one for the next interval. While the link is cut, due datagrams are dropped.
 func (r *Relay) replayBatch(due float64) (batch [][]byte, left float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rig/relay_streams.go
+++ b/internal/rig/relay_streams.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// accept forwards streams until the relay is closed. A stream that arrives while the link is cut is closed.
+// accept accepts and forwards streams until the relay is closed. While the link is cut, it closes accepted streams.
 func (r *Relay) accept() {
 	for {
 		connection, err := r.streams.Accept()
@@ -43,7 +43,8 @@
 	directions.Wait()
 }
 
-// addStream registers both ends of a stream, and closes them if the link was cut since the stream was accepted.
+// addStream registers both ends of a stream. It closes them if the link was cut or the relay closed since the stream was
+// accepted.
 func (r *Relay) addStream(accepted, dialled net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +63,7 @@
 	delete(r.connections, dialled)
 }
 
-// currentConditions returns the conditions of the link at present.
+// currentConditions returns the present conditions of the link.
 func (r *Relay) currentConditions() LinkConditions {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rig/relay_test.go
+++ b/internal/rig/relay_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-func TestStreamThatOpensWithinACutBreaks(t *testing.T) {
+// A stream that the relay accepted just before a cut and registers only after it would stay open during the cut.
+func TestStreamAcceptedBeforeCutIsBroken(t *testing.T) {
 	to, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -17,22 +18,24 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	r.Set(func(w *LinkConditions) { w.Cut = true })
+	r.Set(func(conditions *LinkConditions) { conditions.Cut = true })
 	near, accepted := net.Pipe()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.stream(accepted) // the relay had accepted it before
+		r.stream(accepted) // as if accepted before the cut
 	}()
 	near.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := near.Read(make([]byte, 1)); err == nil {
-		t.Error("something came through the cut")
+		t.Error("received data through a cut link")
 	} else if e, ok := err.(net.Error); ok && e.Timeout() {
-		t.Fatal("the stream is open")
+		t.Fatal("the stream is still open after 10 s")
 	}
 	<-done
 }
 
+// The relay must send recorded datagrams again while replay is set, and stop when it is reset, or the fault would affect the
+// rest of the run.
 func TestRelayReplaysDatagramsOnlyWhileSet(t *testing.T) {
 	to, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -61,14 +64,14 @@
 	from.Write([]byte("first"))
 	from.Write([]byte("second"))
 	if a, b := read(), read(); a != "first" || b != "second" {
-		t.Fatalf("%s %s", a, b)
+		t.Fatalf("received %q and %q, want first and second", a, b)
 	}
-	r.Set(func(w *LinkConditions) { w.Replay = 100 })
-	for seen := map[string]bool{}; len(seen) < 2; { // both come, in any order
+	r.Set(func(conditions *LinkConditions) { conditions.Replay = 100 })
+	for seen := map[string]bool{}; len(seen) < 2; { // both are replayed, in any order
 		seen[read()] = true
 	}
-	r.Set(func(w *LinkConditions) { w.Replay = 0 })
+	r.Set(func(conditions *LinkConditions) { conditions.Replay = 0 })
 	from.Write([]byte("third"))
-	for read() != "third" { // datagrams replayed earlier arrive first
+	for read() != "third" { // skips datagrams that were replayed before the reset
 	}
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -8,13 +8,13 @@
 	"gorseledge/internal/rig/standin"
 )
 
-// Options say how a script is run.
+// Options configure a run of a script.
 type Options struct {
-	Program  string // path of the built node
-	Control  string // path of the built control server; not needed where the script has none
-	Seed     uint64
-	Dir      string            // parent of the nodes' directories
-	History  string            // file for the events (JSON Lines); none where empty
+	Program  string            // path of the built node
+	Control  string            // path of the built control server; not needed if the script has no control servers
+	Seed     uint64            // seeds all random numbers of the run
+	Dir      string            // parent of the directories of nodes and control servers
+	History  string            // file that the events are written to as JSON Lines; if empty, none is written
 	Progress func(line string) // receives progress lines; may be nil
 }
 
@@ -30,15 +30,15 @@
 	relays    map[nodeLink]*Relay
 	hosts     *standin.Hosts
 	discovery *standin.Discovery
-	client    *http.Client   // for the admin addresses of nodes
-	control   *control       // nil where the script has no control servers
-	flows     sync.WaitGroup // goroutines of clients and of the budget
+	client    *http.Client   // for requests to the nodes' admin addresses
+	control   *control       // nil if the script has no control servers
+	flows     sync.WaitGroup // goroutines that run clients and that record the budget
 
 	mu   sync.Mutex // protects rand
 	rand *rand.Rand
 }
 
-// close stops everything that the rig started and waits until it has ended.
+// close stops all processes, clients, relays and stand-ins that the rig started and waits until they have ended.
 func (r *Rig) close() {
 	for _, n := range r.nodes {
 		n.kill()
--- a/internal/rig/rig_golden_test.go
+++ b/internal/rig/rig_golden_test.go
@@ -15,8 +15,9 @@
 	"gorseledge/internal/configfeed"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: scripts have these keys, and kept histories and results these fields, so nothing
-// rewrites them, and a test that fails here means that a name or a form has changed.
+// The files under testdata were written by a released version (5fa7498) and must not be changed: operators' scripts have these
+// keys, and stored histories and results have these fields. A failure of a golden test means that a name or a format has
+// changed.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -34,8 +35,7 @@
 	}
 }
 
-// checkNoZero checks that no exported field of a value is zero, at any depth, so that a field that is no longer read from
-// a golden file is noticed.
+// checkNoZero checks that no exported field of a value is zero, at any depth. A zero field was not read from the golden file.
 func checkNoZero(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	if value.IsZero() || value.Kind() == reflect.Slice && value.Len() == 0 || value.Kind() == reflect.Map && value.Len() == 0 {
@@ -62,9 +62,10 @@
 	}
 }
 
-// goldenScript has every key, and values other than the defaults.
+// goldenScript returns a script that sets every key to a value other than the default.
 func goldenScript() *Script {
-	s := &Script{Name: "golden", Duration: 100, SettleTimeout: 30, Nodes: 6, Zones: 3, ProbePeriod: 0.5, Hosts: 7, FlowRate: 8.5, GeneratedFaults: 9, DetectionTimeout: 15,
+	s := &Script{Name: "golden", Duration: 100, SettleTimeout: 30, Nodes: 6, Zones: 3, ProbePeriod: 0.5, Hosts: 7,
+		FlowRate: 8.5, GeneratedFaults: 9, DetectionTimeout: 15,
 		GeneratedKinds: []string{"stop", "kill"}, ControlServers: 5, ChangeRate: 0.75, InForceTimeout: 4, GeneratedControlFaults: 2}
 	for i, kind := range goldenFaultKinds {
 		f := Fault{At: float64(1 + i), Kind: kind, Nodes: []int{1, 2}, To: []int{}, Duration: 2.5, Amount: 0.25}
@@ -81,7 +82,8 @@
 }
 
 var (
-	goldenFaultKinds = []string{"cut", "delay", "garbage", "kill", "loss", "repeat", "replay", "restart", "rollback", "slow", "stop", "tear",
+	goldenFaultKinds = []string{"cut", "delay", "garbage", "kill", "loss", "repeat", "replay", "restart", "rollback", "slow",
+		"stop", "tear",
 		"upgrade", "wipe"}
 	goldenControlKinds = []string{"cut", "cut_nodes", "kill", "region", "restart", "rollback", "stop", "wipe"}
 )
@@ -94,6 +96,7 @@
 	return names
 }
 
+// Operators' scripts name kinds of faults, so no kind may be renamed or removed.
 func TestGoldenFaultKinds(t *testing.T) {
 	if got := sortedKinds(faultKinds); !slices.Equal(got, goldenFaultKinds) {
 		t.Errorf("%v, want %v", got, goldenFaultKinds)
@@ -103,6 +106,7 @@
 	}
 }
 
+// Operators' scripts must be read as before after a field of Script is renamed or its type is changed.
 func TestGoldenScript(t *testing.T) {
 	want := goldenScript()
 	written, err := toml.Marshal(want)
@@ -117,11 +121,11 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read\n%+v\nwant\n%+v", got, want)
 	}
-	got.Faults = got.Faults[:1] // the first is one of links, which alone have all keys
+	got.Faults = got.Faults[:1] // the first is a link fault; only link faults use all keys
 	checkNoZero(t, "Script", reflect.ValueOf(got))
 }
 
-// A script that says nothing has these values.
+// A changed default would change the runs of all scripts that do not set the key.
 func TestGoldenScriptDefaults(t *testing.T) {
 	s, err := Read("script.toml", nil)
 	if err != nil {
@@ -134,8 +138,8 @@
 	checkGolden(t, "script-defaults.toml", written)
 }
 
-// The scripts for this package that docs/scenarios holds.
-func TestGoldenScriptsOfTheDocs(t *testing.T) {
+// The scripts in docs/scenarios for this package must be read as before.
+func TestGoldenScriptsOfDocs(t *testing.T) {
 	var paths []string
 	for _, pattern := range []string{"processes-*.toml", "control-*.toml"} {
 		found, err := filepath.Glob(filepath.Join("../../docs/scenarios", pattern))
@@ -162,16 +166,20 @@
 	}
 }
 
-// goldenEvent has every field; no run writes such an event.
+// goldenEvent returns an event with all fields set, which does not occur in a run.
 func goldenEvent() Event {
-	return Event{At: 1.5, Kind: eventFlow, Node: 2, Fault: &Fault{At: 3.5, Kind: faultCut, Nodes: []int{4}, To: []int{5}, BothWays: true, Duration: 6.5,
-		Amount: 0.25}, Member: "n1", State: memberSuspect, Answer: "up", AnswerCount: 7, Ending: "cut", StartedAt: 8.5, BudgetShare: 0.125, Note: "a note",
+	return Event{At: 1.5, Kind: eventFlow, Node: 2, Fault: &Fault{At: 3.5, Kind: faultCut, Nodes: []int{4}, To: []int{5},
+		BothWays: true, Duration: 6.5,
+		Amount: 0.25}, Member: "n1", State: memberSuspect, Answer: "up", AnswerCount: 7, Ending: "cut", StartedAt: 8.5,
+		BudgetShare: 0.125, Note: "a note",
 		Control: &ControlEvent{Server: 9, ID: "p1", Outcome: "accepted", Version: configfeed.Version{Epoch: 2, Revision: 41},
-			Digest: "00000000000000ff", ProposalIDs: []string{"p1", "p2"}, Fault: &ControlFault{At: 10.5, Kind: faultRegion, Servers: []int{1},
-				To: []int{2}, Nodes: []int{3}, Region: "west", Duration: 11.5}}}
+			Digest: "00000000000000ff", ProposalIDs: []string{"p1", "p2"}, Fault: &ControlFault{At: 10.5, Kind: faultRegion,
+				Servers: []int{1},
+				To:      []int{2}, Nodes: []int{3}, Region: "west", Duration: 11.5}}}
 }
 
-// checkJSON checks that a value encodes to a file, and that the file decodes to the value and encodes to itself.
+// checkJSON checks that a value is encoded as in a golden file, that the file is decoded to the value, and that encoding the
+// decoded value yields the file again.
 func checkJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	written, err := json.MarshalIndent(value, "", "  ")
@@ -195,7 +203,7 @@
 	checkGolden(t, name, append(written, '\n'))
 }
 
-// A history is one event a line, as it is kept and judged again.
+// Stored histories must stay readable: they have one JSON object per line with these fields.
 func TestGoldenHistory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "history.jsonl")
 	h, err := newHistory(path)
@@ -215,20 +223,24 @@
 	checkJSON(t, "event.json", goldenEvent())
 }
 
-// A result as it is kept.
+// Stored results must stay readable.
 func TestGoldenResult(t *testing.T) {
 	event := goldenEvent()
 	checkJSON(t, "result.json", &Result{Seed: 1, Faults: []Fault{*event.Fault}, ControlFaults: []ControlFault{*event.Control.Fault},
-		Events: []Event{event}, Violations: []Violation{{Rule: "no blameless member is held for dead", At: 1.5, Text: "n1 holds n2 for dead"}}, Requests: 2,
-		Answers: map[string]int{"up": 3, "busy": 4}, JoinTime: 5.5, AgreementTime: 6.5, Changes: map[string]int{"accepted": 7}, InForceTimes: []float64{8.5, 9.5},
-		Deaths: []Death{{Node: 1, First: 10.5, Last: 11.5, Known: 12}}, Nodes: 13})
+		Events: []Event{event}, Violations: []Violation{{Rule: "no blameless member is held for dead", At: 1.5,
+			Text: "n1 holds n2 for dead"}}, Requests: 2,
+		Answers: map[string]int{"up": 3, "busy": 4}, JoinTime: 5.5, AgreementTime: 6.5, Changes: map[string]int{"accepted": 7},
+		InForceTimes: []float64{8.5, 9.5},
+		Deaths:       []Death{{Node: 1, First: 10.5, Last: 11.5, Known: 12}}, Nodes: 13})
 }
 
-// The words of events and states in histories.
+// Stored histories contain these names of events, outcomes and states, so they must not change.
 func TestGoldenWords(t *testing.T) {
-	got := []string{eventProcessStart, eventProcessExit, eventFaultStart, eventFaultEnd, eventMember, eventFlow, eventAgreement, eventBudget,
-		eventServerStart, eventServerExit, eventServerDied, eventControlFaultStart, eventControlFaultEnd, eventProposal, eventConfig, eventEpoch, eventAwaitInForce, eventInForce, eventNotInForce,
-		eventHeldProposals, outcomeUnknown, markPrefix, markSuffix, memberAlive, memberSuspect, memberDead, memberLeft}
+	got := []string{eventProcessStart, eventProcessExit, eventFaultStart, eventFaultEnd, eventMember, eventFlow,
+		eventAgreement, eventBudget,
+		eventServerStart, eventServerExit, eventServerDied, eventControlFaultStart, eventControlFaultEnd, eventProposal,
+		eventConfig, eventEpoch, eventAwaitInForce, eventInForce, eventNotInForce,
+		eventHeldProposals, outcomeUnknown, proposalKeyPrefix, proposalKeySuffix, memberAlive, memberSuspect, memberDead, memberLeft}
 	var out bytes.Buffer
 	for _, word := range got {
 		fmt.Fprintln(&out, word)
@@ -236,7 +248,7 @@
 	checkGolden(t, "words.txt", out.Bytes())
 }
 
-// The config file that the rig writes for a node, which has no list of known hosts.
+// A node of an earlier version must be able to read the config file that the rig writes for it.
 func TestGoldenNodeConfig(t *testing.T) {
 	n := &node{index: 3, client: "127.0.1.4:7001", admin: "127.0.1.4:7002", fleet: "127.0.1.4:7003"}
 	written, err := json.Marshal(config(n, "127.0.0.1:7004", "fleet.toml", 0x0123456789abcdef, 5))
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-const joinTimeout = 60.0 // seconds until all nodes have to have found each other
+const joinTimeout = 60.0 // seconds within which all nodes must list each other as alive after their start
 
-// Result is the outcome of a run. Times are seconds.
+// Result is the outcome of a run. Times are in seconds.
 type Result struct {
 	Seed          uint64
 	Faults        []Fault
 	ControlFaults []ControlFault
 	Events        []Event
 	Violations    []Violation    `json:"Breaks"`
-	Requests      int            `json:"Calls"` // flows and proposed changes
-	Answers       map[string]int // flows by their answer
-	JoinTime      float64        `json:"Met"`    // until all nodes had found each other
-	AgreementTime float64        `json:"Agreed"` // from the end of the last fault until all agreed, -1 where they did not
-	Changes       map[string]int // proposed changes of configuration by their outcome
-	InForceTimes  []float64      `json:"InForce"` // from each accepted change without cuts until it was in force at the last node
-	Deaths        []Death        // of processes that were down for long enough that all had time to know
-	Nodes         int
+	Requests      int            `json:"Calls"` // number of flows and proposed changes
+	Answers       map[string]int // number of flows by answer
+	JoinTime      float64        `json:"Met"`    // from the start of the nodes until they all agreed
+	AgreementTime float64        `json:"Agreed"` // from the end of the last fault until all nodes agreed, or -1
+	Changes       map[string]int // number of proposed changes of the configuration by outcome
+	InForceTimes  []float64      `json:"InForce"` // times of measured changes until in force at all nodes
+	Deaths        []Death        // processes that were down for long, and their detection
+	Nodes         int            // number of nodes
 }
 
-// Summary returns the last line of the report of a run.
+// Summary returns the last line of a run's report.
 func (r *Result) Summary() string {
 	return fmt.Sprintf("SEED %d: %d calls, %d faults, broken %d", r.Seed, r.Requests, r.FaultCount(), len(r.Violations))
 }
 
-// Run runs a script once and checks it. An error means that the run itself failed, not that a rule was broken. When
-// Run returns, nothing that it started is running, whatever happened.
+// Run runs a script once and checks the rules. An error means that the run itself failed; violations of rules are part of
+// the result. When Run returns, also with an error, all processes and goroutines that it started have ended.
 func Run(ctx context.Context, s *Script, o Options) (res *Result, err error) {
 	h, err := newHistory(o.History)
 	if err != nil {
@@ -53,7 +53,8 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	res = &Result{Seed: o.Seed, Faults: s.GenerateFaults(o.Seed), ControlFaults: s.GenerateControlFaults(o.Seed), Nodes: s.Nodes, Answers: map[string]int{}}
+	res = &Result{Seed: o.Seed, Faults: s.GenerateFaults(o.Seed), ControlFaults: s.GenerateControlFaults(o.Seed),
+		Nodes: s.Nodes, Answers: map[string]int{}}
 	disagreement, err := r.runScript(ctx, res)
 	if err != nil {
 		return nil, err
@@ -66,8 +67,8 @@
 	return res, nil
 }
 
-// runScript waits until the nodes have found each other, applies the faults with clients coming and waits until the nodes
-// agree. It returns the disagreement that is left, empty where there is none.
+// runScript waits until all nodes agree, injects the faults while clients open flows, and waits until all nodes agree again.
+// It returns the last disagreement, or an empty string if the nodes agreed in time.
 func (r *Rig) runScript(ctx context.Context, res *Result) (disagreement string, err error) {
 	flowing, stopFlows := context.WithCancel(ctx)
 	defer stopFlows()
@@ -96,8 +97,8 @@
 	return disagreement, nil
 }
 
-// injectFaults applies the faults of nodes and of control servers, with changes of configuration going on, and waits until
-// the configuration is in force after them.
+// injectFaults injects the faults of nodes and returns when the script is over. If the script has control servers, it also
+// injects their faults, proposes changes of the configuration, and afterwards waits until the configuration is in force.
 func (r *Rig) injectFaults(ctx context.Context, faults []Fault) error {
 	if r.control == nil {
 		return r.applyFaults(ctx, faults)
@@ -105,23 +106,23 @@
 	return r.control.runWithFaults(ctx, func() error { return r.applyFaults(ctx, faults) })
 }
 
-// awaitJoin waits until all nodes have found each other, which is an error where it takes too long.
+// awaitJoin waits until all nodes list each other as alive. It returns an error if they do not within joinTimeout.
 func (r *Rig) awaitJoin(ctx context.Context, res *Result) (err error) {
 	var disagreement string
 	if res.JoinTime, disagreement, err = r.awaitAgreement(ctx, joinTimeout); err != nil {
 		return err
 	}
 	if disagreement != "" {
-		return fmt.Errorf("the nodes have not found each other within %g s: %s", joinTimeout, disagreement)
+		return fmt.Errorf("the nodes do not list each other as alive after %g s: %s", joinTimeout, disagreement)
 	}
-	r.progressf("all %d have found each other after %.1f s", len(r.nodes), res.JoinTime)
+	r.progressf("all %d nodes list each other as alive after %.1f s", len(r.nodes), res.JoinTime)
 	return nil
 }
 
-// FaultCount returns the number of faults, of nodes and of control servers.
+// FaultCount returns the number of faults of nodes, links and control servers.
 func (r *Result) FaultCount() int { return len(r.Faults) + len(r.ControlFaults) }
 
-// countRequests counts the flows and the proposed changes among the events, in all and by answer.
+// countRequests counts the flows and proposed changes among the events, in total, by answer and by outcome.
 func (r *Result) countRequests() {
 	r.Changes = map[string]int{}
 	for _, e := range r.Events {
--- a/internal/rig/run_test.go
+++ b/internal/rig/run_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The paths of the programs, built once for all tests: the node, the control server, and two mutant builds of the node,
-// one with a too short suspicion time and one that polls one control server only.
+// The paths of the programs, which TestMain builds once for all tests: the node, the control server, and two builds of the node
+// with a deliberate fault. One has a suspicion timeout that is too short, and one polls only one control server.
 var nodeProgram, shortSuspicionProgram, singleServerProgram, serverProgram string
 
 func TestMain(m *testing.M) {
@@ -42,13 +42,13 @@
 	return c.Run() == nil
 }
 
-// runProgram runs a script's text and fails if a log reports a data race or a panic.
+// runProgram runs a script with a build of the node. It fails the test if a log reports a data race or a panic.
 func runProgram(t *testing.T, program, text string, seed uint64) *Result {
 	t.Helper()
 	return runWithOptions(t, Options{Program: program, Seed: seed}, text)
 }
 
-// runWithOptions is runProgram with all options.
+// runWithOptions is like runProgram, with all options.
 func runWithOptions(t *testing.T, o Options, text string) *Result {
 	t.Helper()
 	s, err := Read("script", []byte(text))
@@ -70,7 +70,9 @@
 	return r
 }
 
-func TestFaultsOfAllKindsViolateNoRule(t *testing.T) {
+// The faults of a run must not lead to a false death, a lost or repeated answer, an exit or a lasting disagreement. The run
+// must contain enough established flows, otherwise the rules would hold for lack of events.
+func TestFaultsViolateNoRule(t *testing.T) {
 	r := runProgram(t, nodeProgram, `
 nodes = 5
 period = 0.25
@@ -120,18 +122,19 @@
 nodes = [2]
 for = 2
 `, 3)
-	for _, b := range r.Violations {
-		t.Error(b)
+	for _, violation := range r.Violations {
+		t.Error(violation)
 	}
 	if r.Requests < 100 || r.Answers["up"] < r.Requests/2 {
-		t.Errorf("%d flows, %v", r.Requests, r.Answers)
+		t.Errorf("%d flows, want at least 100 and half of them established: %v", r.Requests, r.Answers)
 	}
 	if len(r.Faults) != 7 || r.AgreementTime < 0 {
-		t.Errorf("%d faults, agreed after %g s", len(r.Faults), r.AgreementTime)
+		t.Errorf("%d faults, want 7; agreed after %g s, want at least 0", len(r.Faults), r.AgreementTime)
 	}
 }
 
-// A node with a too short suspicion time declares a process dead that is stopped for less than two periods.
+// A build whose suspicion timeout is too short declares a process dead that is stopped for less than four periods. The run must
+// report this violation.
 func TestTooShortSuspicionIsDetected(t *testing.T) {
 	r := runProgram(t, shortSuspicionProgram, `
 nodes = 4
@@ -152,14 +155,16 @@
 nodes = [2]
 for = 1.9
 `, 1)
-	for _, b := range r.Violations {
-		if b.Rule == RuleNoFalseDeath {
+	for _, violation := range r.Violations {
+		if violation.Rule == RuleNoFalseDeath {
 			return
 		}
 	}
-	t.Errorf("no violation of %q: %v", RuleNoFalseDeath, r.Violations)
+	t.Errorf("no violation of %q, got %v", RuleNoFalseDeath, r.Violations)
 }
 
+// An interrupted run must end all its processes and remove the partial history, or later runs on the machine would be disturbed
+// and the history mistaken for a complete one.
 func TestInterruptLeavesNoProcessAndNoPartialFile(t *testing.T) {
 	s, err := Read("script", []byte("nodes = 3\nlasts = 60\n"))
 	if err != nil {
@@ -187,11 +192,11 @@
 		t.Error("an interrupted run returned no error")
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "history*")); len(left) > 0 {
-		t.Errorf("left: %v", left)
+		t.Errorf("history files left: %v", left)
 	}
 	for _, pid := range strings.Fields(pids) {
 		if cmdline, err := os.ReadFile("/proc/" + pid + "/cmdline"); err == nil && strings.HasPrefix(string(cmdline), nodeProgram) {
-			t.Errorf("process %s is left", pid)
+			t.Errorf("process %s is still running", pid)
 		}
 	}
 }
--- a/internal/rig/script_test.go
+++ b/internal/rig/script_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// Errors without the line and the key would leave operators to search long scripts for the mistake.
 func TestScriptErrorNamesFileAndLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
 	good := "nodes = 4\nlasts = 10\n\n[[fault]]\nat = 1\nkind = \"cut\"\nnodes = [0]\nto = [1]\nfor = 2\n\n[[fault]]\nat = 2\n" +
@@ -16,12 +17,12 @@
 		{"nodes = 4", "nodes = 2", ":1:", "nodes"},
 		{"lasts = 10", "last = 10", ":2:", "unknown key"},
 		{"lasts = 10", "lasts = soon", ":2:", ""},
-		{`"cut"`, `"cute"`, ":6:", "no fault"},
-		{"nodes = [0]", "nodes = [4]", ":7:", "no node 4"},
-		{"for = 2", "for = 20", ":9:", "outlasts"},
+		{`"cut"`, `"cute"`, ":6:", `unknown kind of fault "cute"`},
+		{"nodes = [0]", "nodes = [4]", ":7:", "between 0 and 3, got 4"},
+		{"for = 2", "for = 20", ":9:", "end within 10 s (lasts), got 20"},
 		{"at = 2", "at = -2", ":12:", "at"},
 		{"nodes = [3]", "nodes = [3]\nto = [1]", ":15:", "processes"},
-		{"nodes = [3]", "", ":11:", "no affected node"},
+		{"nodes = [3]", "", ":11:", "at least one affected node"},
 	} {
 		if err := os.WriteFile(path, []byte(strings.Replace(good, c.from, c.to, 1)), 0o600); err != nil {
 			t.Fatal(err)
@@ -33,7 +34,7 @@
 			}
 		} else if err == nil || !strings.Contains(err.Error(), path+c.line) || !strings.Contains(err.Error(), c.message) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, wanted %s and %q", c.to, err, c.line, c.message)
+			t.Errorf("%q: got error %v, want %s and %q", c.to, err, c.line, c.message)
 		}
 	}
 }
--- a/internal/rig/setup.go
+++ b/internal/rig/setup.go
@@ -18,10 +18,10 @@
 // portAttempts is the number of ports that are tried to find one that is free for both TCP and UDP.
 const portAttempts = 50
 
-// fleetKey authenticates the messages of the rig's own fleet.
+// fleetKey authenticates the messages within the rig's fleet.
 const fleetKey = "a key of the rig, for its own nodes"
 
-// joinNodes is the number of nodes, the first ones, that every node joins its fleet through.
+// joinNodes is the number of nodes, counted from the first, whose addresses every node is configured to join through.
 const joinNodes = 3
 
 // start starts the stand-ins, the relays and the nodes.
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// freeAddress returns an address of node i whose port is free for both TCP and UDP.
+// freeAddress returns a loopback address for the process with index i, with a port that is free for both TCP and UDP.
 func freeAddress(i int) (string, error) {
 	host := fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200)
 	for range portAttempts {
@@ -95,7 +95,7 @@
 	return "", fmt.Errorf("no port of %s is free for TCP and UDP after %d attempts", host, portAttempts)
 }
 
-// writeNodeFiles writes a node's directory: its config and its fleet file.
+// writeNodeFiles creates a node's directory with its config file and its fleet file.
 func (r *Rig) writeNodeFiles(n *node) error {
 	if err := os.MkdirAll(n.dir, 0o755); err != nil {
 		return err
@@ -114,13 +114,13 @@
 		}
 	}
 	if r.control != nil {
-		r.control.addTo(&file, n.index)
+		r.control.addToFleetFile(&file, n.index)
 	}
 	return r.writeFiles(n, file, len(r.nodes))
 }
 
-// writeFiles writes a node's fleet file and its config; settled is the number of nodes in its settings.
-func (r *Rig) writeFiles(n *node, file fleet.Config, settled int) error {
+// writeFiles writes a node's fleet file and its config file. nodeCount is the number of nodes in its settings.
+func (r *Rig) writeFiles(n *node, file fleet.Config, nodeCount int) error {
 	text, err := toml.Marshal(file)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	text, err = json.Marshal(config(n, r.discovery.Address(), path, r.Seed*31+uint64(n.index), settled))
+	text, err = json.Marshal(config(n, r.discovery.Address(), path, r.Seed*31+uint64(n.index), nodeCount))
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	Fleet     string         `json:"fleet,omitempty"` // path of the fleet file
 	Seed      string         `json:"seed"`            // hexadecimal
 	Limits    NodeLimits     `json:"limits"`
-	Known     *endpoint.List `json:"known"` // hosts that the node has known for long
+	Known     *endpoint.List `json:"known"` // hosts that the node knew before its start, so that they do not count as new
 	Settings  nodeSettings   `json:"settings"`
 }
 
@@ -156,14 +156,14 @@
 	Sockets  int `json:"sockets"`
 }
 
-// smallNode are the limits of the rig's nodes.
+// smallNode holds the limits of the rig's nodes.
 var smallNode = NodeLimits{Cores: 1, MemoryMB: 128, Sockets: 512}
 
-// nodeSettings are the settings of a node's decisions. Times are microseconds.
+// nodeSettings are the settings for a node's decisions. Times are in microseconds.
 type nodeSettings struct {
 	Family       familyInfo     `json:"family_info"`
 	Granularity  int            `json:"granularity_us"`
-	Siblings     int            `json:"siblings"` // nodes of the fleet
+	Siblings     int            `json:"siblings"` // number of nodes in the fleet
 	Zones        []string       `json:"zones"`
 	Limits       settingsLimits `json:"limits"`
 	ServiceTypes []serviceType  `json:"service_types"`
@@ -186,8 +186,8 @@
 	GiveUp int    `json:"give_up_us"`
 }
 
-// config returns the config of a node in a fleet of so many nodes. fleetFile is the path of its fleet file, empty for a
-// node without a fleet.
+// config returns the content of a node's config file. nodes is the number of nodes in the fleet. fleetFile is the path of the
+// node's fleet file; it is empty for a node without a fleet.
 func config(n *node, discovery, fleetFile string, seed uint64, nodes int) nodeConfig {
 	return nodeConfig{
 		Name:      n.name(),
--- a/internal/rig/single.go
+++ b/internal/rig/single.go
@@ -11,15 +11,15 @@
 	"gorseledge/internal/rig/standin"
 )
 
-// StandaloneNode is the process of a node without a fleet, with the hosts that it is given.
+// StandaloneNode is a process of a node without a fleet, with a discovery service of its own.
 type StandaloneNode struct {
 	Client    string // the address that clients connect to
 	cmd       *exec.Cmd
 	discovery *standin.Discovery
 }
 
-// StartStandaloneNode starts the built program with the hosts in its initial list, so that none of them counts as new. The
-// directory must exist; the node's config is written to it. When the context ends, the process is killed.
+// StartStandaloneNode starts the built program with the hosts in its list of known hosts, so that none of them counts as new.
+// The directory must exist; the node's config file is written to it. When the context ends, the process is killed.
 func StartStandaloneNode(
 	ctx context.Context, program, dir string, hosts *standin.Hosts, limits NodeLimits,
 ) (*StandaloneNode, error) {
@@ -50,10 +50,10 @@
 	return s, nil
 }
 
-// PID returns the process id.
+// PID returns the process ID.
 func (s *StandaloneNode) PID() int { return s.cmd.Process.Pid }
 
-// Leave asks the node to shut down gracefully, waits for its end and returns the processor time that it used, user and
+// Leave asks the node to shut down gracefully, waits until it has ended and returns the CPU time that it used, user and
 // system, in microseconds.
 func (s *StandaloneNode) Leave() (us float64, err error) {
 	defer s.discovery.Close()
@@ -65,12 +65,12 @@
 	return float64((state.UserTime() + state.SystemTime()).Microseconds()), nil
 }
 
-// Kill ends the node at once and waits for it. It does nothing after Leave.
+// Kill kills the node and waits until it has ended. It does nothing after Leave.
 func (s *StandaloneNode) Kill() {
 	if s.cmd.ProcessState != nil {
 		return
 	}
 	s.cmd.Process.Kill()
-	s.cmd.Wait() // the error only says that the process was killed
+	s.cmd.Wait() // the error only reports that the process was killed
 	s.discovery.Close()
 }
--- a/internal/rig/timeline.go
+++ b/internal/rig/timeline.go
@@ -20,11 +20,11 @@
 	green  = color.RGBA{40, 150, 60, 255}
 )
 
-// Timeline draws a run as SVG. Each node has a row with its faults; the dots above the row are the changes of its state
-// that the other nodes saw, each node at a height of its own.
+// Timeline renders a run as an SVG chart. Each node has a row with its faults. The dots above the row are the changes of the
+// node's state that the other nodes logged; each logging node has its own height within the row.
 func Timeline(r *Result) ([]byte, error) {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("seed %d: faults, and what the others held of each node", r.Seed)
+	p.Title.Text = fmt.Sprintf("seed %d: faults of each node, and its state as seen by the others", r.Seed)
 	p.X.Label.Text = "seconds"
 	names := make([]string, r.Nodes)
 	for i := range names {
@@ -44,7 +44,7 @@
 	}
 	end := endOf(r.Events)
 	for _, e := range episodes(r.Events) {
-		e.to = min(e.to, end) // a fault that is not over lasts to the end
+		e.to = min(e.to, end) // a fault that has not ended is drawn to the end of the run
 		c, offset := color.Color(grey), 0.0
 		if faultKinds[e.Kind].onLink {
 			c, offset = blue, -0.15
--- a/internal/rig/timeline_test.go
+++ b/internal/rig/timeline_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// A timeline without the changes of members' states would hide why a rule was violated.
 func TestTimelineShowsStatesOfMembers(t *testing.T) {
 	r := &Result{Nodes: 3, Events: []Event{{At: 1, Kind: "fault", Fault: &Fault{Kind: "stop", Nodes: []int{1}}},
 		{At: 2, Kind: "over", Fault: &Fault{Kind: "stop", Nodes: []int{1}}},
@@ -14,6 +15,6 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), "<svg") || !strings.Contains(string(text), "suspect") {
-		t.Error("no timeline")
+		t.Errorf("not an SVG chart with the state suspect: %.200s", text)
 	}
 }
--- a/internal/rig/traffic.go
+++ b/internal/rig/traffic.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	flowTimeout     = 2 * time.Second // in which a client expects an answer
-	lateAnswerGrace = 5 * time.Second // after flowTimeout, in which a late answer is still recorded
-	flowLines       = 4               // lines that a client sends on an established flow
-	flowLineGap     = 250 * time.Millisecond
-	budgetInterval  = time.Second
+	flowTimeout     = 2 * time.Second        // time within which a client expects an answer
+	lateAnswerGrace = 5 * time.Second        // time after flowTimeout in which a late answer is still recorded
+	flowLines       = 4                      // lines that a client sends on an established flow
+	flowLineGap     = 250 * time.Millisecond // pause after each line
+	budgetInterval  = time.Second            // interval between records of the granted budget
 
-	// ownBudgetShare is the part of a cold host's budget that the nodes grant, all together.
+	// ownBudgetShare is the share of a cold host's budget that all nodes together may grant.
 	ownBudgetShare = 0.5
 )
 
-// traffic starts clients at random times, each at a random node that runs, until the first context ends. A client that
-// has come stays until its flow is over or the second context ends.
+// traffic starts clients at random times, each at a random node that is up, until ctx ends. A client runs until its flow has
+// ended or runContext ends.
 func (r *Rig) traffic(ctx, runContext context.Context) {
 	if r.script.FlowRate <= 0 {
 		return
@@ -36,7 +36,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if !n.up() { // as a front that sees which nodes run sends it no client
+		if !n.up() { // a front that checks the health of the nodes would send it no client
 			continue
 		}
 		r.flows.Go(func() {
@@ -59,8 +59,8 @@
 	}
 }
 
-// recordBudget records every second which part of a cold host's budget all running nodes together give out, each by
-// the number of nodes that it reckons with.
+// recordBudget records at intervals the share of a cold host's budget that all running nodes grant together. Each node grants
+// ownBudgetShare divided by the number of nodes in its view of the fleet.
 func (r *Rig) recordBudget(ctx context.Context) {
 	for {
 		select {
--- a/internal/rig/views.go
+++ b/internal/rig/views.go
@@ -12,15 +12,15 @@
 	"gorseledge/internal/fleet/view"
 )
 
-const agreementPollInterval = 100 * time.Millisecond // between two checks of whether all nodes agree
+const agreementPollInterval = 100 * time.Millisecond // interval between checks of whether all nodes agree
 
-// view asks a node for its view of its fleet.
+// view reads a node's view of its fleet.
 func (r *Rig) view(ctx context.Context, n *node) (v view.View, err error) {
 	err = r.fetch(ctx, n, "/-/members", &v)
 	return v, err
 }
 
-// fetch puts a call to a node's second address and decodes the answer into v.
+// fetch sends a GET request to a node's admin address and decodes the JSON response into v.
 func (r *Rig) fetch(ctx context.Context, n *node, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.admin+path, nil)
 	if err != nil {
@@ -32,19 +32,19 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s%s: %s", n.admin, path, res.Status)
+		return fmt.Errorf("GET %s%s: status %s", n.admin, path, res.Status)
 	}
 	return json.NewDecoder(io.LimitReader(res.Body, 1<<20)).Decode(v)
 }
 
-// viewResult is the view that a running node returned, or the error.
+// viewResult is the result of reading a running node's view.
 type viewResult struct {
 	node *node
 	view view.View
 	err  error
 }
 
-// views asks all running nodes for their views, in parallel.
+// views reads the views of all running nodes in parallel.
 func (r *Rig) views(ctx context.Context) (out []viewResult) {
 	for _, n := range r.nodes {
 		if n.up() {
@@ -59,8 +59,8 @@
 	return out
 }
 
-// disagreement describes the first node that does not hold exactly the running nodes for alive. It returns an empty
-// string where all agree.
+// disagreement describes the first node that does not list exactly the running nodes as alive. It returns an empty string if
+// all nodes agree.
 func (r *Rig) disagreement(ctx context.Context) string {
 	answers := r.views(ctx)
 	up := map[string]bool{}
@@ -69,26 +69,26 @@
 	}
 	for _, a := range answers {
 		if a.err != nil {
-			return fmt.Sprintf("%s does not answer: %v", a.node.name(), a.err)
+			return fmt.Sprintf("reading the members of %s: %v", a.node.name(), a.err)
 		}
 		seen := map[string]bool{}
 		for _, m := range a.view.Members {
 			if alive := m.State == memberAlive; alive != up[m.Name] {
-				return fmt.Sprintf("%s holds %s for %s", a.node.name(), m.Name, m.State)
+				return fmt.Sprintf("%s lists %s as %s", a.node.name(), m.Name, m.State)
 			}
 			seen[m.Name] = true
 		}
 		for name := range up {
 			if !seen[name] {
-				return fmt.Sprintf("%s does not know %s", a.node.name(), name)
+				return fmt.Sprintf("%s does not list %s", a.node.name(), name)
 			}
 		}
 	}
 	return ""
 }
 
-// awaitAgreement waits until all running nodes agree and returns the seconds that this took. Where it takes longer
-// than within seconds, it returns -1 and the last disagreement.
+// awaitAgreement waits until all running nodes agree and returns how long this took, in seconds. If they do not agree within
+// the given number of seconds, it returns -1 and the last disagreement.
 func (r *Rig) awaitAgreement(ctx context.Context, within float64) (took float64, disagreement string, err error) {
 	for from := r.history.now(); ; {
 		disagreement = r.disagreement(ctx)
