--- a/internal/rig/check_rules.go
+++ b/internal/rig/check_rules.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		for _, n := range e.Nodes {
-			faulty[n] = append(faulty[n], interval{e.from, e.to + 1}) // a second for the front to notice that the node is back
+			faulty[n] = append(faulty[n], interval{e.from, e.to + 1}) // a second for the balancer in front to notice
 		}
 	}
 	for _, e := range events {
--- a/internal/rig/nodes.go
+++ b/internal/rig/nodes.go
@@ -30,7 +30,7 @@
 type NodesOptions struct {
 	Program string      // path of the built node
 	Dir     string      // parent of the nodes' directories
-	Seed    uint64      // seeds all random numbers of the clients
+	Seed    uint64      // seeds the random numbers of the clients and the nodes
 	Hosts   int         // number of stand-in hosts
 	Flows   float64     // new clients per second, over all nodes
 	Observe func(Event) // called with each event, At in Unix seconds; may be nil
--- a/internal/rig/traffic.go
+++ b/internal/rig/traffic.go
@@ -36,7 +36,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if !n.up() { // a front that checks the health of the nodes would send it no client
+		if !n.up() { // a balancer in front that checks the health of the nodes would send it no client
 			continue
 		}
 		r.flows.Go(func() {
