--- a/cmd/gorseledge-lab/fleet.go
+++ b/cmd/gorseledge-lab/fleet.go
@@ -70,7 +70,7 @@
 			return err
 		}
 	}
-	if o.control == "" && script.Control > 0 {
+	if o.control == "" && script.ControlServers > 0 {
 		if o.control, err = build(cmd, scratch, "gorseledge-config"); err != nil {
 			return err
 		}
@@ -170,7 +170,7 @@
 		for outcome, count := range r.Changes {
 			changes[outcome] += count
 		}
-		joined, inForce = append(joined, r.JoinTime), append(inForce, r.InForce...)
+		joined, inForce = append(joined, r.JoinTime), append(inForce, r.InForceTimes...)
 		if r.AgreementTime >= 0 {
 			agreed = append(agreed, r.AgreementTime)
 		}
@@ -223,9 +223,9 @@
 	if r.AgreementTime >= 0 {
 		fmt.Fprintf(t, "agreed after the last fault\t%.1f s\n", r.AgreementTime)
 	}
-	if len(r.InForce) > 0 {
+	if len(r.InForceTimes) > 0 {
 		fmt.Fprintf(t, "a change in force at the last node, median and longest\t%.2f s\t%.2f s\t(%d)\n",
-			members.Quantile(r.InForce, 0.5), slices.Max(r.InForce), len(r.InForce))
+			members.Quantile(r.InForceTimes, 0.5), slices.Max(r.InForceTimes), len(r.InForceTimes))
 	}
 	writeCounts(t, "changes answered", r.Changes)
 	writeCounts(t, "flows answered", r.Answers)
--- a/internal/rig/control_faults.go
+++ b/internal/rig/control_faults.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// applyFaults applies the faults of control servers at their times and returns when the last is over.
+// applyFaults begins each fault of control servers at its time and ends it after its duration. It returns when the last has
+// ended.
 func (c *control) applyFaults(ctx context.Context) error {
 	started := time.Now()
 	waitUntil := func(seconds float64) error {
@@ -20,23 +21,23 @@
 			if err := waitUntil(f.At); err != nil {
 				return err
 			}
-			c.record(eventControlFault, ControlEvent{Fault: &f})
+			c.record(eventControlFaultStart, ControlEvent{Fault: &f})
 			c.rig.progressf("%5.1f s  %s", f.At, f)
 			if err := c.changeFault(f, false); err != nil {
 				return err
 			}
-			if err := waitUntil(f.At + f.For); err != nil {
+			if err := waitUntil(f.At + f.Duration); err != nil {
 				return err
 			}
 			err := c.changeFault(f, true)
-			c.record(eventControlOver, ControlEvent{Fault: &f})
+			c.record(eventControlFaultEnd, ControlEvent{Fault: &f})
 			return err
 		})
 	}
 	return group.Wait()
 }
 
-// changeFault begins a fault, or ends it where over is true.
+// changeFault begins a fault, or ends it if over is true.
 func (c *control) changeFault(f ControlFault, over bool) error {
 	if controlKinds[f.Kind] {
 		c.changeLinks(f, over)
@@ -54,12 +55,12 @@
 	return group.Wait()
 }
 
-// changeLinks cuts the links of a fault, or ends that. A link passes again once no fault cuts it.
+// changeLinks cuts the links that a fault affects, or ends that cut. A link forwards again once no fault cuts it.
 func (c *control) changeLinks(f ControlFault, over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for l, relay := range c.relays {
-		if !c.cutBy(f, l) {
+		if !c.cutsLink(f, l) {
 			continue
 		}
 		if over {
@@ -67,12 +68,12 @@
 		} else {
 			c.cuts[l]++
 		}
-		relay.Set(func(w *LinkConditions) { w.Cut = c.cuts[l] > 0 })
+		relay.Set(func(conditions *LinkConditions) { conditions.Cut = c.cuts[l] > 0 })
 	}
 }
 
-// cutBy reports whether a fault cuts a link.
-func (c *control) cutBy(f ControlFault, l link) bool {
+// cutsLink reports whether a fault cuts a link.
+func (c *control) cutsLink(f ControlFault, l controlLink) bool {
 	switch f.Kind {
 	case faultCutNodes:
 		return !l.server && slices.Contains(f.Nodes, l.from) && slices.Contains(f.Servers, l.to)
--- a/internal/serving/connections.go
+++ b/internal/serving/connections.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	u, err := readUsage(b.node.Pid())
+	u, err := readUsage(b.node.PID())
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 		return 0, nil
 	}
 	total := 0.0
-	for _, pid := range []int{b.node.Pid(), os.Getpid()} {
+	for _, pid := range []int{b.node.PID(), os.Getpid()} {
 		u, err := readUsage(pid)
 		if err != nil {
 			return 0, err
