--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -10,57 +10,57 @@
 )
 
 const (
-	leastCommonSeeds  = 2   // for which a difference has an error
-	significantErrors = 2.0 // standard errors over which a difference counts
+	minCommonSeeds    = 2   // fewest seeds for which a difference has a standard error
+	significantErrors = 2.0 // standard errors above which a difference is significant
 )
 
-// table is a table of results that was read from CSV.
+// table is a table of results, parsed from CSV.
 type table struct {
 	seeds []string                      // in the order of the rows
 	rows  map[string]map[string]float64 // figures by seed and column
 }
 
-// comparison is what two tables say about one column, over the seeds that both have.
+// comparison compares one column of two tables over the seeds that both contain.
 type comparison struct {
-	before, after float64 // means
+	before, after float64 // means over the common seeds
 	difference    float64 // mean of after less before
-	standardError float64 // of the difference
+	standardError float64 // standard error of the difference
 }
 
-// Compare returns a table in Markdown that sets two CSV tables beside each other, figure by figure. Rows of the same seed
-// belong together. A difference counts only if it is over twice the standard error of the differences. The tables need
-// two seeds in common.
+// Compare returns a Markdown table that compares two CSV tables column by column, with rows paired by seed. A difference is
+// significant only if it exceeds twice the standard error of the paired differences. The tables need at least two seeds in
+// common.
 func Compare(before, after []byte) (string, error) {
 	a, err := readTable(before)
 	if err != nil {
-		return "", fmt.Errorf("reading the table before: %w", err)
+		return "", fmt.Errorf("reading table before the change: %w", err)
 	}
 	b, err := readTable(after)
 	if err != nil {
-		return "", fmt.Errorf("reading the table after: %w", err)
+		return "", fmt.Errorf("reading table after the change: %w", err)
 	}
 	var out strings.Builder
 	out.WriteString("| figure (simulated) | before | after | difference | error | |\n|---|---|---|---|---|---|\n")
 	for _, column := range columns {
 		c, err := compareColumn(a, b, column.name)
 		if err != nil {
-			return "", fmt.Errorf("comparing %s: %w", column.name, err)
+			return "", fmt.Errorf("comparing column %q: %w", column.name, err)
 		}
 		fmt.Fprintf(&out, "| %s | %s | %s | %s | %s | %s |\n", column.name, formatFigure(c.before), formatFigure(c.after),
-			formatFigure(c.difference), formatFigure(c.standardError), c.verdict())
+			formatFigure(c.difference), formatFigure(c.standardError), c.significance())
 	}
 	return out.String(), nil
 }
 
-// verdict says whether the difference counts.
-func (c comparison) verdict() string {
+// significance returns the cell that states whether the difference is significant.
+func (c comparison) significance() string {
 	if c.difference != 0 && math.Abs(c.difference) > significantErrors*c.standardError {
 		return "differs"
 	}
 	return "within the noise"
 }
 
-// compareColumn compares one column of two tables. A figure that a table lacks is 0.
+// compareColumn compares one column of two tables. A missing figure counts as 0.
 func compareColumn(a, b table, column string) (comparison, error) {
 	var differences []float64
 	sumBefore, sumAfter := 0.0, 0.0
@@ -74,8 +74,8 @@
 		sumBefore += row[column]
 		sumAfter += other[column]
 	}
-	if len(differences) < leastCommonSeeds {
-		return comparison{}, fmt.Errorf("%d seeds in common, %d are the least", len(differences), leastCommonSeeds)
+	if len(differences) < minCommonSeeds {
+		return comparison{}, fmt.Errorf("the tables must have at least %d seeds in common, got %d", minCommonSeeds, len(differences))
 	}
 	count := float64(len(differences))
 	mean := (sumAfter - sumBefore) / count
@@ -87,7 +87,8 @@
 	}, nil
 }
 
-// readTable reads a CSV table. Of several rows with the same seed the last counts. A cell that is no number is left out.
+// readTable parses a CSV table. Of several rows with the same seed the last one is used. Cells that are not numbers are
+// skipped.
 func readTable(text []byte) (table, error) {
 	records, err := csv.NewReader(bytes.NewReader(text)).ReadAll()
 	if err != nil {
@@ -108,7 +109,7 @@
 	return t, nil
 }
 
-// readFigures returns the figures of one record by their columns.
+// readFigures returns the figures of one record by column name.
 func readFigures(head, record []string) map[string]float64 {
 	figures := map[string]float64{}
 	for i := len(leadingColumns); i < len(record); i++ {
--- a/internal/lab/doc.go
+++ b/internal/lab/doc.go
@@ -1,3 +1,3 @@
-// Package lab runs the emulator with many seeds at the same time and makes tables of the results. It owns the columns of
-// these tables and the comparison of two of them, and it writes files in one step. It simulates nothing itself.
+// Package lab runs the emulator with many seeds in parallel and formats the results as tables. It owns the columns of these
+// tables and the comparison of two of them. It also writes files atomically.
 package lab
--- a/internal/lab/file_test.go
+++ b/internal/lab/file_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// Guards against temporary files that stay in the directory after the file is written.
 func TestWriteFileLeavesNoTemporaryFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "table.csv")
 	if err := WriteFile(path, []byte("x\n")); err != nil {
@@ -13,6 +14,6 @@
 	}
 	all, err := os.ReadDir(filepath.Dir(path))
 	if err != nil || len(all) != 1 {
-		t.Errorf("%d files are left: %v", len(all), err)
+		t.Errorf("got %d files in the directory, want 1 (error %v)", len(all), err)
 	}
 }
--- a/internal/lab/lab_golden_test.go
+++ b/internal/lab/lab_golden_test.go
@@ -9,8 +9,9 @@
 	"gorseledge/internal/emulator"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: kept tables of plays are compared with new ones, so nothing
-// rewrites them, and a test that fails here means that a name or a form has changed.
+// The files under testdata were written by the deployed version (revision 5fa7498). Tables that are kept from earlier versions
+// are compared with new ones, so the files are never regenerated: a test that fails here means that a column or the form of a
+// table has changed.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -28,16 +29,17 @@
 	}
 }
 
-// goldenResults has a figure in each column. The set-up times are those of a play, as nothing else records them.
+// goldenResults returns results with a figure in each column. Their set-up times are those of a run, because only the
+// emulator can set them.
 func goldenResults(t *testing.T) []*emulator.Result {
 	t.Helper()
-	played := emulator.Run(smallScenario(t, "5"), 1, emulator.Options{})
-	if played.SetupQuantile(0.5) <= 0 {
-		t.Fatal("the play has no set-up time")
+	base := emulator.Run(smallScenario(t, "5"), 1, emulator.Options{})
+	if base.SetupQuantile(0.5) <= 0 {
+		t.Fatal("the run recorded no set-up time")
 	}
 	var results []*emulator.Result
 	for i := range 3 {
-		r := *played
+		r := *base
 		r.Scenario, r.Seed, r.TraceHash = "golden", uint64(1+i), 0x0123456789abcdef
 		r.Requested, r.Established, r.InTarget, r.Rejected, r.Aborted = 11+i, 12+2*i, 13, 14, 15
 		r.Unanswered, r.Migrated, r.Disconnected, r.ListCalls, r.HealthChecks = 16, 17, 18, 19, 20
@@ -48,7 +50,8 @@
 	return results
 }
 
-func TestGoldenTablesOfPlays(t *testing.T) {
+// Guards against changed columns or formats, with which tables of earlier versions could no longer be compared.
+func TestGoldenTables(t *testing.T) {
 	results := goldenResults(t)
 	checkGolden(t, "plays.csv", CSV(results))
 	checkGolden(t, "plays.md", Markdown(results))
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -6,7 +6,7 @@
 	"gorseledge/internal/emulator"
 )
 
-// smallScenario returns a short script with the given number of new clients a second.
+// smallScenario returns a short script with the given rate of new clients a second.
 func smallScenario(t *testing.T, rate string) emulator.Scenario {
 	t.Helper()
 	s, err := emulator.Read("t", []byte("lasts = 8\n[fleet]\nhosts = 3\n[[traffic]]\nname = \"a\"\neffect = \"repeatable\"\nrate = "+
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -10,22 +10,22 @@
 	"gorseledge/internal/emulator"
 )
 
-// figureScale is the inverse of the step to which figures are rounded.
+// figureScale is the inverse of the step to which figures are rounded: four digits after the decimal point.
 const figureScale = 1e4
 
-// column is one column of a table. Tables that are kept have its name.
+// column is one column of a table. Its name is part of tables that are kept, and must not change.
 type column struct {
 	name   string
 	figure func(r *emulator.Result) float64
 }
 
-// leadingColumns are the columns before the figures.
+// leadingColumns are the names of the columns before the figures.
 var leadingColumns = []string{"scenario", "seed", "trace"}
 
-// seedColumn is the position of the seed among the leading columns.
+// seedColumn is the index of the seed in leadingColumns.
 const seedColumn = 1
 
-// columns are the figures of a table, in their order.
+// columns are the columns with figures, in the order of the table.
 var columns = []column{
 	{"service", func(r *emulator.Result) float64 { return r.ServedShare }},
 	{"asked", func(r *emulator.Result) float64 { return float64(r.Requested) }},
@@ -50,7 +50,7 @@
 	return strconv.FormatFloat(math.Round(figure*figureScale)/figureScale, 'f', -1, 64)
 }
 
-// CSV returns a table with one row for each result, under a row with the names of the columns.
+// CSV returns a CSV table with a header row and one row for each result.
 func CSV(results []*emulator.Result) []byte {
 	var buffer bytes.Buffer
 	w := csv.NewWriter(&buffer)
@@ -70,14 +70,14 @@
 	return buffer.Bytes()
 }
 
-// writeRow writes a row to a writer on a buffer, which does not fail.
+// writeRow writes a row to a CSV writer whose output is a buffer, so that writing cannot fail.
 func writeRow(w *csv.Writer, row []string) {
 	if err := w.Write(row); err != nil {
 		panic(err)
 	}
 }
 
-// Markdown returns a table with the mean of each figure over the results, and the standard error of that mean. The error
+// Markdown returns a Markdown table with the mean of each figure over the results and the standard error of the mean, which
 // is infinite for fewer than two results.
 func Markdown(results []*emulator.Result) []byte {
 	var buffer bytes.Buffer
@@ -93,7 +93,7 @@
 	return buffer.Bytes()
 }
 
-// meanOf returns the mean of figures, 0 for none.
+// meanOf returns the mean of the figures, or 0 if there are none.
 func meanOf(figures []float64) float64 {
 	sum := 0.0
 	for _, x := range figures {
@@ -102,7 +102,7 @@
 	return sum / max(float64(len(figures)), 1)
 }
 
-// standardError returns the standard error of the mean of figures, infinite for fewer than two.
+// standardError returns the standard error of the given mean of the figures. It is infinite for fewer than two figures.
 func standardError(figures []float64, mean float64) float64 {
 	count := float64(len(figures))
 	if count < 2 {
