--- a/internal/emulator/members/chart.go
+++ b/internal/emulator/members/chart.go
@@ -18,32 +18,33 @@
 	chartHeight = 4.5 * vg.Inch
 )
 
-// Variant is what fleets of one variant of the core showed.
+// Variant has the measurements of fleets that run one variant of the membership core.
 type Variant struct {
-	Name         string // for the legend
+	Name         string // name in the legend
 	Measurements []Measurement
 }
 
-// curve is one time of a measurement, as a chart shows it.
+// curve is one of the times of a measurement, drawn as the distribution over all measurements.
 type curve struct {
 	name  string
 	color color.Color
-	value func(Measurement) float64 // periods; +Inf where it did not come
+	value func(Measurement) float64 // periods after the death; +Inf if the event did not happen
 }
 
 var curves = []curve{
-	{"first suspects", color.RGBA{230, 140, 20, 255}, func(m Measurement) float64 { return m.FirstSuspicion }},
-	{"first knows", color.RGBA{60, 100, 200, 255}, func(m Measurement) float64 { return m.FirstDeath }},
-	{"last knows", color.RGBA{200, 30, 30, 255}, func(m Measurement) float64 { return m.LastDeath }},
+	{"first suspicion", color.RGBA{230, 140, 20, 255}, func(m Measurement) float64 { return m.FirstSuspicion }},
+	{"first declaration", color.RGBA{60, 100, 200, 255}, func(m Measurement) float64 { return m.FirstDeath }},
+	{"last declaration", color.RGBA{200, 30, 30, 255}, func(m Measurement) float64 { return m.LastDeath }},
 }
 
-// Chart draws, as SVG, in which fraction of the measurements a death was suspected, known to the first member and known to
-// the last within so many periods: with full lines for the first variant, with dashed ones for the others.
+// Chart returns an SVG chart of the times after a death at which it was first suspected, first declared and last declared. Each
+// line shows the fraction of the measurements in which that happened within a number of periods. The lines of the first
+// variant are solid, those of the others dashed.
 func Chart(nodes int, variants ...Variant) ([]byte, error) {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%d nodes (simulated): from a death to those who know", nodes)
+	p.Title.Text = fmt.Sprintf("%d nodes (simulated): detection of a death", nodes)
 	p.X.Label.Text = "periods after the death"
-	p.Y.Label.Text = "part of the seeds"
+	p.Y.Label.Text = "fraction of the seeds"
 	p.X.Min = 0
 	p.Y.Min = 0
 	p.Y.Max = 1
@@ -51,7 +52,7 @@
 		for _, c := range curves {
 			line, err := c.line(variant.Measurements)
 			if err != nil {
-				return nil, fmt.Errorf("draw the line %q of %s: %w", c.name, variant.Name, err)
+				return nil, fmt.Errorf("drawing curve %q of variant %s: %w", c.name, variant.Name, err)
 			}
 			if i > 0 {
 				line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
@@ -65,7 +66,7 @@
 	return chart.SVG(chartWidth, chartHeight, p)
 }
 
-// line returns the curve of some measurements. Those in which the time did not come are not in it.
+// line returns the curve of the given measurements. It does not rise for those in which the event did not happen.
 func (c curve) line(measurements []Measurement) (*plotter.Line, error) {
 	var times []float64
 	for _, m := range measurements {
--- a/internal/emulator/members/detection.go
+++ b/internal/emulator/members/detection.go
@@ -8,38 +8,39 @@
 
 // Lengths of the phases of MeasureDetection, in periods.
 const (
-	idlePhase     = 30 // fleet at rest, whose bytes are counted
+	idlePhase     = 30 // fleet at rest, in which sent bytes are counted
 	recoveryPhase = 60 // after the stalls
 	deathPhase    = 80 // after the death
 )
 
 const secondsPerHour = 3600
 
-// Measurement is what one simulated fleet showed.
+// Measurement has the figures of one simulated fleet.
 type Measurement struct {
 	Seed            uint64
 	FirstSuspicion  float64 // periods from the death to the first suspicion of it; +Inf for none
-	FirstDeath      float64 // periods from the death to the first member that declared it dead; +Inf for none
-	LastDeath       float64 // periods from the death to the last member that did; 0 for none
-	KnownFraction   float64 // fraction of the members that declared it dead
-	FalseSuspicions float64 // of live members, an hour, at all members together
-	FalseDeaths     float64 // of live members, an hour, at all members together
-	IdleBytes       float64 // sent by a member in a second at rest
+	FirstDeath      float64 // periods from the death to the first declaration of it by a member; +Inf for none
+	LastDeath       float64 // periods from the death to the last declaration of it by a member; 0 for none
+	KnownFraction   float64 // fraction of the other members that declared the death
+	FalseSuspicions float64 // suspicions of live members an hour, summed over all members
+	FalseDeaths     float64 // declared deaths of live members an hour, summed over all members
+	IdleBytes       float64 // bytes that a member sends a second at rest
 }
 
 // Stalls describes how nodes are paused while a fleet is measured.
 type Stalls struct {
-	Fraction float64 // of the nodes that are paused; 0 for none
+	Fraction float64 // fraction of the nodes that are paused; 0 for none
 	Duration float64 // seconds of each pause
 	Interval float64 // seconds between the starts of two pauses of a node
 }
 
-// SettlePeriods returns for how many periods a fleet whose nodes started together is left alone before it is measured,
-// where nothing else is given. A fleet of some hundred members still gossips about the start in that time.
+// SettlePeriods returns the default number of periods between the simultaneous start of all nodes and the measurement. A
+// fleet of hundreds of members still gossips about the start during that time.
 func SettlePeriods(nodes int) float64 { return 30 * math.Log10(10+float64(nodes)) }
 
-// MeasureDetection measures one fleet, so many periods after its start: first at rest for its load, then with stalls for
-// so many seconds for false suspicions and deaths, then one death.
+// MeasureDetection measures one fleet, beginning settlePeriods after its start: first its load at rest, then false suspicions
+// and deaths under the given seconds of stalls, and last the detection of one death. Without stalls the second phase is
+// skipped.
 func MeasureDetection(o Options, stalls Stalls, settlePeriods, seconds float64) Measurement {
 	s := New(o)
 	s.runPeriods(settlePeriods)
@@ -52,7 +53,7 @@
 	return m
 }
 
-// measureIdleBytes returns the bytes that a member sends in a second while nothing happens.
+// measureIdleBytes returns the bytes that a member sends a second during a phase without faults.
 func (s *Simulation) measureIdleBytes() float64 {
 	from := s.Now
 	before := s.sentTotals()
@@ -60,7 +61,7 @@
 	return float64(s.sentTotals().bytes-before.bytes) / float64(s.Nodes) / (s.Now - from)
 }
 
-// measureStalls pauses nodes again and again for so many seconds, and counts false suspicions and deaths.
+// measureStalls pauses nodes repeatedly for the given seconds, and counts false suspicions and deaths.
 func (s *Simulation) measureStalls(m *Measurement, stalls Stalls, seconds float64) {
 	before := len(s.Events)
 	for i := range int(stalls.Fraction * float64(s.Nodes)) {
--- a/internal/emulator/members/doc.go
+++ b/internal/emulator/members/doc.go
@@ -1,5 +1,5 @@
-// Package members simulates fleets of membership cores on a virtual clock, with faults among them. It runs the same core
-// that runs in service, by the hundred, and measures how soon a death is detected, how often a live member is declared
-// dead, and what a fleet costs at rest. All its figures are simulated: there is no network, and messages are passed
-// between cores in one goroutine.
+// Package members simulates fleets of membership cores on a virtual clock and injects faults. It runs hundreds of instances
+// of the core of real nodes, and measures how soon a death is detected, how often a live member is declared dead, and what
+// a fleet costs at rest. All figures are simulated: there is no network, and messages are passed between the cores in one
+// goroutine.
 package members
--- a/internal/emulator/members/faults.go
+++ b/internal/emulator/members/faults.go
@@ -1,6 +1,6 @@
 package members
 
-// Cut cuts the link from one node to another, or restores it. The other direction stays as it is.
+// Cut cuts or restores one direction of the link between two nodes. The other direction is not changed.
 func (s *Simulation) Cut(from, to int, cut bool) {
 	if cut {
 		s.cutLinks[link{from, to}] = true
@@ -9,19 +9,19 @@
 	delete(s.cutLinks, link{from, to})
 }
 
-// Kill ends a process without a message to the others.
+// Kill ends a process without notifying the others.
 func (s *Simulation) Kill(i int) { s.nodes[i].ended = true }
 
-// Leave has a node announce that it leaves, and ends it.
+// Leave makes a node announce that it leaves, and ends its process.
 func (s *Simulation) Leave(i int) {
 	s.apply(i, s.nodes[i].Members.Leave(s.Now))
 	s.nodes[i].ended = true
 }
 
-// Pause stops a process until Resume. What it receives meanwhile is queued, up to a limit.
+// Pause suspends a process until Resume. Messages that arrive in between are queued, up to a limit.
 func (s *Simulation) Pause(i int) { s.nodes[i].paused = true }
 
-// Resume has a paused process go on: its timer is late, and it receives what was queued.
+// Resume continues a paused process, which first handles its overdue timer and then the queued messages.
 func (s *Simulation) Resume(i int) {
 	n := s.nodes[i]
 	if n.ended || !n.paused {
--- a/internal/emulator/members/figures.go
+++ b/internal/emulator/members/figures.go
@@ -13,7 +13,7 @@
 	value float64
 }
 
-// Figures returns the cost of a member at rest as rows of a table.
+// Figures returns the cost of a member at rest as table rows.
 func (c IdleCost) Figures(run, nodes int) []figures.Row {
 	return rows(run, nodes, "rest", []figure{
 		{"node.membership_cpu", "us/s", 1e6 * c.CPU},
@@ -23,8 +23,8 @@
 	})
 }
 
-// Figures returns what a fleet showed of one death as rows of a table, in periods after it. A time that did not come while
-// the fleet was measured has no row.
+// Figures returns the figures of the detection of a death as table rows, with times in periods after the death. An event that
+// did not happen during the measurement has no row.
 func (m Measurement) Figures(nodes int) []figures.Row {
 	all := []figure{{"death.known_part", "1", m.KnownFraction}}
 	if !math.IsInf(m.FirstSuspicion, 0) {
@@ -39,7 +39,7 @@
 	return rows(int(m.Seed), nodes, "death", all)
 }
 
-// rows returns figures as rows of a table.
+// rows converts figures to table rows.
 func rows(run, nodes int, phase string, all []figure) []figures.Row {
 	var out []figures.Row
 	for _, f := range all {
--- a/internal/emulator/members/figures_test.go
+++ b/internal/emulator/members/figures_test.go
@@ -8,8 +8,9 @@
 	"gorseledge/internal/figures"
 )
 
-// A death that not all knew of while it was looked for has no time until the last knew.
-func TestFiguresLeaveOutWhatDidNotCome(t *testing.T) {
+// Guards against rows with an infinite time, and against a time of the last declaration although some members have not declared
+// the death by the end of the measurement.
+func TestFiguresOmitEventsThatDidNotHappen(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		m     Measurement
@@ -26,11 +27,11 @@
 			for _, row := range c.m.Figures(30) {
 				costs = append(costs, row.Cost)
 				if row.Size != 30 || row.Source != figures.Virtual || row.Dimension != "nodes" || math.IsInf(row.Value, 0) {
-					t.Errorf("%+v", row)
+					t.Errorf("unexpected row %+v", row)
 				}
 			}
 			if !slices.Equal(costs, c.costs) {
-				t.Errorf("%v, want %v", costs, c.costs)
+				t.Errorf("got costs %v, want %v", costs, c.costs)
 			}
 		})
 	}
--- a/internal/emulator/members/helpers_test.go
+++ b/internal/emulator/members/helpers_test.go
@@ -7,8 +7,8 @@
 	"gorseledge/internal/membership"
 )
 
-// settled returns a simulation whose nodes know each other.
-func settled(t *testing.T, o Options) *Simulation {
+// newAgreedFleet returns a simulation that has run until all nodes know each other.
+func newAgreedFleet(t *testing.T, o Options) *Simulation {
 	t.Helper()
 	s := New(o)
 	limit := startTime + 60*math.Log10(10+float64(o.Nodes))
@@ -19,13 +19,13 @@
 			return s
 		}
 		if until > limit {
-			t.Fatalf("%+v: the nodes do not know each other after %g s: %v", o, until-startTime, err)
+			t.Fatalf("%+v: the nodes do not agree after %g s: %v", o, until-startTime, err)
 		}
 	}
 }
 
-// converge runs until all nodes agree, which has to be within so many seconds.
-func converge(t *testing.T, s *Simulation, seconds float64) {
+// awaitAgreement runs the simulation until all nodes agree, and fails the test if that takes longer than the given seconds.
+func awaitAgreement(t *testing.T, s *Simulation, seconds float64) {
 	t.Helper()
 	for until := s.Now + seconds; ; s.Run(s.Now + 1) {
 		err := s.CheckAgreement()
@@ -33,31 +33,31 @@
 			return
 		}
 		if s.Now >= until {
-			t.Fatalf("not agreed after %g s: %v", seconds, err)
+			t.Fatalf("the nodes do not agree after %g s: %v", seconds, err)
 		}
 	}
 }
 
-// checkNoFalseDeaths fails where a process that runs was declared dead by another.
+// checkNoFalseDeaths fails the test if a running process was declared dead.
 func checkNoFalseDeaths(t *testing.T, s *Simulation) {
 	t.Helper()
 	if count, first := s.FalseDeaths(); count > 0 {
-		t.Errorf("seed %d: %d deaths of live members: %s", s.Seed, count, first)
+		t.Errorf("seed %d: %d false deaths, first: %s", s.Seed, count, first)
 	}
 }
 
-// checkNoDeathsBut fails where any member but the one named was declared dead.
-func checkNoDeathsBut(t *testing.T, s *Simulation, name string) {
+// checkNoDeathsExcept fails the test if any member except the named one was declared dead.
+func checkNoDeathsExcept(t *testing.T, s *Simulation, name string) {
 	t.Helper()
 	for _, e := range s.Events {
 		if e.State == membership.Dead && e.Name != name {
-			t.Errorf("seed %d: n%04d declares %s dead at %.1f", s.Seed, e.Node, e.Name, e.At)
+			t.Errorf("seed %d: node n%04d declared %s dead at %.1f s", s.Seed, e.Node, e.Name, e.At)
 		}
 	}
 }
 
-// cutBetween cuts the links between nodes that are separated, or restores them. Separated is called for each pair of
-// nodes and each direction.
+// cutBetween cuts or restores the links for which separated returns true. Separated is called for each direction between each
+// pair of nodes.
 func cutBetween(s *Simulation, nodes int, cut bool, separated func(from, to int) bool) {
 	for from := range nodes {
 		for to := range nodes {
--- a/internal/emulator/members/idle.go
+++ b/internal/emulator/members/idle.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// MaxIdlePendingUpdates is the mean number of updates that a node of a fleet at rest may still gossip.
+	// MaxIdlePendingUpdates is the largest mean number of updates that the nodes of a fleet at rest still have to gossip.
 	MaxIdlePendingUpdates = 0.1
 
-	startPeriods   = 400  // after which a thousand nodes that start together know each other
-	maxRestPeriods = 1000 // after which a fleet has to be at rest
-	// updateOverheadBytes is the most that protobuf adds to an encoded update in a message: the field's tag and length.
+	startPeriods   = 400  // periods after which a thousand nodes that start together know each other
+	maxRestPeriods = 1000 // periods within which a fleet has to be at rest
+	// updateOverheadBytes is the largest overhead of protobuf for an update in a message: the field's tag and length.
 	updateOverheadBytes = 3
 )
 
-// ErrNotAtRest is returned for a fleet that has not come to rest within a thousand periods.
-var ErrNotAtRest = errors.New("the simulated members have not come to rest")
+// ErrNotAtRest is returned for a fleet that is not at rest after maxRestPeriods.
+var ErrNotAtRest = errors.New("simulated members are not at rest after 1000 periods")
 
-// IdleCost is what a member costs while nothing happens in its fleet.
+// IdleCost is the cost of one member of a fleet at rest.
 type IdleCost struct {
-	CPU      float64 // seconds in a second: processor time of this process, with its garbage collection
-	Memory   float64 // bytes of all that is kept
-	Messages float64 // sent in a second
-	Bytes    float64 // sent in a second
+	CPU      float64 // processor seconds of this process a second, including garbage collection
+	Memory   float64 // bytes in use on the heap
+	Messages float64 // messages sent a second
+	Bytes    float64 // bytes sent a second
 }
 
-// MeasureIdle measures a fleet at rest over so many periods, once its members know each other.
+// MeasureIdle measures a fleet at rest over the given number of periods, after its members know each other.
 func MeasureIdle(o Options, periods float64) IdleCost {
 	before := heapBytes()
 	s := New(o)
@@ -49,9 +49,9 @@
 	return cost
 }
 
-// MeasureIntroduced measures a fleet whose members were introduced to each other, over so many full periods: once they
-// know the same and gossip nothing new where atRest is true, or else once they know each other. CPU and memory are left
-// out. The error is ErrNotAtRest, or the context's.
+// MeasureIntroduced measures a fleet whose members were introduced to each other, over the given number of full periods. If
+// atRest is true, the measurement begins when all members have the same knowledge and next to nothing left to gossip, or
+// else as soon as they know each other. CPU and Memory are not measured. The error is ErrNotAtRest or that of the context.
 func MeasureIntroduced(ctx context.Context, o Options, atRest bool, periods float64) (IdleCost, error) {
 	s := New(o)
 	s.introduce()
@@ -69,7 +69,8 @@
 	return s.idleCost(sent, float64(fullPeriods)), nil
 }
 
-// idleCost returns the messages and bytes that a member has sent in a second since the totals given, so many periods ago.
+// idleCost returns the messages and bytes that a member has sent a second since the given totals were taken, the given number
+// of periods ago.
 func (s *Simulation) idleCost(since totals, periods float64) IdleCost {
 	sent := s.sentTotals()
 	return IdleCost{
@@ -78,13 +79,12 @@
 	}
 }
 
-// memberSeconds returns the seconds in so many periods, of all members together.
+// memberSeconds returns the seconds in the given number of periods, multiplied by the number of members.
 func (s *Simulation) memberSeconds(periods float64) float64 {
 	return float64(s.Nodes) * periods * s.Period
 }
 
-// settle runs the simulation, period by period, until its members know each other and, where atRest is true, know the
-// same and gossip next to nothing.
+// settle runs the simulation, period by period, until its members know each other and, if atRest is true, are at rest.
 func (s *Simulation) settle(ctx context.Context, atRest bool) error {
 	limit := s.Now + maxRestPeriods*s.Period
 	for {
@@ -101,12 +101,12 @@
 	}
 }
 
-// atRest reports whether all nodes know the same and gossip next to nothing.
+// atRest reports whether all nodes have the same knowledge and next to nothing left to gossip.
 func (s *Simulation) atRest() bool {
 	return s.sameDigests() && s.pendingUpdates() <= MaxIdlePendingUpdates*float64(s.Nodes)
 }
 
-// introduce sends every member updates about all others.
+// introduce sends every member updates about all members, in messages of the allowed size.
 func (s *Simulation) introduce() {
 	var message *wire.Message
 	for _, n := range s.nodes {
@@ -144,7 +144,7 @@
 func processorSeconds() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		panic(err) // only for a wrong argument
+		panic(err) // fails only for an invalid argument
 	}
 	return timevalSeconds(usage.Utime) + timevalSeconds(usage.Stime)
 }
--- a/internal/emulator/members/load_test.go
+++ b/internal/emulator/members/load_test.go
@@ -9,16 +9,18 @@
 	"testing"
 )
 
+// Guards against false deaths that occur only after many periods without changes.
 func TestFleetIsUnchangedAfterADay(t *testing.T) {
-	s := settled(t, Options{Nodes: 5, Seed: 4, Period: 60})
+	s := newAgreedFleet(t, Options{Nodes: 5, Seed: 4, Period: 60})
 	s.Run(s.Now + 86400)
 	checkNoFalseDeaths(t, s)
-	converge(t, s, 1)
+	awaitAgreement(t, s, 1)
 }
 
-func TestLoadOfAMemberDoesNotGrowWithTheFleet(t *testing.T) {
+// Guards against gossip whose bytes for each member grow with the size of the fleet.
+func TestBytesPerMemberDoNotGrowWithFleet(t *testing.T) {
 	bytesPerSecond := func(nodes int) float64 {
-		s := settled(t, Options{Nodes: nodes, Seed: 1})
+		s := newAgreedFleet(t, Options{Nodes: nodes, Seed: 1})
 		s.Run(s.Now + 90)
 		from := s.Now
 		before := s.sentTotals().bytes
@@ -27,40 +29,43 @@
 	}
 	small, large := bytesPerSecond(10), bytesPerSecond(100)
 	if large > 3*small {
-		t.Errorf("%.0f bytes a member and second at 10, %.0f at 100", small, large)
+		t.Errorf("%.0f bytes a second for each member of 10, %.0f for each of 100, want at most three times as many", small, large)
 	}
 }
 
-// A fleet at rest sends a probe, an answer and little else, whatever its size.
-func TestIdleCostDoesNotGrowWithTheFleet(t *testing.T) {
+// Guards against idle traffic that grows with the size of the fleet: at rest, a member sends a probe and an answer each period
+// and little else.
+func TestIdleCostDoesNotGrowWithFleet(t *testing.T) {
 	small := MeasureIdle(Options{Nodes: 5, Seed: 1}, 20)
 	large := MeasureIdle(Options{Nodes: 60, Seed: 1}, 20)
 	if small.Messages < 2 || large.Messages > 1.2*small.Messages || large.Bytes > 1.2*small.Bytes {
-		t.Errorf("five: %+v, sixty: %+v", small, large)
+		t.Errorf("idle cost with 5 nodes: %+v, with 60: %+v", small, large)
 	}
 }
 
+// Guards against a measurement that never finds the fleet at rest, or that fills in costs it does not measure.
 func TestIntroducedFleetIsMeasuredAtRest(t *testing.T) {
 	cost, err := MeasureIntroduced(t.Context(), Options{Nodes: 20, Seed: 1}, true, 20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if cost.Messages < 2 || cost.Bytes <= 0 || cost.CPU != 0 || cost.Memory != 0 {
-		t.Errorf("%+v", cost)
+		t.Errorf("unexpected cost %+v", cost)
 	}
 }
 
-func TestMeasureIntroducedEndsWithItsContext(t *testing.T) {
+// Guards against a long measurement that cannot be cancelled.
+func TestMeasureIntroducedEndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := MeasureIntroduced(ctx, Options{Nodes: 5, Seed: 1}, true, 20); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v, want that the context was canceled", err)
+		t.Errorf("got error %v, want %v", err, context.Canceled)
 	}
 }
 
-// The same seed gives the same events and messages, also where many indirect probes fail: no order depends on that of a
-// map.
-func TestSameSeedGivesTheSameRun(t *testing.T) {
+// Guards against runs that depend on the iteration order of a map: the same seed has to result in the same events and bytes, even
+// if many indirect probes fail.
+func TestSameSeedGivesSameRun(t *testing.T) {
 	run := func() *Simulation {
 		s := New(Options{Nodes: 30, Seed: 3, Loss: 0.2, Period: 1})
 		for i := range 6 {
@@ -74,11 +79,12 @@
 	for range 4 {
 		again := run()
 		if !reflect.DeepEqual(first.Events, again.Events) || !slices.Equal(first.SentBytes, again.SentBytes) {
-			t.Fatal("two runs of one seed differ")
+			t.Fatal("two runs with the same seed differ")
 		}
 	}
 }
 
+// Guards against an index outside the values at both ends, and without any values.
 func TestQuantile(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -91,11 +97,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Quantile(c.values, c.fraction); got != c.want {
-				t.Errorf("%g, want %g", got, c.want)
+				t.Errorf("got quantile %g, want %g", got, c.want)
 			}
 		})
 	}
 	if got := Quantile(nil, 0.5); !math.IsNaN(got) {
-		t.Errorf("%g of no values, want NaN", got)
+		t.Errorf("got quantile %g of no values, want NaN", got)
 	}
 }
--- a/internal/emulator/members/members_golden_test.go
+++ b/internal/emulator/members/members_golden_test.go
@@ -9,8 +9,8 @@
 	"gorseledge/internal/figures"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: committed figures have these costs and units, so nothing
-// rewrites them, and a test that fails here means that a name or a form has changed.
+// The files under testdata were written by the deployed version (revision 5fa7498). Committed figures have these costs and units,
+// so the files are never regenerated: a test that fails here means that a name, a unit or the form of a table has changed.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -28,6 +28,7 @@
 	}
 }
 
+// Guards against renamed costs or units, with which committed figures could no longer be compared.
 func TestGoldenFigures(t *testing.T) {
 	table := &figures.Table{Provenance: figures.Provenance{Command: "gorselab members", Revision: "5fa7498",
 		Date: "2026-12-02 05:07 UTC", Cores: 8, Machine: "alone", Repeats: 1}}
--- a/internal/emulator/members/network.go
+++ b/internal/emulator/members/network.go
@@ -5,7 +5,7 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// maxQueuedMessages is the number of messages that the socket buffer of a paused process holds.
+// maxQueuedMessages is the number of messages for which the socket buffer of a paused process has room. Further ones are lost.
 const maxQueuedMessages = 200
 
 // apply carries out the effects of a node's core.
@@ -42,7 +42,7 @@
 	}
 }
 
-// receive has a node receive a message. A paused one queues it, as its socket's buffer does.
+// receive delivers a message to a node. For a paused node it is queued, as in the buffer of a real socket.
 func (s *Simulation) receive(i int, msg *wire.Message) {
 	n := s.nodes[i]
 	if n.ended {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Inject delivers a message to a node as it is, whoever its sender is.
+// Inject delivers a message to a node unchanged, regardless of the sender that it names.
 func (s *Simulation) Inject(to int, msg *wire.Message) {
 	s.After(0, func() { s.receive(to, msg) })
 }
--- a/internal/emulator/members/options.go
+++ b/internal/emulator/members/options.go
@@ -13,23 +13,23 @@
 	defaultDelay  = 0.001 // seconds
 )
 
-// Options are what a simulated fleet is made of. Times are in seconds.
+// Options describe a simulated fleet and its network. Times are in seconds.
 type Options struct {
 	Nodes            int
-	Seed             uint64  // of all random choices, of the cores as well
-	WithoutLifeguard bool    // plain SWIM
-	Loss             float64 // fraction of all messages that is lost
-	Delay            float64 // mean delay of a message, drawn evenly from half to one and a half of it; 0 counts as 0.001
-	Duplicate        float64 // fraction of all messages that arrives twice
+	Seed             uint64  // seed of all random values, including those of the cores
+	WithoutLifeguard bool    // run SWIM without the Lifeguard extensions
+	Loss             float64 // fraction of messages that are lost
+	Delay            float64 // mean delay of a message, distributed uniformly between 0.5 and 1.5 times the mean; 0 counts as 0.001
+	Duplicate        float64 // fraction of messages that arrive twice
 	Zones            int     // number of zones over which the nodes are spread; 0 for nodes without a zone
 	Period           float64 // protocol period of the cores; 0 counts as 1
 
-	Address func(i int) string          // address of a node; nil for one of its own for each
-	Build   string                      // that each node announces
-	Size    func(msg *wire.Message) int // bytes of a message on the network; nil for those of the encoded message
+	Address func(i int) string          // address of node i; nil for a distinct address for each node
+	Build   string                      // build that each node announces
+	Size    func(msg *wire.Message) int // bytes of a message on the network; nil for the size of the encoded message
 }
 
-// withDefaults returns the options with a value for everything that was left out.
+// withDefaults returns the options with defaults for the fields that are not set.
 func (o Options) withDefaults() Options {
 	if o.Period == 0 {
 		o.Period = defaultPeriod
--- a/internal/emulator/members/quantile.go
+++ b/internal/emulator/members/quantile.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Quantile returns the value below which the given fraction of the values lies, from 0 to 1; for 1 the largest one, and NaN
-// where there are no values.
+// Quantile returns the value below which the given fraction of the values lies. The fraction is between 0 and 1; for 1 the
+// result is the largest value. Without values it is NaN.
 func Quantile(values []float64, fraction float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
--- a/internal/emulator/members/simulation.go
+++ b/internal/emulator/members/simulation.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	startTime         = 1000.0 // virtual time at which a simulation starts, in seconds
-	networkStream     = 77     // random stream of the network, apart from those of the cores
-	seedStride        = 7919   // between the cores' seeds of two simulations
-	joinAddresses     = 3      // first addresses that each node knows
-	probeTimeoutParts = 5      // of a period: the timeout of a probe is one of them, as in package fleet
+	startTime         = 1000.0 // virtual time in seconds at which a simulation starts
+	networkStream     = 77     // random stream of the network, distinct from those of the cores
+	seedStride        = 7919   // distance between the cores' seeds of simulations with consecutive seeds
+	joinAddresses     = 3      // number of addresses that each node knows at its start
+	probeTimeoutParts = 5      // a probe times out after this fraction (1/5) of a period, as in package fleet
 	indirectProbes    = 3      // as in package fleet
 	maxMessageBytes   = 208    // as in package fleet
 )
 
-// Event is one change of a member's state that a node saw.
+// Event is a change of a member's state, as seen by one node.
 type Event struct {
 	At   float64 // seconds
-	Node int     // number of the node
+	Node int     // number of the node that saw the change
 	membership.Changed
 }
 
@@ -32,33 +32,33 @@
 	*membership.Members
 	name     string
 	address  string
-	ended    bool            // killed, or left
-	paused   bool            // neither receives nor ticks
-	queued   []*wire.Message // received while it was paused
-	tickAt   float64         // when its timer is set for
-	replaced bool            // a later process has its name
+	ended    bool            // killed or left
+	paused   bool            // handles neither messages nor its timer
+	queued   []*wire.Message // messages that arrived while it was paused
+	tickAt   float64         // time for which its timer is set
+	replaced bool            // it was notified that a later process has its name
 }
 
-// Simulation is a fleet in virtual time. Nodes are named by their number, in the order of their start. It is not safe for
-// concurrent use.
+// Simulation is a fleet on a virtual clock. Nodes are identified by their number, in the order of their start. It is not safe
+// for concurrent use.
 type Simulation struct {
 	Options
 	virtual.Clock
-	Events         []Event // of all nodes, in the order of their times
-	SentBytes      []int   // by node
-	SentMessages   []int   // by node
-	LargestMessage int     // bytes
+	Events         []Event // events of all nodes, ordered by time
+	SentBytes      []int   // bytes sent by each node
+	SentMessages   []int   // messages sent by each node
+	LargestMessage int     // size in bytes of the largest message sent
 
 	nodes     []*node
-	byAddress map[string]int // number of the latest node at an address
+	byAddress map[string]int // number of the node that was started last at an address
 	random    *rand.Rand
 	cutLinks  map[link]bool
 }
 
-// link is the direction from one node to another.
+// link is one direction of the link between two nodes.
 type link struct{ from, to int }
 
-// New returns a simulation whose nodes start together. Each knows the first three addresses.
+// New returns a simulation whose nodes start at the same time. Each knows the addresses of the first three nodes.
 func New(o Options) *Simulation {
 	s := &Simulation{
 		Options:   o.withDefaults(),
@@ -73,7 +73,7 @@
 	return s
 }
 
-// Start starts one more process and returns its number. It gets an address of its own where none is given.
+// Start starts another process and returns its number. If address is empty, the process gets that of Options.Address.
 func (s *Simulation) Start(name, address string) int {
 	i := len(s.nodes)
 	if address == "" {
@@ -114,7 +114,7 @@
 	}
 }
 
-// zone returns the zone of a node; empty where the fleet has none.
+// zone returns the zone of a node, or an empty string if the fleet has no zones.
 func (s *Simulation) zone(i int) string {
 	if s.Zones <= 0 {
 		return ""
@@ -122,7 +122,7 @@
 	return string(rune('a' + i%s.Zones))
 }
 
-// schedule sets a node's timer for its next tick. A node that has left has none.
+// schedule sets a node's timer for its next tick. A node that has left has no next tick.
 func (s *Simulation) schedule(i int) {
 	at := max(s.nodes[i].NextTick(), s.Now)
 	if at == s.nodes[i].tickAt || math.IsInf(at, 1) {
@@ -132,7 +132,7 @@
 	s.At(at, func() { s.tick(i, at) })
 }
 
-// tick runs when a node's timer expires, unless the timer was set anew since.
+// tick handles the expiry of a node's timer. It has no effect if the timer was set to another time after it was scheduled.
 func (s *Simulation) tick(i int, at float64) {
 	n := s.nodes[i]
 	if n.ended || n.paused || at != n.tickAt {
@@ -142,11 +142,11 @@
 	s.schedule(i)
 }
 
-// Run runs the simulation until a time.
+// Run runs the simulation until the given time.
 func (s *Simulation) Run(until float64) {
 	for s.Step(until) {
 	}
 }
 
-// runPeriods runs the simulation for so many protocol periods.
+// runPeriods runs the simulation for the given number of protocol periods.
 func (s *Simulation) runPeriods(periods float64) { s.Run(s.Now + periods*s.Period) }
