--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,82 +9,82 @@
 	"gorseledge/internal/line"
 )
 
-// Times of clients, in seconds.
+// Times of clients, in seconds. The jitters are the upper ends of ranges from 0.
 const (
 	minLifetime         = 0.1
-	noNodeBackoff       = 0.2 // where no node runs
+	noNodeBackoff       = 0.2 // wait before the next try if no node is running
 	messageInterval     = 2.0
 	minMessageObjective = 0.01
-	reconnectDelay      = 0.05 // least time until a client reconnects
-	brokenJitter        = 0.5  // added at most after a connection broke
-	migrationJitter     = 0.3  // added at most after a request to migrate
+	reconnectDelay      = 0.05 // shortest wait before a client reconnects
+	disconnectJitter    = 0.5  // added after a connection was lost
+	migrationJitter     = 0.3  // added after a request to migrate
 )
 
-// client sets up one connection after another through the nodes, may be rejected, retries by itself, and sends messages
-// over its connection. Times are in seconds.
+// client is a simulated client. It sets up one connection at a time through the nodes, sends messages over it, and
+// connects again after a rejection, a failure or a lost connection. Times are in seconds.
 type client struct {
 	*machine
-	world            *simulation
+	sim              *simulation
 	random           *rand.Rand
 	traffic          Traffic
 	trafficIndex     int
 	key              uint64
 	group            uint64 // 0 for none
 	load             float64
-	retries          int  // consecutive ones
-	reconnecting     bool // it had a connection before
+	retries          int  // consecutive retries so far
+	reconnecting     bool // an earlier connection of the client was established
 	socket           *socket
 	flow             *flow
-	received         []byte // not handled yet
+	received         []byte // bytes that have arrived and are not handled yet
 	established      bool
-	messageSentAt    float64 // of the message that waits for its answer; 0 for none
-	remaining        float64 // of its lifetime
-	accountedAt      float64 // up to when the present connection is in the account
+	messageSentAt    float64 // time at which the unanswered message was sent; 0 if there is none
+	remaining        float64 // rest of the client's lifetime
+	accountedAt      float64 // time of the last call of recordService for the present connection
 	requestedSeconds float64
-	servedSeconds    float64 // of requestedSeconds, those that were served well
-	finished         bool    // it does not connect any more
-	generation       int     // of its connection; events of an older one have no effect
+	servedSeconds    float64 // part of requestedSeconds in which messages were answered within their objective
+	finished         bool    // the client does not connect again
+	generation       int     // number of the present connection; events of earlier ones are ignored
 }
 
-// connect sends a first line to a node.
+// connect opens a connection to a node and sends the opening line.
 func (c *client) connect() {
-	w := c.world
-	if c.finished || w.Now > w.script.Duration {
+	sim := c.sim
+	if c.finished || sim.Now > sim.script.Duration {
 		return
 	}
 	c.generation++
-	n := w.pickNode(c.zone)
+	n := sim.pickNode(c.zone)
 	if n == nil {
 		c.retryAfter(noNodeBackoff)
 		return
 	}
 	f := c.newFlow()
-	near, far := w.join(c.machine, n.machine)
-	c.attach(near, f)
-	w.result.Requested++
-	near.send(c.opening())
-	w.After(w.delay(c.machine, n.machine), func() { n.accept(far, f) })
+	clientEnd, nodeEnd := sim.join(c.machine, n.machine)
+	c.attach(clientEnd, f)
+	sim.result.Requested++
+	clientEnd.send(c.opening())
+	sim.After(sim.delay(c.machine, n.machine), func() { n.accept(nodeEnd, f) })
 	c.scheduleDeparture()
 	c.scheduleTimeout()
 }
 
-// newFlow returns a new flow of the client, which the checker finds by its id.
+// newFlow returns a new flow of the client and registers it, so that it can be looked up by its ID.
 func (c *client) newFlow() *flow {
-	w := c.world
-	w.flowCount++
+	sim := c.sim
+	sim.flowCount++
 	f := &flow{
-		id:           strconv.FormatUint(uint64(w.flowCount)<<20|0xabcde, 16),
+		id:           strconv.FormatUint(uint64(sim.flowCount)<<20|0xabcde, 16),
 		trafficIndex: c.trafficIndex,
-		effect:       c.traffic.Effect,
+		idempotency:  c.traffic.Idempotency,
 		load:         c.load,
 		lifetime:     c.remaining,
-		deadline:     w.Now + c.traffic.ConnectTimeout,
+		deadline:     sim.Now + c.traffic.ConnectTimeout,
 	}
-	w.flowsByID[f.id] = f
+	sim.flowsByID[f.id] = f
 	return f
 }
 
-// attach makes a socket and a flow those of the present generation.
+// attach makes the socket and the flow those of the present connection. Arrivals are handled until the connection is replaced.
 func (c *client) attach(s *socket, f *flow) {
 	c.socket = s
 	c.flow = f
@@ -99,7 +99,7 @@
 	}
 }
 
-// opening returns the first line of the client's flow.
+// opening returns the opening line of the client's flow.
 func (c *client) opening() []byte {
 	attributes := ""
 	if c.reconnecting {
@@ -112,37 +112,38 @@
 	return fmt.Appendf(nil, "OPEN %s %016x c=%s,t=all,d=%d,g=%x%s\r\n", c.flow.id, c.key, c.traffic.Name, timeout, c.group, attributes)
 }
 
-// scheduleDeparture has the client leave before its answer, for the share of clients that are impatient now.
+// scheduleDeparture schedules the client to leave before it is answered, if it is drawn as one of the clients that are
+// impatient at present.
 func (c *client) scheduleDeparture() {
-	w := c.world
-	if w.impatientShare <= 0 || c.random.Float64() >= w.impatientShare {
+	sim := c.sim
+	if sim.impatientShare <= 0 || c.random.Float64() >= sim.impatientShare {
 		return
 	}
 	generation, f := c.generation, c.flow
 	patience := c.random.Float64() * min(c.traffic.ConnectTimeout, 4*c.traffic.SetupObjective)
-	w.After(patience, func() {
+	sim.After(patience, func() {
 		if c.awaitsAnswer(generation, f) {
 			c.disconnect(c.random.Float64() < 0.5)
-			f.clientLeftAt = w.Now
+			f.clientLeftAt = sim.Now
 			c.retryAfter(c.traffic.Backoff)
 		}
 	})
 }
 
-// scheduleTimeout has the client give up at its connect timeout.
+// scheduleTimeout schedules the client to give up at its connect timeout.
 func (c *client) scheduleTimeout() {
 	generation, f := c.generation, c.flow
-	c.world.After(c.traffic.ConnectTimeout, func() {
+	c.sim.After(c.traffic.ConnectTimeout, func() {
 		if c.awaitsAnswer(generation, f) {
-			c.world.result.Unanswered++
-			c.world.checker.checkOverdue(f)
+			c.sim.result.Unanswered++
+			c.sim.checker.checkOverdue(f)
 			c.disconnect(true)
 			c.retryAfter(c.traffic.Backoff)
 		}
 	})
 }
 
-// awaitsAnswer reports whether a flow of the given generation is still the client's and has no answer.
+// awaitsAnswer reports whether the connection of the given generation is still the present one and its flow unanswered.
 func (c *client) awaitsAnswer(generation int, f *flow) bool {
 	return c.generation == generation && !c.established && f.answers == 0
 }
@@ -160,22 +161,22 @@
 		c.received = rest
 		f, established := c.flow, c.established
 		c.handleLine(string(bytes.TrimSpace(row)))
-		// A line after the one that ended the connection is a second answer.
+		// A complete line after the answer that ended the connection is a second answer.
 		if c.generation != generation && !established && bytes.IndexByte(c.received, '\n') >= 0 {
 			f.answers++
-			c.world.checker.checkAnswers(f)
+			c.sim.checker.checkAnswers(f)
 		}
 	}
-	if c.generation == generation && c.socket.farEnd != streamOpen {
-		c.handleEnd()
+	if c.generation == generation && c.socket.receiveState != streamOpen {
+		c.handleClose()
 	}
 }
 
-// handleEnd handles the end of the connection by the node. The client reconnects if it was established.
-func (c *client) handleEnd() {
-	reset := c.socket.farEnd == streamReset
+// handleClose handles a connection that the node closed or reset. The client reconnects if it was established.
+func (c *client) handleClose() {
+	reset := c.socket.receiveState == streamReset
 	if !c.established && c.flow.answers == 0 {
-		c.world.checker.checkUnanswered(c.flow)
+		c.sim.checker.checkUnanswered(c.flow)
 	}
 	established := c.established
 	c.disconnect(false)
@@ -183,9 +184,9 @@
 		return
 	}
 	c.reconnecting = true
-	c.world.result.Disconnected++
-	c.world.trace("client %s broken %v", c.name, reset)
-	c.retryAfter(reconnectDelay + brokenJitter*c.random.Float64())
+	c.sim.result.Disconnected++
+	c.sim.trace("client %s broken %v", c.name, reset)
+	c.retryAfter(reconnectDelay + disconnectJitter*c.random.Float64())
 }
 
 // handleLine handles one line from the node.
@@ -196,7 +197,7 @@
 		return
 	}
 	c.flow.answers++
-	c.world.checker.checkAnswers(c.flow)
+	c.sim.checker.checkAnswers(c.flow)
 	switch verb {
 	case line.Up:
 		c.handleUp()
@@ -207,18 +208,18 @@
 	}
 }
 
-// handleMessage handles a line over the established connection.
+// handleMessage handles a line on the established connection.
 func (c *client) handleMessage(verb line.Verb) {
 	switch verb {
 	case line.Bye:
 		c.recordService()
 		c.disconnect(false)
 		c.finished = true
-		c.world.result.Served++
+		c.sim.result.Served++
 	case line.Move:
 		c.disconnect(false)
 		c.reconnecting = true
-		c.world.result.Migrated++
+		c.sim.result.Migrated++
 		c.retryAfter(reconnectDelay + migrationJitter*c.random.Float64())
 	case line.Load:
 	default:
@@ -228,22 +229,22 @@
 
 // handleUp handles the answer that establishes the connection.
 func (c *client) handleUp() {
-	w := c.world
+	sim := c.sim
 	c.established = true
-	c.accountedAt = w.Now
+	c.accountedAt = sim.Now
 	c.retries = 0
-	w.result.Established++
-	setup := w.Now - (c.flow.deadline - c.traffic.ConnectTimeout)
-	w.result.recordSetup(setup)
+	sim.result.Established++
+	setup := sim.Now - (c.flow.deadline - c.traffic.ConnectTimeout)
+	sim.result.recordSetup(setup)
 	if setup <= c.traffic.SetupObjective {
-		w.result.InTarget++
+		sim.result.InTarget++
 	}
 	c.sendMessages(c.generation)
 }
 
-// handleRejection handles a rejection, whose Retry-After in milliseconds some of the clients heed.
+// handleRejection handles a rejection. A share of the clients waits for its Retry-After, which is in milliseconds.
 func (c *client) handleRejection(retryAfter []byte) {
-	c.world.result.Rejected++
+	c.sim.result.Rejected++
 	c.flow.rejected = true
 	wait := c.traffic.Backoff
 	milliseconds, err := strconv.ParseFloat(string(bytes.TrimSpace(retryAfter)), 64)
@@ -254,27 +255,28 @@
 	c.retryAfter(wait)
 }
 
-// handleFailure handles any other answer. A request that is not idempotent is not repeated after it.
+// handleFailure handles an answer that is neither an establishment nor a rejection. The client retries unless its requests
+// are not idempotent: the failed one may have been carried out.
 func (c *client) handleFailure() {
-	c.world.result.Aborted++
+	c.sim.result.Aborted++
 	c.disconnect(false)
-	if c.traffic.Effect == effectNonIdempotent {
+	if c.traffic.Idempotency == nonIdempotent {
 		c.finished = true
 		return
 	}
 	c.retryAfter(c.traffic.Backoff)
 }
 
-// sendMessages sends a message at each interval, unless the one before waits for its answer, and keeps the account.
+// sendMessages sends a message at each interval, unless the previous one is unanswered, and records the service up to then.
 func (c *client) sendMessages(generation int) {
 	if c.generation != generation || !c.established {
 		return
 	}
 	if c.messageSentAt == 0 {
-		c.messageSentAt = c.world.Now
+		c.messageSentAt = c.sim.Now
 		c.socket.send([]byte("x\r\n"))
 	}
-	c.world.After(messageInterval, func() {
+	c.sim.After(messageInterval, func() {
 		if c.generation == generation && c.established {
 			c.recordService()
 			c.sendMessages(generation)
@@ -282,21 +284,21 @@
 	})
 }
 
-// recordService adds the time since the last call to the requested seconds and, unless a message waits longer than its
-// objective, to the served ones.
+// recordService adds the time since the last call to the requested seconds. It adds it to the served seconds as well unless
+// a message has been unanswered for longer than its objective.
 func (c *client) recordService() {
-	span := c.world.Now - c.accountedAt
-	c.accountedAt = c.world.Now
+	span := c.sim.Now - c.accountedAt
+	c.accountedAt = c.sim.Now
 	c.remaining -= span
 	objective := max(c.traffic.MessageObjective, minMessageObjective)
-	late := c.messageSentAt > 0 && c.world.Now-c.messageSentAt > objective
+	late := c.messageSentAt > 0 && c.sim.Now-c.messageSentAt > objective
 	if !late {
 		c.servedSeconds += span
 	}
 	c.requestedSeconds += span
 }
 
-// disconnect ends the connection from the client's side, in good order or by a reset.
+// disconnect closes the connection from the client's side, gracefully or by a reset.
 func (c *client) disconnect(reset bool) {
 	if c.established {
 		c.recordService()
@@ -306,8 +308,8 @@
 	c.socket.close(reset)
 }
 
-// retryAfter connects again after some seconds. The client goes for good if it has no retries or no lifetime left. The
-// wait counts as requested and not served.
+// retryAfter schedules the next connection after the given seconds. A client without retries or lifetime left is finished
+// instead. The wait, and the lifetime that a finished client loses, count as requested and not served.
 func (c *client) retryAfter(wait float64) {
 	c.requestedSeconds += min(wait, max(c.remaining, 0))
 	c.remaining -= wait
@@ -317,5 +319,5 @@
 		c.requestedSeconds += max(c.remaining, 0)
 		return
 	}
-	c.world.After(wait, c.connect)
+	c.sim.After(wait, c.connect)
 }
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -7,43 +7,43 @@
 	"gorseledge/internal/node"
 )
 
-// connection is one connection of a core.
+// connection is one connection of a node process: to a client or to a host.
 type connection struct {
 	*nodeProcess
 	id         node.ConnID
-	socket     *socket // nil before the connection is established and after it was sent to another process
-	readBuffer []byte  // of the read in flight; nil for none
-	host       *host   // at its far end; nil for a client
-	flow       *flow   // whose attempt it is; nil for none
-	counted    bool    // its first line was written
-	sent       bool    // another process has it
+	socket     *socket // nil before the connection is established and after it was transferred to another process
+	readBuffer []byte  // buffer of the read in flight; nil for none
+	host       *host   // host at the other end; nil for the connection of a client
+	flow       *flow   // flow whose attempt uses the connection; nil for none
+	counted    bool    // the opening line was written and its attempt counted
+	sent       bool    // the connection was transferred to another process
 }
 
-// completeRead answers the read in flight if anything has arrived.
+// completeRead completes the read in flight if data or the end of the stream has arrived.
 func (c *connection) completeRead() {
 	if c.readBuffer == nil || c.socket == nil {
 		return
 	}
-	if len(c.socket.received) == 0 && c.socket.farEnd == streamOpen {
+	if len(c.socket.received) == 0 && c.socket.receiveState == streamOpen {
 		return
 	}
 	done := node.ReadDone{Conn: c.id, Count: c.socket.read(c.readBuffer)}
 	if len(c.socket.received) == 0 {
-		done.State = c.socket.farEnd.nodeEnd()
+		done.State = c.socket.receiveState.nodeState()
 	}
 	c.readBuffer = nil
 	c.nodeProcess.deliver(done)
 }
 
-// cancelRead answers the read in flight with what has arrived, which may be nothing.
+// cancelRead completes the read in flight with the bytes that have arrived, possibly none.
 func (c *connection) cancelRead() {
 	done := node.ReadDone{Conn: c.id, Count: c.socket.read(c.readBuffer)}
 	c.readBuffer = nil
 	c.nodeProcess.deliver(done)
 }
 
-// nodeEnd returns the state in the form that a core gets.
-func (s streamState) nodeEnd() node.StreamState {
+// nodeState returns the state as the type that inputs of a core contain.
+func (s streamState) nodeState() node.StreamState {
 	switch s {
 	case streamEnded:
 		return node.StreamEnded
@@ -54,17 +54,18 @@
 	}
 }
 
-// write sends data and reports to the core that it is written.
+// write sends data and reports the result of the write to the core.
 func (c *connection) write(data []byte) {
 	c.observeWrite(data)
-	failed := c.socket.farEnd == streamReset
+	failed := c.socket.receiveState == streamReset
 	if !failed {
 		c.socket.send(data)
 	}
 	c.nodeProcess.deliver(node.WriteDone{Conn: c.id, Count: len(data), Failed: failed})
 }
 
-// observeWrite begins an attempt when a core writes the first line to a host, which may carry it out from here on.
+// observeWrite records the start of an attempt when the core writes the opening line to a host. From then on the host may
+// carry out the request.
 func (c *connection) observeWrite(data []byte) {
 	if c.host == nil || c.counted || !bytes.HasPrefix(data, []byte("OPEN ")) {
 		return
@@ -74,16 +75,16 @@
 	if err != nil {
 		return
 	}
-	f := c.world.flowByID(opening.ID)
+	f := c.sim.flowByID(opening.ID)
 	if f == nil {
 		return
 	}
 	c.flow = f
 	f.openAttempts++
-	c.world.checker.checkAttempt(f, c.nodeProcess, c.host)
+	c.sim.checker.checkAttempt(f, c.nodeProcess, c.host)
 }
 
-// endAttempt ends the attempt of the connection, if it has one.
+// endAttempt records the end of the attempt that uses the connection, if there is one.
 func (c *connection) endAttempt() {
 	if c.flow != nil {
 		c.flow.openAttempts--
--- a/internal/emulator/dial.go
+++ b/internal/emulator/dial.go
@@ -6,13 +6,13 @@
 	"gorseledge/internal/node"
 )
 
-// errUnreachable is the error of each dial that fails. Cores do not tell dial errors apart.
+// errUnreachable is the error of every failed dial. Cores handle all dial errors alike.
 var errUnreachable = errors.New("dialing a simulated host: unreachable")
 
-// dial opens a connection to a host, which takes a round trip. It fails at once, but for a round trip, if the host's
-// process is down, and at the timeout if its machine cannot be reached.
+// dial opens a connection to a host, which takes one round trip. If the host's process is down, the dial fails after the
+// round trip; if the machine cannot be reached or the connection would take too long, it fails at the timeout.
 func (n *nodeProcess) dial(e node.Dial) {
-	c := &connection{nodeProcess: n, id: e.Conn, host: n.world.hostsByName[e.Address]}
+	c := &connection{nodeProcess: n, id: e.Conn, host: n.sim.hostsByName[e.Address]}
 	n.connections[e.Conn] = c
 	h := c.host
 	if h == nil || h.vanished {
@@ -20,16 +20,16 @@
 		return
 	}
 	if !h.running {
-		n.failDial(c, 2*n.world.delay(n.machine, h.machine))
+		n.failDial(c, 2*n.sim.delay(n.machine, h.machine))
 		return
 	}
-	seconds := 2*n.world.delay(n.machine, h.machine) + n.world.connectDelay
+	seconds := 2*n.sim.delay(n.machine, h.machine) + n.sim.connectDelay
 	if seconds > e.Timeout {
 		n.failDial(c, e.Timeout)
 		return
 	}
 	core := n.core
-	n.world.After(seconds, func() {
+	n.sim.After(seconds, func() {
 		switch {
 		case !n.running || core != n.core:
 		case !h.running || h.vanished:
@@ -40,22 +40,24 @@
 	})
 }
 
-// establish connects a connection to its host. It returns the input for the core, which may have closed it meanwhile.
+// establish connects the two ends and returns the input for the core: Dialed, or Closed if the core has closed the
+// connection since it asked for the dial.
 func (n *nodeProcess) establish(c *connection) node.Input {
 	if n.connections[c.id] != c {
 		return node.Closed{Conn: c.id}
 	}
-	near, far := n.world.join(n.machine, c.host.machine)
-	c.socket = near
-	near.onArrival = c.completeRead
-	c.host.accept(far)
+	nodeEnd, hostEnd := n.sim.join(n.machine, c.host.machine)
+	c.socket = nodeEnd
+	nodeEnd.onArrival = c.completeRead
+	c.host.accept(hostEnd)
 	return node.Dialed{Conn: c.id}
 }
 
-// failDial reports to the core, after some seconds, that a connection could not be established.
+// failDial reports a failed dial to the core after the given seconds, or only the end of the connection if the core has
+// closed it by then.
 func (n *nodeProcess) failDial(c *connection, after float64) {
 	core := n.core
-	n.world.After(after, func() {
+	n.sim.After(after, func() {
 		if !n.running || core != n.core {
 			return
 		}
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	maxCallWait       = 3.0  // seconds; a call that has to wait longer fails
+	maxCallWait       = 3.0  // seconds; a call that would wait longer for its answer fails
 	heartbeatInterval = 2.0  // seconds between heartbeats of a watch
-	callDelay         = 1e-3 // seconds of a call that does not wait
-	deliveryDelay     = 1e-3 // seconds from discovery to a node
+	callDelay         = 1e-3 // seconds until a call is answered that does not queue
+	deliveryDelay     = 1e-3 // seconds that a list takes from discovery to a node
 )
 
 // The statuses of hosts in endpoint lists.
@@ -22,26 +22,27 @@
 	statusDeleted  = "DELETED"
 )
 
-// The reasons of failed calls and watches, as a node gets them.
+// The reasons with which calls and watches fail, as they are reported to a node.
 const (
 	failureUnavailable = "status 503"
 	failureReset       = "reset"
 )
 
-// discovery delivers the endpoint list late, and answers calls for it one after another.
+// discovery is the simulated discovery service. Changes get into its endpoint list after a delay, and it answers calls one
+// after another at a limited rate.
 type discovery struct {
-	world          *simulation
-	index          int64 // of the last change
-	changes        []listChange
-	idleAt         float64 // time at which it has answered all calls so far
-	extraDelay     float64 // seconds beside the script's delay
-	callRate       float64 // calls a second that it answers
-	down           bool
-	availableSince float64     // when it last became available
-	relocations    int         // how often nodes were sent to another discovery
-	watches        []listWatch // established watches, possibly some that have ended
-	waiting        []func()    // answers for when it is available again
-	random         *rand.Rand
+	sim             *simulation
+	index           int64 // index of the last change
+	changes         []listChange
+	idleAt          float64 // time at which all calls so far are answered
+	extraDelay      float64 // seconds that faults add to the script's delay
+	callRate        float64 // calls that it answers a second
+	down            bool
+	availableSince  float64     // time at which it last became available
+	relocations     int         // how often nodes were redirected to another discovery service
+	watches         []listWatch // established watches; some may have ended
+	deferredAnswers []func()    // answers to calls of agents, sent once discovery is available again
+	random          *rand.Rand
 }
 
 // listChange is a change of the endpoint list.
@@ -50,24 +51,24 @@
 	host  endpoint.Host
 }
 
-// listWatch is a call of a process for the endpoint list, or the watch that it became.
+// listWatch is a call of a process for the endpoint list, and the watch that the answered call becomes.
 type listWatch struct {
 	process *nodeProcess
 	core    Core
-	call    int // number of the call within the process
+	call    int // number of the call, counted from 1 in each process
 }
 
 // listCalls are the calls of a process for the endpoint list that are in flight, by number. One of them may be a watch.
 type listCalls struct {
 	open         []int // oldest first
 	count        int   // calls made so far
-	silencedUpTo int   // calls up to this number deliver nothing any more
+	silencedUpTo int   // calls up to this number deliver nothing more
 }
 
 // newest returns the number of the last call.
 func (c *listCalls) newest() int { return c.count }
 
-// begin makes a call that replaces all others, or all but the oldest.
+// begin records a new call. It replaces all earlier ones, or all but the oldest open one.
 func (c *listCalls) begin(keepOldest bool) {
 	kept := 0
 	if keepOldest {
@@ -77,16 +78,16 @@
 	c.open = append(c.open[:kept], c.count)
 }
 
-// end ends all calls.
+// end discards all open calls.
 func (c *listCalls) end() { c.open = nil }
 
-// fail ends one call and reports whether none is left.
+// fail discards one call and reports whether no other is open.
 func (c *listCalls) fail(call int) bool {
 	c.open = slices.DeleteFunc(c.open, func(other int) bool { return other == call })
 	return len(c.open) == 0
 }
 
-// current reports whether the process still has this call or watch, and it is not silenced.
+// current reports whether the call or watch is still open in the process that made it, and is not silenced.
 func (w listWatch) current() bool {
 	calls := &w.process.listCalls
 	sameProcess := w.process.running && w.process.core == w.core
@@ -101,57 +102,58 @@
 		Zone:        zoneName(h.zone),
 		Status:      status,
 		Weight:      h.capacity,
-		StartedAtMS: millisecondsPerSecond * startTimeOfDay(s.startTime, h.startedAt),
+		StartedAtMS: millisecondsPerSecond * unixStartTime(s.startTime, h.startedAt),
 	}
 }
 
-// startTimeOfDay returns the Unix time, in seconds, of a start at a time of the clock; 0 stands for a start long ago.
-func startTimeOfDay(base, startedAt float64) float64 {
+// unixStartTime converts the time at which a host started from the clock to Unix time, in seconds. A host that started
+// before the run has 0 in both.
+func unixStartTime(base, startedAt float64) float64 {
 	if startedAt <= 0 {
 		return 0
 	}
 	return base + startedAt
 }
 
-// addListed adds a host to the list at once.
+// addListed adds a host to the list without delay.
 func (d *discovery) addListed(h *host) {
 	d.index++
-	d.changes = append(d.changes, listChange{d.index, d.world.entry(h, statusServing)})
+	d.changes = append(d.changes, listChange{d.index, d.sim.entry(h, statusServing)})
 }
 
-// announce changes the status of a host in the list after the delay.
+// announce changes the status of a host in the list after the list's delay, and sends the change to all watches.
 func (d *discovery) announce(h *host, status string) {
-	entry := d.world.entry(h, status)
-	d.world.After(d.world.script.Fleet.ListDelay+d.extraDelay, func() {
+	entry := d.sim.entry(h, status)
+	d.sim.After(d.sim.script.Fleet.ListDelay+d.extraDelay, func() {
 		d.index++
 		d.changes = append(d.changes, listChange{d.index, entry})
 		if status == statusServing {
 			h.withdrawnAt = 0
 		} else if h.withdrawnAt == 0 {
-			h.withdrawnAt = d.world.Now
+			h.withdrawnAt = d.sim.Now
 		}
-		d.world.trace("listed %s %s", entry.Name, entry.Status)
+		d.sim.trace("listed %s %s", entry.Name, entry.Status)
 		for _, w := range d.watches {
 			d.deliver(w, endpoint.List{Index: d.index, Hosts: []endpoint.Host{entry}})
 		}
 	})
 }
 
-// deliver sends a list to a watch.
+// deliver sends a list to a watch. It is lost if discovery is down or the watch has ended when it would arrive.
 func (d *discovery) deliver(w listWatch, list endpoint.List) {
-	d.world.After(deliveryDelay, func() {
+	d.sim.After(deliveryDelay, func() {
 		if d.down || !w.current() {
 			return
 		}
-		w.process.watchState.received()
+		w.process.watchState.recordDelivery()
 		w.process.watchState.relocations = d.relocations
 		w.process.deliver(node.ListReceived{List: list})
 	})
 }
 
-// sendHeartbeats sends heartbeats to a watch while it is current.
+// sendHeartbeats sends heartbeats to a watch until it ends or discovery goes down.
 func (d *discovery) sendHeartbeats(w listWatch) {
-	d.world.After(heartbeatInterval, func() {
+	d.sim.After(heartbeatInterval, func() {
 		if d.down || !w.current() {
 			return
 		}
@@ -160,7 +162,7 @@
 	})
 }
 
-// completeList returns the list as discovery has it, without deleted hosts.
+// completeList returns the present list without deleted hosts.
 func (d *discovery) completeList() endpoint.List {
 	list := endpoint.List{Index: d.index, Complete: true}
 	positions := map[string]int{}
@@ -177,7 +179,8 @@
 	return list
 }
 
-// listSince returns the changes after an index, or the complete list if there is no such index.
+// listSince returns the changes after an index. It returns the complete list for index 0 and for one that this discovery
+// service has not reached.
 func (d *discovery) listSince(index int64) endpoint.List {
 	if index <= 0 || index > d.index {
 		return d.completeList()
@@ -191,22 +194,22 @@
 	return list
 }
 
-// handleCall takes a process's call for a watch that begins after an index. Where lists are pushed, the agent beside the
-// node takes the call and answers once discovery is available.
+// handleCall handles a process's call for a watch of the changes after an index. If lists are pushed, the agent next to
+// the node handles the call: it does not queue, and is answered once discovery is available.
 func (d *discovery) handleCall(n *nodeProcess, call int, index int64) {
-	d.world.result.ListCalls++
+	d.sim.result.ListCalls++
 	w := listWatch{n, n.core, call}
-	n.watchState.calling(d.world.Now)
-	if d.world.script.Rules.Pushed {
+	n.watchState.recordCall(d.sim.Now)
+	if d.sim.script.Rules.Pushed {
 		if d.down {
-			d.waiting = append(d.waiting, func() { d.startWatch(w, index) })
+			d.deferredAnswers = append(d.deferredAnswers, func() { d.startWatch(w, index) })
 			return
 		}
 		d.startWatchAfter(callDelay, w, index)
 		return
 	}
-	d.idleAt = max(d.idleAt, d.world.Now)
-	wait := d.idleAt - d.world.Now + callDelay
+	d.idleAt = max(d.idleAt, d.sim.Now)
+	wait := d.idleAt - d.sim.Now + callDelay
 	if d.down || wait > maxCallWait {
 		d.fail(w, min(wait, maxCallWait), failureUnavailable)
 		return
@@ -215,9 +218,9 @@
 	d.startWatchAfter(wait, w, index)
 }
 
-// startWatchAfter answers a call after some seconds. The call fails if discovery is down by then.
+// startWatchAfter answers a call after the given seconds. The call fails if discovery is down by then.
 func (d *discovery) startWatchAfter(wait float64, w listWatch, index int64) {
-	d.world.After(wait, func() {
+	d.sim.After(wait, func() {
 		if d.down {
 			d.fail(w, 0, failureReset)
 			return
@@ -226,7 +229,7 @@
 	})
 }
 
-// startWatch makes a call the watch of its process, in place of any other, and delivers what changed after the index.
+// startWatch turns a call into the only watch of its process, and delivers the changes after the index.
 func (d *discovery) startWatch(w listWatch, index int64) {
 	if !w.current() {
 		return
@@ -240,43 +243,43 @@
 	}
 	d.watches = append(kept, w)
 	if w.process.watchState.relocations != d.relocations {
-		index = 0 // another discovery gave this index
+		index = 0 // the index is of the discovery service before the relocation
 	}
 	d.deliver(w, d.listSince(index))
 	d.sendHeartbeats(w)
 }
 
-// fail ends a call or a watch after some seconds. The process learns of it unless another call is still open.
+// fail ends a call or a watch after the given seconds. The process is notified unless another of its calls is open.
 func (d *discovery) fail(w listWatch, after float64, reason string) {
-	d.world.After(after, func() {
+	d.sim.After(after, func() {
 		if w.current() && w.process.listCalls.fail(w.call) {
-			w.process.watchState.ended(true)
+			w.process.watchState.recordEnd(true)
 			w.process.deliver(node.WatchFailed{Reason: reason})
 		}
 	})
 }
 
-// interrupt takes discovery down for some seconds and ends all watches.
+// interrupt takes discovery down for the given seconds and ends all watches.
 func (d *discovery) interrupt(duration float64) {
 	d.down = true
 	for _, w := range d.watches {
 		d.fail(w, 0, failureReset)
 	}
 	d.watches = nil
-	d.world.After(duration, func() {
+	d.sim.After(duration, func() {
 		d.down = false
-		d.availableSince = d.world.Now
-		for _, answer := range d.waiting {
+		d.availableSince = d.sim.Now
+		for _, answer := range d.deferredAnswers {
 			answer()
 		}
-		d.waiting = nil
+		d.deferredAnswers = nil
 	})
 }
 
-// drawAffected draws a share of the processes, and returns those of them that have a watch or a call.
-func (d *discovery) drawAffected(share float64) []*nodeProcess {
+// selectAffected selects each process with the probability share, and returns those selected that have a watch or a call.
+func (d *discovery) selectAffected(share float64) []*nodeProcess {
 	var affected []*nodeProcess
-	for _, n := range d.world.processes() {
+	for _, n := range d.sim.processes() {
 		if d.random.Float64() < share && n.watchState.active() {
 			affected = append(affected, n)
 		}
@@ -284,25 +287,26 @@
 	return affected
 }
 
-// silenceWatches has the watches and calls of a share of the processes deliver nothing any more. The processes get no
-// event for it.
+// silenceWatches makes the watches and calls of a share of the processes deliver nothing more. The processes are not
+// notified of this.
 func (d *discovery) silenceWatches(share float64) {
-	for _, n := range d.drawAffected(share) {
+	for _, n := range d.selectAffected(share) {
 		n.silenceWatch()
 	}
 }
 
-// resetWatches ends the watches and calls of a share of the processes at once.
+// resetWatches resets the watches and calls of a share of the processes.
 func (d *discovery) resetWatches(share float64) {
-	for _, n := range d.drawAffected(share) {
+	for _, n := range d.selectAffected(share) {
 		for _, call := range n.listCalls.open {
 			d.fail(listWatch{n, n.core, call}, 0, failureReset)
 		}
 	}
 }
 
-// relocate sends the nodes, one by one within some seconds, to a discovery that has the same hosts and numbers its
-// changes anew. The watches of the old one fall silent. A node that polls before it is sent reaches the new one as well.
+// relocate replaces discovery by a service that has the same hosts and numbers its changes from 1. The watches of the old
+// service fall silent, and each node is redirected at a random time within the given seconds. A node that polls before
+// that reaches the new service as well.
 func (d *discovery) relocate(within float64) {
 	hosts := d.completeList().Hosts
 	d.index = 1
@@ -312,10 +316,10 @@
 		d.changes = append(d.changes, listChange{d.index, h})
 	}
 	d.watches = nil
-	for _, n := range d.world.processes() {
+	for _, n := range d.sim.processes() {
 		core := n.core
 		n.silenceWatch()
-		d.world.After(within*d.random.Float64(), func() {
+		d.sim.After(within*d.random.Float64(), func() {
 			if n.running && n.core == core {
 				n.restartWatch()
 			}
@@ -323,11 +327,11 @@
 	}
 }
 
-// restartWatch notifies a process that discovery has moved.
+// restartWatch notifies a process that it was redirected to another discovery service.
 func (n *nodeProcess) restartWatch() {
 	n.watchState = watchState{
-		relocatedAt: n.world.Now,
-		calledAt:    n.world.Now,
+		relocatedAt: n.sim.Now,
+		calledAt:    n.sim.Now,
 		startedAt:   n.watchState.startedAt,
 		relocations: n.watchState.relocations,
 	}
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,6 +1,6 @@
-// Package emulator runs whole fleets on a virtual clock: real node cores with simulated clients, hosts, discovery, front
-// and session store. It owns scripts, the simulated fleet, the faults that are injected into it, and the rules that are
-// checked after each step. Everything that is random comes from one seed, so that a script and a seed always give the
-// same trace. The package opens no socket, reads no real clock and starts no goroutine; its figures are simulated and
-// imitate no platform.
+// Package emulator is a discrete-event simulation of whole fleets: the cores of real nodes run on a virtual clock together
+// with simulated clients, hosts, discovery, network and session store. The package owns the format of scripts, the
+// simulated fleet, the faults that are injected into it, and the rules that are checked during a run. All random values
+// are derived from one seed, so a script and a seed always produce the same trace. The package opens no socket, reads no
+// real clock and starts no goroutine. Its figures are simulated and do not predict those of any particular platform.
 package emulator
--- a/internal/emulator/emulator_golden_test.go
+++ b/internal/emulator/emulator_golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: scripts have these keys, so nothing
-// rewrites them, and a test that fails here means that a name or a form has changed.
+// The files under testdata were written by the deployed version (revision 5fa7498). Scripts of operators have these keys, so the
+// files are never regenerated: a test that fails here means that a key, a default value or the form of a script has changed.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -31,8 +31,8 @@
 	}
 }
 
-// checkNoZero checks that no exported field of a value is zero, at any depth, so that a field that is no longer read from
-// a golden file is noticed.
+// checkNoZero checks that no exported field of a value is zero, at any depth. A field that is no longer read from a golden
+// file is zero, and would otherwise go unnoticed.
 func checkNoZero(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	if value.IsZero() || value.Kind() == reflect.Slice && value.Len() == 0 || value.Kind() == reflect.Map && value.Len() == 0 {
@@ -59,19 +59,20 @@
 	}
 }
 
-// goldenScenario has every key, and values other than the defaults.
+// goldenScenario returns a scenario with a value other than the default for each key.
 func goldenScenario() Scenario {
-	traffic := Traffic{Name: "upload", Effect: "referenced", MemorySpan: 1.5, Rate: 2.5, MeanLifetime: 3.5, Load: 0.125, SetupObjective: 0.25, ConnectTimeout: 4.5,
+	traffic := Traffic{Name: "upload", Idempotency: "referenced", MemorySpan: 1.5, Rate: 2.5,
+		MeanLifetime: 3.5, Load: 0.125, SetupObjective: 0.25, ConnectTimeout: 4.5,
 		MessageObjective: 0.75, PriorityWeight: 5, GroupSize: 6, Retries: 7, Backoff: 0.5, RetryAfterShare: 0.375}
-	s := Scenario{Name: "golden", Duration: 100, Settle: 10, DrawnFaults: 3, DrawnFleet: true,
+	s := Scenario{Name: "golden", Duration: 100, Settle: 10, GeneratedFaults: 3, GeneratedFleet: true,
 		Fleet: Fleet{Nodes: 4, Hosts: 5, Zones: 6, Capacity: 7.5, CapacitySpread: 0.5, SlowStartFrom: 0.25, SlowStartTime: 9, ListDelay: 1.5, ListCallRate: 15, StoreCallLimit: 150,
 			InputTime: 0.125, MaxDescriptors: 64},
 		Network: Network{DelayWithinZone: 0.125, DelayBetweenZones: 0.25, Jitter: 0.5, Bandwidth: 1000, SplitChance: 0.75},
 		Rules: Rules{DrainGrace: 1.5, AnswerSlack: 0.25, FallMultiple: 5, FallTime: 2, MaxAttempts: 3, RetryAfter: 4, PollWithin: 20, DialTimeout: 0.5,
 			Pushed: true},
 		Traffic: []Traffic{traffic}}
-	for _, effect := range []string{"repeatable", "once-only"} {
-		traffic.Name, traffic.Effect = effect, Effect(effect)
+	for _, idempotency := range []string{"repeatable", "once-only"} {
+		traffic.Name, traffic.Idempotency = idempotency, Idempotency(idempotency)
 		s.Traffic = append(s.Traffic, traffic)
 	}
 	for i, kind := range FaultKinds() {
@@ -80,6 +81,8 @@
 	return s
 }
 
+// Guards against a key of scripts that is renamed, lost or no longer read: a scenario with every key has to have the text of
+// the golden file, and has to be the same after it is read from it.
 func TestGoldenScenario(t *testing.T) {
 	want := goldenScenario()
 	written, err := toml.Marshal(want)
@@ -101,7 +104,8 @@
 	checkGolden(t, "scenario.toml", written)
 }
 
-// A script that says nothing has these values.
+// Guards against changed defaults, which would change the meaning of existing scripts: an empty script has to have the values
+// in the golden file.
 func TestGoldenScenarioDefaults(t *testing.T) {
 	s, err := Read("scenario.toml", nil)
 	if err != nil {
@@ -114,6 +118,8 @@
 	checkGolden(t, "scenario-defaults.toml", written)
 }
 
+// Guards against a kind of fault that is renamed, so that scripts with it are rejected. A kind that is added or removed also
+// changes the faults that a seed generates.
 func TestGoldenFaultKinds(t *testing.T) {
 	want := []FaultKind{"crash", "dial_late", "drain", "drop", "errs", "grow", "hand", "leave", "node_kill", "node_restart", "release",
 		"roster_down", "roster_late", "roster_move", "roster_reset", "roster_silent", "roster_slow", "shrink", "slow", "stall", "store_slow",
@@ -123,8 +129,8 @@
 	}
 }
 
-// The scripts for this package that docs/scenarios holds.
-func TestGoldenScenariosOfTheDocs(t *testing.T) {
+// Guards against changes that make the committed scripts in docs/scenarios invalid or change the values read from them.
+func TestGoldenScenariosInDocs(t *testing.T) {
 	for _, name := range []string{"drawn", "lists", "overlap"} {
 		t.Run(name, func(t *testing.T) {
 			s, err := ReadFile(filepath.Join("../../docs/scenarios", name+".toml"))
@@ -140,8 +146,9 @@
 	}
 }
 
-// The settings that the emulator gives to its nodes, in the form of a node's document.
+// Guards against changes of the settings document that the emulator passes to its nodes, with which the simulated nodes would
+// run with other settings than before.
 func TestGoldenNodeSettings(t *testing.T) {
-	w := &simulation{script: goldenScenario()}
-	checkGolden(t, "settings.json", w.nodeSettings())
+	s := &simulation{script: goldenScenario()}
+	checkGolden(t, "settings.json", s.nodeSettings())
 }
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -8,32 +8,32 @@
 	"gorseledge/internal/strict"
 )
 
-// FaultKind is the kind of a fault, in the form that scripts have.
+// FaultKind is the kind of a fault. Scripts contain the string.
 type FaultKind string
 
-// The kinds of faults. What Duration and Amount of a Fault mean is said for each kind that needs them.
+// The kinds of faults. The comments use the names of the fields of Fault, and mention each field that the kind uses.
 const (
 	faultGrow         FaultKind = "grow"          // Count new hosts start
 	faultShrink       FaultKind = "shrink"        // Count hosts are drained and removed, spread over Duration
 	faultRelease      FaultKind = "release"       // Count hosts are replaced, spread over Duration
 	faultZoneLoss     FaultKind = "zone_loss"     // all hosts of Zone vanish for Duration
-	faultListLate     FaultKind = "roster_late"   // changes of the endpoint list come Amount seconds later
+	faultListLate     FaultKind = "roster_late"   // changes get into the endpoint list Amount seconds later, for Duration
 	faultListDown     FaultKind = "roster_down"   // discovery is down for Duration
-	faultListSlow     FaultKind = "roster_slow"   // discovery answers Amount calls a second
+	faultListSlow     FaultKind = "roster_slow"   // discovery answers only Amount calls a second, for Duration
 	faultListSilent   FaultKind = "roster_silent" // the share Amount of watches and calls fall silent
 	faultListReset    FaultKind = "roster_reset"  // the share Amount of watches and calls are reset
-	faultListMove     FaultKind = "roster_move"   // nodes are sent to another discovery within Duration
-	faultDialLate     FaultKind = "dial_late"     // connections to hosts are established Amount seconds later
-	faultClientsLeave FaultKind = "leave"         // the share Amount of new clients does not wait for an answer
-	faultDropClients  FaultKind = "drop"          // the share Amount of clients disconnects, and returns within Duration
-	faultHostSlow     FaultKind = "slow"          // a host takes Amount times as long
-	faultHostErrors   FaultKind = "errs"          // a host fails the share Amount of its set-ups
+	faultListMove     FaultKind = "roster_move"   // nodes are redirected to another discovery service within Duration
+	faultDialLate     FaultKind = "dial_late"     // dials to hosts take Amount seconds longer, for Duration
+	faultClientsLeave FaultKind = "leave"         // the share Amount of new clients leaves before it is answered, for Duration
+	faultDropClients  FaultKind = "drop"          // the share Amount of clients disconnects, and reconnects within Duration
+	faultHostSlow     FaultKind = "slow"          // work takes a host Amount times as long, for Duration
+	faultHostErrors   FaultKind = "errs"          // a host fails the share Amount of its set-ups, for Duration
 	faultHostCrash    FaultKind = "crash"         // a host's process ends, and restarts after Duration
-	faultHostVanish   FaultKind = "vanish"        // a host's machine is lost for Duration
+	faultHostVanish   FaultKind = "vanish"        // a host's machine is off the network for Duration
 	faultHostDrain    FaultKind = "drain"         // a host drains for Duration and is removed
 	faultHostStall    FaultKind = "stall"         // a host accepts connections and does not respond for Duration
-	faultStoreSlow    FaultKind = "store_slow"    // the session store takes Amount calls a second
-	faultHostDisabled FaultKind = "hand"          // a host is administratively disabled, restarted and enabled again
+	faultStoreSlow    FaultKind = "store_slow"    // the session store accepts only Amount calls a second, for Duration
+	faultHostDisabled FaultKind = "hand"          // a host is administratively disabled for Duration and restarted halfway
 	faultNodeUpgrade  FaultKind = "upgrade"       // a node's program is upgraded
 	faultNodeKill     FaultKind = "node_kill"     // a node's process is killed, and restarts after Duration
 	faultNodeRestart  FaultKind = "node_restart"  // a node shuts down gracefully, and restarts after Duration
@@ -47,7 +47,7 @@
 	maxFaultAmount    = 1e4  // in the unit of the kind
 )
 
-// Fault is one thing that goes wrong, or that operators do, in a run. Host, Node and Zone count from 0.
+// Fault is a failure, or an action of an operator, that is injected into a run. Host, Node and Zone count from 0.
 type Fault struct {
 	At       float64   `toml:"at"` // seconds from the start of the run
 	Kind     FaultKind `toml:"kind"`
@@ -56,10 +56,10 @@
 	Zone     int       `toml:"zone"`
 	Count    int       `toml:"count"` // hosts
 	Duration float64   `toml:"for"`   // seconds
-	Amount   float64   `toml:"by"`    // seconds, factor, share or rate, as the kind says
+	Amount   float64   `toml:"by"`    // seconds, factor, share or rate, depending on the kind
 }
 
-// faultRequirements are the references of a fault that have to be valid for its kind.
+// faultRequirements states which fields of a fault have to be valid for its kind.
 type faultRequirements struct{ host, node, zone, count bool }
 
 // faultNeeds has an entry for each kind of fault.
@@ -100,7 +100,7 @@
 	return kinds
 }
 
-// joinFaultKinds returns the kinds of all faults as a list for a message.
+// joinFaultKinds returns the kinds of all faults, separated by commas, for an error message.
 func joinFaultKinds() string {
 	var names []string
 	for _, kind := range FaultKinds() {
@@ -109,32 +109,32 @@
 	return strings.Join(names, ", ")
 }
 
-// check returns an error, and its place in the script, if the fault cannot be injected into the fleet.
+// check returns an error and its place in the script if the fault cannot be injected into the fleet.
 func (x Fault) check(index int, fleet Fleet) (strict.Place, error) {
 	place := func(key string) strict.Place { return strict.Place{Table: "fault", Index: index, Key: key} }
 	needs, known := faultNeeds[x.Kind]
 	if !known {
-		return place("kind"), fmt.Errorf("no fault is called %q; there are %s", x.Kind, joinFaultKinds())
+		return place("kind"), fmt.Errorf("unknown fault kind %q, must be one of %s", x.Kind, joinFaultKinds())
 	}
 	isShareOfNodes := x.Kind == faultListSilent || x.Kind == faultListReset
 	switch {
 	case needs.host && (x.Host < 0 || x.Host >= fleet.Hosts):
-		return place("host"), fmt.Errorf("there is no host %d: the fleet begins with %d, from 0 on", x.Host, fleet.Hosts)
+		return place("host"), fmt.Errorf("no host %d: the fleet starts with %d hosts, numbered from 0", x.Host, fleet.Hosts)
 	case needs.node && (x.Node < 0 || x.Node >= fleet.Nodes):
-		return place("node"), fmt.Errorf("there is no node %d: the fleet has %d, from 0 on", x.Node, fleet.Nodes)
+		return place("node"), fmt.Errorf("no node %d: the fleet has %d nodes, numbered from 0", x.Node, fleet.Nodes)
 	case needs.zone && (x.Zone < 0 || x.Zone >= fleet.Zones):
-		return place("zone"), fmt.Errorf("there is no zone %d: the fleet has %d, from 0 on", x.Zone, fleet.Zones)
+		return place("zone"), fmt.Errorf("no zone %d: the fleet has %d zones, numbered from 0", x.Zone, fleet.Zones)
 	case needs.count && (x.Count < 1 || x.Count > maxFaultCount):
-		return place("count"), fmt.Errorf("%s needs a count from 1 to %d, not %d", x.Kind, maxFaultCount, x.Count)
+		return place("count"), fmt.Errorf("count of %s must be between 1 and %d hosts, got %d", x.Kind, maxFaultCount, x.Count)
 	case isShareOfNodes && !(x.Amount > 0 && x.Amount <= 1):
-		return place("by"), fmt.Errorf("%s needs a share of the nodes over 0 and up to 1, not %v", x.Kind, x.Amount)
+		return place("by"), fmt.Errorf("by of %s must be a share of the nodes above 0 and at most 1, got %v", x.Kind, x.Amount)
 	case x.Kind == faultListSlow && x.Amount < minListCallRate:
-		return place("by"), fmt.Errorf("%s needs %v calls a second or more, not %v", x.Kind, minListCallRate, x.Amount)
+		return place("by"), fmt.Errorf("by of %s must be at least %v calls a second, got %v", x.Kind, minListCallRate, x.Amount)
 	}
 	return strict.Place{}, nil
 }
 
-// bounds returns the ranges of the fault's figures.
+// bounds returns the allowed ranges of the fault's numeric fields.
 func (x Fault) bounds(index int, duration float64) []bound {
 	place := func(key string) strict.Place { return strict.Place{Table: "fault", Index: index, Key: key} }
 	return []bound{
--- a/internal/emulator/fault_inject.go
+++ b/internal/emulator/fault_inject.go
@@ -11,7 +11,7 @@
 	restartDelay = 4.0 // seconds from the start of a node's graceful shutdown to its end
 )
 
-// injectors has the function that injects each kind of fault.
+// injectors maps each kind of fault to the function that injects it.
 var injectors = map[FaultKind]func(*simulation, Fault){
 	faultGrow:         injectGrow,
 	faultShrink:       injectRemovals,
@@ -39,7 +39,7 @@
 	faultNodeRestart:  injectNodeRestart,
 }
 
-// inject makes a fault happen now.
+// inject injects a fault now.
 func (s *simulation) inject(f Fault) {
 	s.trace("fault %s host %d node %d zone %d count %d for %g by %g", f.Kind, f.Host, f.Node, f.Zone, f.Count, f.Duration, f.Amount)
 	if injector, known := injectors[f.Kind]; known {
@@ -47,7 +47,7 @@
 	}
 }
 
-// faultHost returns the host that a fault names. Only a fault whose kind needs a host has one.
+// faultHost returns the host of a fault whose kind requires one.
 func (s *simulation) faultHost(f Fault) *host { return s.hosts[f.Host%max(len(s.hosts), 1)] }
 
 func injectGrow(s *simulation, f Fault) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// injectRemovals drains and removes hosts one after another; a release adds a new host for each one.
+// injectRemovals drains and removes hosts one after another. A release adds a new host for each of them.
 func injectRemovals(s *simulation, f Fault) {
 	for i := range f.Count {
 		s.After(f.Duration*float64(i)/float64(f.Count), func() {
@@ -173,7 +173,7 @@
 	return s.hosts[i]
 }
 
-// drainAndRemove drains a host and removes it after the removal delay.
+// drainAndRemove starts to drain a host and removes it after the removal delay.
 func (s *simulation) drainAndRemove(h *host) {
 	h.state = draining
 	s.discovery.announce(h, statusDraining)
@@ -192,8 +192,8 @@
 	}
 }
 
-// vanish takes a host's machine off the network, without a reset of its connections. The host restarts after some
-// seconds.
+// vanish takes a host's machine off the network for the given seconds, without resetting its connections. The host then
+// restarts.
 func (s *simulation) vanish(h *host, duration float64) {
 	if h.vanished || h.state == removed {
 		return
@@ -206,7 +206,7 @@
 	})
 }
 
-// revive restarts a host unless it is removed. The endpoint list gets its new start time.
+// revive restarts a host unless it is removed, and announces its new start time in the endpoint list.
 func (s *simulation) revive(h *host) {
 	if h.state == removed {
 		return
@@ -215,8 +215,8 @@
 	s.discovery.announce(h, statusServing)
 }
 
-// kill ends a node's process without a shutdown and restarts it after some seconds. If its predecessor still runs,
-// that one gets the clients back and nothing is restarted.
+// kill ends a node's process without a shutdown and restarts it after the given seconds. If its predecessor in an upgrade
+// still runs and is not shutting down, the predecessor listens again instead, and no process is started.
 func (s *simulation) kill(n *nodeProcess, restartAfter float64) {
 	if n.running {
 		n.stop()
--- a/internal/emulator/faulty_cores_test.go
+++ b/internal/emulator/faulty_cores_test.go
@@ -6,7 +6,7 @@
 	"gorseledge/internal/node"
 )
 
-// ignoringAccepts is a node that accepts connections and does not handle them.
+// ignoringAccepts is a faulty node that ignores the connections that it has accepted.
 type ignoringAccepts struct{ Core }
 
 func (c *ignoringAccepts) Apply(now float64, in node.Input) []node.Effect {
@@ -16,7 +16,7 @@
 	return c.Core.Apply(now, in)
 }
 
-// answeringTwice is a node that rejects each client before it establishes its connection.
+// answeringTwice is a faulty node that sends each client a rejection before the answer that establishes the connection.
 type answeringTwice struct{ Core }
 
 func (c *answeringTwice) Apply(now float64, in node.Input) []node.Effect {
@@ -31,7 +31,8 @@
 	return out
 }
 
-// correctedWriteCount gives the core the count of the write that it asked for, before one was added to it.
+// correctedWriteCount reports to the core the length of the data that it wrote, without the rejection that answeringTwice put
+// before it.
 type correctedWriteCount struct {
 	Core
 	conn  node.ConnID
@@ -45,19 +46,19 @@
 	return c.Core.Apply(now, in)
 }
 
-// holdingAfterEnd is a node that holds a flow to the end.
+// holdingAfterEnd is a faulty node that still holds a flow at the end of a run.
 type holdingAfterEnd struct{ Core }
 
 func (holdingAfterEnd) Held() (flows, conns, descriptors int) { return 1, 0, 0 }
 
-// dialingTwice is a node that sends some first lines over a second connection as well.
+// dialingTwice is a faulty node that sends some opening lines a second time, over another connection to the same host.
 type dialingTwice struct {
 	Core
-	addresses map[node.ConnID]string // that were dialed
-	openings  map[node.ConnID][]byte // first lines of second connections
+	addresses map[node.ConnID]string // dialed addresses, by connection
+	openings  map[node.ConnID][]byte // opening lines for second connections, by second connection
 }
 
-// secondConn is the distance of the number of a second connection from the first.
+// secondConn is added to the ID of a connection for the ID of the second connection.
 const secondConn = node.ConnID(1) << 40
 
 func (c *dialingTwice) Apply(now float64, in node.Input) []node.Effect {
@@ -90,7 +91,7 @@
 	return out
 }
 
-// ignoringClientEnd is a node that does not notice that a client has left.
+// ignoringClientEnd is a faulty node that ignores that a client has closed or reset its connection.
 type ignoringClientEnd struct{ Core }
 
 func (c *ignoringClientEnd) Apply(now float64, in node.Input) []node.Effect {
@@ -100,7 +101,7 @@
 	return c.Core.Apply(now, in)
 }
 
-// ignoringDrains is a node that takes every host in the list as serving.
+// ignoringDrains is a faulty node that treats every host in the list as serving.
 type ignoringDrains struct{ Core }
 
 func (c *ignoringDrains) Apply(now float64, in node.Input) []node.Effect {
@@ -114,7 +115,7 @@
 	return c.Core.Apply(now, in)
 }
 
-// ignoringDisable is a node that confirms that a host is disabled and goes on using it.
+// ignoringDisable is a faulty node that confirms that a host is disabled but continues to use it.
 type ignoringDisable struct{ Core }
 
 func (c *ignoringDisable) Apply(now float64, in node.Input) []node.Effect {
--- a/internal/emulator/faulty_watches_test.go
+++ b/internal/emulator/faulty_watches_test.go
@@ -6,7 +6,7 @@
 	"gorseledge/internal/node"
 )
 
-// ignoringSilence is a node that takes a silent watch as alive.
+// ignoringSilence is a faulty node that treats a silent watch as alive: its core gets a heartbeat before each input.
 type ignoringSilence struct{ Core }
 
 func (c *ignoringSilence) Apply(now float64, in node.Input) []node.Effect {
@@ -14,7 +14,7 @@
 	return append(out, c.Core.Apply(now, in)...)
 }
 
-// neverPolling is a node that never polls again once a watch has ended.
+// neverPolling is a faulty node that does not poll again after a watch has ended.
 type neverPolling struct{ Core }
 
 func (c *neverPolling) Apply(now float64, in node.Input) []node.Effect {
@@ -27,7 +27,7 @@
 	return c.Core.Apply(now, in)
 }
 
-// ignoringRelocation is a node that stays with the discovery that it knows.
+// ignoringRelocation is a faulty node that ignores a redirection to another discovery service.
 type ignoringRelocation struct{ Core }
 
 func (c *ignoringRelocation) Apply(now float64, in node.Input) []node.Effect {
@@ -37,7 +37,7 @@
 	return (&neverPolling{c.Core}).Apply(now, in)
 }
 
-// delayingLists is a node that takes changes of the list a second late.
+// delayingLists is a faulty node that applies changes of the list a second late.
 type delayingLists struct {
 	Core
 	lists []node.ListReceived
@@ -59,7 +59,7 @@
 	return append(out, c.Core.Apply(now, in)...)
 }
 
-// dialingBeforeLists is a node that takes no list while it dials.
+// dialingBeforeLists is a faulty node that applies lists only after its dials in progress have ended.
 type dialingBeforeLists struct {
 	Core
 	dials map[node.ConnID]bool
@@ -89,7 +89,7 @@
 	return out
 }
 
-// restoringAllServing is a node whose successor takes over with every host as serving.
+// restoringAllServing is a faulty node whose successor restores every host as serving from the handover.
 type restoringAllServing struct{ Core }
 
 func (c *restoringAllServing) Apply(now float64, in node.Input) []node.Effect {
@@ -97,15 +97,15 @@
 		for i := range handover.State.Hosts {
 			handover.State.Hosts[i].Status = statusServing
 		}
-		handover.State.Index++ // as if it were newer than the list of the successor
+		handover.State.Index++ // makes the state newer than the list of the successor
 	}
 	return c.Core.Apply(now, in)
 }
 
-// pollingLate is a node that polls twelve seconds after its watch has ended.
+// pollingLate is a faulty node that polls again only twelve seconds after its watch has ended.
 type pollingLate struct {
 	Core
-	until float64 // when it polls; 0 for not waiting
+	until float64 // time of the delayed poll; 0 for none
 }
 
 func (c *pollingLate) Apply(now float64, in node.Input) []node.Effect {
@@ -123,7 +123,7 @@
 	return slices.DeleteFunc(slices.Clone(out), isWatch)
 }
 
-// isWatch reports whether an effect polls discovery.
+// isWatch reports whether an effect is a call for a watch of the endpoint list.
 func isWatch(e node.Effect) bool {
 	_, watch := e.(node.Watch)
 	return watch
--- a/internal/emulator/flow.go
+++ b/internal/emulator/flow.go
@@ -1,27 +1,28 @@
 package emulator
 
-// flow is one first line of a client, from its sending to its end. The checker follows it by its id. Times are in seconds.
+// flow is the record that the checker keeps of one opening line of a client. Hosts and nodes look it up by its ID. Times are
+// in seconds.
 type flow struct {
 	id           string
 	trafficIndex int
-	effect       Effect
+	idempotency  Idempotency
 	load         float64 // cores
 	lifetime     float64
-	deadline     float64      // when its client gives up
-	acceptedBy   *nodeProcess // nil before
-	answers      int          // first answers that its client got
-	ranAt        float64      // when it was first carried out; 0 for never
-	ranOn        *host        // where it was first carried out
-	runs         int          // how often it was carried out
-	openAttempts int          // attempts in flight
-	clientLeftAt float64      // when its client left without an answer; 0 for not
+	deadline     float64      // time at which the client gives up
+	acceptedBy   *nodeProcess // nil until a node has accepted the connection
+	answers      int          // first answers that the client received
+	ranAt        float64      // time at which it was first carried out; 0 for never
+	ranOn        *host        // host that first carried it out
+	runs         int          // number of times that it was carried out
+	openAttempts int          // number of attempts in flight
+	clientLeftAt float64      // time at which the client left without an answer; 0 if it did not
 	rejected     bool
 }
 
-// flowByID returns the flow with an id, or nil.
+// flowByID returns the flow with an ID, or nil.
 func (s *simulation) flowByID(id string) *flow { return s.flowsByID[id] }
 
-// nodeRuns reports whether a node has accepted the flow's connection and still runs.
+// nodeRuns reports whether a node has accepted the flow's connection and is still running and reachable.
 func (f *flow) nodeRuns() bool {
 	return f.acceptedBy != nil && f.acceptedBy.running && !f.acceptedBy.vanished
 }
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -8,7 +8,7 @@
 	"gorseledge/internal/line"
 )
 
-// hostState is the true state of a host. The endpoint list has it later.
+// hostState is the true state of a host. It is in the endpoint list only after the list's delay.
 type hostState uint8
 
 const (
@@ -17,61 +17,61 @@
 	removed
 )
 
-// Figures of a simulated host.
+// Constants of the load model of a simulated host.
 const (
 	overloadUtilization  = 1.2  // utilization above which a host is overloaded
 	overloadTolerance    = 2.0  // seconds of overload after which a host drops connections
-	dropDivisor          = 10   // it then drops one connection in so many
-	migrationDivisor     = 40   // a draining host migrates one connection in so many at each tick
-	queueingUtilization  = 0.9  // utilization from which on work piles up
-	responseTime         = 1e-3 // seconds of one message at an idle host
-	queueingTime         = 1e-2 // seconds of one message where work begins to pile up
-	queueingSlope        = 2.0  // further seconds for each unit of utilization above that
-	announcedDelayFloor  = 0.01 // seconds; a change between delays below it is not announced
-	announcedDelayChange = 0.2  // share by which a delay has to change to be announced
+	dropDivisor          = 10   // one connection out of this many is dropped then
+	migrationDivisor     = 40   // a draining host migrates one connection out of this many at each tick
+	queueingUtilization  = 0.9  // utilization from which messages queue
+	responseTime         = 1e-3 // seconds to answer a message at an idle host
+	queueingTime         = 1e-2 // seconds to answer a message when messages begin to queue
+	queueingSlope        = 2.0  // additional seconds for each unit of utilization above queueingUtilization
+	announcedDelayFloor  = 0.01 // seconds; changes between delays below this are not announced
+	announcedDelayChange = 0.2  // relative change from which a delay is announced
 	maxAnnouncedDelay    = 900  // milliseconds
 )
 
-// host is a simulated server of long-lived connections. It sets connections up and answers messages, becomes slow when
-// it is overloaded, and drops connections when that lasts. Times are in seconds, loads in cores.
+// host is a simulated server of long-lived connections. It sets up connections and answers messages. Its answers become
+// slow under overload, and it drops connections if the overload lasts. Times are in seconds, loads in cores.
 type host struct {
 	*machine
-	world        *simulation
+	sim          *simulation
 	random       *rand.Rand
 	capacity     float64
-	startedAt    float64 // 0 for long ago
+	startedAt    float64 // 0 if it started before the run
 	state        hostState
-	withdrawnAt  float64 // when discovery could first deliver that it drains or is removed; 0 for not
+	withdrawnAt  float64 // time at which the endpoint list first had it as draining or deleted; 0 if it does not
 	running      bool
-	stalled      bool    // it accepts connections and does not respond
-	slowdown     float64 // factor on the time of its work; 1 for none
-	errorShare   float64 // share of its set-ups that fail
-	load         float64 // of established connections
-	pending      float64 // of set-ups under way
+	stalled      bool    // it accepts connections but does not respond
+	slowdown     float64 // factor by which its work takes longer; 1 for none
+	errorShare   float64 // share of set-ups that fail
+	load         float64 // load of established connections
+	pending      float64 // load of set-ups in progress
 	sessions     map[*session]bool
-	sessionOrder []*session // in the order in which they were established; some have ended
-
-	coldOverloadSince  float64 // since when it has more load than it can take in slow start; 0 for not
-	overloadedSince    float64 // since when it is overloaded; 0 for not
-	announcedDelay     float64 // that its connections were sent last
-	informedAttempts   int     // attempts since its start from nodes that knew of the start
-	uninformedAttempts int     // attempts since its start from other nodes
-	healthChecks       int
+	sessionOrder []*session // in the order in which they were established; some may have ended
+
+	slowStartOverloadSince float64 // time since which the load is too high for the slow start; 0 if it is not
+	overloadedSince        float64 // time since which it is overloaded; 0 if it is not
+	announcedDelay         float64 // delay that was last announced to its connections
+	informedAttempts       int     // attempts since its start from nodes that knew of the start
+	uninformedAttempts     int     // attempts since its start from other nodes
+	healthChecks           int
 }
 
-// slowStartWeight returns the share of its capacity that the host has now.
+// slowStartWeight returns the share of its full capacity that the host has at present.
 func (h *host) slowStartWeight() float64 {
-	fleet := h.world.script.Fleet
+	fleet := h.sim.script.Fleet
 	if h.startedAt <= 0 || fleet.SlowStartTime <= 0 {
 		return 1
 	}
-	return min(1, fleet.SlowStartFrom+(1-fleet.SlowStartFrom)*(h.world.Now-h.startedAt)/fleet.SlowStartTime)
+	return min(1, fleet.SlowStartFrom+(1-fleet.SlowStartFrom)*(h.sim.Now-h.startedAt)/fleet.SlowStartTime)
 }
 
-// utilization returns the load of established connections over the capacity that the host has now.
+// utilization returns the load of established connections divided by the present capacity, scaled by the slowdown.
 func (h *host) utilization() float64 { return h.load * h.slowdown / (h.capacity * h.slowStartWeight()) }
 
-// delay returns the seconds that a message takes at the host now.
+// delay returns the seconds that the host takes to answer a message at present.
 func (h *host) delay() float64 {
 	utilization := h.utilization()
 	if utilization < queueingUtilization {
@@ -80,21 +80,21 @@
 	return queueingTime*h.slowdown + queueingSlope*(utilization-queueingUtilization)
 }
 
-// accept takes a connection of a node.
+// accept accepts a connection from a node.
 func (h *host) accept(s *socket) {
 	c := &session{host: h, socket: s}
 	s.onArrival = func() { c.receive() }
 }
 
-// maintain does the housekeeping of the host: it fails or drops connections under overload, announces its delay, and
-// migrates connections while it drains.
+// maintain runs the host's periodic tasks: it fails or drops connections under overload, announces its delay, and migrates
+// connections while it drains.
 func (h *host) maintain() {
 	if !h.running {
 		return
 	}
-	h.forgetEndedSessions()
+	h.removeEndedSessions()
 	if h.failsInSlowStart() {
-		h.world.checker.checkOverturned(h)
+		h.sim.checker.checkSlowStartFailure(h)
 		h.crash()
 		return
 	}
@@ -105,8 +105,8 @@
 	}
 }
 
-// forgetEndedSessions removes ended sessions from the order.
-func (h *host) forgetEndedSessions() {
+// removeEndedSessions removes ended sessions from sessionOrder.
+func (h *host) removeEndedSessions() {
 	open := h.sessionOrder[:0]
 	for _, c := range h.sessionOrder {
 		if h.sessions[c] {
@@ -116,25 +116,26 @@
 	h.sessionOrder = open
 }
 
-// failsInSlowStart reports whether the host has had too much load for its slow start for too long.
+// failsInSlowStart reports whether the load, pending set-ups included, has exceeded the limit of the script's rules for a
+// host in slow start for as long as those rules allow.
 func (h *host) failsInSlowStart() bool {
-	rules := h.world.script.Rules
+	rules := h.sim.script.Rules
 	weight := h.slowStartWeight()
 	overloaded := weight < 1 && h.load+h.pending > rules.FallMultiple*h.capacity*weight
 	if !overloaded {
-		h.coldOverloadSince = 0
+		h.slowStartOverloadSince = 0
 		return false
 	}
-	if h.coldOverloadSince == 0 {
-		h.coldOverloadSince = h.world.Now
+	if h.slowStartOverloadSince == 0 {
+		h.slowStartOverloadSince = h.sim.Now
 		return false
 	}
-	return h.world.Now-h.coldOverloadSince >= rules.FallTime
+	return h.sim.Now-h.slowStartOverloadSince >= rules.FallTime
 }
 
-// dropUnderOverload resets some connections, drawn at random, each time an overload has lasted too long.
+// dropUnderOverload resets randomly selected connections each time an overload has lasted longer than overloadTolerance.
 func (h *host) dropUnderOverload() {
-	now := h.world.Now
+	now := h.sim.Now
 	if h.utilization() <= overloadUtilization {
 		h.overloadedSince = 0
 		return
@@ -154,7 +155,7 @@
 	}
 }
 
-// announceDelay sends the present delay to all connections if it has changed enough.
+// announceDelay sends the present delay over all connections if it differs enough from the one announced last.
 func (h *host) announceDelay() {
 	delay := h.delay()
 	noticeable := delay > announcedDelayFloor || h.announcedDelay > announcedDelayFloor
@@ -188,29 +189,29 @@
 	}
 }
 
-// crash ends the host's process and resets its connections.
+// crash ends the host's process, which resets its connections.
 func (h *host) crash() {
 	h.running = false
 	h.machine.resetAll()
 	h.clear()
 }
 
-// start starts the host's process anew, in slow start.
+// start starts a new process of the host, in slow start.
 func (h *host) start() {
 	h.running = true
 	h.vanished = false
 	h.stalled = false
 	h.state = serving
-	h.startedAt = h.world.Now
+	h.startedAt = h.sim.Now
 	h.slowdown = 1
 	h.errorShare = 0
-	h.coldOverloadSince = 0
+	h.slowStartOverloadSince = 0
 	h.overloadedSince = 0
 	h.announcedDelay = 0
 	h.clear()
 }
 
-// clear forgets the connections of the process and the attempts that it got.
+// clear discards the sessions, the loads and the counts of attempts of the host's last process.
 func (h *host) clear() {
 	h.informedAttempts = 0
 	h.uninformedAttempts = 0
--- a/internal/emulator/maintenance.go
+++ b/internal/emulator/maintenance.go
@@ -2,8 +2,8 @@
 
 import "gorseledge/internal/node"
 
-// setHostDisabled administratively disables a host, or enables it again, at every node that runs. Once a node has
-// confirmed it, the checker holds the node to it whatever discovery delivers.
+// setHostDisabled administratively disables a host, or enables it again, on every running node. From its confirmation on,
+// the checker requires a node to send no flow to the disabled host, regardless of what discovery delivers.
 func (s *simulation) setHostDisabled(h *host, disabled bool) {
 	question := node.EnableHost
 	if disabled {
@@ -23,7 +23,7 @@
 	}
 }
 
-// disableForMaintenance disables a host for some seconds, restarts it in the middle of them, and enables it again.
+// disableForMaintenance disables a host, restarts it after half of the given duration, and enables it again at the end.
 func (s *simulation) disableForMaintenance(h *host, duration float64) {
 	if h.state != serving || !h.running {
 		return
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -7,16 +7,16 @@
 	"gorseledge/internal/emulator/virtual"
 )
 
-// streamState says whether one direction of a connection still carries data.
+// streamState is the state of one direction of a connection.
 type streamState uint8
 
 const (
 	streamOpen  streamState = iota
-	streamEnded             // the sender has ended it in good order
-	streamReset             // it was broken off
+	streamEnded             // ended by its sender after all data
+	streamReset             // reset; data may be lost
 )
 
-// machine owns the sockets of one simulated process. A vanished machine neither sends nor receives.
+// machine owns the sockets of one simulated process. A vanished machine cannot send or receive.
 type machine struct {
 	name     string
 	zone     int
@@ -30,34 +30,35 @@
 
 // socket is one end of a simulated connection. Bytes arrive in order, after a delay, and possibly in parts.
 type socket struct {
-	network     *network
-	serial      int // order in which sockets were made
-	machine     *machine
-	peer        *socket
-	received    []byte      // arrived and not read yet
-	farEnd      streamState // of what the peer sends, after received
-	closed      bool        // by this side
-	finished    bool        // this side has ended its sending
-	lastArrival float64     // time at which the last sent event arrives at the peer
-	// queue has what is under way to the peer, in order. It keeps the order where the clock permutes events of the same time.
+	network      *network
+	serial       int // position in the order in which sockets were created
+	machine      *machine
+	peer         *socket
+	received     []byte      // bytes that have arrived and are not read yet
+	receiveState streamState // state of the direction from the peer, after the bytes in received
+	closed       bool        // closed by this end
+	finished     bool        // this end sends nothing more
+	lastArrival  float64     // time at which the event that was sent last arrives at the peer
+	// queue has the events in flight to the peer, in the order in which they were sent. Each arrival takes the first of them,
+	// so the order is kept even if the clock permutes events that are due at the same time.
 	queue     []func(to *socket)
-	onArrival func() // called after something has arrived; nil for nothing
+	onArrival func() // called after each arrival; may be nil
 }
 
-// network connects machines. Times are in seconds.
+// network connects the machines of a simulation. Times are in seconds.
 type network struct {
 	virtual.Clock
 	random            *rand.Rand
-	delayWithinZone   float64 // one way
-	delayBetweenZones float64 // one way
-	jitter            float64 // share by which a delay grows at most
-	bandwidth         float64 // bytes a second of one connection; 0 for no limit
-	lastSerial        int     // of the last socket
-	connectDelay      float64 // by which connections to hosts are established later, while a fault lasts
+	delayWithinZone   float64 // one-way
+	delayBetweenZones float64 // one-way
+	jitter            float64 // largest relative increase of a delay
+	bandwidth         float64 // bytes a second in each direction of a connection; 0 for no limit
+	lastSerial        int     // serial of the socket that was created last
+	connectDelay      float64 // additional time of dials to hosts while a fault lasts
 	splitChance       float64 // probability that a write arrives in two parts
 }
 
-// delay draws the time that something takes from one machine to another.
+// delay returns a random one-way delay between two machines.
 func (n *network) delay(a, b *machine) float64 {
 	delay := n.delayWithinZone
 	if a.zone != b.zone {
@@ -66,7 +67,7 @@
 	return delay * (1 + n.jitter*n.random.Float64())
 }
 
-// join returns the two ends of a new connection.
+// join creates a connection between two machines and returns its ends.
 func (n *network) join(a, b *machine) (*socket, *socket) {
 	n.lastSerial += 2
 	near := &socket{network: n, machine: a, serial: n.lastSerial}
@@ -78,8 +79,8 @@
 	return near, far
 }
 
-// arrive schedules an event at the peer. It never comes before what was sent earlier. What a vanished machine sends, or
-// is sent, is lost.
+// arrive schedules an event at the peer, after all events that were sent earlier. The event is lost if one of the machines
+// has vanished by then, and ignored if the peer is closed.
 func (s *socket) arrive(size int, run func(to *socket)) {
 	n := s.network
 	when := n.Now + n.delay(s.machine, s.peer.machine)
@@ -102,7 +103,7 @@
 	})
 }
 
-// send sends a copy of the data. It has no effect once this side is closed or finished.
+// send sends a copy of the data. It has no effect after close or finish.
 func (s *socket) send(data []byte) {
 	if s.closed || s.finished || len(data) == 0 {
 		return
@@ -120,27 +121,28 @@
 	}
 }
 
-// finish ends this side's sending in good order.
+// finish ends the direction to the peer after the data that was sent. The other direction stays open.
 func (s *socket) finish() {
 	if s.closed || s.finished {
 		return
 	}
 	s.finished = true
 	s.arrive(0, func(to *socket) {
-		if to.farEnd == streamOpen {
-			to.farEnd = streamEnded
+		if to.receiveState == streamOpen {
+			to.receiveState = streamEnded
 		}
 	})
 }
 
-// close ends both directions. A reset, which unread data causes as well, discards what the peer has not read.
+// close ends both directions, gracefully or by a reset. Unread data causes a reset too. A reset discards the data that the
+// peer has not read.
 func (s *socket) close(reset bool) {
 	if s.closed {
 		return
 	}
 	if reset || len(s.received) > 0 {
 		s.arrive(0, func(to *socket) {
-			to.farEnd = streamReset
+			to.receiveState = streamReset
 			to.received = nil
 		})
 	} else {
@@ -150,14 +152,14 @@
 	delete(s.machine.sockets, s)
 }
 
-// read moves what has arrived into the buffer and returns the number of bytes.
+// read moves bytes that have arrived into the buffer and returns their number.
 func (s *socket) read(into []byte) int {
 	count := copy(into, s.received)
 	s.received = s.received[count:]
 	return count
 }
 
-// resetAll resets all connections of a machine, oldest first, as the end of a process does.
+// resetAll resets all connections of a machine, oldest first, as an operating system does when a process ends.
 func (m *machine) resetAll() {
 	all := make([]*socket, 0, len(m.sockets))
 	for s := range m.sockets {
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -7,7 +7,7 @@
 	"gorseledge/internal/strict"
 )
 
-// bound is the range of one figure of a script. Both ends are allowed.
+// bound is a number in a script and its allowed range, both ends included.
 type bound struct {
 	place strict.Place
 	value float64
@@ -15,7 +15,7 @@
 	most  float64
 }
 
-// check returns an error, and its place in the script, if the script cannot be run.
+// check returns an error and its place in the script if the script cannot be run.
 func (s Scenario) check() (strict.Place, error) {
 	bounds := s.bounds()
 	for i, t := range s.Traffic {
@@ -33,17 +33,17 @@
 	return checkBounds(bounds)
 }
 
-// checkBounds returns an error for the first figure that is outside its range. NaN is outside every range.
+// checkBounds returns an error for the first number outside its range. NaN is outside every range.
 func checkBounds(bounds []bound) (strict.Place, error) {
 	for _, b := range bounds {
 		if !(b.value >= b.least && b.value <= b.most) {
-			return b.place, fmt.Errorf("%s is %v, and goes from %v to %v", b.place.Key, b.value, b.least, b.most)
+			return b.place, fmt.Errorf("%s must be between %v and %v, got %v", b.place.Key, b.least, b.most, b.value)
 		}
 	}
 	return strict.Place{}, nil
 }
 
-// bounds returns the ranges of the figures outside traffic and faults.
+// bounds returns the allowed ranges of all numbers except those of traffic and faults.
 func (s Scenario) bounds() []bound {
 	top := func(key string) strict.Place { return strict.Place{Key: key} }
 	fleet := func(key string) strict.Place { return strict.Place{Table: "fleet", Key: key} }
@@ -52,7 +52,7 @@
 	return []bound{
 		{top("lasts"), s.Duration, 1, 1e5},
 		{top("settle"), s.Settle, 0, 1e3},
-		{top("drawn_faults"), float64(s.DrawnFaults), 0, 1e3},
+		{top("drawn_faults"), float64(s.GeneratedFaults), 0, 1e3},
 		{fleet("nodes"), float64(s.Fleet.Nodes), 1, 2000},
 		{fleet("hosts"), float64(s.Fleet.Hosts), 0, 5000},
 		{fleet("zones"), float64(s.Fleet.Zones), 1, 100},
@@ -81,19 +81,19 @@
 	}
 }
 
-// check returns an error, and its place in the script, if the name or the effect of the service type is invalid.
+// check returns an error and its place in the script if the name or the idempotency of the service type is invalid.
 func (t Traffic) check(index int) (strict.Place, error) {
 	place := func(key string) strict.Place { return strict.Place{Table: "traffic", Index: index, Key: key} }
 	if t.Name == "" || strings.ContainsAny(t.Name, " ,=\r\n") {
-		return place("name"), fmt.Errorf("a service type needs a name of one word, not %q", t.Name)
+		return place("name"), fmt.Errorf("name of a service type must be one word without commas and equals signs, got %q", t.Name)
 	}
-	if _, known := nodeEffects[t.Effect]; !known {
-		return place("effect"), fmt.Errorf("effect %q is none of repeatable, referenced, once-only", t.Effect)
+	if _, known := nodeIdempotency[t.Idempotency]; !known {
+		return place("effect"), fmt.Errorf("effect must be repeatable, referenced or once-only, got %q", t.Idempotency)
 	}
 	return strict.Place{}, nil
 }
 
-// bounds returns the ranges of the service type's figures.
+// bounds returns the allowed ranges of the service type's numbers.
 func (t Traffic) bounds(index int) []bound {
 	place := func(key string) strict.Place { return strict.Place{Table: "traffic", Index: index, Key: key} }
 	return []bound{
--- a/internal/emulator/scripts_test.go
+++ b/internal/emulator/scripts_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// calmScenario is a small fleet with two service types and no faults.
-const calmScenario = `
+// faultlessScenario is a script with a small fleet, two service types and no faults.
+const faultlessScenario = `
 name = "calm"
 lasts = 30
 [fleet]
@@ -34,8 +34,9 @@
 value = 3
 `
 
-// drainingCrowd adds a service type with many clients, whose hosts all drain at once, but for one that has just started.
-const drainingCrowd = `
+// drainUnderLoad adds a service type with many clients and drains all hosts at nearly the same time, except one that was
+// started a second earlier and is in slow start.
+const drainUnderLoad = `
 [[traffic]]
 name = "crowd"
 effect = "repeatable"
@@ -58,7 +59,7 @@
 for = 0.1
 `
 
-// upgradesWhileDisabled adds an administratively disabled host, and upgrades in that time.
+// upgradesWhileDisabled adds a host that is administratively disabled for some time, and upgrades of nodes in that time.
 const upgradesWhileDisabled = `
 [[fault]]
 at = 4
@@ -93,7 +94,7 @@
 for = 15
 `
 
-// parseScenario reads a script that has to be valid.
+// parseScenario parses a script and fails the test if it is invalid.
 func parseScenario(t *testing.T, text string) Scenario {
 	t.Helper()
 	s, err := Read("test.toml", []byte(text))
--- a/internal/emulator/service_test.go
+++ b/internal/emulator/service_test.go
@@ -10,7 +10,7 @@
 	"gorseledge/placement"
 )
 
-// startupRecorder records when a process started and when it first got a list.
+// startupRecorder records when a process started and when it first received a list.
 type startupRecorder struct {
 	Core
 	startedAt, listedAt float64 // 0 for not yet
@@ -26,7 +26,7 @@
 	return c.Core.Apply(now, in)
 }
 
-// pollingAfterStart is a node that first polls ten seconds after its start.
+// pollingAfterStart is a faulty node that polls for the first time ten seconds after its start.
 type pollingAfterStart struct {
 	Core
 	until  float64
@@ -45,12 +45,13 @@
 	return append(out, slices.DeleteFunc(slices.Clone(c.Core.Apply(now, in)), isWatch)...)
 }
 
-// Seven in ten of 300 processes are killed and restarted at once, and discovery needs three seconds for their calls. Nine
-// in ten have to get a list within ten seconds. This prevents calls that are spread or delayed for longer.
+// Guards against restarted nodes that spread or delay their first calls to discovery for too long. 70% of 300 processes are
+// killed at the same time and restart within two seconds; discovery needs three seconds to answer all of them. 90% have to
+// receive a list within ten seconds of their start.
 func TestRestartedNodesGetListWithinTenSeconds(t *testing.T) {
 	const nodes = 300
 	const killed = nodes * 7 / 10
-	text := strings.Replace(calmScenario, "nodes = 3\nhosts = 6\n", "nodes = 300\nhosts = 60\nroster_calls = 70\n", 1)
+	text := strings.Replace(faultlessScenario, "nodes = 3\nhosts = 6\n", "nodes = 300\nhosts = 60\nroster_calls = 70\n", 1)
 	for i := range killed {
 		text += fmt.Sprintf("[[fault]]\nat = 8\nkind = \"node_kill\"\nnode = %d\nfor = %.2f\n", i, 1+float64(i%100)/100)
 	}
@@ -79,14 +80,15 @@
 				}
 			}
 			if len(restarted) != killed || (soon < len(restarted)*9/10) != c.late {
-				t.Errorf("late %v: of %d that restarted %d have a list within ten seconds", c.late, len(restarted), soon)
+				t.Errorf("polls late: %v: %d of %d restarted nodes received a list within ten seconds", c.late, soon, len(restarted))
 			}
 		})
 	}
 }
 
-// With restarts, a release and silent watches, each service type gets half of what it requested, in the whole and in each
-// third of the run. This prevents a fleet that serves well on average but fails one type, or the time after a fault.
+// Guards against a fleet that serves well on average but fails one service type, or the time after a fault. With restarts,
+// a release and silent watches, each service type has to be served for half of the requested time in each third of the
+// run, and so in the whole run.
 func TestEachServiceTypeIsServedInEachThird(t *testing.T) {
 	const faults = `
 [[fault]]
@@ -115,20 +117,19 @@
 		served bool
 	}{
 		{"correct node", nil, true},
-		{"node without attempts", func(r *placement.Settings) { r.MaxAttempts = 0 }, false},
+		{"node that makes no attempts", func(r *placement.Settings) { r.MaxAttempts = 0 }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := parseScenario(t, calmScenario+faults)
+			s := parseScenario(t, faultlessScenario+faults)
 			least := leastServedShare(s, Options{AdjustSettings: c.adjust})
 			if (least >= 0.5) != c.served {
-				t.Errorf("%s: the least of any service type in any third is %.2f", c.name, least)
+				t.Errorf("%s: the lowest served share of a service type in a third of the run is %.2f", c.name, least)
 			}
 		})
 	}
 }
 
-// leastServedShare returns the least share of the requested seconds that any service type was served in any third of a
-// run.
+// leastServedShare returns the lowest ratio of served to requested seconds over all service types and thirds of a run.
 func leastServedShare(script Scenario, o Options) float64 {
 	s := newSimulation(script, 3, o)
 	least := 1.0
--- a/internal/emulator/session.go
+++ b/internal/emulator/session.go
@@ -8,12 +8,12 @@
 	"gorseledge/internal/line"
 )
 
-// Lines that a host sends and package line has no constants for.
+// Lines of hosts for which package line has no constants.
 const (
 	busyLine        = "BUSY\r\n"
 	syntaxLine      = "SYNTAX\r\n"
 	byeLine         = "BYE\r\n"
-	delayLineFormat = "LOAD %.3f\r\n" // milliseconds of a message
+	delayLineFormat = "LOAD %.3f\r\n" // milliseconds that a message takes
 )
 
 const (
@@ -21,19 +21,19 @@
 	loadReportDigits = 3   // after the decimal point
 )
 
-// session is one connection that a host serves, or that is asking for it.
+// session is one connection from a node at a host, from its acceptance on.
 type session struct {
 	*host
 	socket      *socket
-	received    []byte // not handled yet
-	id          string // of its flow; empty before the first line
+	received    []byte // bytes that have arrived and are not handled yet
+	id          string // ID of its flow; empty until the opening line has arrived
 	load        float64
 	established bool
-	settingUp   bool // its load counts as pending
+	settingUp   bool // its load is included in host.pending
 	closed      bool
 }
 
-// receive handles what has arrived. A stalled host leaves it unread.
+// receive handles the lines that have arrived. A stalled host does not handle them.
 func (c *session) receive() {
 	if c.closed || !c.running {
 		return
@@ -48,7 +48,7 @@
 		c.received = rest
 		c.handleLine(slices.Clone(row))
 	}
-	if c.socket.farEnd != streamOpen && !c.closed {
+	if c.socket.receiveState != streamOpen && !c.closed {
 		c.close()
 	}
 }
@@ -70,10 +70,11 @@
 	}
 }
 
-// after runs a function for the session after some seconds, unless the session has ended or the host is stalled by then.
+// after schedules a function after the given seconds. It is not run if the session has ended, or the host has stalled,
+// stopped or restarted by then.
 func (c *session) after(seconds float64, run func()) {
 	startedAt := c.startedAt
-	c.world.After(seconds, func() {
+	c.sim.After(seconds, func() {
 		if !c.closed && c.running && !c.stalled && c.startedAt == startedAt {
 			run()
 		}
@@ -83,17 +84,18 @@
 // send sends text to the node.
 func (c *session) send(text string) { c.socket.send([]byte(text)) }
 
-// open sets a connection up. A set-up takes a call to the session store, and load of the host.
+// open handles an opening line. Unless the host is draining, it starts a set-up, which calls the session store and counts as
+// pending load of the host.
 func (c *session) open(row []byte) {
 	opening, err := line.ParseOpening(append(row, '\n'))
 	c.id = opening.ID
-	f := c.world.flowByID(opening.ID)
+	f := c.sim.flowByID(opening.ID)
 	if err != nil || f == nil {
 		c.send(syntaxLine)
 		c.close()
 		return
 	}
-	c.world.checker.checkArrival(f, c.host)
+	c.sim.checker.checkArrival(f, c.host)
 	if c.state == draining {
 		c.send(busyLine)
 		c.close()
@@ -102,14 +104,15 @@
 	c.load = f.load
 	c.settingUp = true
 	c.host.pending += c.load
-	seconds, stored := c.world.store.call()
+	seconds, stored := c.sim.store.call()
 	c.after(c.delay()+seconds, func() { c.completeSetup(f, stored) })
 }
 
-// completeSetup answers a set-up. It fails if the session store refused its call, or by the host's share of errors.
+// completeSetup answers a set-up. It fails if the session store refused the call, or at random with the probability
+// errorShare of the host.
 func (c *session) completeSetup(f *flow, stored bool) {
 	failed := !stored || c.random.Float64() < c.errorShare
-	c.world.checker.checkSetup(f, c.host)
+	c.sim.checker.checkSetup(f, c.host)
 	if failed {
 		c.send(line.ErrLine)
 		c.close()
@@ -128,7 +131,7 @@
 	})
 }
 
-// finishSetup ends the time in which the load of the session counts as pending.
+// finishSetup removes the session's load from the host's pending load.
 func (c *session) finishSetup() {
 	if c.settingUp {
 		c.settingUp = false
@@ -136,10 +139,10 @@
 	}
 }
 
-// close ends the session in good order.
+// close ends the session gracefully.
 func (c *session) close() { c.disconnect(false) }
 
-// disconnect ends the session, in good order or by a reset.
+// disconnect ends the session gracefully or by a reset.
 func (c *session) disconnect(reset bool) {
 	if c.closed {
 		return
--- a/internal/emulator/session_store.go
+++ b/internal/emulator/session_store.go
@@ -3,23 +3,24 @@
 import "math"
 
 const (
-	storeCallTime    = 2e-3 // seconds of one call
-	storeRefusalTime = 0.05 // seconds of one call that is refused
+	storeCallTime    = 2e-3 // seconds of an accepted call
+	storeRefusalTime = 0.05 // seconds of a refused call
 )
 
-// sessionStore is the store that each set-up calls. It refuses calls beyond its limit within a second of the clock.
+// sessionStore is the simulated store that each set-up calls. It refuses the calls above its limit in each second of the
+// clock.
 type sessionStore struct {
-	world     *simulation
+	sim       *simulation
 	callLimit float64 // calls a second; 0 for no limit
-	second    float64 // the present second of the clock
-	calls     float64 // within it
-	peak      float64 // most calls within a second
+	second    float64 // second of the clock to which calls belongs
+	calls     float64 // calls within that second
+	peak      float64 // highest number of calls within a second
 	rejected  int
 }
 
-// call makes one call. It returns the seconds that the call takes, and whether the store accepts it.
+// call makes one call and returns the seconds that it takes and whether the store accepts it.
 func (s *sessionStore) call() (seconds float64, accepted bool) {
-	second := math.Floor(s.world.Now)
+	second := math.Floor(s.sim.Now)
 	if second != s.second {
 		s.second = second
 		s.calls = 0
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -2,10 +2,10 @@
 
 import "encoding/json"
 
-// jsonObject is an object of a node's settings. The settings have more keys than the emulator sets.
+// jsonObject is an object in a node's settings document. The emulator sets only some of its keys.
 type jsonObject = map[string]any
 
-// nodeSettings returns the settings that each node gets, in the form of a node's settings document.
+// nodeSettings returns the settings document that every node gets.
 func (s *simulation) nodeSettings() []byte {
 	rules := s.script.Rules
 	mode := "subscribe"
@@ -41,18 +41,18 @@
 		},
 	})
 	if err != nil {
-		panic(err) // all values are numbers, strings and booleans, and scripts with NaN or infinity are refused
+		panic(err) // all values are finite numbers, strings and booleans: scripts with NaN or infinity are rejected
 	}
 	return text
 }
 
-// serviceTypes returns the service types of the settings, nil for none.
+// serviceTypes returns the service types for the settings document, nil if there are none.
 func (s *simulation) serviceTypes() []jsonObject {
 	var types []jsonObject
 	for _, t := range s.script.Traffic {
 		types = append(types, jsonObject{
 			"name":            t.Name,
-			"effect":          nodeEffects[t.Effect],
+			"effect":          nodeIdempotency[t.Idempotency],
 			"group":           "all",
 			"give_up_us":      microsecondsPerSecond * t.ConnectTimeout,
 			"setup_target_us": microsecondsPerSecond * t.SetupObjective,
@@ -62,7 +62,7 @@
 	return types
 }
 
-// messageObjectives returns the latency objectives of messages for each service type, in microseconds.
+// messageObjectives returns the latency objective of messages of each service type, in microseconds.
 func (s *simulation) messageObjectives() []float64 {
 	var objectives []float64
 	for _, t := range s.script.Traffic {
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	finalWait          = 8.0 // seconds in which attempts and closing connections end once all clients have gone
-	recentLineLimit    = 40  // lines of the trace in the report of a violation
-	simulatedTimeOfDay = 1e9 // Unix time in seconds at which a run begins
-	housekeepingPeriod = 0.1 // seconds between the housekeeping ticks of hosts
+	shutdownWait       = 8.0 // seconds after the departure of all clients in which attempts and closing connections may end
+	recentLineLimit    = 40  // lines of the trace that a violation contains
+	runStartUnixTime   = 1e9 // Unix time in seconds at which a run begins
+	housekeepingPeriod = 0.1 // seconds between the periodic tasks of hosts
 )
 
-// Options change a run beside its script and seed. The zero value changes nothing.
+// Options modify a run in addition to its script and seed. The zero value modifies nothing.
 type Options struct {
-	Trace          io.Writer                   // gets every line of the trace; nil for none
-	Permute        bool                        // events of the same time run in an order drawn from the seed
-	WrapCore       func(c Core) Core           // wraps each core, to show that the checker finds a fault; nil for none
-	AdjustSettings func(r *placement.Settings) // changes the settings of each node; nil for none
+	Trace          io.Writer                   // receives every line of the trace; nil for none
+	Permute        bool                        // run events that are due at the same time in a random order, generated from the seed
+	WrapCore       func(c Core) Core           // wraps each core, for example to plant a fault in it; nil for none
+	AdjustSettings func(r *placement.Settings) // modifies the settings of each node; nil for none
 }
 
 // simulation is one run of a script.
@@ -33,9 +33,9 @@
 	options        Options
 	seed           uint64
 	startTime      float64 // Unix time in seconds at time 0 of the clock
-	hosts          []*host // all that ever were, removed ones included
+	hosts          []*host // all hosts of the run, including removed ones
 	hostsByName    map[string]*host
-	nodes          []*nodeProcess // for each node the process that listens
+	nodes          []*nodeProcess // the listening process of each node
 	clients        []*client
 	flowsByID      map[string]*flow
 	flowCount      int
@@ -45,36 +45,36 @@
 	checker        *checker
 	result         *Result
 	random         *rand.Rand
-	settings       []byte // of each node
+	settings       []byte // settings document of every node
 	recentTrace    []string
 	hash           hash.Hash64
 }
 
 func zoneName(zone int) string { return fmt.Sprintf("z%d", zone) }
 
-// Run runs a script once.
+// Run runs a script once and returns the result.
 func Run(script Scenario, seed uint64, o Options) *Result {
-	if script.DrawnFleet {
-		script = script.drawFleet(seed)
+	if script.GeneratedFleet {
+		script = script.generateFleet(seed)
 	}
 	s := newSimulation(script, seed, o)
 	end := script.Duration + script.Settle
 	s.runUntil(end)
 	s.disconnectClients()
-	s.runUntil(end + finalWait)
+	s.runUntil(end + shutdownWait)
 	for _, n := range s.nodes {
 		s.checker.checkReleased(n)
 	}
 	return s.finish()
 }
 
-// newSimulation returns a simulation at time 0, with a fleet that is up and all events of the script scheduled.
+// newSimulation returns a simulation at time 0, with a running fleet and with all faults and the first arrivals scheduled.
 func newSimulation(script Scenario, seed uint64, o Options) *simulation {
 	s := &simulation{
 		script:      script,
 		options:     o,
 		seed:        seed,
-		startTime:   simulatedTimeOfDay,
+		startTime:   runStartUnixTime,
 		hostsByName: map[string]*host{},
 		flowsByID:   map[string]*flow{},
 		random:      newRandom(seed, "world", 0),
@@ -92,14 +92,14 @@
 	if o.Permute {
 		s.Permute = newRandom(seed, "order", 0)
 	}
-	s.checker = &checker{world: s}
-	s.store = &sessionStore{world: s, callLimit: script.Fleet.StoreCallLimit}
-	s.discovery = &discovery{world: s, callRate: script.Fleet.ListCallRate, random: newRandom(seed, "discovery", 0)}
+	s.checker = &checker{sim: s}
+	s.store = &sessionStore{sim: s, callLimit: script.Fleet.StoreCallLimit}
+	s.discovery = &discovery{sim: s, callRate: script.Fleet.ListCallRate, random: newRandom(seed, "discovery", 0)}
 	s.startFleet()
 	for i, t := range script.Traffic {
 		s.scheduleArrivals(i, t, newRandom(seed, t.Name, i))
 	}
-	for _, f := range slices.Concat(script.Faults, s.drawFaults()) {
+	for _, f := range slices.Concat(script.Faults, s.generateFaults()) {
 		s.At(f.At, func() { s.inject(f) })
 	}
 	s.maintainHosts()
@@ -113,7 +113,7 @@
 	}
 	s.settings = s.nodeSettings()
 	for i := range s.script.Fleet.Nodes {
-		n := &nodeProcess{machine: newMachine(fmt.Sprintf("n%d", i), i%s.script.Fleet.Zones), world: s, index: i}
+		n := &nodeProcess{machine: newMachine(fmt.Sprintf("n%d", i), i%s.script.Fleet.Zones), sim: s, index: i}
 		s.nodes = append(s.nodes, n)
 		s.boot(n)
 	}
@@ -126,7 +126,7 @@
 	}
 }
 
-// disconnectClients has all clients go for good.
+// disconnectClients disconnects all clients for good.
 func (s *simulation) disconnectClients() {
 	for _, c := range s.clients {
 		c.finished = true
@@ -136,13 +136,13 @@
 	}
 }
 
-// addHost adds a host that started at the given time. A host that started at 0 is in the endpoint list at once, any
-// other after the delay of the list.
+// addHost adds a host that started at the given time. A host that started at 0 is in the endpoint list immediately, any
+// other after the list's delay.
 func (s *simulation) addHost(startedAt float64) *host {
 	fleet := s.script.Fleet
 	index := len(s.hosts)
 	name := fmt.Sprintf("s-%08x", newRandom(s.seed, "host", index).Uint32())
-	h := &host{machine: newMachine(name, index%fleet.Zones), world: s, random: newRandom(s.seed, "box", index)}
+	h := &host{machine: newMachine(name, index%fleet.Zones), sim: s, random: newRandom(s.seed, "box", index)}
 	h.capacity = fleet.Capacity * (1 + fleet.CapacitySpread*(2*h.random.Float64()-1))
 	h.start()
 	h.startedAt = startedAt
@@ -156,7 +156,7 @@
 	return h
 }
 
-// scheduleArrivals has clients of a service type arrive at random times, until the script's duration is over.
+// scheduleArrivals schedules arrivals of clients of a service type, as a Poisson process, until the script's duration is over.
 func (s *simulation) scheduleArrivals(trafficIndex int, t Traffic, random *rand.Rand) {
 	if t.Rate <= 0 {
 		return
@@ -170,10 +170,10 @@
 	})
 }
 
-// newClient adds a client of a service type in a zone.
+// newClient adds a client of a service type in the given zone.
 func (s *simulation) newClient(trafficIndex int, t Traffic, zone int) *client {
 	index := len(s.clients)
-	c := &client{machine: newMachine(fmt.Sprintf("c%d", index), zone), world: s, traffic: t, trafficIndex: trafficIndex,
+	c := &client{machine: newMachine(fmt.Sprintf("c%d", index), zone), sim: s, traffic: t, trafficIndex: trafficIndex,
 		random: newRandom(s.seed, "client", index)}
 	c.key = c.random.Uint64() | 1
 	c.remaining = t.MeanLifetime*c.random.ExpFloat64() + minLifetime
@@ -185,8 +185,8 @@
 	return c
 }
 
-// pickNode draws a node for a client of a zone: one that runs, in the same zone if there is one. It returns nil if no
-// node runs.
+// pickNode returns a random running node for a client: one in the client's zone if there is any, or else one in another
+// zone. It returns nil if no node is running.
 func (s *simulation) pickNode(zone int) *nodeProcess {
 	var sameZone, running []*nodeProcess
 	for _, n := range s.nodes {
@@ -208,17 +208,17 @@
 	return candidates[s.random.IntN(len(candidates))]
 }
 
-// maintainHosts does the housekeeping of all hosts and schedules the next, until the run is over.
+// maintainHosts runs the periodic tasks of all hosts and schedules the next ones, until the run is over.
 func (s *simulation) maintainHosts() {
 	for _, h := range s.hosts {
 		h.maintain()
 	}
-	if s.Now < s.script.Duration+s.script.Settle+finalWait {
+	if s.Now < s.script.Duration+s.script.Settle+shutdownWait {
 		s.After(housekeepingPeriod, s.maintainHosts)
 	}
 }
 
-// trace adds a line to the trace, with the present time before it.
+// trace adds a line, prefixed with the present time, to the trace.
 func (s *simulation) trace(format string, args ...any) {
 	text := fmt.Sprintf("%.6f ", s.Now) + fmt.Sprintf(format, args...)
 	s.hash.Write([]byte(text))
@@ -254,8 +254,8 @@
 	return r
 }
 
-// servedShare returns the well-served seconds of all clients over those requested, weighted by priority, or 1 if
-// none were requested.
+// servedShare returns the ratio of served to requested seconds of all clients, weighted by priority, or 1 if no seconds
+// were requested.
 func (s *simulation) servedShare() float64 {
 	requested, served := 0.0, 0.0
 	for _, c := range s.clients {
@@ -271,8 +271,8 @@
 	return served / requested
 }
 
-// newRandom returns a random source of its own for an actor, so that the draws of one actor do not shift those of
-// another.
+// newRandom returns a separate random source for an actor, so that the number of values that one actor draws does not
+// change the values of another.
 func newRandom(seed uint64, actor string, index int) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(actor))
--- a/internal/emulator/simulation_test.go
+++ b/internal/emulator/simulation_test.go
@@ -6,16 +6,19 @@
 	"testing"
 )
 
-func TestCalmFleetServesNearlyAllAndBreaksNoRule(t *testing.T) {
-	r := Run(parseScenario(t, calmScenario), 1, Options{})
+// Guards against faults in the cores or the emulator that show without any injected fault.
+func TestFaultlessFleetServesNearlyAllWithoutViolations(t *testing.T) {
+	r := Run(parseScenario(t, faultlessScenario), 1, Options{})
 	if r.Established < 200 || r.ServedShare < 0.97 || len(r.Violations) > 0 || r.Unanswered > 0 {
-		t.Errorf("%d of %d established, service %.3f, %d unanswered, violations %v", r.Established, r.Requested, r.ServedShare,
+		t.Errorf("%d of %d established, served share %.3f, %d unanswered, violations %v", r.Established, r.Requested, r.ServedShare,
 			r.Unanswered, r.Violations)
 	}
 }
 
+// Guards against a run that depends on anything but the script and the seed, such as goroutines or the order of a map: it could
+// not be repeated to find the cause of a violation.
 func TestSameSeedGivesSameTrace(t *testing.T) {
-	s := parseScenario(t, "drawn_faults = 6\n"+calmScenario)
+	s := parseScenario(t, "drawn_faults = 6\n"+faultlessScenario)
 	for _, c := range []struct {
 		name    string
 		permute bool
@@ -26,16 +29,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			first := traceWithProcessors(t, s, c.permute, 1)
 			if !bytes.Equal(first, traceWithProcessors(t, s, c.permute, 4)) {
-				t.Errorf("permuted %v: traces of one seed differ", c.permute)
+				t.Errorf("permuted %v: two runs with the same seed have different traces", c.permute)
 			}
 		})
 	}
 	if Run(s, 5, Options{}).TraceHash == Run(s, 6, Options{}).TraceHash {
-		t.Error("two seeds gave one trace")
+		t.Error("two seeds have the same trace")
 	}
 }
 
-// traceWithProcessors returns the trace of a run with so many processors.
+// traceWithProcessors returns the trace of a run with the given GOMAXPROCS.
 func traceWithProcessors(t *testing.T, s Scenario, permute bool, processors int) []byte {
 	t.Helper()
 	previous := runtime.GOMAXPROCS(processors)
@@ -45,17 +48,19 @@
 	return trace.Bytes()
 }
 
-func TestDrawnFaultsBreakNoRule(t *testing.T) {
+// Guards against faults of the cores that show only under combinations of injected faults.
+func TestGeneratedFaultsCauseNoViolations(t *testing.T) {
 	for seed := range uint64(6) {
-		r := Run(parseScenario(t, "drawn_faults = 5\n"+calmScenario), seed, Options{Permute: seed%2 == 1})
+		r := Run(parseScenario(t, "drawn_faults = 5\n"+faultlessScenario), seed, Options{Permute: seed%2 == 1})
 		for _, v := range r.Violations {
 			t.Errorf("seed %d: %v", seed, v)
 		}
 	}
 }
 
-func TestDrawnFleetsBreakNoRule(t *testing.T) {
-	s := parseScenario(t, "drawn_fleet = true\ndrawn_faults = 8\n"+calmScenario)
+// Guards against faults of the cores that show only with certain sizes of fleets, deadlines or rules.
+func TestGeneratedFleetsCauseNoViolations(t *testing.T) {
+	s := parseScenario(t, "drawn_fleet = true\ndrawn_faults = 8\n"+faultlessScenario)
 	s.Duration = 20
 	for seed := range uint64(8) {
 		for _, v := range Run(s, seed, Options{Permute: seed%2 == 1}).Violations {
--- a/internal/emulator/upgrade.go
+++ b/internal/emulator/upgrade.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	processDelay    = 2e-4 // seconds between two processes of one machine
+	processDelay    = 2e-4 // seconds that a message takes between two processes on one machine
 	shutdownTimeout = 4.0  // seconds from SIGTERM to SIGKILL
-	upgradeSlack    = 1.0  // seconds after the shutdown timeout in which an upgrade ends
+	upgradeSlack    = 1.0  // additional seconds after which an upgrade is ended
 )
 
-// transferred returns what becomes of a value on its way between two processes, which is JSON.
-func transferred[T any](in T) T {
+// jsonRoundTrip encodes a value as JSON and decodes it, as happens to values that two processes exchange.
+func jsonRoundTrip[T any](in T) T {
 	var out T
 	text, err := json.Marshal(in)
 	if err == nil {
 		err = json.Unmarshal(text, &out)
 	}
 	if err != nil {
-		panic(err) // both processes run the same program
+		panic(err) // both processes run the same version
 	}
 	return out
 }
 
-// upgrade starts a node's program again beside its process, which shuts down once the new one is ready. It has no effect
-// while another upgrade of the node is under way.
+// upgrade starts a successor of a node's process. The old process shuts down once the successor is ready. It has no effect
+// if the process is down or shutting down, or while another upgrade of the node is in progress.
 func (s *simulation) upgrade(index int) {
 	old := s.nodes[index]
 	if !old.running || old.vanished || old.shuttingDown || old.predecessor != nil || old.successor != nil {
@@ -36,7 +36,7 @@
 	start := s.nodeStart(old.name+" anew", old.index)
 	successor := &nodeProcess{
 		machine:      newMachine(old.name, old.zone),
-		world:        s,
+		sim:          s,
 		index:        old.index,
 		lastConn:     old.lastConn,
 		idleAt:       s.Now,
@@ -46,9 +46,9 @@
 		watchState:   watchState{startedAt: s.Now, calledAt: s.Now, relocations: old.watchState.relocations},
 		unboundHosts: map[node.ConnID]*connection{},
 	}
-	successor.cloneKnowledge(old)
+	successor.copyHostRecords(old)
 	start.NotListening = true
-	start.Handover = transferred(old.query(node.Query{Question: node.ClaimHandover}).Handover)
+	start.Handover = jsonRoundTrip(old.query(node.Query{Question: node.ClaimHandover}).Handover)
 	old.successor = successor
 	s.startCore(successor, start)
 	s.trace("%s: a new process", old.name)
@@ -56,7 +56,8 @@
 	s.After(shutdownTimeout+upgradeSlack, func() { endUpgrade(old, successor) })
 }
 
-// endUpgrade kills the process that should have ended by now: the predecessor, or a successor that never got ready.
+// endUpgrade kills the process that the upgrade should have ended by now: the predecessor, or the successor if it has not
+// taken over the listener.
 func endUpgrade(old, successor *nodeProcess) {
 	late := successor
 	if successor.tookOver {
@@ -68,24 +69,24 @@
 	}
 }
 
-// takeOver has a successor that is ready take the listener. A process without a running predecessor has it already, or
-// gets it from the next one that is started.
+// takeOver transfers the listener from the predecessor to this process, which is ready. It has no effect without a running
+// predecessor: the process then has the listener already, or gets it from the next process that is started.
 func (n *nodeProcess) takeOver() {
 	old := n.predecessor
 	if old == nil || !old.running {
 		return
 	}
-	n.world.After(processDelay, func() {
+	n.sim.After(processDelay, func() {
 		if !old.running || !n.running {
 			return
 		}
-		state := transferred(old.query(node.Query{Question: node.TakeOver}).Handover)
+		state := jsonRoundTrip(old.query(node.Query{Question: node.TakeOver}).Handover)
 		n.tookOver = true
-		n.world.nodes[n.index] = n
+		n.sim.nodes[n.index] = n
 		n.disabledAt = maps.Clone(old.disabledAt)
 		n.deliver(node.HandoverReceived{State: state})
 		n.deliver(node.ListenerOpened{})
-		n.world.After(processDelay, func() {
+		n.sim.After(processDelay, func() {
 			if old.running && n.running {
 				old.shuttingDown = true
 				old.deliver(node.Shutdown{})
@@ -94,7 +95,7 @@
 	})
 }
 
-// sendConnection transfers an open connection to the successor. Bytes under way arrive there.
+// sendConnection transfers an open connection to the successor. Bytes in flight arrive there.
 func (n *nodeProcess) sendConnection(e node.SendConnection) {
 	successor := n.successor
 	if successor == nil || !successor.running {
@@ -102,11 +103,11 @@
 		return
 	}
 	client, host := n.connections[e.Conn], n.connections[e.Host]
-	transfer := transferred(e.Transfer)
+	transfer := jsonRoundTrip(e.Transfer)
 	successor.lastConn += 2
 	newClient := &connection{nodeProcess: successor, id: successor.lastConn}
 	newHost := &connection{nodeProcess: successor, host: host.host, flow: host.flow, counted: true}
-	host.flow = nil // the attempt goes along
+	host.flow = nil // the attempt continues in the successor
 	client.moveSocket(newClient)
 	host.moveSocket(newHost)
 	successor.unboundHosts[newClient.id] = newHost
@@ -127,7 +128,7 @@
 	c.sent = true
 }
 
-// bindHostConnection gives the host's side of a transferred connection its number.
+// bindHostConnection sets the ID, assigned by the core, of the host connection of a transfer.
 func (n *nodeProcess) bindHostConnection(e node.BindHostConnection) {
 	c := n.unboundHosts[e.Client]
 	delete(n.unboundHosts, e.Client)
@@ -137,12 +138,12 @@
 
 // updatePeers sends an update to the node's other processes.
 func (n *nodeProcess) updatePeers(update node.HandoverUpdate) {
-	update = transferred(update)
+	update = jsonRoundTrip(update)
 	for _, peer := range []*nodeProcess{n.predecessor, n.successor} {
 		if peer == nil || !peer.running {
 			continue
 		}
-		n.world.After(processDelay, func() {
+		n.sim.After(processDelay, func() {
 			if peer.running {
 				peer.deliver(node.PeerProcessChanged{Update: update})
 			}
