--- a/cmd/gorseledge-lab/scale.go
+++ b/cmd/gorseledge-lab/scale.go
@@ -90,7 +90,7 @@
 		return scale.Options{}, err
 	}
 	control := f.control
-	if control == "" && len(script.Control) > 0 {
+	if control == "" && len(script.ControlServers) > 0 {
 		control, err = build(cmd, scratch, "gorseledge-config")
 		if err != nil {
 			return scale.Options{}, err
@@ -201,7 +201,7 @@
 
 // drawScale draws the main costs of each phase.
 func drawScale(out string, rows []scale.Row) error {
-	series := scale.SeriesOf(rows)
+	series := scale.GroupSeries(rows)
 	drawn := map[string]bool{}
 	for _, s := range series {
 		name := fmt.Sprintf("scale-%s-%s.svg", s.Phase, strings.ReplaceAll(s.Cost, ".", "-"))
--- a/cmd/gorseledge-lab/scale_test.go
+++ b/cmd/gorseledge-lab/scale_test.go
@@ -43,8 +43,8 @@
 	dir := t.TempDir()
 	var paths []string
 	for _, size := range []int{50, 100, 200} {
-		rows := []scale.Row{{Nodes: size, Kind: scale.Hollow, OfKind: size - 16, Phase: "rest", Cost: "cpu", Unit: "cores", Value: 1e-4},
-			{Nodes: size, Kind: scale.Hollow, OfKind: size - 16, Phase: "rest", Cost: "sent_bytes.ping", Unit: "B/s", Value: 80}}
+		rows := []scale.Row{{Nodes: size, Kind: scale.Hollow, NodesOfKind: size - 16, Phase: "rest", Cost: "cpu", Unit: "cores", Value: 1e-4},
+			{Nodes: size, Kind: scale.Hollow, NodesOfKind: size - 16, Phase: "rest", Cost: "sent_bytes.ping", Unit: "B/s", Value: 80}}
 		path := filepath.Join(dir, strings.Repeat("x", size)+".csv")
 		if err := os.WriteFile(path, scale.CSV([]string{"beside it: nothing"}, rows), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/scale/chart.go
+++ b/internal/scale/chart.go
@@ -23,8 +23,8 @@
 	Value []float64
 }
 
-// SeriesOf gives the rows' series, in the order in which they occur first, sorted by size.
-func SeriesOf(rows []Row) (out []Series) {
+// GroupSeries returns the series of rows in the order in which they first occur, each sorted by fleet size.
+func GroupSeries(rows []Row) (out []Series) {
 	rows = slices.Clone(rows)
 	slices.SortStableFunc(rows, func(a, b Row) int { return a.Nodes - b.Nodes })
 	for _, r := range rows {
@@ -44,8 +44,8 @@
 var kindColors = map[Kind]color.RGBA{Hollow: {60, 100, 200, 255}, Real: {200, 30, 30, 255}, Virtual: {40, 150, 60, 255},
 	Fleet: {120, 60, 160, 255}, Server: {230, 140, 20, 255}}
 
-// Chart draws, as SVG, a cost in a phase against the size: the points of each kind, their fitted line, and as thin
-// strokes what the line leaves over. Series of other costs and phases are left out.
+// Chart draws, as SVG, one cost in one phase against the fleet size: the points of each kind, their fitted line, and
+// the residuals as thin strokes. Series of other costs and phases are ignored.
 func Chart(phase, cost string, all []Series) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s of a node", phase, cost)
@@ -67,7 +67,7 @@
 	return chart.SVG(8*vg.Inch, 4.5*vg.Inch, p)
 }
 
-// drawSeries adds a series, its fitted line and what that leaves over.
+// drawSeries adds a series with its fitted line and residuals.
 func drawSeries(p *plot.Plot, s Series) error {
 	points := make(plotter.XYs, len(s.Nodes))
 	for i := range points {
@@ -99,6 +99,6 @@
 		stroke.Color, stroke.Width = kindColors[s.Kind], vg.Points(0.5)
 		p.Add(stroke)
 	}
-	p.Legend.Add(fmt.Sprintf("%s: %.3g + %.3g n, left over %.2g", s.Kind, f.Base, f.Slope, f.LeftOver), scatter, line)
+	p.Legend.Add(fmt.Sprintf("%s: %.3g + %.3g n, left over %.2g", s.Kind, f.Base, f.Slope, f.ResidualRMS), scatter, line)
 	return nil
 }
--- a/internal/scale/judge_test.go
+++ b/internal/scale/checks_test.go
@@ -6,51 +6,52 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// judged gives the rules that costs at rest break.
-func judged(hollow, real costs) map[string]int {
+// restViolations returns, by rule, the number of violations that costs at rest cause.
+func restViolations(hollow, real costs) map[string]int {
 	s, err := Read("script", []byte("sizes = [100]\n"))
 	if err != nil {
 		panic(err)
 	}
 	r := &run{script: s, result: &Result{Size: 100}}
-	r.judgeRest(hollow, real)
+	r.checkRest(hollow, real)
 	out := map[string]int{}
-	for _, b := range r.result.Violations {
-		out[b.Rule]++
+	for _, v := range r.result.Violations {
+		out[v.Rule]++
 	}
 	return out
 }
 
-// Each bound at rest breaks by what is a little beyond it, and by nothing else.
+// Guards against a bound at rest that is not checked, or a check that fires for another cost: a value slightly beyond one
+// bound has to violate that rule alone.
 func TestBoundsAtRest(t *testing.T) {
-	sends := func(messages, bytes float64) map[string]rate {
+	traffic := func(messages, bytes float64) map[string]rate {
 		return map[string]rate{"ping": {messages, bytes, messages, bytes}}
 	}
-	good := costs{nodes: 84, cpu: 0.012, slope: 63e6, traffic: sends(2, 7000)}
+	good := costs{nodes: 84, cpu: 0.012, slope: 63e6, traffic: traffic(2, 7000)}
 	for _, c := range []struct {
-		name   string
-		change func(hollow, real *costs)
-		rule   string
-		breaks int
+		name       string
+		change     func(hollow, real *costs)
+		rule       string
+		violations int
 	}{
-		{"good", func(_, _ *costs) {}, "", 0},
-		{"messages", func(h, _ *costs) { h.traffic = sends(2.3, 7000) }, RuleTruth, 2},
-		{"bytes", func(_, k *costs) { k.traffic = sends(2, 8000) }, RuleTruth, 2},
-		{"nothing measured", func(h, k *costs) { h.traffic, k.traffic = sends(0, 0), sends(0, 0) }, RuleTruth, 4},
+		{"within all bounds", func(_, _ *costs) {}, "", 0},
+		{"messages", func(h, _ *costs) { h.traffic = traffic(2.3, 7000) }, RuleHollowMatchesReal, 2},
+		{"bytes", func(_, k *costs) { k.traffic = traffic(2, 8000) }, RuleHollowMatchesReal, 2},
+		{"nothing measured", func(h, k *costs) { h.traffic, k.traffic = traffic(0, 0), traffic(0, 0) }, RuleHollowMatchesReal, 4},
 		{"cpu", func(h, _ *costs) { h.cpu = 0.0131 }, RuleCPU, 1},
 		{"memory", func(h, _ *costs) { h.slope = 65e6 }, RuleMemory, 1},
-		{"bandwidth", func(h, k *costs) { h.traffic, k.traffic = sends(2, 7600), sends(2, 7600) }, RuleBandwidth, 1},
+		{"bandwidth", func(h, k *costs) { h.traffic, k.traffic = traffic(2, 7600), traffic(2, 7600) }, RuleBandwidth, 1},
 	} {
 		hollow, real := good, good
 		c.change(&hollow, &real)
-		got := judged(hollow, real)
-		if got[c.rule] != c.breaks || len(got) > 1 || len(got) == 1 && c.breaks == 0 {
+		got := restViolations(hollow, real)
+		if got[c.rule] != c.violations || len(got) > 1 || len(got) == 1 && c.violations == 0 {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
 
-// Costs are what was spent between two samples, over the time that nodes ran.
+// Guards against costs that include what was spent before the phase, or that divide by more time than the nodes ran.
 func TestCostsOfAPhase(t *testing.T) {
 	ping := func(n int) []view.Traffic {
 		return []view.Traffic{{Kind: "ping", SentMessages: n, SentBytes: 90 * n, ReceivedMessages: n, ReceivedBytes: 90 * n}}
@@ -65,14 +66,14 @@
 	if got := h.traffic["ping"]; got != (rate{1, 90, 1, 90}) || !near(h.cpu, 0.001) || !near(h.slope, 1e6) || !near(h.memory, 1e6) {
 		t.Errorf("hollow: %+v", h)
 	}
-	r := realCosts(before, after) // only process 7 ran through
+	r := realCosts(before, after) // only process 7 ran throughout
 	if got := r.traffic["ping"]; r.nodes != 1 || got.sentMessages != 2 || !near(r.cpu, 0.05) || r.memory != 1.2e7 {
 		t.Errorf("real: %+v", r)
 	}
 }
 
-// A control server's bytes are those of all nodes that follow, the other way round; one that was started meanwhile has no
-// cost.
+// Guards against swapped directions of control traffic, which is derived from what the followers count, and against costs of
+// a control server that was started during the phase.
 func TestCostsOfControlServers(t *testing.T) {
 	before := sample{servers: map[int]usage{1: {1, 1e7}, 2: {1, 1e7}, 3: {1, 1e7}}}
 	after := sample{at: before.at.Add(10e9), servers: map[int]usage{1: {1.1, 2e7}, 2: {1.3, 4e7}, 9: {50, 9e7}}}
@@ -90,7 +91,7 @@
 
 func near(a, b float64) bool { return a > b*0.999 && a < b*1.001 }
 
-// A view that lacks a member, or holds one for living that is gone, is told.
+// Guards against a view that lacks a member or sees a dead one as live without a disagreement being counted.
 func TestDisagreementIsCounted(t *testing.T) {
 	v := view.View{Self: "a", Members: []view.Member{{Name: "a", State: "alive"}, {Name: "b", State: "suspect"}, {Name: "c", State: "dead"}}}
 	for _, c := range []struct {
@@ -102,7 +103,7 @@
 			running[name] = true
 		}
 		if wrong, first := disagreement(v, running); wrong != c.wrong || (first != "") != (wrong > 0) {
-			t.Errorf("%v run: %d wrong, %q", c.running, wrong, first)
+			t.Errorf("running %v: %d disagreements, %q", c.running, wrong, first)
 		}
 	}
 }
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	controlPort    = 7100
-	serveWithin    = 30 * time.Second // for the control servers to be ready after a start
-	controlLookGap = 50 * time.Millisecond
+	controlPort         = 7100
+	controlReadyTimeout = 30 * time.Second // time for the control servers to become ready after a start
+	readyPollInterval   = 50 * time.Millisecond
 )
 
-// controls are the control servers of a run, processes of the built program. Every region reaches every server by one
-// relay, so that it can be cut off.
-type controls struct {
+// controlServers are the control servers of a run, which are processes of the built program. Each region reaches each
+// server through a relay of its own, so that the region can be cut off.
+type controlServers struct {
 	plan    *Plan
 	dir     string
 	program string
 	servers []*controlServer
-	relays  map[regionServer]*rig.Relay
+	relays  map[relayKey]*rig.Relay
 	client  http.Client
-	changes int // documents that were written
+	changes int // documents written so far
 }
 
-// regionServer is a way from a region to a server.
-type regionServer struct{ region, server int }
+// relayKey identifies the relay from a region to a server.
+type relayKey struct{ region, server int }
 
-// controlServer is one of them.
+// controlServer is one control server.
 type controlServer struct {
 	name    string
 	address string
@@ -53,16 +53,16 @@
 
 func regionName(region int) string { return fmt.Sprintf("r%d", region) }
 
-// startControls starts as many control servers in each region as the script says. The first is the writer.
-func startControls(ctx context.Context, s *Script, p *Plan, program, dir string, seed uint64) (c *controls, err error) {
-	c = &controls{plan: p, dir: dir, program: program, relays: map[regionServer]*rig.Relay{},
+// startControls starts the number of control servers that the script gives for each region. The first one is the writer.
+func startControls(ctx context.Context, s *Script, p *Plan, program, dir string, seed uint64) (c *controlServers, err error) {
+	c = &controlServers{plan: p, dir: dir, program: program, relays: map[relayKey]*rig.Relay{},
 		client: http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	defer func() {
 		if err != nil {
 			c.close()
 		}
 	}()
-	for region, servers := range s.Control {
+	for region, servers := range s.ControlServers {
 		for range servers {
 			i := len(c.servers)
 			c.servers = append(c.servers, &controlServer{name: fmt.Sprintf("c%d", i+1), region: region,
@@ -70,15 +70,15 @@
 				file:    filepath.Join(dir, fmt.Sprintf("c%d.toml", i+1)), log: filepath.Join(dir, fmt.Sprintf("c%d.log", i+1))})
 		}
 	}
-	for region := range s.ZonesOf {
+	for region := range s.ZonesPerRegion {
 		for i, server := range c.servers {
-			if c.relays[regionServer{region, i}], err = rig.NewRelay(server.address, seed*10000+uint64(100*region+i)); err != nil {
+			if c.relays[relayKey{region, i}], err = rig.NewRelay(server.address, seed*10000+uint64(100*region+i)); err != nil {
 				return c, err
 			}
 		}
 	}
 	for i := range c.servers {
-		if err := c.write(i); err != nil {
+		if err := c.writeControlFile(i); err != nil {
 			return c, err
 		}
 	}
@@ -88,17 +88,17 @@
 	return c, c.ready(ctx)
 }
 
-// via is where a region reaches the servers.
-func (c *controls) via(region int) map[string]string {
+// via returns, by server address, the relay address at which a region reaches that server.
+func (c *controlServers) via(region int) map[string]string {
 	out := map[string]string{}
 	for i, server := range c.servers {
-		out[server.address] = c.relays[regionServer{region, i}].Address()
+		out[server.address] = c.relays[relayKey{region, i}].Address()
 	}
 	return out
 }
 
-// write writes a server's control file.
-func (c *controls) write(i int) error {
+// writeControlFile writes a server's control file.
+func (c *controlServers) writeControlFile(i int) error {
 	own := c.servers[i]
 	file := controlfile.Config{Fleet: c.plan.ID, Name: own.name, Key: c.plan.Key, Directory: filepath.Join(c.dir, own.name),
 		Writer: c.servers[0].name, Via: c.via(own.region)}
@@ -116,7 +116,7 @@
 	return os.WriteFile(own.file, text, 0o600)
 }
 
-func (c *controls) startAll() error {
+func (c *controlServers) startAll() error {
 	for _, server := range c.servers {
 		if err := server.start(c.program); err != nil {
 			return err
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// start starts the server where it does not run; its log goes to a file.
+// start starts the server unless it is running; its log is appended to a file.
 func (s *controlServer) start(program string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,16 +146,16 @@
 	return nil
 }
 
-// end ends the server by a signal and waits for it.
+// end sends the server a signal that ends it and waits for the exit; after exitTimeout the server is killed.
 func (s *controlServer) end(signal syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cmd == nil {
 		return
 	}
-	s.cmd.Process.Signal(syscall.SIGCONT) // one that is stopped hears nothing else
+	s.cmd.Process.Signal(syscall.SIGCONT) // a stopped process handles no other signal
 	s.cmd.Process.Signal(signal)
-	kill := time.AfterFunc(endWithin, func() { s.cmd.Process.Kill() })
+	kill := time.AfterFunc(exitTimeout, func() { s.cmd.Process.Kill() })
 	defer kill.Stop()
 	s.cmd.Wait()
 	s.cmd = nil
@@ -179,7 +179,7 @@
 	return s.cmd.Process.Pid
 }
 
-func (c *controls) pids() (out []int) {
+func (c *controlServers) pids() (out []int) {
 	if c == nil {
 		return nil
 	}
@@ -191,21 +191,21 @@
 	return out
 }
 
-// ready waits until every server that runs says that it is.
-func (c *controls) ready(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, serveWithin)
+// ready waits until every running server answers that it is ready.
+func (c *controlServers) ready(ctx context.Context) error {
+	ctx, stop := context.WithTimeout(ctx, controlReadyTimeout)
 	defer stop()
 	for _, server := range c.servers {
 		for server.pid() != 0 && !c.isReady(ctx, server) {
-			if err := sleep(ctx, controlLookGap.Seconds()); err != nil {
-				return fmt.Errorf("control server %s is not ready: %w; %s", server.name, err, lastLine(server.log))
+			if err := sleep(ctx, readyPollInterval.Seconds()); err != nil {
+				return fmt.Errorf("waiting for control server %s to be ready: %w; last log line: %s", server.name, err, lastLine(server.log))
 			}
 		}
 	}
 	return nil
 }
 
-func (c *controls) isReady(ctx context.Context, server *controlServer) bool {
+func (c *controlServers) isReady(ctx context.Context, server *controlServer) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+server.address+"/-/ready", nil)
 	if err != nil {
 		return false
@@ -224,40 +224,40 @@
 	return lines[len(lines)-1]
 }
 
-// apply has an operator's command put a new document in force, and gives its version.
-func (c *controls) apply(ctx context.Context, was configfeed.Version) (v configfeed.Version, err error) {
+// apply applies a new document with the operator's command and returns the version of its revision.
+func (c *controlServers) apply(ctx context.Context, previous configfeed.Version) (v configfeed.Version, err error) {
 	c.changes++
 	document := filepath.Join(c.dir, fmt.Sprintf("live-%d.toml", c.changes))
-	// Each differs from the one before, by a figure that moves no flow of a run.
+	// Each document differs from the one before, in a setting that affects no flow of a run.
 	text := fmt.Sprintf("retry_advice_s = %d.5\n", 1+c.changes%9)
 	if err := os.WriteFile(document, []byte(text), 0o644); err != nil {
 		return v, err
 	}
 	cmd := exec.CommandContext(ctx, c.program, "apply", document, "--control", c.servers[0].file,
-		"--if-revision", fmt.Sprintf("%d.%d", was.Epoch, was.Revision))
+		"--if-revision", fmt.Sprintf("%d.%d", previous.Epoch, previous.Revision))
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		return v, fmt.Errorf("apply: %w: %s", err, strings.TrimSpace(string(out)))
 	}
 	if _, err := fmt.Sscanf(string(out), "revision %d of epoch %d", &v.Revision, &v.Epoch); err != nil {
-		return v, fmt.Errorf("apply says %q", out)
+		return v, fmt.Errorf("apply: unexpected output %q", out)
 	}
 	return v, nil
 }
 
-// cut cuts the ways between regions, or mends them all.
-func (c *controls) cut(network *cutNetwork) {
+// cut cuts the relays that the network blocks and restores all others.
+func (c *controlServers) cut(network *cutNetwork) {
 	if c == nil {
 		return
 	}
-	for way, relay := range c.relays {
-		cut := network.drops(way.region, c.servers[way.server].region)
+	for key, relay := range c.relays {
+		cut := network.blocks(key.region, c.servers[key.server].region)
 		relay.Set(func(w *rig.LinkConditions) { w.Cut = cut })
 	}
 }
 
-// close ends everything and waits for it.
-func (c *controls) close() {
+// close ends all servers and relays and waits for their exit.
+func (c *controlServers) close() {
 	if c == nil {
 		return
 	}
--- /dev/null
+++ b/internal/scale/convergence.go
@@ -0,0 +1,181 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"gorseledge/internal/emulator/members"
+)
+
+const (
+	memberMessageInterval   = 25 * time.Millisecond // between two member-list messages to one node
+	memberResendInterval    = 5.0                   // seconds without convergence before the member list is sent again
+	convergencePollInterval = time.Second           // between two reads of the nodes' views
+)
+
+// awaitStartConvergence waits until every node knows every other one, and returns how long that took or -1 after the
+// start time-out. If the script has the run send the member list, it is sent again until all nodes know all, because a
+// message may be lost on a busy machine.
+func (r *run) awaitStartConvergence(ctx context.Context) (took float64, err error) {
+	if !r.script.SendMembers {
+		return r.awaitConvergence(ctx, r.script.StartTimeout)
+	}
+	for began := time.Now(); ; {
+		if err := r.sendMembers(ctx, r.plan.Nodes, r.plan.Nodes); err != nil {
+			return 0, err
+		}
+		took, err = r.awaitConvergence(ctx, memberResendInterval)
+		if err != nil || took >= 0 {
+			return took, err
+		}
+		if time.Since(began).Seconds() > r.script.StartTimeout {
+			return -1, nil
+		}
+	}
+}
+
+// startConvergenceError returns the error that ends a run whose nodes did not all learn of each other, as such a fleet cannot
+// be measured. It names the first disagreement.
+func (r *run) startConvergenceError(ctx context.Context) error {
+	wrong, first, err := r.countDisagreements(ctx)
+	if err != nil {
+		return err
+	}
+	return fmt.Errorf("%s (%g s): %d disagreements, first: %s", RuleStartConvergence, r.script.StartTimeout, wrong, first)
+}
+
+// awaitQuiescence waits until all nodes hold the same view and have few updates left to gossip. On a machine that is too busy
+// for the nodes' time-outs this may never happen: each late answer raises a suspicion, which is gossiped to all nodes.
+func (r *run) awaitQuiescence(ctx context.Context) error {
+	for began := time.Now(); r.script.AwaitQuiescence; {
+		k, err := r.hollows.requestReports(request{Kind: requestReport, Digests: true})
+		if err != nil {
+			return err
+		}
+		if len(k.digests) <= 1 && float64(k.pendingUpdates) <= members.MaxIdlePendingUpdates*float64(k.nodes) {
+			return nil
+		}
+		if waited := time.Since(began).Seconds(); waited > r.script.QuiescenceTimeout {
+			r.addViolation(RuleQuiescence, "after %.0f s the nodes hold %d different views and each has %.1f updates to gossip", waited,
+				len(k.digests), float64(k.pendingUpdates)/float64(k.nodes))
+			return nil
+		}
+		if err := sleep(ctx, convergencePollInterval.Seconds()); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// sendMembers sends the records of members to the nodes in to.
+func (r *run) sendMembers(ctx context.Context, members, to []NodePlan) error {
+	facts, err := r.memberRecords(ctx, members)
+	if err != nil {
+		return err
+	}
+	var addresses []string
+	for _, n := range to {
+		addresses = append(addresses, n.Address)
+	}
+	return r.plan.sendMembers(ctx, facts, addresses)
+}
+
+// memberRecords returns the current records of nodes, as they report themselves.
+func (r *run) memberRecords(ctx context.Context, nodes []NodePlan) ([]memberRecord, error) {
+	facts, err := r.reals.memberRecords(ctx, nodes)
+	if err != nil {
+		return nil, err
+	}
+	of := map[string]bool{}
+	for _, n := range nodes {
+		of[n.Name] = true
+	}
+	replies, err := r.hollows.requestAll(request{Kind: requestMembers})
+	if err != nil {
+		return nil, err
+	}
+	for _, a := range replies {
+		for _, m := range a.Members {
+			if of[m.Name] {
+				facts = append(facts, m)
+			}
+		}
+	}
+	return facts, nil
+}
+
+// awaitConvergence waits until the fleet has converged and returns the seconds that this took, or -1 if it took longer than
+// within seconds.
+func (r *run) awaitConvergence(ctx context.Context, within float64) (took float64, err error) {
+	for began := time.Now(); ; {
+		agree, err := r.converged(ctx)
+		if err != nil {
+			return 0, err
+		}
+		switch took = time.Since(began).Seconds(); {
+		case agree:
+			return took, nil
+		case took > within:
+			return -1, nil
+		}
+		if err := sleep(ctx, convergencePollInterval.Seconds()); err != nil {
+			return 0, err
+		}
+	}
+}
+
+// converged reports whether every node counts as many live members as there are nodes and has seen every awaited return.
+func (r *run) converged(ctx context.Context) (bool, error) {
+	known, err := r.hollows.report()
+	if err != nil {
+		return false, err
+	}
+	size := len(r.plan.Nodes)
+	for _, s := range known.liveCounts {
+		if s.Min != size || s.Max != size {
+			return false, nil
+		}
+	}
+	views := r.reals.views(ctx)
+	for _, v := range views {
+		if v.LiveCount != size {
+			return false, nil
+		}
+	}
+	back := known.returned.TotalCount() + hdrhistogram.Import(r.reals.watch.report().Returned).TotalCount()
+	return len(views) == r.script.Real && back >= r.expectedReturns, ctx.Err()
+}
+
+// countDisagreements counts the pairs of a node and a member whose state the node has wrong, while all nodes run.
+func (r *run) countDisagreements(ctx context.Context) (wrong int, first string, err error) {
+	all := map[string]bool{}
+	e := expectation{}
+	for _, n := range r.plan.Nodes {
+		all[n.Name] = true
+		e.Names = append(e.Names, n.Name)
+	}
+	var expected []expectation
+	for region := range r.script.ZonesPerRegion {
+		e.Region = region
+		expected = append(expected, e)
+	}
+	replies, err := r.hollows.requestAll(request{Kind: requestCheck, Expected: expected})
+	if err != nil {
+		return 0, "", err
+	}
+	note := func(n int, why string) {
+		if wrong += n; first == "" {
+			first = why
+		}
+	}
+	for _, a := range replies {
+		note(a.Wrong, a.First)
+	}
+	for _, v := range r.reals.views(ctx) {
+		note(disagreement(v, all))
+	}
+	return wrong, first, nil
+}
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -6,15 +6,15 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is a line through points, by least squares.
+// Fit is a least-squares line through points.
 type Fit struct {
 	Base, Slope float64
-	LeftOver    float64 // root of the mean square of what the line leaves over
-	Error       float64 // standard error of the slope
+	ResidualRMS float64 // root mean square of the residuals
+	SlopeError  float64 // standard error of the slope
 	Points      int
 }
 
-// fitLine fits y = base + slope x. Slope is not a number where all x are the same.
+// fitLine fits y = base + slope x. Slope is NaN if all x are the same.
 func fitLine(x, y []float64) Fit {
 	f := Fit{Points: len(x), Slope: math.NaN(), Base: math.NaN()}
 	if len(x) < 2 {
@@ -27,12 +27,12 @@
 		squares += math.Pow(y[i]-f.At(x[i]), 2)
 		span += math.Pow(x[i]-mean, 2)
 	}
-	f.LeftOver = math.Sqrt(squares / float64(len(x)))
+	f.ResidualRMS = math.Sqrt(squares / float64(len(x)))
 	if len(x) > 2 && span > 0 {
-		f.Error = math.Sqrt(squares / float64(len(x)-2) / span)
+		f.SlopeError = math.Sqrt(squares / float64(len(x)-2) / span)
 	}
 	return f
 }
 
-// At gives the line's value.
+// At returns the line's value at x.
 func (f Fit) At(x float64) float64 { return f.Base + f.Slope*x }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -25,54 +25,54 @@
 	"gorseledge/internal/node/live"
 )
 
-const watchGap = 250 * time.Millisecond // between two looks at whether members are back
+const returnPollInterval = 250 * time.Millisecond // between two checks of whether members are back
 
-// hollowProcess hosts hollow nodes: each is a fleet.Fleet with its socket and timers, as a real node runs it, and
-// nothing of the clients' side. Its log is formatted and dropped.
+// hollowProcess hosts hollow nodes: each is a fleet.Fleet with its socket and timers, as a real node runs it,
+// without the part that serves clients. Its log lines are formatted and discarded.
 type hollowProcess struct {
-	ctx     context.Context
-	change  func(*hollowNode)
-	watch   *watch
-	inForce *inForce
-	cut     atomic.Pointer[cutNetwork]
-	regions map[netip.AddrPort]int
-	mu      sync.Mutex // over nodes
-	nodes   map[string]*hollow
-	ended   []view.Traffic // of nodes that do not run any more
-	group   sync.WaitGroup
+	ctx          context.Context
+	change       func(*hollowNode)
+	watch        *watch
+	inForce      *inForceTimes
+	cut          atomic.Pointer[cutNetwork]
+	regions      map[netip.AddrPort]int
+	mu           sync.Mutex // guards nodes
+	nodes        map[string]*hostedNode
+	endedTraffic []view.Traffic // traffic of nodes that have ended
+	group        sync.WaitGroup
 }
 
-// hollow is one node.
-type hollow struct {
+// hostedNode is a hollow node that a process hosts.
+type hostedNode struct {
 	plan hollowNode
-	part *fleet.Fleet
+	node *fleet.Fleet
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-// cutNetwork says which regions hear only themselves.
+// cutNetwork is the set of regions that are cut off from all others.
 type cutNetwork struct{ regions map[int]bool }
 
-// drops tells whether nothing passes between two regions.
-func (c *cutNetwork) drops(a, b int) bool {
+// blocks reports whether no message passes between two regions.
+func (c *cutNetwork) blocks(a, b int) bool {
 	return c != nil && a != b && (c.regions[a] || c.regions[b])
 }
 
-// ServeHollow serves requests until the input or the context ends, and leaves nothing running.
+// ServeHollow serves requests until the input or the context ends. When it returns, nothing is running.
 func ServeHollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	return serveHollow(ctx, in, out, func(*hollowNode) {})
 }
 
-// serveHollow is ServeHollow with a change to every node before it starts, for a test's wrong nodes.
+// serveHollow is ServeHollow with a change that is applied to every node before it starts, so that tests can run faulty nodes.
 func serveHollow(ctx context.Context, in io.Reader, out io.Writer, change func(*hollowNode)) error {
 	ctx, stop := context.WithCancel(ctx)
-	p := &hollowProcess{ctx: ctx, change: change, watch: newWatch(), inForce: newInForce(), nodes: map[string]*hollow{}}
+	p := &hollowProcess{ctx: ctx, change: change, watch: newWatch(), inForce: newInForceTimes(), nodes: map[string]*hostedNode{}}
 	defer p.group.Wait()
 	defer stop()
-	if c, ok := in.(io.Closer); ok { // so that no read outlasts the context
+	if c, ok := in.(io.Closer); ok { // a pending read must not outlive the context
 		defer context.AfterFunc(ctx, func() { c.Close() })()
 	}
-	p.group.Go(p.look)
+	p.group.Go(p.pollReturns)
 	lines, answers := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	for ctx.Err() == nil {
 		var r request
@@ -124,7 +124,7 @@
 		p.watch.reset(r.Names)
 	case requestMembers:
 		for _, h := range p.nodes {
-			a.Members = append(a.Members, factsOf(h.part.Self()))
+			a.Members = append(a.Members, recordOf(h.node.Self()))
 		}
 	case requestReturn:
 		starts := map[string]uint64{}
@@ -139,94 +139,94 @@
 	case requestCheck:
 		a.Wrong, a.First = p.check(r.Expected)
 	default:
-		return a, fmt.Errorf("no request is called %q", r.Kind)
+		return a, fmt.Errorf("unknown request kind %q", r.Kind)
 	}
 	return a, nil
 }
 
-// look looks from time to time whether the nodes know that members are back.
-func (p *hollowProcess) look() {
-	for sleep(p.ctx, watchGap.Seconds()) == nil {
-		if !p.watch.looks() {
+// pollReturns checks periodically whether the nodes know that awaited members are back.
+func (p *hollowProcess) pollReturns() {
+	for sleep(p.ctx, returnPollInterval.Seconds()) == nil {
+		if !p.watch.expectsReturns() {
 			continue
 		}
 		p.mu.Lock()
 		nodes := slices.Collect(maps.Values(p.nodes))
 		p.mu.Unlock()
 		for _, h := range nodes {
-			p.watch.look(h.plan.Name, h.part.Member)
+			p.watch.checkReturned(h.plan.Name, h.node.Member)
 		}
 	}
 }
 
-// start starts a node, whose fleet file is read as a real node reads it.
-func (p *hollowProcess) start(n hollowNode) (memberFacts, error) {
+// start starts a node. Its fleet file is encoded and parsed, as a real node parses it.
+func (p *hollowProcess) start(n hollowNode) (memberRecord, error) {
 	if p.nodes[n.Name] != nil {
-		return memberFacts{}, fmt.Errorf("%s runs already", n.Name)
+		return memberRecord{}, fmt.Errorf("node %s is already running", n.Name)
 	}
 	p.change(&n)
 	text, err := toml.Marshal(n.Fleet)
 	if err != nil {
-		return memberFacts{}, err
+		return memberRecord{}, err
 	}
 	file, err := fleet.Parse(n.Name, text)
 	if err != nil {
-		return memberFacts{}, err
+		return memberRecord{}, err
 	}
 	log := zerolog.New(io.Discard).With().Timestamp().Str("node", n.Name).Logger()
-	part := fleet.New(file, view.Options{Name: n.Name, Build: n.Build, Seed: n.Seed, ConfiguredNodes: n.Settled, Log: log,
+	node := fleet.New(file, view.Options{Name: n.Name, Build: n.Build, Seed: n.Seed, ConfiguredNodes: n.ConfiguredNodes, Log: log,
 		NodesChanged: func(int) {}, Install: func(_ context.Context, revision live.Revision) ([]string, error) {
 			p.install(n.Name, revision)
 			return nil, nil
 		}})
-	part.Observe(func(c membership.Changed) { p.watch.see(n.Name, c.Name, c.State) })
-	part.Filter(func(at netip.AddrPort) bool {
+	node.Observe(func(c membership.Changed) { p.watch.observe(n.Name, c.Name, c.State) })
+	node.Filter(func(at netip.AddrPort) bool {
 		region, known := p.regions[at]
-		return known && p.cut.Load().drops(n.Region, region)
+		return known && p.cut.Load().blocks(n.Region, region)
 	})
-	part.SetReady(true)
+	node.SetReady(true)
 	ctx, stop := context.WithCancel(p.ctx)
-	h := &hollow{plan: n, part: part, stop: stop, done: make(chan struct{})}
+	h := &hostedNode{plan: n, node: node, stop: stop, done: make(chan struct{})}
 	p.mu.Lock()
 	p.nodes[n.Name] = h
 	p.mu.Unlock()
 	p.group.Go(func() {
 		defer close(h.done)
-		part.Run(ctx)
+		node.Run(ctx)
 	})
-	return factsOf(part.Self()), nil
+	return recordOf(node.Self()), nil
 }
 
-// install takes a revision at a node, where a real one would put it in force between two inputs of its core.
+// install notes that a node has a revision in force at once. A real node would put it in force between two inputs of its core.
 func (p *hollowProcess) install(name string, r live.Revision) {
 	p.mu.Lock()
 	h := p.nodes[name]
 	p.mu.Unlock()
-	if h == nil { // it has been ended meanwhile
+	if h == nil { // the node has ended
 		return
 	}
-	h.part.SetInForce(r)
-	p.inForce.installed(name, configfeed.Version{Epoch: r.Epoch, Revision: r.Number}, time.Now())
+	h.node.SetInForce(r)
+	p.inForce.recordInstalled(name, configfeed.Version{Epoch: r.Epoch, Revision: r.Number}, time.Now())
 }
 
-// traffic is what the node sent and received, of its followers as well.
-func (h *hollow) traffic() []view.Traffic {
-	return addTraffic(h.part.Traffic(), controlTraffic(h.part.Config()))
+// traffic returns what the node sent and received, including its follower's polls.
+func (h *hostedNode) traffic() []view.Traffic {
+	return addTraffic(h.node.Traffic(), controlTraffic(h.node.Config()))
 }
 
-// end ends nodes and waits for it. A node that does not leave in good order is not heard of again.
+// end ends nodes and waits until they have ended. A node that does not leave sends no last message.
 func (p *hollowProcess) end(names []string, leave bool) error {
 	for _, name := range names {
 		h := p.nodes[name]
 		if h == nil {
-			return fmt.Errorf("%s does not run", name)
+			return fmt.Errorf("node %s is not running", name)
 		}
 		if leave {
-			h.part.Leave()
+			h.node.Leave()
 		}
 		h.stop()
 		<-h.done
-		p.ended = addTraffic(p.ended, h.traffic())
+		p.endedTraffic = addTraffic(p.endedTraffic, h.traffic())
 		p.mu.Lock()
 		delete(p.nodes, name)
 		p.mu.Unlock()
@@ -234,22 +234,23 @@
 	return nil
 }
 
-// report sums up what the nodes have spent and know.
+// report returns the sums of what the nodes have sent and know.
 func (p *hollowProcess) report(digests bool) *report {
-	r := &report{Nodes: len(p.nodes), Traffic: slices.Clone(p.ended), Living: map[int]spread{}, Digests: map[uint64]int{}}
+	r := &report{Nodes: len(p.nodes), Traffic: slices.Clone(p.endedTraffic), LiveCounts: map[int]countRange{},
+		Digests: map[uint64]int{}}
 	for _, h := range p.nodes {
 		r.Traffic = addTraffic(r.Traffic, h.traffic())
-		r.News += h.part.PendingUpdates()
+		r.PendingUpdates += h.node.PendingUpdates()
 		if digests {
-			r.Digests[h.part.Digest()]++
+			r.Digests[h.node.Digest()]++
 		}
-		r.Living[h.plan.Region] = r.Living[h.plan.Region].with(h.part.LiveCount())
+		r.LiveCounts[h.plan.Region] = r.LiveCounts[h.plan.Region].include(h.node.LiveCount())
 	}
-	r.Seen, r.InForce = p.watch.seen(), p.inForce.times()
+	r.Watch, r.InForce = p.watch.report(), p.inForce.times()
 	return r
 }
 
-// check counts the members that a node holds for living and does not run, or the other way round.
+// check counts, over all nodes, the members whose state differs from what is expected, and describes the first one.
 func (p *hollowProcess) check(expected []expectation) (wrong int, first string) {
 	byRegion := map[int]map[string]bool{}
 	for _, e := range expected {
@@ -259,7 +260,7 @@
 		}
 	}
 	for _, h := range p.nodes {
-		n, why := disagreement(h.part.View(), byRegion[h.plan.Region])
+		n, why := disagreement(h.node.View(), byRegion[h.plan.Region])
 		if wrong += n; first == "" {
 			first = why
 		}
@@ -267,29 +268,30 @@
 	return wrong, first
 }
 
-// disagreement counts the members that a view holds wrongly or does not know.
+// disagreement counts the members that a view has in the wrong state or lacks, and describes the first one. Alive and
+// suspect members count as live.
 func disagreement(v view.View, running map[string]bool) (wrong int, first string) {
 	known := 0
 	for _, m := range v.Members {
-		living := m.State == membership.Alive.String() || m.State == membership.Suspect.String()
+		live := m.State == membership.Alive.String() || m.State == membership.Suspect.String()
 		if running[m.Name] {
 			known++
 		}
-		if living == running[m.Name] {
+		if live == running[m.Name] {
 			continue
 		}
 		if wrong++; wrong == 1 {
-			first = fmt.Sprintf("%s holds %s for %s", v.Self, m.Name, m.State)
+			first = fmt.Sprintf("%s sees %s as %s", v.Self, m.Name, m.State)
 		}
 	}
 	if missing := len(running) - known; missing > 0 {
 		wrong += missing
-		first = cmp.Or(first, fmt.Sprintf("%s knows %d of %d", v.Self, known, len(running)))
+		first = cmp.Or(first, fmt.Sprintf("%s knows %d of %d members", v.Self, known, len(running)))
 	}
 	return wrong, first
 }
 
-// addTraffic adds up counts, kind by kind.
+// addTraffic adds the counts of more to those of the same kind in sum.
 func addTraffic(sum, more []view.Traffic) []view.Traffic {
 	for _, t := range more {
 		i := slices.IndexFunc(sum, func(s view.Traffic) bool { return s.Kind == t.Kind })
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -15,19 +15,19 @@
 	"gorseledge/internal/membership"
 )
 
-const patience = time.Minute // for what takes a moment on an idle machine
+const testTimeout = time.Minute // for operations that take a moment on an idle machine
 
-// hollowLab is a hollow process within the test.
-type hollowLab struct {
-	t       *testing.T
-	lines   *json.Encoder
-	answers *json.Decoder
-	plan    *Plan
-	script  *Script
+// testProcess is a hollow process within the test.
+type testProcess struct {
+	t        *testing.T
+	requests *json.Encoder
+	replies  *json.Decoder
+	plan     *Plan
+	script   *Script
 }
 
-// openHollow serves hollow nodes within the test until it ends; then nothing of them is left.
-func openHollow(t *testing.T, nodes int) *hollowLab {
+// openHollow serves hollow nodes within the test. When the test ends, it checks that none of their goroutines is left.
+func openHollow(t *testing.T, nodes int) *testProcess {
 	t.Helper()
 	leaks := goleak.IgnoreCurrent()
 	s, err := Read("script", fmt.Appendf(nil, "sizes = [%d]\nreal = 2\nperiod_s = 0.05\nrack = 2\n", nodes))
@@ -38,73 +38,73 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in, lines := io.Pipe()
-	answers, out := io.Pipe()
+	in, requests := io.Pipe()
+	replies, out := io.Pipe()
 	done := make(chan error, 1)
 	go func() { done <- ServeHollow(t.Context(), in, out) }()
 	t.Cleanup(func() {
-		lines.Close()
+		requests.Close()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 		p.close()
 		goleak.VerifyNone(t, leaks)
 	})
-	lab := &hollowLab{t, json.NewEncoder(lines), json.NewDecoder(answers), p, s}
+	process := &testProcess{t, json.NewEncoder(requests), json.NewDecoder(replies), p, s}
 	regions := map[string]int{}
 	for i := range p.Nodes {
 		p.Nodes[i].Real = false
 		regions[p.Nodes[i].Address] = p.Nodes[i].Region
 	}
-	lab.ask(request{Kind: requestPlan, Regions: regions})
-	return lab
+	process.request(request{Kind: requestPlan, Regions: regions})
+	return process
 }
 
-func (l *hollowLab) ask(r request) reply {
-	l.t.Helper()
-	if err := l.lines.Encode(r); err != nil {
-		l.t.Fatal(err)
+func (p *testProcess) request(r request) reply {
+	p.t.Helper()
+	if err := p.requests.Encode(r); err != nil {
+		p.t.Fatal(err)
 	}
 	var a reply
-	if err := l.answers.Decode(&a); err != nil {
-		l.t.Fatal(err)
+	if err := p.replies.Decode(&a); err != nil {
+		p.t.Fatal(err)
 	}
 	return a
 }
 
-func (l *hollowLab) start(plans ...NodePlan) []memberFacts {
-	l.t.Helper()
+func (p *testProcess) start(plans ...NodePlan) []memberRecord {
+	p.t.Helper()
 	r := request{Kind: requestStart}
 	for _, n := range plans {
-		r.Nodes = append(r.Nodes, hollowNode{Name: n.Name, Region: n.Region, Seed: 1, Settled: len(l.plan.Nodes),
-			Fleet: l.plan.file(l.script, n)})
+		r.Nodes = append(r.Nodes, hollowNode{Name: n.Name, Region: n.Region, Seed: 1, ConfiguredNodes: len(p.plan.Nodes),
+			Fleet: p.plan.fleetFile(p.script, n)})
 	}
-	a := l.ask(r)
+	a := p.request(r)
 	if a.Error != "" || len(a.Members) != len(plans) {
-		l.t.Fatalf("%+v", a)
+		p.t.Fatalf("%+v", a)
 	}
 	return a.Members
 }
 
-// eventually waits until a report shows what is wanted.
-func (l *hollowLab) eventually(what string, holds func(*report) bool) *report {
-	l.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		r := l.ask(request{Kind: requestReport}).Report
+// eventually waits until holds is true of a report.
+func (p *testProcess) eventually(what string, holds func(*report) bool) *report {
+	p.t.Helper()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		r := p.request(request{Kind: requestReport}).Report
 		if holds(r) {
 			return r
 		}
 		if time.Now().After(end) {
-			l.t.Fatalf("not within %v: %s; %+v", patience, what, r)
+			p.t.Fatalf("not within %v: %s; %+v", testTimeout, what, r)
 		}
 	}
 }
 
-func (l *hollowLab) knowAll(nodes int) {
-	l.t.Helper()
-	l.eventually("all know all", func(r *report) bool {
-		for _, s := range r.Living {
-			if s.Least != nodes || s.Most != nodes {
+func (p *testProcess) awaitConvergence(nodes int) {
+	p.t.Helper()
+	p.eventually("all nodes know each other", func(r *report) bool {
+		for _, s := range r.LiveCounts {
+			if s.Min != nodes || s.Max != nodes {
 				return false
 			}
 		}
@@ -112,154 +112,158 @@
 	})
 }
 
-// Hollow nodes find one another on real sockets; one that is killed becomes known as gone to all others, and as back
-// when it is started again; all hold exactly those that run for living.
-func TestHollowNodesKnowWhoIsGoneAndBack(t *testing.T) {
+// Guards against hollow nodes whose membership does not work on real sockets, and against a watch that misses pairs: the
+// nodes join, all of them detect a killed node and then its return, and their views hold exactly the running nodes as live.
+func TestHollowNodesDetectDeathAndReturn(t *testing.T) {
 	const nodes = 10
-	l := openHollow(t, nodes)
-	l.start(l.plan.Nodes...)
-	l.knowAll(nodes)
-	victim := l.plan.Nodes[nodes-1]
-	l.ask(request{Kind: requestWatch, Names: []string{victim.Name}})
-	l.ask(request{Kind: requestKill, Names: []string{victim.Name}})
-	k := known{gone: newTimes(), back: newTimes()}
-	r := l.eventually("all know that it is gone", func(r *report) bool {
-		k.gone.Reset()
-		k.back.Reset()
-		k.see(r.Seen)
-		return k.gone.TotalCount() == nodes-1
+	process := openHollow(t, nodes)
+	process.start(process.plan.Nodes...)
+	process.awaitConvergence(nodes)
+	victim := process.plan.Nodes[nodes-1]
+	process.request(request{Kind: requestWatch, Names: []string{victim.Name}})
+	process.request(request{Kind: requestKill, Names: []string{victim.Name}})
+	k := hollowReport{departed: newTimes(), returned: newTimes()}
+	r := process.eventually("all nodes know that the killed node is gone", func(r *report) bool {
+		k.departed.Reset()
+		k.returned.Reset()
+		k.addWatch(r.Watch)
+		return k.departed.TotalCount() == nodes-1
 	})
-	if r.Nodes != nodes-1 || k.back.TotalCount() != 0 || k.gone.Min() < 50 {
-		t.Errorf("%d nodes run, %d know it to be back, the first knew after %d ms", r.Nodes, k.back.TotalCount(), k.gone.Min())
+	if r.Nodes != nodes-1 || k.returned.TotalCount() != 0 || k.departed.Min() < 50 {
+		t.Errorf("%d nodes run, %d noticed a return, the first death was noticed after %d ms", r.Nodes,
+			k.returned.TotalCount(), k.departed.Min())
 	}
 	expected := expectation{Region: victim.Region}
-	for _, n := range l.plan.Nodes[:nodes-1] {
+	for _, n := range process.plan.Nodes[:nodes-1] {
 		expected.Names = append(expected.Names, n.Name)
 	}
 	var all []expectation
-	for region := range l.script.ZonesOf {
+	for region := range process.script.ZonesPerRegion {
 		expected.Region = region
 		all = append(all, expected)
 	}
-	if a := l.ask(request{Kind: requestCheck, Expected: all}); a.Wrong != 0 {
-		t.Errorf("%d wrong, first: %s", a.Wrong, a.First)
+	if a := process.request(request{Kind: requestCheck, Expected: all}); a.Wrong != 0 {
+		t.Errorf("%d disagreements, first: %s", a.Wrong, a.First)
 	}
 	all[0].Names = append(all[0].Names[:len(all[0].Names):len(all[0].Names)], victim.Name)
-	if a := l.ask(request{Kind: requestCheck, Expected: all}); a.Wrong == 0 || a.First == "" {
-		t.Error("a member that does not run is not missed")
+	if a := process.request(request{Kind: requestCheck, Expected: all}); a.Wrong == 0 || a.First == "" {
+		t.Error("a dead member that is expected to be live is not reported")
 	}
-	l.ask(request{Kind: requestReturn, Members: l.start(victim)})
-	l.eventually("all know that it is back", func(r *report) bool {
-		k.gone.Reset()
-		k.back.Reset()
-		k.see(r.Seen)
-		return k.back.TotalCount() == nodes-1
+	process.request(request{Kind: requestReturn, Members: process.start(victim)})
+	process.eventually("all nodes know that the restarted node is back", func(r *report) bool {
+		k.departed.Reset()
+		k.returned.Reset()
+		k.addWatch(r.Watch)
+		return k.returned.TotalCount() == nodes-1
 	})
-	l.knowAll(nodes)
+	process.awaitConvergence(nodes)
 }
 
-// A region that is cut off hears nobody else, and nobody else hears it, until it is mended.
+// Guards against a region cut that lets messages pass in one direction, or that cannot be ended: both sides have to see the
+// other as dead during the cut, and all nodes as live after it.
 func TestHollowRegionIsCutOff(t *testing.T) {
-	const nodes = 8 // one in each zone: 3, 3 and 2 in the regions
-	l := openHollow(t, nodes)
-	l.start(l.plan.Nodes...)
-	l.knowAll(nodes)
-	l.ask(request{Kind: requestCut, CutRegions: []int{2}})
-	l.eventually("both sides hold the other for dead", func(r *report) bool {
-		return r.Living[2] == spread{2, 2} && r.Living[0] == spread{6, 6} && r.Living[1] == spread{6, 6}
+	const nodes = 8 // one node in each zone: 3, 3 and 2 in the regions
+	process := openHollow(t, nodes)
+	process.start(process.plan.Nodes...)
+	process.awaitConvergence(nodes)
+	process.request(request{Kind: requestCut, CutRegions: []int{2}})
+	process.eventually("both sides see the other as dead", func(r *report) bool {
+		return r.LiveCounts[2] == countRange{2, 2} && r.LiveCounts[0] == countRange{6, 6} && r.LiveCounts[1] == countRange{6, 6}
 	})
-	l.ask(request{Kind: requestCut})
-	l.knowAll(nodes)
+	process.request(request{Kind: requestCut})
+	process.awaitConvergence(nodes)
 }
 
-// A node that leaves says so: the others hold it for left, not for dead, within a few periods.
+// Guards against a leave request that stops a node without its leave message: the others drop it from their live members.
 func TestHollowNodeLeaves(t *testing.T) {
 	const nodes = 5
-	l := openHollow(t, nodes)
-	l.start(l.plan.Nodes...)
-	l.knowAll(nodes)
-	l.ask(request{Kind: requestLeave, Names: []string{l.plan.Nodes[0].Name}})
-	l.knowAll(nodes - 1)
+	process := openHollow(t, nodes)
+	process.start(process.plan.Nodes...)
+	process.awaitConvergence(nodes)
+	process.request(request{Kind: requestLeave, Names: []string{process.plan.Nodes[0].Name}})
+	process.awaitConvergence(nodes - 1)
 }
 
-// A request that cannot be carried out is answered with why, and the process goes on.
-func TestHollowProcessAnswersMistakes(t *testing.T) {
-	l := openHollow(t, 4)
-	bad := l.plan.file(l.script, l.plan.Nodes[0])
+// Guards against an invalid request that is carried out in silence or ends the process: the reply holds an error, and the
+// next request is served.
+func TestHollowProcessReportsInvalidRequests(t *testing.T) {
+	process := openHollow(t, 4)
+	bad := process.plan.fleetFile(process.script, process.plan.Nodes[0])
 	bad.Key = "00"
-	for _, r := range []request{{Kind: "dance"}, {Kind: requestKill, Names: []string{"nobody"}},
-		{Kind: requestPlan, Regions: map[string]int{"here": 1}}, {Kind: requestStart, Nodes: []hollowNode{{Name: "n0", Fleet: bad}}},
+	for _, r := range []request{{Kind: "unknown"}, {Kind: requestKill, Names: []string{"n99"}},
+		{Kind: requestPlan, Regions: map[string]int{"not-an-address": 1}},
+		{Kind: requestStart, Nodes: []hollowNode{{Name: "n0", Fleet: bad}}},
 		{Kind: requestStart, Nodes: []hollowNode{{Name: "n0", Fleet: fleet.Config{}}}}} {
-		if a := l.ask(r); a.Error == "" {
+		if a := process.request(r); a.Error == "" {
 			t.Errorf("%+v: no error", r)
 		}
 	}
-	l.start(l.plan.Nodes[0])
-	if a := l.ask(request{Kind: requestReport}); a.Report == nil || a.Report.Nodes != 1 {
+	process.start(process.plan.Nodes[0])
+	if a := process.request(request{Kind: requestReport}); a.Report == nil || a.Report.Nodes != 1 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// A watch counts each pair once, and none of the members that are watched themselves.
+// Guards against detection times that count a pair of observer and member twice, or that count a watched member as observer.
 func TestWatchCountsPairsOnce(t *testing.T) {
 	w := newWatch()
 	w.reset([]string{"a", "b"})
-	w.see("n", "a", membership.Suspect)
-	w.see("n", "a", membership.Dead)
-	w.see("n", "a", membership.Left)
-	w.see("b", "a", membership.Dead)
-	w.see("n", "c", membership.Dead)
+	w.observe("n", "a", membership.Suspect)
+	w.observe("n", "a", membership.Dead)
+	w.observe("n", "a", membership.Left)
+	w.observe("b", "a", membership.Dead)
+	w.observe("n", "c", membership.Dead)
 	starts := map[string]uint64{"a": 5}
 	knows := membership.Member{State: membership.Alive, Start: 4}
 	member := func(string) (membership.Member, bool) { return knows, true }
 	w.expect(starts)
-	w.look("n", member) // the start before
+	w.checkReturned("n", member) // the member before its restart
 	counts := func() [3]int64 {
-		k := known{gone: newTimes(), back: newTimes()}
-		k.see(w.seen())
-		return [3]int64{k.gone.TotalCount(), k.back.TotalCount(), int64(k.suspicions)}
+		k := hollowReport{departed: newTimes(), returned: newTimes()}
+		k.addWatch(w.report())
+		return [3]int64{k.departed.TotalCount(), k.returned.TotalCount(), int64(k.suspicions)}
 	}
 	if got := counts(); got != [3]int64{1, 0, 1} {
-		t.Errorf("gone, back, suspicions: %v", got)
+		t.Errorf("departed, returned, suspicions: %v", got)
 	}
 	knows.Start = 5
-	w.look("n", member)
-	w.look("n", member)
-	w.look("b", member)
+	w.checkReturned("n", member)
+	w.checkReturned("n", member)
+	w.checkReturned("b", member)
 	if got := counts(); got != [3]int64{1, 1, 1} {
-		t.Errorf("gone, back, suspicions: %v", got)
+		t.Errorf("departed, returned, suspicions: %v", got)
 	}
 }
 
-// A node tells of a change under its own lock, and is asked under that lock what it knows: the watch holds none of its own
-// meanwhile, or the two wait for each other for good.
-func TestWatchHoldsNoLockWhileItAsks(t *testing.T) {
+// Guards against a deadlock: a node calls observe while it holds its own lock, and a lookup in its view takes that lock as
+// well. The watch must therefore hold no lock during the lookup.
+func TestWatchHoldsNoLockDuringLookup(t *testing.T) {
 	w := newWatch()
 	w.reset([]string{"a"})
 	w.expect(map[string]uint64{"a": 1})
 	done := make(chan bool)
 	go func() {
 		defer close(done)
-		w.look("n", func(name string) (membership.Member, bool) {
-			w.see("n", name, membership.Dead)
+		w.checkReturned("n", func(name string) (membership.Member, bool) {
+			w.observe("n", name, membership.Dead)
 			return membership.Member{Start: 1}, true
 		})
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Fatal("the watch and the node wait for each other")
+	case <-time.After(testTimeout):
+		t.Fatal("deadlock between the watch and the node")
 	}
-	if n := hdrhistogram.Import(w.seen().Back).TotalCount(); n != 1 {
-		t.Errorf("%d know", n)
+	if n := hdrhistogram.Import(w.report().Returned).TotalCount(); n != 1 {
+		t.Errorf("%d returns recorded, want 1", n)
 	}
 }
 
-// A hollow process ends with its context, although nobody asks it to.
-func TestHollowEndsWithItsContext(t *testing.T) {
+// Guards against a hollow process that outlives its context because it waits for the next request.
+func TestHollowProcessEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	in, lines := io.Pipe()
-	defer lines.Close()
+	in, requests := io.Pipe()
+	defer requests.Close()
 	done := make(chan error, 1)
 	go func() { done <- ServeHollow(ctx, in, io.Discard) }()
 	cancel()
--- a/internal/scale/hollows.go
+++ b/internal/scale/hollows.go
@@ -17,34 +17,35 @@
 	"gorseledge/internal/fleet/view"
 )
 
-const endWithin = 5 * time.Second // for a hollow process whose input has ended
+const exitTimeout = 5 * time.Second // time for a process to exit after it was asked to
 
-// hollows are the hollow processes of a run.
-type hollows struct {
-	of []*hollowHost
+// hollowHosts are the hollow processes of a run.
+type hollowHosts struct {
+	hosts []*hollowHost
 }
 
-// hollowHost is one of them, as the run sees it.
+// hollowHost is the run's end of one hollow process.
 type hollowHost struct {
-	cmd     *exec.Cmd
-	mu      sync.Mutex // one request at a time
-	in      io.WriteCloser
-	lines   *json.Encoder
-	answers *json.Decoder
+	cmd      *exec.Cmd
+	mu       sync.Mutex // one request at a time
+	in       io.WriteCloser
+	requests *json.Encoder
+	replies  *json.Decoder
 }
 
-// startHollows starts a process for each number in the plan; command is what serves ServeHollow on its standard input.
-func startHollows(command []string, processes int, regions map[string]int) (*hollows, error) {
-	h := &hollows{}
+// startHollows starts hollow processes and sends them the region of every address. The command has to run ServeHollow on its
+// standard input and output.
+func startHollows(command []string, processes int, regions map[string]int) (*hollowHosts, error) {
+	h := &hollowHosts{}
 	for range processes {
 		host, err := startHollow(command)
 		if err != nil {
 			h.close()
 			return nil, err
 		}
-		h.of = append(h.of, host)
+		h.hosts = append(h.hosts, host)
 	}
-	if _, err := h.all(request{Kind: requestPlan, Regions: regions}); err != nil {
+	if _, err := h.requestAll(request{Kind: requestPlan, Regions: regions}); err != nil {
 		h.close()
 		return nil, err
 	}
@@ -65,66 +66,66 @@
 	if err := h.cmd.Start(); err != nil {
 		return nil, err
 	}
-	h.lines, h.answers = json.NewEncoder(h.in), json.NewDecoder(bufio.NewReader(out))
+	h.requests, h.replies = json.NewEncoder(h.in), json.NewDecoder(bufio.NewReader(out))
 	return h, nil
 }
 
-// call puts a request to the process and waits for the reply.
+// call sends the process a request and waits for the reply.
 func (h *hollowHost) call(r request) (a reply, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if err := h.lines.Encode(r); err != nil {
-		return a, fmt.Errorf("a hollow process does not listen: %w", err)
+	if err := h.requests.Encode(r); err != nil {
+		return a, fmt.Errorf("sending a request to a hollow process: %w", err)
 	}
-	if err := h.answers.Decode(&a); err != nil {
-		return a, fmt.Errorf("a hollow process does not answer: %w", err)
+	if err := h.replies.Decode(&a); err != nil {
+		return a, fmt.Errorf("reading the reply of a hollow process: %w", err)
 	}
 	if a.Error != "" {
-		return a, fmt.Errorf("a hollow process: %s", a.Error)
+		return a, fmt.Errorf("hollow process: %s", a.Error)
 	}
 	return a, nil
 }
 
-// close ends the process: by the end of its input, or else at once.
+// close ends the process by closing its input, and kills it if it has not exited after exitTimeout.
 func (h *hollowHost) close() {
 	h.in.Close()
-	timer := time.AfterFunc(endWithin, func() { h.cmd.Process.Kill() })
+	timer := time.AfterFunc(exitTimeout, func() { h.cmd.Process.Kill() })
 	defer timer.Stop()
 	h.cmd.Wait()
 }
 
-func (h *hollows) close() {
+func (h *hollowHosts) close() {
 	var all sync.WaitGroup
-	for _, host := range h.of {
+	for _, host := range h.hosts {
 		all.Go(host.close)
 	}
 	all.Wait()
 }
 
-// kill ends all processes at once, so that a call under way returns.
-func (h *hollows) kill() {
-	for _, host := range h.of {
+// kill kills all processes, so that a pending call returns.
+func (h *hollowHosts) kill() {
+	for _, host := range h.hosts {
 		host.cmd.Process.Kill()
 	}
 }
 
-func (h *hollows) pids() (out []int) {
-	for _, host := range h.of {
+func (h *hollowHosts) pids() (out []int) {
+	for _, host := range h.hosts {
 		out = append(out, host.cmd.Process.Pid)
 	}
 	return out
 }
 
-// all puts the same request to every process.
-func (h *hollows) all(r request) ([]reply, error) {
-	return h.each(func(int) request { return r })
+// requestAll sends the same request to every process.
+func (h *hollowHosts) requestAll(r request) ([]reply, error) {
+	return h.requestEach(func(int) request { return r })
 }
 
-// each puts a request of its own to every process, at the same time.
-func (h *hollows) each(of func(process int) request) ([]reply, error) {
-	replies, errs := make([]reply, len(h.of)), make([]error, len(h.of))
+// requestEach sends every process a request of its own, all at the same time.
+func (h *hollowHosts) requestEach(of func(process int) request) ([]reply, error) {
+	replies, errs := make([]reply, len(h.hosts)), make([]error, len(h.hosts))
 	var all sync.WaitGroup
-	for i, host := range h.of {
+	for i, host := range h.hosts {
 		all.Go(func() { replies[i], errs[i] = host.call(of(i)) })
 	}
 	all.Wait()
@@ -136,9 +137,9 @@
 	return replies, nil
 }
 
-// start starts nodes and gives what they tell of themselves.
-func (h *hollows) start(plans []NodePlan, node func(NodePlan) hollowNode) (out []memberFacts, err error) {
-	replies, err := h.each(func(process int) request {
+// start starts the hollow nodes among plans and returns their records.
+func (h *hollowHosts) start(plans []NodePlan, node func(NodePlan) hollowNode) (out []memberRecord, err error) {
+	replies, err := h.requestEach(func(process int) request {
 		r := request{Kind: requestStart}
 		for _, n := range plans {
 			if !n.Real && n.Process == process {
@@ -153,9 +154,9 @@
 	return out, err
 }
 
-// end has nodes end, with a word to the others or without.
-func (h *hollows) end(plans []NodePlan, kind requestKind) error {
-	_, err := h.each(func(process int) request {
+// end ends the hollow nodes among plans: killed, or asked to leave, as kind says.
+func (h *hollowHosts) end(plans []NodePlan, kind requestKind) error {
+	_, err := h.requestEach(func(process int) request {
 		r := request{Kind: kind}
 		for _, n := range plans {
 			if !n.Real && n.Process == process {
@@ -167,53 +168,56 @@
 	return err
 }
 
-// known is what all hollow nodes report together.
-type known struct {
-	traffic    []view.Traffic
-	living     map[int]spread
-	nodes      int
-	news       int
-	digests    map[uint64]int // how many nodes have each
-	suspicions int
-	inForce    *hdrhistogram.Histogram
-	gone       *hdrhistogram.Histogram
-	back       *hdrhistogram.Histogram
+// hollowReport is the sum of the reports of all hollow processes.
+type hollowReport struct {
+	traffic        []view.Traffic
+	liveCounts     map[int]countRange
+	nodes          int
+	pendingUpdates int
+	digests        map[uint64]int // number of nodes with each digest
+	suspicions     int
+	inForce        *hdrhistogram.Histogram
+	departed       *hdrhistogram.Histogram
+	returned       *hdrhistogram.Histogram
 }
 
-// see adds what a watch noted.
-func (k *known) see(s seen) {
-	k.gone.Merge(hdrhistogram.Import(s.Gone))
-	k.back.Merge(hdrhistogram.Import(s.Back))
+// addWatch adds the times and counts of a watch.
+func (k *hollowReport) addWatch(s watchReport) {
+	k.departed.Merge(hdrhistogram.Import(s.Departed))
+	k.returned.Merge(hdrhistogram.Import(s.Returned))
 	k.suspicions += s.Suspicions
 }
 
-// report asks all processes.
-func (h *hollows) report() (k known, err error) { return h.ask(request{Kind: requestReport}) }
+// report returns the sum of the reports of all processes, without digests.
+func (h *hollowHosts) report() (k hollowReport, err error) {
+	return h.requestReports(request{Kind: requestReport})
+}
 
-// ask asks all processes for a report.
-func (h *hollows) ask(r request) (k known, err error) {
-	replies, err := h.all(r)
+// requestReports sends a report request to all processes and returns the sum of their reports.
+func (h *hollowHosts) requestReports(r request) (k hollowReport, err error) {
+	replies, err := h.requestAll(r)
 	if err != nil {
 		return k, err
 	}
-	k = known{living: map[int]spread{}, digests: map[uint64]int{}, inForce: newTimes(), gone: newTimes(), back: newTimes()}
+	k = hollowReport{liveCounts: map[int]countRange{}, digests: map[uint64]int{}, inForce: newTimes(),
+		departed: newTimes(), returned: newTimes()}
 	for _, a := range replies {
 		k.traffic = addTraffic(k.traffic, a.Report.Traffic)
-		for region, s := range a.Report.Living {
-			k.living[region] = k.living[region].merge(s)
+		for region, s := range a.Report.LiveCounts {
+			k.liveCounts[region] = k.liveCounts[region].merge(s)
 		}
-		k.nodes, k.news = k.nodes+a.Report.Nodes, k.news+a.Report.News
+		k.nodes, k.pendingUpdates = k.nodes+a.Report.Nodes, k.pendingUpdates+a.Report.PendingUpdates
 		for digest, nodes := range a.Report.Digests {
 			k.digests[digest] += nodes
 		}
-		k.see(a.Report.Seen)
+		k.addWatch(a.Report.Watch)
 		k.inForce.Merge(hdrhistogram.Import(a.Report.InForce))
 	}
 	k.traffic = slices.Clip(k.traffic)
 	return k, nil
 }
 
-// wait ends hollow processes when the context does, so that no call outlasts it.
-func (h *hollows) wait(ctx context.Context) (stop func() bool) {
+// killOnCancel kills the hollow processes when the context ends, so that no call outlives it.
+func (h *hollowHosts) killOnCancel(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, h.kill)
 }
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -10,53 +10,56 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// inForce notes when nodes put a newer version in force than the one before a change. Each node counts once.
-type inForce struct {
-	mu    sync.Mutex
-	began time.Time
-	was   configfeed.Version
-	known map[string]bool // nodes that have it
-	at    *hdrhistogram.Histogram
+// inForceTimes notes how soon each node puts a version in force that is newer than the one before a change. A node counts
+// once for each change.
+type inForceTimes struct {
+	mu       sync.Mutex
+	began    time.Time
+	previous configfeed.Version
+	recorded map[string]bool // nodes that have a newer version in force
+	delays   *hdrhistogram.Histogram
 }
 
-func newInForce() *inForce { return &inForce{known: map[string]bool{}, at: newTimes()} }
+func newInForceTimes() *inForceTimes {
+	return &inForceTimes{recorded: map[string]bool{}, delays: newTimes()}
+}
 
-// begin counts from now on. Nodes that have a newer version already are not counted again where the change is the same
-// one, of which other nodes are to learn.
-func (f *inForce) begin(was configfeed.Version) {
+// begin starts to measure from now on. If previous is the same as before, nodes that already have the change are not
+// counted again: only those that still have to learn of it, such as the nodes of a reconnected region.
+func (f *inForceTimes) begin(previous configfeed.Version) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if was != f.was || f.began.IsZero() {
-		f.known = map[string]bool{}
+	if previous != f.previous || f.began.IsZero() {
+		f.recorded = map[string]bool{}
 	}
-	f.began, f.was, f.at = time.Now(), was, newTimes()
+	f.began, f.previous, f.delays = time.Now(), previous, newTimes()
 }
 
-// installed takes that a node has put a version in force at a moment.
-func (f *inForce) installed(node string, v configfeed.Version, at time.Time) {
+// recordInstalled notes that a node put a version in force at the given time.
+func (f *inForceTimes) recordInstalled(node string, v configfeed.Version, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.began.IsZero() || v.Compare(f.was) <= 0 || f.known[node] {
+	if f.began.IsZero() || v.Compare(f.previous) <= 0 || f.recorded[node] {
 		return
 	}
-	f.known[node] = true
-	f.at.RecordValue(min(max(at.Sub(f.began).Milliseconds(), 1), longestKnown))
+	f.recorded[node] = true
+	f.delays.RecordValue(min(max(at.Sub(f.began).Milliseconds(), 1), maxDetectionMillis))
 }
 
-// look takes what a real node tells of the configuration.
-func (f *inForce) look(node string, c view.Config) {
+// recordConfig notes the configuration that a real node reports as in force.
+func (f *inForceTimes) recordConfig(node string, c view.Config) {
 	seconds := int64(c.Since)
-	f.installed(node, configfeed.Version{Epoch: c.Epoch, Revision: c.Revision},
+	f.recordInstalled(node, configfeed.Version{Epoch: c.Epoch, Revision: c.Revision},
 		time.Unix(seconds, int64((c.Since-float64(seconds))*1e9)))
 }
 
-func (f *inForce) times() *hdrhistogram.Snapshot {
+func (f *inForceTimes) times() *hdrhistogram.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.at.Export()
+	return f.delays.Export()
 }
 
-// controlTraffic counts what a node's follower sent and received as one more kind.
+// controlTraffic returns what a node's follower sent and received as traffic of kind control.
 func controlTraffic(c *view.Config) []view.Traffic {
 	if c == nil {
 		return nil
@@ -65,4 +68,4 @@
 		ReceivedMessages: int(c.Requests), ReceivedBytes: int(c.BytesReceived)}}
 }
 
-const controlKind = "control" // of traffic: polls of control servers, by HTTP
+const controlKind = "control" // kind of traffic: polls of control servers over HTTP
--- a/internal/scale/inforce_test.go
+++ b/internal/scale/inforce_test.go
@@ -10,28 +10,29 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// A node counts once, from a newer version on, and only those that lack it count again for the same change.
+// Guards against in-force times that count a node twice, count an old version, or count a node again when the measurement
+// restarts for the nodes that still lack the same change.
 func TestInForceCountsEachNodeOnce(t *testing.T) {
-	f := newInForce()
+	f := newInForceTimes()
 	version := func(revision uint64) configfeed.Version { return configfeed.Version{Epoch: 1, Revision: revision} }
 	count := func() int64 { return hdrhistogram.Import(f.times()).TotalCount() }
-	f.installed("a", version(5), time.Now()) // before any change
+	f.recordInstalled("a", version(5), time.Now()) // before any change
 	f.begin(version(5))
-	f.installed("a", version(5), time.Now())
-	f.installed("a", version(6), time.Now())
-	f.installed("a", version(7), time.Now())
+	f.recordInstalled("a", version(5), time.Now())
+	f.recordInstalled("a", version(6), time.Now())
+	f.recordInstalled("a", version(7), time.Now())
 	if count() != 1 {
-		t.Errorf("%d nodes, and one has it", count())
+		t.Errorf("%d nodes counted, want 1", count())
 	}
-	f.begin(version(5)) // for those that were cut off
-	f.installed("a", version(6), time.Now())
-	f.look("b", view.Config{Epoch: 1, Revision: 6, Since: float64(time.Now().UnixNano())/1e9 + 2})
+	f.begin(version(5)) // again, for the nodes that were cut off
+	f.recordInstalled("a", version(6), time.Now())
+	f.recordConfig("b", view.Config{Epoch: 1, Revision: 6, Since: float64(time.Now().UnixNano())/1e9 + 2})
 	if h := hdrhistogram.Import(f.times()); h.TotalCount() != 1 || h.Max() < 1900 || h.Max() > 2100 {
-		t.Errorf("%d nodes, the last after %d ms", h.TotalCount(), h.Max())
+		t.Errorf("%d nodes counted, want 1; the last after %d ms, want about 2000 ms", h.TotalCount(), h.Max())
 	}
 	f.begin(version(6))
-	f.installed("a", version(7), time.Now())
+	f.recordInstalled("a", version(7), time.Now())
 	if count() != 1 {
-		t.Errorf("%d nodes after the next change", count())
+		t.Errorf("%d nodes counted after the next change, want 1", count())
 	}
 }
--- a/internal/scale/phase.go
+++ b/internal/scale/phase.go
@@ -1,7 +1,8 @@
 package scale
 
-// phase keeps the costs between two samples, of hollow and of real nodes.
-func (r *run) phase(name string, before, after sample) (hollow, real costs) {
+// recordPhase adds rows for the costs between two samples of hollow and real nodes and of control servers, and returns those of
+// the nodes.
+func (r *run) recordPhase(name string, before, after sample) (hollow, real costs) {
 	hollow, real = hollowCosts(before, after), realCosts(before, after)
 	for _, of := range []struct {
 		kind Kind
@@ -12,7 +13,7 @@
 		}
 		total := of.total()
 		add := func(cost, unit string, value float64) {
-			r.add(Row{Kind: of.kind, OfKind: of.nodes, Phase: name, Cost: cost, Unit: unit, Value: value})
+			r.addRow(Row{Kind: of.kind, NodesOfKind: of.nodes, Phase: name, Cost: cost, Unit: unit, Value: value})
 		}
 		add("cpu", "cores", of.cpu)
 		add("memory", "B", of.memory)
@@ -32,7 +33,7 @@
 			add("received_bytes."+kind, "B/s", t.receivedBytes)
 		}
 		delete(of.traffic, "all")
-		r.say("%s, %s: %.3f%% of a core, %.1f MB, sent %.2f messages and %.0f bytes a second", name, of.kind, 100*of.cpu,
+		r.reportProgress("%s, %s: %.3f%% of a core, %.1f MB, sent %.2f messages and %.0f bytes a second", name, of.kind, 100*of.cpu,
 			of.memory/1e6, total.sentMessages, total.sentBytes)
 	}
 	return hollow, real
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -13,46 +13,47 @@
 )
 
 const (
-	port       = 7000 // of every member's address
-	joinPoints = 5    // members that every node knows at its start
-	// The runs of one machine take a network of their own each: 127.NETWORK.0.0/16.
+	port       = 7000 // port of every member's address
+	joinPoints = 5    // join addresses in every node's fleet file
+	// Concurrent runs on one machine each use a network of their own: 127.NETWORK.0.0/16.
 	firstNetwork, lastNetwork = 100, 250
 )
 
-// NodePlan is one node as it is planned.
+// NodePlan is the planned identity and place of one node.
 type NodePlan struct {
 	Name    string
 	Address string
 	Zone    string
 	Region  int
-	Rack    int // in its zone
+	Rack    int // number of the rack within the zone
 	Real    bool
-	Process int // that hosts it, where it is hollow
+	Process int // hollow process that hosts the node; unused for a real node
 }
 
-// Plan is a fleet of one size.
+// Plan is the planned fleet of one size.
 type Plan struct {
-	ID      string // of the fleet
-	Key     string
-	Nodes   []NodePlan
-	hold    net.Listener          // keeps the network
-	own     string                // the run's own address
-	network int                   // of its addresses
-	control []fleet.ControlServer // that nodes follow; none for not at all
-	via     []map[string]string   // by region, where the control servers are reached
+	ID          string // fleet ID
+	Key         string
+	Nodes       []NodePlan
+	reservation net.Listener          // listener that reserves the network
+	ownAddress  string                // address from which the run sends member lists
+	network     int                   // second byte of all addresses
+	control     []fleet.ControlServer // control servers that nodes follow; empty if they follow none
+	via         []map[string]string   // by region: relay address of each control server
 }
 
-// newPlan plans a fleet: nodes go to the zones in turn, the real ones first, so that every zone has some.
+// newPlan plans a fleet. Nodes are assigned to the zones in turn, the real ones first, so that every zone has some of them.
 func newPlan(s *Script, size int, seed uint64) (*Plan, error) {
-	network, hold, err := takeNetwork()
+	network, hold, err := reserveNetwork()
 	if err != nil {
 		return nil, err
 	}
 	r := rand.New(rand.NewPCG(seed, uint64(size)))
-	p := &Plan{network: network, ID: fmt.Sprintf("scale-%d-%d", seed, size), hold: hold, own: fmt.Sprintf("127.%d.255.254:%d", network, port),
-		Key: hex.EncodeToString(fmt.Appendf(nil, "%016x%016x", r.Uint64(), r.Uint64()))}
+	p := &Plan{network: network, ID: fmt.Sprintf("scale-%d-%d", seed, size), reservation: hold,
+		ownAddress: fmt.Sprintf("127.%d.255.254:%d", network, port),
+		Key:        hex.EncodeToString(fmt.Appendf(nil, "%016x%016x", r.Uint64(), r.Uint64()))}
 	regionOf := map[int]int{}
-	for region, zones := range s.ZonesOf {
+	for region, zones := range s.ZonesPerRegion {
 		for range zones {
 			regionOf[len(regionOf)] = region
 		}
@@ -61,10 +62,10 @@
 	for i := range size {
 		zone := i % zones
 		p.Nodes = append(p.Nodes, NodePlan{Name: fmt.Sprintf("n%04d", i), Zone: string(rune('a' + zone)), Region: regionOf[zone],
-			// The same length for every address, so that messages differ by nothing else.
+			// All addresses have the same length, so that it does not affect the size of messages.
 			Address: fmt.Sprintf("127.%d.%d.%d:%d", network, 100+i/100, 100+i%100, port), Rack: i / zones / s.Rack, Real: i < s.Real})
 	}
-	processes := hollowProcesses(size-s.Real, s.PerProcess)
+	processes := nodesPerProcess(size-s.Real, s.PerProcess)
 	next := s.Real
 	for process, nodes := range processes {
 		for range nodes {
@@ -75,9 +76,9 @@
 	return p, nil
 }
 
-// hollowProcesses gives how many nodes each hollow process hosts: different numbers, so that what a process costs and
-// what a node in it costs can be told apart.
-func hollowProcesses(nodes, mean int) (out []int) {
+// nodesPerProcess returns how many nodes each hollow process hosts. The numbers differ, so that a line fitted through the
+// processes' memory separates the cost of a process from that of a node.
+func nodesPerProcess(nodes, mean int) (out []int) {
 	n := max(nodes/mean, min(3, nodes))
 	rest := nodes
 	for i := range n {
@@ -92,8 +93,8 @@
 	return out
 }
 
-// takeNetwork takes a network of loopback addresses that no other run on this machine has.
-func takeNetwork() (int, net.Listener, error) {
+// reserveNetwork reserves a network of loopback addresses that no other run on this machine uses.
+func reserveNetwork() (int, net.Listener, error) {
 	first := firstNetwork + rand.IntN(lastNetwork-firstNetwork)
 	for i := range lastNetwork - firstNetwork {
 		network := firstNetwork + (first+i)%(lastNetwork-firstNetwork)
@@ -104,10 +105,10 @@
 	return 0, nil, errors.New("no free network of loopback addresses")
 }
 
-func (p *Plan) close() { p.hold.Close() }
+func (p *Plan) close() { p.reservation.Close() }
 
-// file is the fleet file of a node.
-func (p *Plan) file(s *Script, n NodePlan) fleet.Config {
+// fleetFile returns the fleet file of a node.
+func (p *Plan) fleetFile(s *Script, n NodePlan) fleet.Config {
 	c := fleet.Config{Fleet: p.ID, Address: n.Address, Key: p.Key, Zone: n.Zone, Period: s.Period}
 	if len(p.control) > 0 {
 		c.Region, c.Control, c.Via = regionName(n.Region), p.control, maps.Clone(p.via[n.Region])
@@ -119,8 +120,8 @@
 	return c
 }
 
-// follow has all nodes follow control servers.
-func (p *Plan) follow(c *controls) {
+// followControlServers sets the control servers that all nodes follow.
+func (p *Plan) followControlServers(c *controlServers) {
 	for _, server := range c.servers {
 		p.control = append(p.control, fleet.ControlServer{Name: server.name, Address: server.address, Region: regionName(server.region)})
 	}
@@ -131,7 +132,8 @@
 	}
 }
 
-// introduce tells the nodes at some addresses of all members that run.
-func (p *Plan) introduce(ctx context.Context, members []memberFacts, to []string) error {
-	return fleet.Introduce(ctx, fleet.Config{Fleet: p.ID, Key: p.Key, Address: p.own}, facts(members), to, introducePause)
+// sendMembers sends the records of members to the nodes at the addresses in to.
+func (p *Plan) sendMembers(ctx context.Context, members []memberRecord, to []string) error {
+	return fleet.Introduce(ctx, fleet.Config{Fleet: p.ID, Key: p.Key, Address: p.ownAddress}, membersOf(members), to,
+		memberMessageInterval)
 }
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Every zone has its part of the nodes and some real ones, racks are full, and addresses differ by nothing that would make
-// one node's messages longer.
+// Guards against zones without real nodes, racks that are not full, names or addresses of different lengths (they would make
+// one node's messages longer), and hollow processes too equal in size to fit the memory of a node.
 func TestPlanSpreadsNodesOverZones(t *testing.T) {
 	s, err := Read("script", []byte("sizes = [860]\nreal = 16\n"))
 	if err != nil {
@@ -23,7 +23,7 @@
 		regions[n.Region]++
 		addresses[n.Address] = true
 		if len(n.Address) != len(p.Nodes[0].Address) || len(n.Name) != len(p.Nodes[0].Name) {
-			t.Errorf("%s at %s: another length", n.Name, n.Address)
+			t.Errorf("%s at %s: length differs from the first node's", n.Name, n.Address)
 		}
 		if n.Rack == 0 {
 			racks[n.Zone]++
@@ -47,15 +47,15 @@
 		least, most = min(least, n), max(most, n)
 	}
 	if least*2 > most {
-		t.Errorf("processes of %d to %d nodes: too even to tell a node's memory from a process's", least, most)
+		t.Errorf("processes host %d to %d nodes: too equal to separate the memory of a node from that of a process", least, most)
 	}
 }
 
-// All nodes are hosted, whatever the number of processes.
-func TestHollowProcessesHostAllNodes(t *testing.T) {
+// Guards against nodes that no process hosts, and processes without nodes, for any mean number of nodes per process.
+func TestNodesPerProcessCoversAllNodes(t *testing.T) {
 	for _, c := range []struct{ nodes, mean int }{{1, 100}, {2, 1}, {34, 12}, {844, 100}, {1704, 70}, {3, 500}} {
 		sum := 0
-		for _, n := range hollowProcesses(c.nodes, c.mean) {
+		for _, n := range nodesPerProcess(c.nodes, c.mean) {
 			if n < 1 {
 				t.Errorf("%+v: a process without a node", c)
 			}
@@ -67,8 +67,8 @@
 	}
 }
 
-// Two runs of one machine have networks of their own.
-func TestPlansShareNoAddress(t *testing.T) {
+// Guards against two concurrent runs on one machine that use the same addresses.
+func TestConcurrentPlansShareNoAddress(t *testing.T) {
 	s, err := Read("script", []byte("sizes = [20]\nreal = 3\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -84,6 +84,6 @@
 	}
 	defer b.close()
 	if a.Nodes[0].Address == b.Nodes[0].Address {
-		t.Errorf("both at %s", a.Nodes[0].Address)
+		t.Errorf("both plans use %s", a.Nodes[0].Address)
 	}
 }
--- a/internal/scale/play_test.go
+++ b/internal/scale/play_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// The test's program is a hollow process itself where this names a way to serve: as it is, or with wrong nodes.
+// The test program itself runs as a hollow process if this environment variable names a role: unmodified, or with faulty nodes.
 const (
-	hollowRole   = "GORSELEDGE_TEST_HOLLOW"
-	rightHollow  = "right"
-	hastyHollow  = "hasty"  // probes twice as often as its period says
-	adriftHollow = "adrift" // one of its nodes follows no control server
+	hollowRoleVariable = "GORSELEDGE_TEST_HOLLOW"
+	unmodifiedHollow   = "unmodified"
+	doubleRateHollow   = "double-rate"  // its nodes probe twice as often as their period says
+	unconfiguredHollow = "unconfigured" // one of its nodes follows no control server
 )
 
 // program and controlProgram are the built node and control server, the same for all tests.
@@ -25,17 +25,17 @@
 
 func TestMain(m *testing.M) {
 	change := func(*hollowNode) {}
-	switch os.Getenv(hollowRole) {
-	case hastyHollow:
+	switch os.Getenv(hollowRoleVariable) {
+	case doubleRateHollow:
 		change = func(n *hollowNode) { n.Fleet.Period /= 2 }
-	case adriftHollow:
+	case unconfiguredHollow:
 		change = func(n *hollowNode) {
 			if n.Name == "n0019" {
 				n.Fleet.Control = nil
 			}
 		}
 	}
-	if os.Getenv(hollowRole) != "" {
+	if os.Getenv(hollowRoleVariable) != "" {
 		if err := serveHollow(context.Background(), os.Stdin, os.Stdout, change); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -57,13 +57,13 @@
 	os.Exit(code)
 }
 
-// options are those of a run whose hollow processes are this program in a role.
+// options returns the options of a run whose hollow processes are this program in a role.
 func options(t *testing.T, role string, progress func(string)) Options {
-	return Options{Program: program, Control: controlProgram, Hollow: []string{"/usr/bin/env", hollowRole + "=" + role, os.Args[0]}, Seed: 1, Dir: t.TempDir(),
+	return Options{Program: program, Control: controlProgram, Hollow: []string{"/usr/bin/env", hollowRoleVariable + "=" + role, os.Args[0]}, Seed: 1, Dir: t.TempDir(),
 		Progress: progress}
 }
 
-// children gives the processes that run under this one.
+// children returns the running child processes of this one.
 func children(t *testing.T) (out []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -73,7 +73,7 @@
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // the process has ended
 		}
 		_, rest, _ := strings.Cut(string(text), ") ")
 		if fields := strings.Fields(rest); len(fields) > 1 && fields[0] != "Z" && fields[1] == strconv.Itoa(os.Getpid()) {
@@ -83,31 +83,31 @@
 	return out
 }
 
-// The small script that an operator plays: hollow nodes, real ones and the virtual clock agree, a death is known to all,
-// the node that is back as well, and nothing is left running.
-func TestSmallFleetHolds(t *testing.T) {
+// Guards against a broken run of the small script that operators use: hollow nodes, real nodes and the virtual clock agree, a
+// death and the return are detected by nearly all nodes, changes reach all of them, and no process is left running.
+func TestSmallFleetHasNoViolations(t *testing.T) {
 	s, err := ReadFile("../../docs/scenarios/scale-small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(t.Context(), s, s.Sizes[0], options(t, rightHollow, func(line string) { t.Log(line) }))
+	r, err := Run(t.Context(), s, s.Sizes[0], options(t, unmodifiedHollow, func(line string) { t.Log(line) }))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Violations {
-		t.Error(b)
+	for _, v := range r.Violations {
+		t.Error(v)
 	}
 	for _, c := range []struct {
 		kind        Kind
 		phase, cost string
-		least, most float64
+		min, max    float64
 	}{{Hollow, "rest", "sent_messages.ping", 1 / s.Period / 2, 1 / s.Period * 1.1}, {Real, "rest", "cpu", 1e-5, 1},
 		{Hollow, "rest", "memory", 1e4, 1e8}, {Fleet, "kill", "gone_known_by", 0.9, 1}, {Fleet, "kill-back", "back_known_by", 0.9, 1},
 		{Fleet, "change-server-fault", "in_force_by", 1, 1}, {Fleet, "change-region-cut", "in_force_by", 1, 1},
-		{Fleet, "change-region-cut-back", "in_force_last", 0, s.Force}, {Hollow, "rest", "sent_bytes.control", 1, 15e3},
+		{Fleet, "change-region-cut-back", "in_force_last", 0, s.InForceBound}, {Hollow, "rest", "sent_bytes.control", 1, 15e3},
 		{Server, "rest", "memory", 1e6, 1e8}} {
-		if x, found := find(r.Rows, r.Size, c.kind, c.phase, c.cost); !found || x < c.least || x > c.most {
-			t.Errorf("%s, %s: %s is %g (%v), wanted %g to %g", c.kind, c.phase, c.cost, x, found, c.least, c.most)
+		if x, found := findValue(r.Rows, r.Size, c.kind, c.phase, c.cost); !found || x < c.min || x > c.max {
+			t.Errorf("%s, %s: %s is %g (found: %v), want %g to %g", c.kind, c.phase, c.cost, x, found, c.min, c.max)
 		}
 	}
 	if left := children(t); len(left) > 0 {
@@ -117,40 +117,41 @@
 
 const shortScript = "sizes = [20]\nreal = 4\nper_process = 10\nrack = 2\nperiod_s = 0.2\ncpu_cores = 1\n"
 
-// A hollow node that probes twice as often as the real ones is caught.
-func TestWrongHollowNodeIsCaught(t *testing.T) {
+// Guards against a comparison of hollow and real nodes that never fires: hollow nodes that probe twice as often violate it.
+func TestDoubleProbeRateIsAViolation(t *testing.T) {
 	s, err := Read("script", []byte(shortScript+"at_rest = false\nrest_s = 4\ntolerance = 0.25\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(t.Context(), s, 20, options(t, hastyHollow, nil))
+	r, err := Run(t.Context(), s, 20, options(t, doubleRateHollow, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Violations {
-		if b.Rule == RuleTruth {
+	for _, v := range r.Violations {
+		if v.Rule == RuleHollowMatchesReal {
 			return
 		}
 	}
-	t.Errorf("nothing was caught: %v", r.Violations)
+	t.Errorf("no violation of the comparison of hollow and real nodes: %v", r.Violations)
 }
 
-// A node that does not put a change in force is caught, and nothing else is.
-func TestNodeWithoutTheChangeIsCaught(t *testing.T) {
+// Guards against an in-force check that never fires, or fires without a fault: a node that follows no control server is the
+// only violation.
+func TestNodeWithoutTheChangeIsAViolation(t *testing.T) {
 	s, err := Read("script", []byte(shortScript+"control = [2, 2, 1]\ntolerance = 1.0\nat_rest = false\nrest_s = 1\npause_s = 0\nchange_s = 0\n"+
 		"\n[[event]]\nkind = \"change\"\nwindow_s = 4\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		role   string
-		breaks int
-	}{{rightHollow, 0}, {adriftHollow, 1}} {
+		role       string
+		violations int
+	}{{unmodifiedHollow, 0}, {unconfiguredHollow, 1}} {
 		r, err := Run(t.Context(), s, 20, options(t, c.role, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(r.Violations) != c.breaks || c.breaks > 0 && r.Violations[0].Rule != RuleForce {
+		if len(r.Violations) != c.violations || c.violations > 0 && r.Violations[0].Rule != RuleInForce {
 			t.Errorf("%s: %v", c.role, r.Violations)
 		}
 		if left := children(t); len(left) > 0 {
@@ -159,7 +160,7 @@
 	}
 }
 
-// An interrupt ends the run at once and leaves no process.
+// Guards against processes that outlive an interrupted run, and against a run that does not end on an interrupt.
 func TestInterruptLeavesNoProcess(t *testing.T) {
 	s, err := Read("script", []byte(shortScript))
 	if err != nil {
@@ -168,38 +169,41 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	began := time.Now()
-	_, err = Run(ctx, s, 20, options(t, rightHollow, func(line string) {
-		if strings.Contains(line, "all know all") {
+	_, err = Run(ctx, s, 20, options(t, unmodifiedHollow, func(line string) {
+		if strings.Contains(line, "all nodes know each other") {
 			if len(children(t)) < 6 {
-				t.Error("the processes that should end do not run")
+				t.Error("the processes that the interrupt should end are not running")
 			}
 			cancel()
 		}
 	}))
 	if err == nil || ctx.Err() == nil {
-		t.Errorf("it says that all went well: %v", err)
+		t.Errorf("interrupted run returned %v, want an error", err)
 	}
-	if took := time.Since(began); took > patience {
-		t.Errorf("it took %v", took)
+	if took := time.Since(began); took > testTimeout {
+		t.Errorf("the run took %v to end", took)
 	}
 	if left := children(t); len(left) > 0 {
 		t.Errorf("left running: %v", left)
 	}
 }
 
-// A run ends itself with a message before it passes a bound, and leaves no process.
-func TestRunEndsBeforeItsBound(t *testing.T) {
-	for _, c := range []struct{ bound, says string }{{"total_memory_mb = 100\n", "MB of 100"}, {"minutes = 0.1\n", "minutes of 0.1"}} {
-		s, err := Read("script", []byte(shortScript+c.bound))
+// Guards against a run that exceeds its limit of memory or time: it ends with an error before, keeps what it measured, and
+// leaves no process.
+func TestRunEndsBeforeItExceedsALimit(t *testing.T) {
+	for _, c := range []struct{ limit, message string }{
+		{"total_memory_mb = 100\n", "MB of 100"}, {"minutes = 0.1\n", "minutes of 0.1"},
+	} {
+		s, err := Read("script", []byte(shortScript+c.limit))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := Run(t.Context(), s, 20, options(t, rightHollow, nil))
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v", c.bound, err)
+		r, err := Run(t.Context(), s, 20, options(t, unmodifiedHollow, nil))
+		if err == nil || !strings.Contains(err.Error(), c.message) {
+			t.Errorf("%s: %v", c.limit, err)
 		}
 		if r == nil || len(r.Rows) == 0 {
-			t.Errorf("%s: what was measured before is lost", c.bound)
+			t.Errorf("%s: the rows measured before the end are missing", c.limit)
 		}
 		if left := children(t); len(left) > 0 {
 			t.Errorf("left running: %v", left)
@@ -207,15 +211,15 @@
 	}
 }
 
-// A hollow process that dies ends the run with an error.
+// Guards against a run that hangs or succeeds when a hollow process dies.
 func TestDeadHollowProcessEndsTheRun(t *testing.T) {
 	s, err := Read("script", []byte(shortScript))
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := options(t, rightHollow, nil)
+	o := options(t, unmodifiedHollow, nil)
 	o.Hollow = []string{"/bin/true"}
 	if _, err := Run(t.Context(), s, 20, o); err == nil || !strings.Contains(err.Error(), "hollow process") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one about the hollow process", err)
 	}
 }
--- a/internal/scale/protocol.go
+++ b/internal/scale/protocol.go
@@ -9,24 +9,24 @@
 	"gorseledge/internal/membership"
 )
 
-// The run and a hollow process exchange JSON objects, one a line: a request on its standard input, a reply on its
-// standard output. The process ends when its input does.
+// The run and a hollow process exchange JSON objects, one per line: requests on the process's standard input, replies on its
+// standard output. The process exits when its input ends.
 
-// requestKind says what a hollow process is asked for.
+// requestKind is what a hollow process is asked to do.
 type requestKind string
 
 const (
-	requestPlan    requestKind = "plan"    // Regions: of every address
-	requestStart   requestKind = "start"   // Nodes
-	requestKill    requestKind = "kill"    // Names: their sockets are closed without a word
-	requestLeave   requestKind = "leave"   // Names: they say that they go
-	requestCut     requestKind = "cut"     // CutRegions: each of them hears only itself; none mends all
-	requestWatch   requestKind = "watch"   // Names: when each node knows that they are gone is noted from now on
-	requestMembers requestKind = "members" // what the nodes that run tell of themselves
-	requestReturn  requestKind = "return"  // Members: watched ones that are back, whose start is to become known
-	requestChange  requestKind = "change"  // Version: when nodes have a newer one in force is noted from now on
-	requestReport  requestKind = "report"  // what the process and its nodes have spent and know
-	requestCheck   requestKind = "check"   // Names: those that run and are to be held for living by every node
+	requestPlan    requestKind = "plan"    // Regions is the region of every address
+	requestStart   requestKind = "start"   // starts Nodes
+	requestKill    requestKind = "kill"    // kills Names: their sockets are closed without a last message
+	requestLeave   requestKind = "leave"   // has Names leave, which they announce
+	requestCut     requestKind = "cut"     // cuts off each of CutRegions; without any, ends all cuts
+	requestWatch   requestKind = "watch"   // from now on, notes when each node learns that Names are gone
+	requestMembers requestKind = "members" // returns the records of the running nodes
+	requestReturn  requestKind = "return"  // from now on, notes when each node learns that Members, which were watched, are back
+	requestChange  requestKind = "change"  // from now on, notes when nodes put a version newer than Version in force
+	requestReport  requestKind = "report"  // returns what the nodes have sent and know
+	requestCheck   requestKind = "check"   // compares the nodes' views with Expected
 )
 
 // request is one line to a hollow process.
@@ -34,25 +34,25 @@
 	Kind       requestKind        `json:"kind"`
 	Nodes      []hollowNode       `json:"nodes,omitempty"`
 	Names      []string           `json:"names,omitempty"`
-	Members    []memberFacts      `json:"members,omitempty"`
+	Members    []memberRecord     `json:"members,omitempty"`
 	Regions    map[string]int     `json:"regions,omitempty"`
-	Digests    bool               `json:"digests,omitempty"` // report: with the digests of what nodes know
+	Digests    bool               `json:"digests,omitempty"` // report: include the digests of the nodes' views
 	Version    configfeed.Version `json:"version,omitzero"`
 	CutRegions []int              `json:"cut_regions,omitempty"`
 	Expected   []expectation      `json:"expected,omitempty"`
 }
 
-// hollowNode is what a hollow process needs to start one.
+// hollowNode is what a hollow process needs to start a node.
 type hollowNode struct {
-	Name    string       `json:"name"`
-	Region  int          `json:"region"`
-	Seed    uint64       `json:"seed"`
-	Build   string       `json:"build"`
-	Settled int          `json:"settled"` // nodes that its settings speak of
-	Fleet   fleet.Config `json:"fleet"`
+	Name            string       `json:"name"`
+	Region          int          `json:"region"`
+	Seed            uint64       `json:"seed"`
+	Build           string       `json:"build"`
+	ConfiguredNodes int          `json:"settled"` // number of nodes in its settings
+	Fleet           fleet.Config `json:"fleet"`
 }
 
-// expectation is whom the nodes of a region are to hold for living.
+// expectation is the set of members that the nodes of a region should see as live.
 type expectation struct {
 	Region int      `json:"region"`
 	Names  []string `json:"names"`
@@ -60,15 +60,15 @@
 
 // reply is one line from a hollow process.
 type reply struct {
-	Error   string        `json:"error,omitempty"`
-	Members []memberFacts `json:"members,omitempty"` // start, members: as the nodes tell of themselves
-	Report  *report       `json:"report,omitempty"`
-	Wrong   int           `json:"wrong,omitempty"` // check: pairs of a node and a member that it holds wrongly
-	First   string        `json:"first,omitempty"` // of them
+	Error   string         `json:"error,omitempty"`
+	Members []memberRecord `json:"members,omitempty"` // start, members: the nodes' own records
+	Report  *report        `json:"report,omitempty"`
+	Wrong   int            `json:"wrong,omitempty"` // check: pairs of a node and a member whose state it has wrong
+	First   string         `json:"first,omitempty"` // check: the first of these pairs
 }
 
-// memberFacts are what a node tells of itself.
-type memberFacts struct {
+// memberRecord is what a node reports of itself.
+type memberRecord struct {
 	Name        string `json:"name"`
 	Start       uint64 `json:"start"`
 	Incarnation uint32 `json:"incarnation"`
@@ -78,12 +78,12 @@
 	Ready       bool   `json:"ready"`
 }
 
-func factsOf(m membership.Member) memberFacts {
-	return memberFacts{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Address: m.Address, Zone: m.Zone, Build: m.Build,
+func recordOf(m membership.Member) memberRecord {
+	return memberRecord{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Address: m.Address, Zone: m.Zone, Build: m.Build,
 		Ready: m.Ready}
 }
 
-func facts(of []memberFacts) (out []membership.Member) {
+func membersOf(of []memberRecord) (out []membership.Member) {
 	for _, m := range of {
 		out = append(out, membership.Member{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Address: m.Address, Zone: m.Zone,
 			Build: m.Build, Ready: m.Ready})
@@ -91,33 +91,33 @@
 	return out
 }
 
-// report is what a hollow process and its nodes have spent since their start, and what they know.
+// report is what the nodes of a hollow process have sent and received since its start, and what they know.
 type report struct {
-	Nodes   int                    `json:"nodes"` // that run
-	Traffic []view.Traffic         `json:"traffic"`
-	Living  map[int]spread         `json:"living"`            // by region: how many members its nodes hold for living
-	News    int                    `json:"news"`              // members that the nodes still tell of, over all nodes
-	Digests map[uint64]int         `json:"digests,omitempty"` // how many nodes have each
-	Seen    seen                   `json:"seen"`
-	InForce *hdrhistogram.Snapshot `json:"in_force"` // milliseconds, one for each node
+	Nodes          int                    `json:"nodes"` // running nodes
+	Traffic        []view.Traffic         `json:"traffic"`
+	LiveCounts     map[int]countRange     `json:"living"`            // by region: number of live members in its nodes' views
+	PendingUpdates int                    `json:"news"`              // membership updates left to gossip, summed over the nodes
+	Digests        map[uint64]int         `json:"digests,omitempty"` // number of nodes with each digest
+	Watch          watchReport            `json:"seen"`
+	InForce        *hdrhistogram.Snapshot `json:"in_force"` // milliseconds from the change, one value per node
 }
 
-// spread is the least and the most of a figure.
-type spread struct {
-	Least int `json:"least"`
-	Most  int `json:"most"`
+// countRange is the smallest and the largest of several counts. The zero value is an empty range.
+type countRange struct {
+	Min int `json:"least"`
+	Max int `json:"most"`
 }
 
-func (s spread) with(x int) spread {
-	if s.Most == 0 {
-		return spread{x, x}
+func (s countRange) include(x int) countRange {
+	if s.Max == 0 {
+		return countRange{x, x}
 	}
-	return spread{min(s.Least, x), max(s.Most, x)}
+	return countRange{min(s.Min, x), max(s.Max, x)}
 }
 
-func (s spread) merge(other spread) spread {
-	if other.Most == 0 {
+func (s countRange) merge(other countRange) countRange {
+	if other.Max == 0 {
 		return s
 	}
-	return s.with(other.Least).with(other.Most)
+	return s.include(other.Min).include(other.Max)
 }
--- a/internal/scale/reals.go
+++ b/internal/scale/reals.go
@@ -14,30 +14,31 @@
 	"gorseledge/internal/rig"
 )
 
-// reals are the real nodes of a run, and the relays between those of different regions.
-type reals struct {
-	nodes   *rig.Nodes
-	of      []*real
-	relays  map[[2]int]*rig.Relay
-	watch   *watch
-	inForce *inForce
-	mu      sync.Mutex
-	exits   []string // of processes that nobody ended
-	stopped map[int]bool
+// realNodes are the real nodes of a run, and the relays between those of different regions.
+type realNodes struct {
+	rigNodes *rig.Nodes
+	nodes    []*realNode
+	relays   map[[2]int]*rig.Relay
+	watch    *watch
+	inForce  *inForceTimes
+	mu       sync.Mutex
+	exits    []string // processes that exited on their own
+	stopped  map[int]bool
 }
 
-// real is one of them.
-type real struct {
+// realNode is one real node.
+type realNode struct {
 	plan NodePlan
 	node *rig.Node
 }
 
-const readyWithin = 30 * time.Second
+const nodeReadyTimeout = 30 * time.Second
 
-// startReals starts the plan's real nodes; nothing of it is left running where it gives an error.
-func startReals(s *Script, p *Plan, program, dir string, seed uint64) (r *reals, err error) {
-	r = &reals{relays: map[[2]int]*rig.Relay{}, watch: newWatch(), inForce: newInForce(), stopped: map[int]bool{}}
-	r.nodes, err = rig.NewNodes(rig.NodesOptions{Program: program, Dir: dir, Seed: seed, Hosts: s.Hosts, Flows: s.Flows, Observe: r.see})
+// startReals starts the plan's real nodes. If it returns an error, none of them is left running.
+func startReals(s *Script, p *Plan, program, dir string, seed uint64) (r *realNodes, err error) {
+	r = &realNodes{relays: map[[2]int]*rig.Relay{}, watch: newWatch(), inForce: newInForceTimes(), stopped: map[int]bool{}}
+	r.rigNodes, err = rig.NewNodes(rig.NodesOptions{Program: program, Dir: dir, Seed: seed, Hosts: s.Hosts,
+		Flows: s.FlowRate, Observe: r.handleEvent})
 	if err != nil {
 		return nil, err
 	}
@@ -48,17 +49,17 @@
 	}()
 	for _, n := range p.Nodes {
 		if n.Real {
-			node, err := r.nodes.Add(n.Name, p.file(s, n))
+			node, err := r.rigNodes.Add(n.Name, p.fleetFile(s, n))
 			if err != nil {
 				return nil, err
 			}
-			r.of = append(r.of, &real{n, node})
+			r.nodes = append(r.nodes, &realNode{n, node})
 		}
 	}
 	if err := r.connect(seed); err != nil {
 		return nil, err
 	}
-	for _, one := range r.of {
+	for _, one := range r.nodes {
 		if err := one.node.Prepare(len(p.Nodes)); err != nil {
 			return nil, err
 		}
@@ -69,13 +70,13 @@
 	return r, nil
 }
 
-// connect puts a relay between each two real nodes of different regions: what hollow nodes filter, it cuts.
-func (r *reals) connect(seed uint64) error {
-	for i, from := range r.of {
+// connect puts a relay between each pair of real nodes of different regions. Relays cut what hollow nodes filter.
+func (r *realNodes) connect(seed uint64) error {
+	for i, from := range r.nodes {
 		if from.node.File.Via == nil {
 			from.node.File.Via = map[string]string{}
 		}
-		for k, to := range r.of {
+		for k, to := range r.nodes {
 			if from.plan.Region == to.plan.Region {
 				continue
 			}
@@ -90,43 +91,43 @@
 	return nil
 }
 
-// see takes what a node's log or end tells.
-func (r *reals) see(e rig.Event) {
+// handleEvent handles a state change in a node's log, or the exit of a node.
+func (r *realNodes) handleEvent(e rig.Event) {
 	switch e.Kind {
 	case "member":
 		for _, state := range []membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left} {
 			if e.State == state.String() {
-				r.watch.see(r.of[e.Node].plan.Name, e.Member, state)
+				r.watch.observe(r.nodes[e.Node].plan.Name, e.Member, state)
 			}
 		}
 	case "exit":
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if !r.stopped[e.Node] {
-			r.exits = append(r.exits, fmt.Sprintf("%s: %s", r.of[e.Node].plan.Name, e.Note))
+			r.exits = append(r.exits, fmt.Sprintf("%s: %s", r.nodes[e.Node].plan.Name, e.Note))
 		}
 	}
 }
 
-// ended gives the processes that ended by themselves.
-func (r *reals) ended() []string {
+// unexpectedExits returns the processes that exited on their own.
+func (r *realNodes) unexpectedExits() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.exits)
 }
 
-// cut cuts the relays from and to regions, or mends them all.
-func (r *reals) cut(c *cutNetwork) {
+// cut cuts the relays that the network blocks and restores all others.
+func (r *realNodes) cut(c *cutNetwork) {
 	for pair, relay := range r.relays {
-		cut := c.drops(r.of[pair[0]].plan.Region, r.of[pair[1]].plan.Region)
+		cut := c.blocks(r.nodes[pair[0]].plan.Region, r.nodes[pair[1]].plan.Region)
 		relay.Set(func(w *rig.LinkConditions) { w.Cut = cut })
 	}
 }
 
-// end ends nodes: killed, or asked to leave.
-func (r *reals) end(plans []NodePlan, kind requestKind) {
+// end ends the real nodes among plans: killed, or asked to leave, as kind says.
+func (r *realNodes) end(plans []NodePlan, kind requestKind) {
 	var all sync.WaitGroup
-	for i, one := range r.of {
+	for i, one := range r.nodes {
 		if !slices.ContainsFunc(plans, func(n NodePlan) bool { return n.Name == one.plan.Name }) {
 			continue
 		}
@@ -142,9 +143,9 @@
 	all.Wait()
 }
 
-// start starts nodes again.
-func (r *reals) start(plans []NodePlan) error {
-	for i, one := range r.of {
+// start restarts the real nodes among plans.
+func (r *realNodes) start(plans []NodePlan) error {
+	for i, one := range r.nodes {
 		if !slices.ContainsFunc(plans, func(n NodePlan) bool { return n.Name == one.plan.Name }) {
 			continue
 		}
@@ -158,49 +159,49 @@
 	return nil
 }
 
-// facts waits until nodes are ready, and gives what they tell of themselves.
-func (r *reals) facts(ctx context.Context, plans []NodePlan) (out []memberFacts, err error) {
-	ctx, stop := context.WithTimeout(ctx, readyWithin)
+// memberRecords waits until the real nodes among plans are ready, and returns their records.
+func (r *realNodes) memberRecords(ctx context.Context, plans []NodePlan) (out []memberRecord, err error) {
+	ctx, stop := context.WithTimeout(ctx, nodeReadyTimeout)
 	defer stop()
-	for _, one := range r.of {
+	for _, one := range r.nodes {
 		if !slices.ContainsFunc(plans, func(n NodePlan) bool { return n.Name == one.plan.Name }) {
 			continue
 		}
 		for {
-			if m, ready := r.self(ctx, one); ready {
+			if m, ready := r.ownRecord(ctx, one); ready {
 				out = append(out, m)
 				break
 			}
 			select {
 			case <-time.After(50 * time.Millisecond):
 			case <-ctx.Done():
-				return nil, fmt.Errorf("%s is not ready: %w", one.plan.Name, context.Cause(ctx))
+				return nil, fmt.Errorf("waiting for node %s to be ready: %w", one.plan.Name, context.Cause(ctx))
 			}
 		}
 	}
 	return out, nil
 }
 
-func (r *reals) self(ctx context.Context, one *real) (memberFacts, bool) {
+func (r *realNodes) ownRecord(ctx context.Context, one *realNode) (memberRecord, bool) {
 	v, err := one.node.View(ctx)
 	if err != nil {
-		return memberFacts{}, false
+		return memberRecord{}, false
 	}
 	for _, m := range v.Members {
 		if m.Name == v.Self {
-			return memberFacts{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Address: m.Address, Zone: m.Zone,
+			return memberRecord{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Address: m.Address, Zone: m.Zone,
 				Build: m.Build, Ready: m.Ready}, m.Ready
 		}
 	}
-	return memberFacts{}, false
+	return memberRecord{}, false
 }
 
-// views asks the nodes that run, by their place.
-func (r *reals) views(ctx context.Context) map[int]view.View {
+// views returns the views of the running nodes, by index.
+func (r *realNodes) views(ctx context.Context) map[int]view.View {
 	out := map[int]view.View{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	for i, one := range r.of {
+	for i, one := range r.nodes {
 		if one.node.PID() == 0 {
 			continue
 		}
@@ -209,7 +210,7 @@
 			if err != nil {
 				return
 			}
-			r.look(v)
+			r.checkReturned(v)
 			mu.Lock()
 			defer mu.Unlock()
 			out[i] = v
@@ -219,12 +220,12 @@
 	return out
 }
 
-// configs asks the nodes that run for the configuration that they have in force, by their place.
-func (r *reals) configs(ctx context.Context) map[int]view.Config {
+// configs returns the configuration that each running node has in force, by index.
+func (r *realNodes) configs(ctx context.Context) map[int]view.Config {
 	out := map[int]view.Config{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	for i, one := range r.of {
+	for i, one := range r.nodes {
 		if one.node.PID() == 0 || len(one.node.File.Control) == 0 {
 			continue
 		}
@@ -233,7 +234,7 @@
 			if err != nil {
 				return
 			}
-			r.inForce.look(one.plan.Name, c)
+			r.inForce.recordConfig(one.plan.Name, c)
 			mu.Lock()
 			defer mu.Unlock()
 			out[i] = c
@@ -243,9 +244,9 @@
 	return out
 }
 
-// look has the watch see which members a node knows to be back.
-func (r *reals) look(v view.View) {
-	if !r.watch.looks() {
+// checkReturned notes in the watch which members a node knows to be back.
+func (r *realNodes) checkReturned(v view.View) {
+	if !r.watch.expectsReturns() {
 		return
 	}
 	members := map[string]membership.Member{}
@@ -254,14 +255,14 @@
 			members[m.Name] = membership.Member{Name: m.Name, Start: m.Start}
 		}
 	}
-	r.watch.look(v.Self, func(name string) (membership.Member, bool) {
-		m, living := members[name]
-		return m, living
+	r.watch.checkReturned(v.Self, func(name string) (membership.Member, bool) {
+		m, live := members[name]
+		return m, live
 	})
 }
 
-func (r *reals) pids() (out []int) {
-	for _, one := range r.of {
+func (r *realNodes) pids() (out []int) {
+	for _, one := range r.nodes {
 		if pid := one.node.PID(); pid != 0 {
 			out = append(out, pid)
 		}
@@ -269,23 +270,23 @@
 	return out
 }
 
-// close ends everything. It may be called while nodes are being started.
-func (r *reals) close() {
+// close ends all nodes and relays. It may be called while nodes are being started.
+func (r *realNodes) close() {
 	r.mu.Lock()
-	for i := range r.of {
+	for i := range r.nodes {
 		r.stopped[i] = true
 	}
 	r.mu.Unlock()
-	r.nodes.Close()
+	r.rigNodes.Close()
 	for _, relay := range r.relays {
 		relay.Close()
 	}
 }
 
-// flows tells how the clients' flows were answered.
-func (r *reals) flows() string {
+// flows returns the number of clients' flows by answer, on one line.
+func (r *realNodes) flows() string {
 	var out []string
-	for answer, n := range r.nodes.Flows() {
+	for answer, n := range r.rigNodes.Flows() {
 		out = append(out, answer+" "+strconv.Itoa(n))
 	}
 	slices.Sort(out)
--- a/internal/scale/row_test.go
+++ b/internal/scale/row_test.go
@@ -14,7 +14,8 @@
 	{100, Fleet, 100, "kill", "gone_last", "s", 18.6},
 }
 
-// A table is read as it was written, with where it comes from.
+// Guards against a table whose rows or provenance change between writing and reading, and against malformed tables that are
+// accepted.
 func TestTableIsReadAsWritten(t *testing.T) {
 	from := []string{"gorseledge-lab scale test, seed 1", "beside it: nothing"}
 	text := CSV(from, someRows)
@@ -22,31 +23,31 @@
 	if err != nil || !slices.Equal(got, someRows) || !slices.Equal(gotFrom, from) {
 		t.Errorf("%v %v %v", gotFrom, got, err)
 	}
-	for _, wrong := range []string{"", "nodes,kind\n1,2\n", strings.Replace(string(text), "0.0003", "soon", 1)} {
+	for _, wrong := range []string{"", "nodes,kind\n1,2\n", strings.Replace(string(text), "0.0003", "invalid", 1)} {
 		if _, _, err := ReadCSV(strings.NewReader(wrong)); err == nil {
-			t.Errorf("read: %q", wrong)
+			t.Errorf("malformed table accepted: %q", wrong)
 		}
 	}
 }
 
-// A line's fit gives back the line; what is left over is of the points that do not lie on it.
-func TestFitGivesTheLine(t *testing.T) {
+// Guards against a fit that does not recover an exact line, or whose residual or slope error is wrong for points off the line.
+func TestFitRecoversTheLine(t *testing.T) {
 	f := fitLine([]float64{50, 100, 200, 860}, []float64{5 + 150, 5 + 300, 5 + 600, 5 + 2580})
-	if math.Abs(f.Slope-3) > 1e-9 || math.Abs(f.Base-5) > 1e-6 || f.LeftOver > 1e-6 {
+	if math.Abs(f.Slope-3) > 1e-9 || math.Abs(f.Base-5) > 1e-6 || f.ResidualRMS > 1e-6 {
 		t.Errorf("%+v", f)
 	}
 	f = fitLine([]float64{0, 1, 2, 3}, []float64{1, -1, -1, 1})
-	if math.Abs(f.Slope) > 1e-9 || math.Abs(f.LeftOver-1) > 1e-9 || math.Abs(f.Error-math.Sqrt(4.0/2/5)) > 1e-9 {
+	if math.Abs(f.Slope) > 1e-9 || math.Abs(f.ResidualRMS-1) > 1e-9 || math.Abs(f.SlopeError-math.Sqrt(4.0/2/5)) > 1e-9 {
 		t.Errorf("%+v", f)
 	}
 	if f := fitLine([]float64{7}, []float64{1}); !math.IsNaN(f.Slope) {
-		t.Errorf("a slope from one point: %+v", f)
+		t.Errorf("slope of a single point: %+v", f)
 	}
 }
 
-// A chart has the points of its cost and phase only, with their fitted line.
+// Guards against a chart without the fitted line, and series that are not grouped or sorted by size.
 func TestChartShowsTheFit(t *testing.T) {
-	series := SeriesOf(someRows)
+	series := GroupSeries(someRows)
 	if len(series) != 3 || !slices.Equal(series[0].Nodes, []float64{100, 200, 400}) {
 		t.Fatalf("%+v", series)
 	}
@@ -56,7 +57,7 @@
 	}
 }
 
-// The printed table has a line for each size, kind and phase, and a dash for what was not measured.
+// Guards against a printed table without a line for a size, kind and phase, or without a dash for a cost that was not measured.
 func TestPrintedTable(t *testing.T) {
 	var out bytes.Buffer
 	if err := WriteTable(&out, someRows); err != nil {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -14,7 +14,7 @@
 // Options say how a script is run.
 type Options struct {
 	Program  string   // the built node
-	Control  string   // the built control server; needed where the script asks for some
+	Control  string   // the built control server; needed if the script asks for control servers
 	Hollow   []string // command that runs ServeHollow on its standard input and output
 	Seed     uint64
 	Dir      string            // for the real nodes' directories
@@ -32,19 +32,19 @@
 
 // The rules of a run.
 const (
-	RuleMeet      = "all know all within the stated time after the start"
-	RuleAgree     = "all agree within the stated time after an event"
-	RuleRest      = "the fleet comes to rest within the stated time"
-	RuleTruth     = "hollow and real nodes agree in messages and bytes"
-	RuleVirtual   = "the virtual clock agrees with hollow and real nodes"
-	RuleCPU       = "a node's CPU is within its bound"
-	RuleMemory    = "a node's memory is within its bound"
-	RuleBandwidth = "a node's bytes are within their bound"
-	RuleForce     = "a change is in force at every reachable node within its bound"
-	RuleExit      = "no process ends by itself"
+	RuleStartConvergence  = "all nodes know each other within the start time-out"
+	RuleEventConvergence  = "the fleet converges within the stated time after an event"
+	RuleQuiescence        = "the fleet is quiescent within the stated time"
+	RuleHollowMatchesReal = "hollow and real nodes exchange the same messages and bytes"
+	RuleVirtualMatches    = "members on the virtual clock send the same messages and bytes as nodes"
+	RuleCPU               = "a node's CPU is within its bound"
+	RuleMemory            = "a node's memory is within its bound"
+	RuleBandwidth         = "a node's bytes are within their bound"
+	RuleInForce           = "a change is in force at every reachable node within its bound"
+	RuleNoUnexpectedExit  = "no process exits on its own"
 )
 
-// Result is what a fleet of one size showed.
+// Result is what was measured of a fleet of one size.
 type Result struct {
 	Size       int
 	Real       int
@@ -53,26 +53,26 @@
 	Violations []Violation
 }
 
-// run is a fleet under way.
+// run is the state of a running fleet.
 type run struct {
 	Options
-	script   *Script
-	plan     *Plan
-	controls *controls          // nil where the script asks for none
-	version  configfeed.Version // that is in force
-	before   configfeed.Version // that was in force before the last change
-	reals    *reals
-	hollows  *hollows
-	running  running
-	expected int64 // pairs of a node and a member that it is to know as back
-	virtual  <-chan virtualRest
-	build    string
-	result   *Result
-	began    time.Time
+	script          *Script
+	plan            *Plan
+	controls        *controlServers    // nil if the script asks for none
+	version         configfeed.Version // version in force
+	previousVersion configfeed.Version // version in force before the last change
+	reals           *realNodes
+	hollows         *hollowHosts
+	running         running
+	expectedReturns int64 // pairs of a node and a returned member that it has to learn of
+	virtual         <-chan virtualRest
+	build           string
+	result          *Result
+	began           time.Time
 }
 
-// Run runs a script with a fleet of one size. When it returns, nothing that it started is running, also after an error.
-// With an error it returns the result of what was measured before, or nil.
+// Run runs a script with a fleet of one size. When it returns, also with an error, nothing that it started is running.
+// The result that it returns with an error holds what was measured before it, or is nil.
 func Run(ctx context.Context, s *Script, size int, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -83,7 +83,7 @@
 	defer p.close()
 	r := &run{Options: o, script: s, plan: p, began: time.Now(), result: &Result{Size: size, Real: s.Real, Events: len(s.Events)}}
 	dir := filepath.Join(o.Dir, fmt.Sprint(size))
-	if len(s.Control) > 0 {
+	if len(s.ControlServers) > 0 {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return nil, err
 		}
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 		defer r.controls.close()
-		p.follow(r.controls)
+		p.followControlServers(r.controls)
 	}
 	if r.reals, err = startReals(s, p, o.Program, dir, o.Seed); err != nil {
 		return nil, err
@@ -107,9 +107,9 @@
 		return nil, err
 	}
 	defer r.hollows.close()
-	defer r.hollows.wait(ctx)()
-	go r.guard(ctx, cancel)
-	if err := r.play(ctx); err != nil {
+	defer r.hollows.killOnCancel(ctx)()
+	go r.enforceLimits(ctx, cancel)
+	if err := r.runScript(ctx); err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
@@ -118,37 +118,37 @@
 	return r.result, nil
 }
 
-// play starts the fleet, measures it at rest, and brings the events about.
-func (r *run) play(ctx context.Context) error {
+// runScript starts the fleet, measures it at rest and carries out the events.
+func (r *run) runScript(ctx context.Context) error {
 	if err := r.start(ctx); err != nil {
 		return err
 	}
 	flowing, stopFlows := context.WithCancel(ctx)
 	defer stopFlows()
-	r.reals.nodes.Traffic(flowing, ctx)
-	if err := r.rest(ctx); err != nil {
+	r.reals.rigNodes.Traffic(flowing, ctx)
+	if err := r.measureRest(ctx); err != nil {
 		return err
 	}
 	for i, a := range r.script.Events {
-		bring := r.event
+		carryOut := r.event
 		if a.Kind == Change {
-			bring = r.change
+			carryOut = r.change
 		}
-		if err := bring(ctx, i, a); err != nil {
+		if err := carryOut(ctx, i, a); err != nil {
 			return err
 		}
 	}
-	for _, e := range r.reals.ended() {
-		r.broken(RuleExit, "%s", e)
+	for _, e := range r.reals.unexpectedExits() {
+		r.addViolation(RuleNoUnexpectedExit, "%s", e)
 	}
-	r.say("clients: %s", r.reals.flows())
+	r.reportProgress("clients: %s", r.reals.flows())
 	return nil
 }
 
-// start starts all nodes and waits until they know each other.
+// start starts all nodes and waits until they all know each other.
 func (r *run) start(ctx context.Context) error {
 	plans := r.plan.Nodes
-	real, err := r.reals.facts(ctx, plans)
+	real, err := r.reals.memberRecords(ctx, plans)
 	if err != nil {
 		return err
 	}
@@ -161,12 +161,12 @@
 		return err
 	}
 	r.running.add(len(plans) - r.script.Real)
-	r.say("%d hollow nodes in %d processes run beside %d real ones, %.1f s after the start", len(plans)-r.script.Real,
-		len(r.hollows.of), r.script.Real, time.Since(r.began).Seconds())
+	r.reportProgress("%d hollow nodes in %d processes and %d real nodes run, %.1f s after the start", len(plans)-r.script.Real,
+		len(r.hollows.hosts), r.script.Real, time.Since(r.began).Seconds())
 	if r.script.Virtual {
-		r.virtual = r.playVirtual(ctx)
+		r.virtual = r.runVirtual(ctx)
 	}
-	took, err := r.meet(ctx)
+	took, err := r.awaitStartConvergence(ctx)
 	if err != nil {
 		return err
 	}
@@ -174,69 +174,69 @@
 	if err != nil {
 		return err
 	}
-	r.phase("start", before, after)
+	r.recordPhase("start", before, after)
 	if took < 0 {
-		return r.unmet(ctx)
+		return r.startConvergenceError(ctx)
 	}
-	r.add(Row{Kind: Fleet, Phase: "start", Cost: "all_know_all", Unit: "s", Value: time.Since(r.began).Seconds()})
-	r.say("all know all")
+	r.addRow(Row{Kind: Fleet, Phase: "start", Cost: "all_know_all", Unit: "s", Value: time.Since(r.began).Seconds()})
+	r.reportProgress("all nodes know each other")
 	return nil
 }
 
-// rest measures the fleet while nothing happens to it.
-func (r *run) rest(ctx context.Context) error {
-	if err := r.quiet(ctx); err != nil {
+// measureRest measures the fleet while no event disturbs it.
+func (r *run) measureRest(ctx context.Context) error {
+	if err := r.awaitQuiescence(ctx); err != nil {
 		return err
 	}
 	before, err := r.sample(ctx)
 	if err != nil {
 		return err
 	}
-	r.say("at rest, for %g s", r.script.Rest)
-	if err := sleep(ctx, r.script.Rest); err != nil {
+	r.reportProgress("at rest, for %g s", r.script.RestDuration)
+	if err := sleep(ctx, r.script.RestDuration); err != nil {
 		return err
 	}
 	after, err := r.sample(ctx)
 	if err != nil {
 		return err
 	}
-	hollow, real := r.phase("rest", before, after)
-	r.judgeRest(hollow, real)
+	hollow, real := r.recordPhase("rest", before, after)
+	r.checkRest(hollow, real)
 	if r.script.Virtual {
-		return r.judgeVirtual(ctx, hollow, real)
+		return r.checkVirtual(ctx, hollow, real)
 	}
 	return nil
 }
 
-// hollowNode is what a hollow process needs to know of a node.
+// hollowNode returns what a hollow process needs to start a node.
 func (r *run) hollowNode(n NodePlan) hollowNode {
 	var number uint64
 	fmt.Sscanf(n.Name, "n%d", &number)
-	return hollowNode{Name: n.Name, Region: n.Region, Seed: r.Seed*31 + number, Build: r.build, Settled: len(r.plan.Nodes),
-		Fleet: r.plan.file(r.script, n)}
+	return hollowNode{Name: n.Name, Region: n.Region, Seed: r.Seed*31 + number, Build: r.build, ConfiguredNodes: len(r.plan.Nodes),
+		Fleet: r.plan.fleetFile(r.script, n)}
 }
 
-func (r *run) add(row Row) {
+func (r *run) addRow(row Row) {
 	row.Nodes = r.result.Size
-	if row.OfKind == 0 {
-		row.OfKind = r.result.Size
+	if row.NodesOfKind == 0 {
+		row.NodesOfKind = r.result.Size
 	}
 	r.result.Rows = append(r.result.Rows, row)
 }
 
-func (r *run) broken(rule, format string, args ...any) {
+func (r *run) addViolation(rule, format string, args ...any) {
 	v := Violation{rule, fmt.Sprintf(format, args...)}
 	r.result.Violations = append(r.result.Violations, v)
-	r.say("broken: %s", v)
+	r.reportProgress("broken: %s", v)
 }
 
-func (r *run) say(format string, args ...any) {
+func (r *run) reportProgress(format string, args ...any) {
 	if r.Progress != nil {
 		r.Progress(fmt.Sprintf("%4d nodes %5.1f s  ", r.result.Size, time.Since(r.began).Seconds()) + fmt.Sprintf(format, args...))
 	}
 }
 
-// sleep waits for seconds.
+// sleep waits for seconds, or until the context ends.
 func sleep(ctx context.Context, seconds float64) error {
 	select {
 	case <-time.After(time.Duration(seconds * 1e9)):
@@ -246,4 +246,4 @@
 	}
 }
 
-var errBound = errors.New("the run was ended before its bound")
+var errLimit = errors.New("run ended before it exceeded a limit")
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -8,16 +8,16 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// sample is what all processes have spent at one moment.
+// sample is what all processes have used and sent up to one moment.
 type sample struct {
 	at            time.Time
-	hollowSeconds float64 // that hollow nodes have run, over all of them
+	hollowSeconds float64 // running time, summed over all hollow nodes
 	hollowNodes   int
 	hollow        []hollowSample
 	hollowTraffic []view.Traffic
-	suspicions    int                // that hollow nodes had
-	real          map[int]realSample // by process
-	servers       map[int]usage      // control servers, by process
+	suspicions    int                // suspicions in hollow nodes' views, counted once per change to suspect
+	real          map[int]realSample // by process ID
+	servers       map[int]usage      // usage of control servers, by process ID
 }
 
 type hollowSample struct {
@@ -30,9 +30,9 @@
 	traffic []view.Traffic
 }
 
-// sample reads what the processes have spent.
+// sample reads the usage and the traffic of all processes.
 func (r *run) sample(ctx context.Context) (s sample, err error) {
-	replies, err := r.hollows.all(request{Kind: requestReport})
+	replies, err := r.hollows.requestAll(request{Kind: requestReport})
 	if err != nil {
 		return s, err
 	}
@@ -44,7 +44,7 @@
 		}
 		s.hollow = append(s.hollow, hollowSample{u, replies[i].Report.Nodes})
 		s.hollowNodes += replies[i].Report.Nodes
-		s.suspicions += replies[i].Report.Seen.Suspicions
+		s.suspicions += replies[i].Report.Watch.Suspicions
 		s.hollowTraffic = addTraffic(s.hollowTraffic, replies[i].Report.Traffic)
 	}
 	s.at, s.hollowSeconds = time.Now(), r.running.seconds(time.Now())
@@ -59,7 +59,7 @@
 		if c, known := configs[i]; known {
 			v.Traffic = addTraffic(v.Traffic, controlTraffic(&c))
 		}
-		pid := r.reals.of[i].node.PID()
+		pid := r.reals.nodes[i].node.PID()
 		if u, err := usageOf(pid); err == nil {
 			s.real[pid] = realSample{u, v.Traffic}
 		}
@@ -67,14 +67,14 @@
 	return s, ctx.Err()
 }
 
-// running counts the time that hollow nodes have run.
+// running sums the running time of hollow nodes.
 type running struct {
 	nodes int
 	since time.Time
 	sum   float64
 }
 
-// add takes that so many more run from now on.
+// add adds a number of running nodes, which is negative when nodes end.
 func (r *running) add(nodes int) {
 	now := time.Now()
 	r.sum, r.since = r.seconds(now), now
@@ -88,18 +88,18 @@
 	return r.sum + float64(r.nodes)*now.Sub(r.since).Seconds()
 }
 
-// costs are what one node of a kind spent in a phase.
+// costs are the mean costs of one node of a kind in a phase.
 type costs struct {
 	nodes      int
-	cpu        float64 // part of a core
-	memory     float64 // bytes resident
+	cpu        float64 // fraction of a core
+	memory     float64 // resident bytes
 	traffic    map[string]rate
-	suspicions float64 // of other members, a second; of hollow nodes alone
-	slope      float64 // bytes of one more hollow node in a process; 0 where it is not known
+	suspicions float64 // suspicions per second; of hollow nodes only
+	slope      float64 // bytes that one more hollow node adds to its process; 0 if unknown
 	base       float64 // bytes of a hollow process without a node
 }
 
-// rate is messages and bytes a second.
+// rate is messages and bytes per second.
 type rate struct{ sentMessages, sentBytes, receivedMessages, receivedBytes float64 }
 
 func (a rate) plus(b rate) rate {
@@ -107,7 +107,7 @@
 		a.receivedBytes + b.receivedBytes}
 }
 
-// total sums up all kinds.
+// total returns the sum over all kinds.
 func (c costs) total() (sum rate) {
 	for _, x := range c.traffic {
 		sum = sum.plus(x)
@@ -115,8 +115,8 @@
 	return sum
 }
 
-// members sums up the messages among members.
-func (c costs) members() (sum rate) {
+// memberTraffic returns the sum over the kinds of messages among members.
+func (c costs) memberTraffic() (sum rate) {
 	for kind, x := range c.traffic {
 		if kind != controlKind {
 			sum = sum.plus(x)
@@ -125,7 +125,7 @@
 	return sum
 }
 
-// addRates adds what was counted between two samples, over a time, to rates.
+// addRates adds the rates of the traffic between two samples, divided by seconds, to the rates in to.
 func addRates(to map[string]rate, before, after []view.Traffic, seconds float64) {
 	for _, t := range after {
 		for _, was := range before {
@@ -141,7 +141,7 @@
 	}
 }
 
-// hollowCosts gives the cost of a hollow node between two samples.
+// hollowCosts returns the mean cost of a hollow node between two samples.
 func hollowCosts(before, after sample) costs {
 	c := costs{nodes: after.hollowNodes, traffic: map[string]rate{}}
 	spent := after.hollowSeconds - before.hollowSeconds
@@ -161,7 +161,7 @@
 	return c
 }
 
-// realCosts gives the cost of a real node between two samples, in the mean over those that ran through.
+// realCosts returns the mean cost of a real node between two samples, over those that ran throughout.
 func realCosts(before, after sample) costs {
 	c := costs{traffic: map[string]rate{}}
 	for pid := range after.real {
@@ -180,8 +180,8 @@
 	return c
 }
 
-// serverCosts gives the cost of a control server between two samples, in the mean over those that ran through. Its bytes
-// are what followers count: those among servers are left out.
+// serverCosts returns the mean cost of a control server between two samples, over those that ran throughout. Its traffic is
+// derived from what the followers count, so the traffic among servers is left out.
 func serverCosts(before, after sample, hollow, real costs) costs {
 	c := costs{traffic: map[string]rate{}}
 	for pid := range after.servers {
--- a/internal/scale/scale_golden_test.go
+++ b/internal/scale/scale_golden_test.go
@@ -18,8 +18,8 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// The files under testdata were written by the version in service (5fa7498). They are fixed for good: committed figures and scripts have these names, so nothing
-// rewrites them, and a test that fails here means that a name or a form has changed.
+// The files under testdata were written by the version in service (5fa7498) and are never rewritten, because committed figures
+// and scripts use their names. A failure here means that an external name or format has changed.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -95,7 +95,7 @@
 	checkGolden(t, "printed.txt", printed.Bytes())
 }
 
-// The committed tables of scale runs are written as they were read.
+// Guards against a change of the CSV format: the committed tables of scale runs are read and written without a difference.
 func TestGoldenCommittedTables(t *testing.T) {
 	paths, err := filepath.Glob("../../docs/capacity/scale-*.csv")
 	if err != nil || len(paths) != 4 {
@@ -112,20 +112,20 @@
 				t.Fatalf("%d rows, %v", len(rows), err)
 			}
 			if !bytes.Equal(CSV(provenance, rows), text) {
-				t.Error("written otherwise than it was read")
+				t.Error("the written table differs from the one read")
 			}
 		})
 	}
 }
 
-// The kinds of nodes, events and what goes on during a change, as tables and scripts name them.
+// Guards against a change of the names of kinds, events, disturbances and requests in tables, scripts and the protocol.
 func TestGoldenNames(t *testing.T) {
 	for _, c := range []struct{ got, want any }{
 		{[]Kind{Real, Hollow, Virtual, Server, Fleet}, []Kind{"real", "hollow", "virtual", "server", "fleet"}},
 		{[]ActionKind{KillOne, RestartSome, KillRack, KillZone, Change, CutRegion},
 			[]ActionKind{"kill", "restart", "rack", "zone", "change", "region"}},
-		{[]During{DuringNothing, DuringRestart, DuringServerFault, DuringServerStart, DuringRegionCut},
-			[]During{"", "restart", "server-fault", "server-start", "region-cut"}},
+		{[]Disturbance{DisturbanceNone, DisturbanceRestart, DisturbanceServerFault, DisturbanceServerStart, DisturbanceRegionCut},
+			[]Disturbance{"", "restart", "server-fault", "server-start", "region-cut"}},
 		{[]requestKind{requestPlan, requestStart, requestKill, requestLeave, requestCut, requestWatch, requestMembers, requestReturn,
 			requestChange, requestReport, requestCheck}, []requestKind{"plan", "start", "kill", "leave", "cut", "watch", "members", "return",
 			"change", "report", "check"}},
@@ -138,14 +138,17 @@
 
 // goldenScript has every key, and values other than the defaults.
 func goldenScript() *Script {
-	return &Script{Name: "golden", Sizes: []int{50, 100}, Real: 8, PerProcess: 50, ZonesOf: []int{2, 2}, Rack: 10, Period: 0.5,
-		Introduce: true, Settle: 60, AtRest: true, Quiet: 30, Rest: 10, Pause: 5, Agree: 40, Control: []int{2, 1}, Force: 4, ChangeTime: 3,
-		Hosts: 2, Flows: 20, Tolerance: 0.25, CPU: 0.5, Memory: 32, Bandwidth: 7.5, TotalMemory: 4000, TotalMinutes: 5, Virtual: true,
-		Events: []Action{{Kind: KillOne, For: 10, Window: 20}, {Kind: RestartSome, Part: 0.125, Window: 21},
-			{Kind: KillRack, For: 11, Window: 22}, {Kind: KillZone, For: 12, Window: 23}, {Kind: CutRegion, For: 13, Window: 24},
-			{Kind: Change, Window: 25}, {Kind: Change, During: DuringRestart, Part: 0.25, Window: 26},
-			{Kind: Change, During: DuringServerFault, Window: 27}, {Kind: Change, During: DuringServerStart, Window: 28},
-			{Kind: Change, During: DuringRegionCut, For: 14, Window: 29}}}
+	return &Script{Name: "golden", Sizes: []int{50, 100}, Real: 8, PerProcess: 50, ZonesPerRegion: []int{2, 2}, Rack: 10, Period: 0.5,
+		SendMembers: true, StartTimeout: 60, AwaitQuiescence: true, QuiescenceTimeout: 30, RestDuration: 10, EventDelay: 5,
+		ReconvergenceTimeout: 40, ControlServers: []int{2, 1}, InForceBound: 4, MinChangeDuration: 3,
+		Hosts: 2, FlowRate: 20, Tolerance: 0.25, CPU: 0.5, Memory: 32, Bandwidth: 7.5, TotalMemory: 4000, TotalMinutes: 5, Virtual: true,
+		Events: []Action{{Kind: KillOne, FailureDuration: 10, Window: 20}, {Kind: RestartSome, Fraction: 0.125, Window: 21},
+			{Kind: KillRack, FailureDuration: 11, Window: 22}, {Kind: KillZone, FailureDuration: 12, Window: 23},
+			{Kind: CutRegion, FailureDuration: 13, Window: 24},
+			{Kind: Change, Window: 25}, {Kind: Change, Disturbance: DisturbanceRestart, Fraction: 0.25, Window: 26},
+			{Kind: Change, Disturbance: DisturbanceServerFault, Window: 27},
+			{Kind: Change, Disturbance: DisturbanceServerStart, Window: 28},
+			{Kind: Change, Disturbance: DisturbanceRegionCut, FailureDuration: 14, Window: 29}}}
 }
 
 func TestGoldenScript(t *testing.T) {
@@ -163,11 +166,12 @@
 		t.Errorf("read\n%+v\nwant\n%+v", got, want)
 	}
 	events := got.Events
-	got.Events = []Action{{Kind: events[0].Kind, During: events[6].During, Part: events[6].Part, For: events[0].For, Window: events[0].Window}}
-	checkNoZero(t, "Script", reflect.ValueOf(got)) // no one event has all keys
+	got.Events = []Action{{Kind: events[0].Kind, Disturbance: events[6].Disturbance, Fraction: events[6].Fraction,
+		FailureDuration: events[0].FailureDuration, Window: events[0].Window}}
+	checkNoZero(t, "Script", reflect.ValueOf(got)) // no single event has all keys
 }
 
-// A script that says only what it must has these values.
+// Guards against a change of the default values of a script.
 func TestGoldenScriptDefaults(t *testing.T) {
 	s, err := Read("script.toml", []byte("sizes = [50]\n"))
 	if err != nil {
@@ -180,29 +184,29 @@
 	checkGolden(t, "script-defaults.toml", written)
 }
 
-// goldenRequest has every field; no run sends such a request.
+// goldenRequest has every field set, which no request of a run has.
 func goldenRequest() request {
 	return request{Kind: requestStart, Names: []string{"n1"}, Regions: map[string]int{"127.0.0.1:7000": 1}, Digests: true,
-		Nodes: []hollowNode{{Name: "n1", Region: 1, Seed: 2, Build: "5fa7498", Settled: 3, Fleet: fleet.Config{Fleet: "lima",
+		Nodes: []hollowNode{{Name: "n1", Region: 1, Seed: 2, Build: "5fa7498", ConfiguredNodes: 3, Fleet: fleet.Config{Fleet: "lima",
 			Address: "127.0.0.1:7000", Join: []string{"127.0.0.2:7000"}, Key: "00112233445566778899aabbccddeeff", OldKey: "ffeeddccbbaa99887766554433221100",
 			Zone: "a", Period: 0.5, Via: map[string]string{"127.0.0.2:7000": "127.0.0.9:1234"}, Region: "west",
 			Control: []fleet.ControlServer{{Name: "c1", Address: "127.0.1.1:7100", Region: "west"}}}}},
-		Members: []memberFacts{goldenFacts()}, Version: configfeed.Version{Epoch: 2, Revision: 41}, CutRegions: []int{1, 2},
+		Members: []memberRecord{goldenRecord()}, Version: configfeed.Version{Epoch: 2, Revision: 41}, CutRegions: []int{1, 2},
 		Expected: []expectation{{Region: 1, Names: []string{"n1", "n2"}}}}
 }
 
-func goldenFacts() memberFacts {
-	return memberFacts{Name: "n1", Start: 1700000000000001, Incarnation: 7, Address: "127.0.0.1:7000", Zone: "a", Build: "5fa7498", Ready: true}
+func goldenRecord() memberRecord {
+	return memberRecord{Name: "n1", Start: 1700000000000001, Incarnation: 7, Address: "127.0.0.1:7000", Zone: "a", Build: "5fa7498", Ready: true}
 }
 
-// goldenReply has every field; no process sends such a reply.
+// goldenReply has every field set, which no reply of a process has.
 func goldenReply() reply {
 	times := hdrhistogram.New(1, 1000, 1)
 	times.RecordValue(5)
-	return reply{Error: "n1 runs already", Members: []memberFacts{goldenFacts()}, Wrong: 4, First: "n1 of n2", Report: &report{Nodes: 3,
-		Traffic: []view.Traffic{{Kind: "ping", SentMessages: 7, SentBytes: 630, ReceivedMessages: 8, ReceivedBytes: 720}},
-		Living:  map[int]spread{1: {Least: 2, Most: 3}}, News: 6, Digests: map[uint64]int{0x0123456789abcdef: 9},
-		Seen: seen{Gone: times.Export(), Back: times.Export(), Suspicions: 11}, InForce: times.Export()}}
+	return reply{Error: "n1 runs already", Members: []memberRecord{goldenRecord()}, Wrong: 4, First: "n1 of n2", Report: &report{Nodes: 3,
+		Traffic:    []view.Traffic{{Kind: "ping", SentMessages: 7, SentBytes: 630, ReceivedMessages: 8, ReceivedBytes: 720}},
+		LiveCounts: map[int]countRange{1: {Min: 2, Max: 3}}, PendingUpdates: 6, Digests: map[uint64]int{0x0123456789abcdef: 9},
+		Watch: watchReport{Departed: times.Export(), Returned: times.Export(), Suspicions: 11}, InForce: times.Export()}}
 }
 
 // checkLine checks that a value encodes to a file, and that the file decodes to the value and encodes to itself.
@@ -229,17 +233,17 @@
 	return got
 }
 
-// What a run and its hollow processes say to each other.
+// Guards against a change of the JSON that a run and its hollow processes exchange.
 func TestGoldenProtocol(t *testing.T) {
 	checkNoZero(t, "request", reflect.ValueOf(checkLine(t, "request.json", goldenRequest())))
 	got := checkLine(t, "reply.json", goldenReply())
-	got.Report.InForce, got.Report.Seen.Gone, got.Report.Seen.Back = nil, nil, nil // a histogram has many empty counts
-	facts, seen := got.Report, got.Report.Seen
-	if facts.Nodes == 0 || facts.News == 0 || seen.Suspicions == 0 {
-		t.Errorf("a zero in %+v", facts)
+	got.Report.InForce, got.Report.Watch.Departed, got.Report.Watch.Returned = nil, nil, nil // a histogram has many zero counts
+	facts, seen := got.Report, got.Report.Watch
+	if facts.Nodes == 0 || facts.PendingUpdates == 0 || seen.Suspicions == 0 {
+		t.Errorf("a zero field in %+v", facts)
 	}
 	checkNoZero(t, "traffic", reflect.ValueOf(facts.Traffic))
-	checkNoZero(t, "living", reflect.ValueOf(facts.Living))
+	checkNoZero(t, "living", reflect.ValueOf(facts.LiveCounts))
 	checkNoZero(t, "digests", reflect.ValueOf(facts.Digests))
 	checkNoZero(t, "members", reflect.ValueOf(got.Members))
 }
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -1,7 +1,8 @@
 // Package scale measures what the control side of a fleet costs at several sizes. A run has real nodes, which are
-// processes of the built program with stand-ins for hosts and clients, and hollow nodes, which are the same control side
-// (internal/fleet and what it runs) by the hundred in a process, on loopback sockets of their own. It measures at rest
-// and while a script's events go on, compares hollow nodes with real ones and with the virtual clock, and judges bounds.
+// processes of the built program with emulated hosts and clients, and hollow nodes, which run the same control side
+// (internal/fleet and what it uses) without serving clients, hundreds to a process, on loopback sockets of their own. It
+// measures the fleet at rest and during a script's events, compares hollow nodes with real ones and with members on the
+// virtual clock, and checks the script's bounds.
 package scale
 
 import (
@@ -13,69 +14,69 @@
 	"gorseledge/internal/strict"
 )
 
-// Script says which fleets are started and what happens to them. Times are seconds.
+// Script describes the fleets that are started and what happens to them. All times are in seconds.
 type Script struct {
-	Name         string   `toml:"name"`
-	Sizes        []int    `toml:"sizes"`          // nodes of each fleet, real ones included
-	Real         int      `toml:"real"`           // processes of the built program in each
-	PerProcess   int      `toml:"per_process"`    // hollow nodes in a process, in the mean
-	ZonesOf      []int    `toml:"zones"`          // zones of each region
-	Rack         int      `toml:"rack"`           // nodes of a rack
-	Period       float64  `toml:"period_s"`       // between two probes of a node
-	Introduce    bool     `toml:"introduce"`      // the run tells all nodes of one another at the start
-	Settle       float64  `toml:"settle_s"`       // after the start, until all know all
-	AtRest       bool     `toml:"at_rest"`        // the fleet comes to rest before the first measurement
-	Quiet        float64  `toml:"quiet_s"`        // for that at the most
-	Rest         float64  `toml:"rest_s"`         // of the measurement at rest
-	Pause        float64  `toml:"pause_s"`        // before each event
-	Agree        float64  `toml:"agree_s"`        // after an event's window, until all agree again
-	Control      []int    `toml:"control"`        // control servers of each region; none where it is missing
-	Force        float64  `toml:"in_force_s"`     // bound until a change is in force at the last reachable node
-	ChangeTime   float64  `toml:"change_s"`       // least time over which a change's costs are measured
-	Hosts        int      `toml:"hosts"`          // stand-ins behind the real nodes
-	Flows        float64  `toml:"flows_per_s"`    // new clients of all real nodes
-	Tolerance    float64  `toml:"tolerance"`      // hollow over real, messages and bytes at rest, may differ by that part
-	CPU          float64  `toml:"cpu_cores"`      // bound of a hollow node at rest, part of a core
-	Memory       float64  `toml:"memory_mb"`      // bound of a hollow node
-	Bandwidth    float64  `toml:"bandwidth_kB_s"` // bound of a hollow node's bytes sent and received at rest
-	TotalMemory  float64  `toml:"total_memory_mb"`
-	TotalMinutes float64  `toml:"minutes"` // for one size
-	Virtual      bool     `toml:"virtual"` // compare with the virtual clock as well
-	Events       []Action `toml:"event"`
+	Name                 string   `toml:"name"`
+	Sizes                []int    `toml:"sizes"`           // nodes in each fleet, including the real ones
+	Real                 int      `toml:"real"`            // real nodes in each fleet
+	PerProcess           int      `toml:"per_process"`     // mean number of hollow nodes in a process
+	ZonesPerRegion       []int    `toml:"zones"`           // number of zones of each region
+	Rack                 int      `toml:"rack"`            // nodes in a rack
+	Period               float64  `toml:"period_s"`        // time between two probes that a node sends
+	SendMembers          bool     `toml:"introduce"`       // the run sends all nodes the member list at the start
+	StartTimeout         float64  `toml:"settle_s"`        // time from the start until all nodes must know each other
+	AwaitQuiescence      bool     `toml:"at_rest"`         // wait until the fleet is quiescent before the first measurement
+	QuiescenceTimeout    float64  `toml:"quiet_s"`         // longest wait for quiescence
+	RestDuration         float64  `toml:"rest_s"`          // length of the measurement at rest
+	EventDelay           float64  `toml:"pause_s"`         // wait before each event
+	ReconvergenceTimeout float64  `toml:"agree_s"`         // time after an event's window until the fleet must have converged
+	ControlServers       []int    `toml:"control"`         // number of control servers in each region; without it there are none
+	InForceBound         float64  `toml:"in_force_s"`      // bound on the time until a change is in force at the last reachable node
+	MinChangeDuration    float64  `toml:"change_s"`        // shortest time over which a change's costs are measured
+	Hosts                int      `toml:"hosts"`           // emulated hosts behind the real nodes
+	FlowRate             float64  `toml:"flows_per_s"`     // rate of new flows over all real nodes
+	Tolerance            float64  `toml:"tolerance"`       // allowed difference from 1 of the hollow to real ratio at rest
+	CPU                  float64  `toml:"cpu_cores"`       // bound on the CPU of a hollow node at rest, as a fraction of a core
+	Memory               float64  `toml:"memory_mb"`       // bound on the memory of a hollow node
+	Bandwidth            float64  `toml:"bandwidth_kB_s"`  // bound on the bytes that a hollow node sends and receives at rest
+	TotalMemory          float64  `toml:"total_memory_mb"` // limit on the memory of all processes
+	TotalMinutes         float64  `toml:"minutes"`         // limit on the time for one size
+	Virtual              bool     `toml:"virtual"`         // also compare with members on the virtual clock
+	Events               []Action `toml:"event"`
 }
 
-// ActionKind says what happens to the fleet.
+// ActionKind is what an event does to the fleet.
 type ActionKind string
 
 // The kinds of an Action.
 const (
-	KillOne     ActionKind = "kill"    // nodes die without a word, and stay dead until the event is over
-	RestartSome ActionKind = "restart" // nodes leave and are started again
-	KillRack    ActionKind = "rack"    // a rack's nodes die
-	KillZone    ActionKind = "zone"    // a zone's nodes die
-	Change      ActionKind = "change"  // of the configuration, while something else goes on
-	CutRegion   ActionKind = "region"  // a region hears nobody else, and nobody else hears it
+	KillOne     ActionKind = "kill"    // one node is killed and restarted after FailureDuration
+	RestartSome ActionKind = "restart" // a fraction of the nodes leaves and is restarted
+	KillRack    ActionKind = "rack"    // the nodes of one rack are killed
+	KillZone    ActionKind = "zone"    // the nodes of one zone are killed
+	Change      ActionKind = "change"  // the configuration changes during a disturbance
+	CutRegion   ActionKind = "region"  // one region exchanges no messages with the others
 )
 
-// Action is one event of a script. Nodes of every event are back and known before the next one begins.
+// Action is one event of a script. Before the next event begins, the affected nodes are back and the fleet has converged.
 type Action struct {
-	Kind   ActionKind `toml:"kind"`
-	During During     `toml:"during"`   // change: what goes on meanwhile
-	Part   float64    `toml:"part"`     // restart: of all nodes; the others go by what fails
-	For    float64    `toml:"for_s"`    // until what failed comes back
-	Window float64    `toml:"window_s"` // after it is back, in which is measured how it becomes known
+	Kind            ActionKind  `toml:"kind"`
+	Disturbance     Disturbance `toml:"during"`   // change: what happens to the fleet meanwhile
+	Fraction        float64     `toml:"part"`     // restart: fraction of all nodes; other events have none
+	FailureDuration float64     `toml:"for_s"`    // time until the failure ends
+	Window          float64     `toml:"window_s"` // time after the failure ends in which its detection and convergence are measured
 }
 
-// Bounds of the machine, which no script may exceed.
+// Limits for the machine, which no script may exceed.
 const (
-	mostNodes       = 2000
-	mostProcesses   = 300
-	mostMemory      = 12000 // megabytes
-	mostMinutes     = 10.0
-	mostNodesInRack = 100
+	maxNodes        = 2000
+	maxProcesses    = 300
+	maxMemoryMB     = 12000 // megabytes
+	maxMinutes      = 10.0
+	maxNodesPerRack = 100
 )
 
-// ReadFile reads a script, strictly; an error names the file and the line.
+// ReadFile reads a script and rejects unknown keys. An error names the file and the line.
 func ReadFile(path string) (*Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -84,83 +85,93 @@
 	return Read(path, text)
 }
 
-// Read reads a script's text; path is for messages.
+// Read reads a script's text; path is used in error messages.
 func Read(path string, text []byte) (*Script, error) {
-	s := &Script{Real: 16, PerProcess: 100, ZonesOf: []int{3, 3, 2}, Rack: 20, Period: 1, Introduce: true, Settle: 120, AtRest: true, Quiet: 120,
-		Rest: 30, Pause: 15, Agree: 60, Hosts: 4, Flows: 10, Tolerance: 0.1, Force: 6, ChangeTime: 5, CPU: 0.013, Memory: 64, Bandwidth: 15, TotalMemory: mostMemory,
-		TotalMinutes: mostMinutes}
+	s := &Script{Real: 16, PerProcess: 100, ZonesPerRegion: []int{3, 3, 2}, Rack: 20, Period: 1, SendMembers: true, StartTimeout: 120,
+		AwaitQuiescence: true, QuiescenceTimeout: 120,
+		RestDuration: 30, EventDelay: 15, ReconvergenceTimeout: 60, Hosts: 4, FlowRate: 10, Tolerance: 0.1, InForceBound: 6,
+		MinChangeDuration: 5, CPU: 0.013, Memory: 64, Bandwidth: 15, TotalMemory: maxMemoryMB,
+		TotalMinutes: maxMinutes}
 	if err := strict.Decode(path, text, s); err != nil {
 		return nil, err
 	}
-	if where, err := s.check(); err != nil {
-		return nil, where.Wrap(path, text, err)
+	if place, err := s.check(); err != nil {
+		return nil, place.Wrap(path, text, err)
 	}
 	return s, nil
 }
 
-// check gives the first thing that no fleet can be played with.
+// check returns the place and the error of the first invalid value.
 func (s *Script) check() (strict.Place, error) {
 	top := func(key string) strict.Place { return strict.Place{Key: key} }
 	if len(s.Sizes) == 0 {
-		return top("sizes"), errors.New("sizes: no fleet is asked for")
+		return top("sizes"), errors.New("sizes: must name at least one fleet size")
 	}
-	if len(s.ZonesOf) == 0 || len(s.ZonesOf) > 5 || slices.Min(s.ZonesOf) < 1 || slices.Max(s.ZonesOf) > 10 {
-		return top("zones"), errors.New("zones: one to five regions with one to ten zones each")
+	if len(s.ZonesPerRegion) == 0 || len(s.ZonesPerRegion) > 5 ||
+		slices.Min(s.ZonesPerRegion) < 1 || slices.Max(s.ZonesPerRegion) > 10 {
+		return top("zones"), errors.New("zones: must list 1 to 5 regions with 1 to 10 zones each")
 	}
 	for _, c := range []struct {
-		key         string
-		x           float64
-		least, most float64
-	}{{"sizes", float64(slices.Min(s.Sizes)), 4, mostNodes}, {"sizes", float64(slices.Max(s.Sizes)), 4, mostNodes},
+		key      string
+		x        float64
+		min, max float64
+	}{{"sizes", float64(slices.Min(s.Sizes)), 4, maxNodes}, {"sizes", float64(slices.Max(s.Sizes)), 4, maxNodes},
 		{"real", float64(s.Real), 2, float64(min(slices.Min(s.Sizes)-1, 64))}, {"per_process", float64(s.PerProcess), 1, 500},
-		{"rack", float64(s.Rack), 1, mostNodesInRack}, {"period_s", s.Period, 0.05, 10}, {"settle_s", s.Settle, 1, 600},
-		{"quiet_s", s.Quiet, 0, 300}, {"rest_s", s.Rest, 1, 300}, {"pause_s", s.Pause, 0, 300}, {"agree_s", s.Agree, 1, 600}, {"hosts", float64(s.Hosts), 1, 50},
-		{"flows_per_s", s.Flows, 0, 500}, {"tolerance", s.Tolerance, 0.01, 1}, {"in_force_s", s.Force, 0.1, 600}, {"change_s", s.ChangeTime, 0, 600}, {"cpu_cores", s.CPU, 0, 8},
-		{"memory_mb", s.Memory, 1, mostMemory}, {"bandwidth_kB_s", s.Bandwidth, 0.01, 1e6},
-		{"total_memory_mb", s.TotalMemory, 100, mostMemory}, {"minutes", s.TotalMinutes, 0.1, mostMinutes}} {
-		if !(c.x >= c.least && c.x <= c.most) {
-			return top(c.key), fmt.Errorf("%s: %g is not between %g and %g", c.key, c.x, c.least, c.most)
+		{"rack", float64(s.Rack), 1, maxNodesPerRack}, {"period_s", s.Period, 0.05, 10}, {"settle_s", s.StartTimeout, 1, 600},
+		{"quiet_s", s.QuiescenceTimeout, 0, 300}, {"rest_s", s.RestDuration, 1, 300}, {"pause_s", s.EventDelay, 0, 300},
+		{"agree_s", s.ReconvergenceTimeout, 1, 600}, {"hosts", float64(s.Hosts), 1, 50},
+		{"flows_per_s", s.FlowRate, 0, 500}, {"tolerance", s.Tolerance, 0.01, 1}, {"in_force_s", s.InForceBound, 0.1, 600},
+		{"change_s", s.MinChangeDuration, 0, 600}, {"cpu_cores", s.CPU, 0, 8},
+		{"memory_mb", s.Memory, 1, maxMemoryMB}, {"bandwidth_kB_s", s.Bandwidth, 0.01, 1e6},
+		{"total_memory_mb", s.TotalMemory, 100, maxMemoryMB}, {"minutes", s.TotalMinutes, 0.1, maxMinutes}} {
+		if !(c.x >= c.min && c.x <= c.max) {
+			return top(c.key), fmt.Errorf("%s: must be between %g and %g, got %g", c.key, c.min, c.max, c.x)
 		}
 	}
-	if n := s.Real + slices.Max(s.Sizes)/s.PerProcess + 2; n > mostProcesses {
-		return top("per_process"), fmt.Errorf("per_process: %d processes, and %d do", n, mostProcesses)
+	if n := s.Real + slices.Max(s.Sizes)/s.PerProcess + 2; n > maxProcesses {
+		return top("per_process"), fmt.Errorf("per_process: the run would need %d processes, at most %d are allowed", n, maxProcesses)
 	}
-	if n := sum(s.Control); len(s.Control) > 0 && (len(s.Control) != len(s.ZonesOf) || n%2 == 0 || n < 3 || n > 9) {
-		return top("control"), errors.New("control: for each region a number, together an odd one from 3 to 9")
+	if n := sum(s.ControlServers); len(s.ControlServers) > 0 &&
+		(len(s.ControlServers) != len(s.ZonesPerRegion) || n%2 == 0 || n < 3 || n > 9) {
+		return top("control"), errors.New("control: must give a number for each region, with an odd sum from 3 to 9")
 	}
 	for i, a := range s.Events {
 		at := func(key string) strict.Place { return strict.Place{Table: "event", Index: i, Key: key} }
 		switch {
 		case !slices.Contains([]ActionKind{KillOne, RestartSome, KillRack, KillZone, CutRegion, Change}, a.Kind):
-			return at("kind"), fmt.Errorf("kind: no event is called %q", a.Kind)
-		case a.Kind == Change && len(s.Control) == 0:
-			return at("kind"), errors.New("kind: a change takes control servers")
-		case !slices.Contains([]During{DuringNothing, DuringRestart, DuringServerFault, DuringServerStart, DuringRegionCut}, a.During) ||
-			a.Kind != Change && a.During != DuringNothing:
-			return at("during"), fmt.Errorf("during: nothing is called %q", a.During)
-		case a.restarts() != (a.Part > 0) || !(a.Part >= 0 && a.Part <= 0.5):
-			return at("part"), fmt.Errorf("part: %g is no part of the nodes for it", a.Part)
-		case a.needsTime() != (a.For > 0) || !(a.For >= 0 && a.For <= 600):
-			return at("for_s"), fmt.Errorf("for_s: %g is no time for it", a.For)
+			return at("kind"), fmt.Errorf("kind: unknown event %q", a.Kind)
+		case a.Kind == Change && len(s.ControlServers) == 0:
+			return at("kind"), errors.New("kind: a change needs control servers")
+		case !slices.Contains([]Disturbance{DisturbanceNone, DisturbanceRestart, DisturbanceServerFault, DisturbanceServerStart,
+			DisturbanceRegionCut}, a.Disturbance) ||
+			a.Kind != Change && a.Disturbance != DisturbanceNone:
+			return at("during"), fmt.Errorf("during: unknown or not allowed for the event: %q", a.Disturbance)
+		case a.restartsNodes() != (a.Fraction > 0) || !(a.Fraction >= 0 && a.Fraction <= 0.5):
+			return at("part"), fmt.Errorf("part: must be above 0 and at most 0.5 for a restart and 0 otherwise, got %g", a.Fraction)
+		case a.hasFailureDuration() != (a.FailureDuration > 0) || !(a.FailureDuration >= 0 && a.FailureDuration <= 600):
+			return at("for_s"), fmt.Errorf("for_s: must be above 0 and at most 600 for a failure and 0 otherwise, got %g",
+				a.FailureDuration)
 		case !(a.Window > 0 && a.Window <= 600):
-			return at("window_s"), fmt.Errorf("window_s: %g is not between 0 and 600", a.Window)
-		case a.Kind == CutRegion && len(s.ZonesOf) < 2:
-			return at("kind"), errors.New("kind: there is one region only")
+			return at("window_s"), fmt.Errorf("window_s: must be above 0 and at most 600, got %g", a.Window)
+		case a.Kind == CutRegion && len(s.ZonesPerRegion) < 2:
+			return at("kind"), errors.New("kind: a region cut needs at least two regions")
 		}
 	}
 	return strict.Place{}, nil
 }
 
-// restarts tells whether a part of the nodes is restarted.
-func (a Action) restarts() bool { return a.Kind == RestartSome || a.During == DuringRestart }
+// restartsNodes reports whether a fraction of the nodes is restarted.
+func (a Action) restartsNodes() bool {
+	return a.Kind == RestartSome || a.Disturbance == DisturbanceRestart
+}
 
-// needsTime tells whether something fails for a stated time.
-func (a Action) needsTime() bool {
-	return a.During == DuringRegionCut || a.Kind != RestartSome && a.Kind != Change
+// hasFailureDuration reports whether something fails for a stated time.
+func (a Action) hasFailureDuration() bool {
+	return a.Disturbance == DisturbanceRegionCut || a.Kind != RestartSome && a.Kind != Change
 }
 
-// zones is the number of zones in all regions.
-func (s *Script) zones() int { return sum(s.ZonesOf) }
+// zoneCount returns the number of zones in all regions.
+func (s *Script) zoneCount() int { return sum(s.ZonesPerRegion) }
 
 func sum(of []int) (n int) {
 	for _, x := range of {
--- a/internal/scale/script_test.go
+++ b/internal/scale/script_test.go
@@ -23,12 +23,12 @@
 window_s = 5
 `
 
-// A mistake in a script is told by file, line and key, and nothing is started.
-func TestScriptMistakesAreToldByLine(t *testing.T) {
-	if s, err := Read("script", []byte(goodScript)); err != nil || len(s.Events) != 2 || s.zones() != 8 {
+// Guards against an invalid script that is accepted, or whose error does not name file, line and key on one line.
+func TestScriptErrorsNameLineAndKey(t *testing.T) {
+	if s, err := Read("script", []byte(goodScript)); err != nil || len(s.Events) != 2 || s.zoneCount() != 8 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	for _, c := range []struct{ from, to, line, says string }{
+	for _, c := range []struct{ from, to, line, message string }{
 		{"sizes = [20, 40]", "sizes = []", "2", "sizes"},
 		{"sizes = [20, 40]", "sizes = [20, 4000]", "2", "sizes"},
 		{"real = 3", "real = 20", "3", "real"},
@@ -48,15 +48,15 @@
 	} {
 		text := strings.Replace(goodScript, c.from, c.to, 1)
 		_, err := Read("script", []byte(text))
-		if err == nil || !strings.HasPrefix(err.Error(), "script:"+c.line+":") || !strings.Contains(err.Error(), c.says) ||
+		if err == nil || !strings.HasPrefix(err.Error(), "script:"+c.line+":") || !strings.Contains(err.Error(), c.message) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, wanted line %s and %q", c.to, err, c.line, c.says)
+			t.Errorf("%s: got %v, want line %s and %q", c.to, err, c.line, c.message)
 		}
 	}
 }
 
-// The scripts that docs/scenarios holds can be played.
-func TestScriptsOfTheDocsAreGood(t *testing.T) {
+// Guards against a script in docs/scenarios that is rejected.
+func TestScriptsOfTheDocsAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../docs/scenarios/scale-*.toml")
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("%v, %v", paths, err)
@@ -67,6 +67,6 @@
 		}
 	}
 	if _, err := ReadFile(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(err) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("missing file: got %v, want an error that the file does not exist", err)
 	}
 }
--- a/internal/scale/table.go
+++ b/internal/scale/table.go
@@ -6,11 +6,11 @@
 	"text/tabwriter"
 )
 
-// column is a cost in the table.
+// column is one cost as a column of the table.
 type column struct {
 	title string
 	cost  string
-	unit  float64 // by which the value is divided
+	unit  float64 // divisor of the value
 }
 
 var nodeColumns = []column{{"CPU, % of a core", "cpu", 0.01}, {"memory, MB", "memory", 1e6}, {"messages sent /s", "sent_messages.all", 1},
@@ -21,7 +21,7 @@
 	{"known by, %", "back_known_by", 0.01}, {"all agree, s", "all_agree", 1},
 	{"in force: 50th, s", "in_force_50th", 1}, {"99th", "in_force_99th", 1}, {"last", "in_force_last", 1}, {"in force by, %", "in_force_by", 0.01}}
 
-// WriteTable writes what nodes cost in each phase, and when events were known.
+// WriteTable writes a table of nodes' costs in each phase, and one of detection, convergence and in-force times.
 func WriteTable(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	writeColumns(t, rows, nodeColumns, func(k Kind) bool { return k != Fleet })
@@ -30,7 +30,7 @@
 	return t.Flush()
 }
 
-// rowKey is what a line of the table is about.
+// rowKey identifies a line of the table.
 type rowKey struct {
 	nodes int
 	kind  Kind
@@ -52,7 +52,7 @@
 		written[key] = true
 		fmt.Fprintf(w, "%d\t%s\t%s", r.Nodes, r.Kind, r.Phase)
 		for _, c := range columns {
-			if x, found := find(rows, r.Nodes, r.Kind, r.Phase, c.cost); found {
+			if x, found := findValue(rows, r.Nodes, r.Kind, r.Phase, c.cost); found {
 				fmt.Fprintf(w, "\t%.4g", x/c.unit)
 			} else {
 				fmt.Fprint(w, "\t-")
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// usage is what a process has spent and holds.
+// usage is the CPU time and memory that a process has used.
 type usage struct {
-	cpu    float64 // seconds since its start
-	memory float64 // bytes that are resident
+	cpu    float64 // seconds of CPU time since its start
+	memory float64 // resident bytes
 }
 
 // usageOf reads a process's usage from /proc.
 func usageOf(pid int) (u usage, err error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(threads) == 0 {
-		return u, fmt.Errorf("process %d does not run, or the system keeps no schedstat", pid)
+		return u, fmt.Errorf("process %d is not running, or the kernel has no schedstat", pid)
 	}
-	for _, path := range threads { // in nanoseconds, where /proc/PID/stat counts hundredths of a second
+	for _, path := range threads { // schedstat counts nanoseconds; /proc/PID/stat only hundredths of a second
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // the thread has ended meanwhile
+			continue // the thread has ended
 		}
 		nanoseconds, err := strconv.ParseFloat(firstField(text), 64)
 		if err != nil {
--- a/internal/scale/watch.go
+++ b/internal/scale/watch.go
@@ -10,28 +10,30 @@
 )
 
 const (
-	longestKnown = int64(30 * time.Minute / time.Millisecond) // of a watch
-	digits       = 2                                          // of a watch's times that are kept
+	maxDetectionMillis = int64(30 * time.Minute / time.Millisecond) // longest time that a watch records
+	significantDigits  = 2                                          // precision of recorded times
 )
 
-func newTimes() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestKnown, digits) }
+func newTimes() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxDetectionMillis, significantDigits)
+}
 
 // pair is a node and a member that it observes.
 type pair struct{ observer, member string }
 
-// watch notes when each node that observes knows that members are gone, and that they are back. Each pair of an observer
-// and a member counts once.
+// watch notes when each observing node learns that watched members are gone, and that they are back. Each pair of an
+// observer and a member counts once.
 type watch struct {
-	mu         sync.Mutex
-	began      time.Time
-	members    map[string]bool
-	gone       map[pair]bool
-	goneAt     *hdrhistogram.Histogram
-	returned   time.Time
-	starts     map[string]uint64 // of the members that are back: from this start on a member counts as back
-	back       map[pair]bool
-	backAt     *hdrhistogram.Histogram
-	suspicions int // that were seen of any member, ever
+	mu                sync.Mutex
+	began             time.Time
+	members           map[string]bool
+	departed          map[pair]bool
+	departedTimes     *hdrhistogram.Histogram
+	returnsExpectedAt time.Time
+	starts            map[string]uint64 // by returned member: the start number from which it counts as back
+	returned          map[pair]bool
+	returnedTimes     *hdrhistogram.Histogram
+	suspicions        int // suspicions of any member since the process started
 }
 
 func newWatch() *watch {
@@ -40,7 +42,7 @@
 	return w
 }
 
-// reset begins to watch other members.
+// reset begins a new watch on members.
 func (w *watch) reset(members []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,44 +50,44 @@
 	for _, m := range members {
 		w.members[m] = true
 	}
-	w.gone, w.goneAt = map[pair]bool{}, newTimes()
-	w.starts, w.back, w.backAt = nil, map[pair]bool{}, newTimes()
+	w.departed, w.departedTimes = map[pair]bool{}, newTimes()
+	w.starts, w.returned, w.returnedTimes = nil, map[pair]bool{}, newTimes()
 }
 
-// expect begins to look for watched members to be back, each with a start.
+// expect begins to check for the return of watched members, each with its new start number.
 func (w *watch) expect(starts map[string]uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.returned, w.starts = time.Now(), starts
+	w.returnsExpectedAt, w.starts = time.Now(), starts
 }
 
-// see takes a change of a member's state that an observer saw.
-func (w *watch) see(observer, member string, state membership.State) {
+// observe handles a change of a member's state in an observer's view.
+func (w *watch) observe(observer, member string, state membership.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if state == membership.Suspect {
 		w.suspicions++
 	}
 	p := pair{observer, member}
-	if state < membership.Dead || !w.members[member] || w.members[observer] || w.gone[p] {
+	if state < membership.Dead || !w.members[member] || w.members[observer] || w.departed[p] {
 		return
 	}
-	w.gone[p] = true
-	w.goneAt.RecordValue(milliseconds(w.began))
+	w.departed[p] = true
+	w.departedTimes.RecordValue(millisecondsSince(w.began))
 }
 
-// look asks what an observer knows of each member that it does not know to be back yet. No lock is held meanwhile, as the
-// observer may be telling of a change just then.
-func (w *watch) look(observer string, member func(name string) (membership.Member, bool)) {
-	for name, start := range w.missing(observer) {
+// checkReturned looks up in an observer's view each member whose return it has not noticed yet. It holds no lock during the
+// lookup: the observer may be calling observe at the same time, and both would deadlock.
+func (w *watch) checkReturned(observer string, member func(name string) (membership.Member, bool)) {
+	for name, start := range w.awaitedMembers(observer) {
 		if m, known := member(name); known && m.State <= membership.Suspect && m.Start >= start {
-			w.found(pair{observer, name})
+			w.recordReturned(pair{observer, name})
 		}
 	}
 }
 
-// missing gives the members that an observer does not know to be back yet, with their starts.
-func (w *watch) missing(observer string) map[string]uint64 {
+// awaitedMembers returns the members whose return an observer has not noticed yet, with their start numbers.
+func (w *watch) awaitedMembers(observer string) map[string]uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.members[observer] {
@@ -93,44 +95,44 @@
 	}
 	out := map[string]uint64{}
 	for name, start := range w.starts {
-		if !w.back[pair{observer, name}] {
+		if !w.returned[pair{observer, name}] {
 			out[name] = start
 		}
 	}
 	return out
 }
 
-// found notes that an observer knows a member to be back.
-func (w *watch) found(p pair) {
+// recordReturned notes that an observer has noticed a member's return.
+func (w *watch) recordReturned(p pair) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.starts[p.member] == 0 || w.back[p] { // another watch has begun meanwhile
+	if w.starts[p.member] == 0 || w.returned[p] { // a new watch has begun, or the pair is already counted
 		return
 	}
-	w.back[p] = true
-	w.backAt.RecordValue(milliseconds(w.returned))
+	w.returned[p] = true
+	w.returnedTimes.RecordValue(millisecondsSince(w.returnsExpectedAt))
 }
 
-// looks tells whether members are expected back.
-func (w *watch) looks() bool {
+// expectsReturns reports whether members are expected back.
+func (w *watch) expectsReturns() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.starts) > 0
 }
 
-func milliseconds(from time.Time) int64 {
-	return min(max(time.Since(from).Milliseconds(), 1), longestKnown)
+func millisecondsSince(from time.Time) int64 {
+	return min(max(time.Since(from).Milliseconds(), 1), maxDetectionMillis)
 }
 
-// seen is what a watch noted.
-type seen struct {
-	Gone       *hdrhistogram.Snapshot `json:"gone"` // milliseconds, one for each pair
-	Back       *hdrhistogram.Snapshot `json:"back"`
+// watchReport is what a watch has noted.
+type watchReport struct {
+	Departed   *hdrhistogram.Snapshot `json:"gone"` // milliseconds, one value per pair
+	Returned   *hdrhistogram.Snapshot `json:"back"`
 	Suspicions int                    `json:"suspicions"`
 }
 
-func (w *watch) seen() seen {
+func (w *watch) report() watchReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return seen{w.goneAt.Export(), w.backAt.Export(), w.suspicions}
+	return watchReport{w.departedTimes.Export(), w.returnedTimes.Export(), w.suspicions}
 }
