--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -20,7 +20,7 @@
 const (
 	DisturbanceNone        Disturbance = ""
 	DisturbanceRestart     Disturbance = "restart"      // a fraction of the nodes leaves and is restarted at once
-	DisturbanceServerFault Disturbance = "server-fault" // a control server is killed and another one stopped
+	DisturbanceServerFault Disturbance = "server-fault" // a control server is killed and another one is suspended by SIGSTOP
 	DisturbanceServerStart Disturbance = "server-start" // all control servers are restarted just before the change
 	DisturbanceRegionCut   Disturbance = "region-cut"   // a region is cut off from all others
 )
@@ -162,15 +162,15 @@
 // awaitInForce waits until all reachable nodes have the change in force or the window is over, and returns the times.
 func (r *run) awaitInForce(ctx context.Context, reachable []NodePlan, window float64) (*hdrhistogram.Histogram, error) {
 	for waited := 0.0; ; waited += inForcePollInterval {
-		k, err := r.hollows.report()
+		report, err := r.hollows.report()
 		if err != nil {
 			return nil, err
 		}
-		if k.inForce.TotalCount() >= int64(countHollow(reachable)) || waited > window { // real nodes are asked last
+		if report.inForce.TotalCount() >= int64(countHollow(reachable)) || waited > window { // real nodes are asked last
 			r.reals.configs(ctx)
-			k.inForce.Merge(hdrhistogram.Import(r.reals.inForce.times()))
-			if k.inForce.TotalCount() >= int64(len(reachable)) || waited > window {
-				return k.inForce, ctx.Err()
+			report.inForce.Merge(hdrhistogram.Import(r.reals.inForce.times()))
+			if report.inForce.TotalCount() >= int64(len(reachable)) || waited > window {
+				return report.inForce, ctx.Err()
 			}
 		}
 		if err := sleep(ctx, inForcePollInterval); err != nil {
--- a/internal/scale/checks_test.go
+++ b/internal/scale/checks_test.go
@@ -93,7 +93,8 @@
 
 // Guards against a view that lacks a member or sees a dead one as live without a disagreement being counted.
 func TestDisagreementIsCounted(t *testing.T) {
-	v := view.View{Self: "a", Members: []view.Member{{Name: "a", State: "alive"}, {Name: "b", State: "suspect"}, {Name: "c", State: "dead"}}}
+	v := view.View{Self: "a", Members: []view.Member{{Name: "a", State: "alive"}, {Name: "b", State: "suspect"},
+		{Name: "c", State: "dead"}}}
 	for _, c := range []struct {
 		running []string
 		wrong   int
--- a/internal/scale/convergence.go
+++ b/internal/scale/convergence.go
@@ -51,16 +51,16 @@
 // for the nodes' time-outs this may never happen: each late answer raises a suspicion, which is gossiped to all nodes.
 func (r *run) awaitQuiescence(ctx context.Context) error {
 	for began := time.Now(); r.script.AwaitQuiescence; {
-		k, err := r.hollows.requestReports(request{Kind: requestReport, Digests: true})
+		report, err := r.hollows.requestReports(request{Kind: requestReport, Digests: true})
 		if err != nil {
 			return err
 		}
-		if len(k.digests) <= 1 && float64(k.pendingUpdates) <= members.MaxIdlePendingUpdates*float64(k.nodes) {
+		if len(report.digests) <= 1 && float64(report.pendingUpdates) <= members.MaxIdlePendingUpdates*float64(report.nodes) {
 			return nil
 		}
 		if waited := time.Since(began).Seconds(); waited > r.script.QuiescenceTimeout {
 			r.addViolation(RuleQuiescence, "after %.0f s the nodes hold %d different views and each has %.1f updates to gossip", waited,
-				len(k.digests), float64(k.pendingUpdates)/float64(k.nodes))
+				len(report.digests), float64(report.pendingUpdates)/float64(report.nodes))
 			return nil
 		}
 		if err := sleep(ctx, convergencePollInterval.Seconds()); err != nil {
@@ -89,9 +89,9 @@
 	if err != nil {
 		return nil, err
 	}
-	of := map[string]bool{}
+	wanted := map[string]bool{}
 	for _, n := range nodes {
-		of[n.Name] = true
+		wanted[n.Name] = true
 	}
 	replies, err := r.hollows.requestAll(request{Kind: requestMembers})
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	for _, a := range replies {
 		for _, m := range a.Members {
-			if of[m.Name] {
+			if wanted[m.Name] {
 				facts = append(facts, m)
 			}
 		}
@@ -111,12 +111,12 @@
 // within seconds.
 func (r *run) awaitConvergence(ctx context.Context, within float64) (took float64, err error) {
 	for began := time.Now(); ; {
-		agree, err := r.converged(ctx)
+		converged, err := r.converged(ctx)
 		if err != nil {
 			return 0, err
 		}
 		switch took = time.Since(began).Seconds(); {
-		case agree:
+		case converged:
 			return took, nil
 		case took > within:
 			return -1, nil
@@ -129,12 +129,12 @@
 
 // converged reports whether every node counts as many live members as there are nodes and has seen every awaited return.
 func (r *run) converged(ctx context.Context) (bool, error) {
-	known, err := r.hollows.report()
+	report, err := r.hollows.report()
 	if err != nil {
 		return false, err
 	}
 	size := len(r.plan.Nodes)
-	for _, s := range known.liveCounts {
+	for _, s := range report.liveCounts {
 		if s.Min != size || s.Max != size {
 			return false, nil
 		}
@@ -145,8 +145,8 @@
 			return false, nil
 		}
 	}
-	back := known.returned.TotalCount() + hdrhistogram.Import(r.reals.watch.report().Returned).TotalCount()
-	return len(views) == r.script.Real && back >= r.expectedReturns, ctx.Err()
+	returned := report.returned.TotalCount() + hdrhistogram.Import(r.reals.watch.report().Returned).TotalCount()
+	return len(views) == r.script.Real && returned >= r.expectedReturns, ctx.Err()
 }
 
 // countDisagreements counts the pairs of a node and a member whose state the node has wrong, while all nodes run.
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -221,14 +221,14 @@
 
 // recordDetection adds rows for how many of the other nodes learned that the victims are gone or back, and how soon.
 func (r *run) recordDetection(phase, what string, victims []NodePlan) error {
-	known, err := r.hollows.report()
+	report, err := r.hollows.report()
 	if err != nil {
 		return err
 	}
-	known.addWatch(r.reals.watch.report())
-	times := known.departed
+	report.addWatch(r.reals.watch.report())
+	times := report.departed
 	if what == "back" {
-		times = known.returned
+		times = report.returned
 	}
 	pairs := float64(len(victims)) * float64(len(r.plan.Nodes)-len(victims))
 	fraction := float64(times.TotalCount()) / pairs
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -44,12 +44,12 @@
 
 // newPlan plans a fleet. Nodes are assigned to the zones in turn, the real ones first, so that every zone has some of them.
 func newPlan(s *Script, size int, seed uint64) (*Plan, error) {
-	network, hold, err := reserveNetwork()
+	network, reservation, err := reserveNetwork()
 	if err != nil {
 		return nil, err
 	}
 	r := rand.New(rand.NewPCG(seed, uint64(size)))
-	p := &Plan{network: network, ID: fmt.Sprintf("scale-%d-%d", seed, size), reservation: hold,
+	p := &Plan{network: network, ID: fmt.Sprintf("scale-%d-%d", seed, size), reservation: reservation,
 		ownAddress: fmt.Sprintf("127.%d.255.254:%d", network, port),
 		Key:        hex.EncodeToString(fmt.Appendf(nil, "%016x%016x", r.Uint64(), r.Uint64()))}
 	regionOf := map[int]int{}
@@ -98,8 +98,8 @@
 	first := firstNetwork + rand.IntN(lastNetwork-firstNetwork)
 	for i := range lastNetwork - firstNetwork {
 		network := firstNetwork + (first+i)%(lastNetwork-firstNetwork)
-		if hold, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", network, port)); err == nil {
-			return network, hold, nil
+		if listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", network, port)); err == nil {
+			return network, listener, nil
 		}
 	}
 	return 0, nil, errors.New("no free network of loopback addresses")
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -42,12 +42,12 @@
 	if len(nodes) != 8 || len(regions) != 3 || regions[2] != 214 || len(addresses) != 860 {
 		t.Errorf("%d zones, regions %v, %d addresses", len(nodes), regions, len(addresses))
 	}
-	least, most := 1000, 0
+	smallest, largest := 1000, 0
 	for _, n := range processes {
-		least, most = min(least, n), max(most, n)
+		smallest, largest = min(smallest, n), max(largest, n)
 	}
-	if least*2 > most {
-		t.Errorf("processes host %d to %d nodes: too equal to separate the memory of a node from that of a process", least, most)
+	if smallest*2 > largest {
+		t.Errorf("processes host %d to %d nodes: too equal to separate the memory of a node from that of a process", smallest, largest)
 	}
 }
 
