--- a/cmd/gorseledge-lab/scale.go
+++ b/cmd/gorseledge-lab/scale.go
@@ -90,7 +90,7 @@
 		return scale.Options{}, err
 	}
 	control := f.control
-	if control == "" && len(script.Control) > 0 {
+	if control == "" && len(script.ControlServers) > 0 {
 		control, err = build(cmd, scratch, "gorseledge-config")
 		if err != nil {
 			return scale.Options{}, err
@@ -203,7 +203,7 @@
 
 // writeCharts writes a chart of each main cost of each phase that was measured at several sizes.
 func writeCharts(out string, rows []scale.Row) error {
-	series := scale.SeriesOf(rows)
+	series := scale.GroupSeries(rows)
 	drawn := map[string]bool{}
 	for _, s := range series {
 		name := fmt.Sprintf("scale-%s-%s.svg", s.Phase, strings.ReplaceAll(s.Cost, ".", "-"))
