--- a/internal/handover/handover_golden_test.go
+++ b/internal/handover/handover_golden_test.go
@@ -79,14 +79,14 @@
 		{
 			LoadThreshold: 12.5, LoweredAt: 1700000001.5, ReportedAt: 1700000002.25, DrainingAt: 1700000003.75, Load: 0.625,
 			OverloadedAt: 1700000004.5, RejectedAt: 1700000005.5, Failures: 1.25, Successes: 90.5, EjectionTime: 4.5, NextCheckAt: 1700000006.5,
-			ShortestCheck: 0.00390625, Ejected: true, Disabled: true, DisabledAt: 1700000007.5, EnterFrom: 1700000008.5, ChecksPassed: 2,
-			RoundingDraw: 0.375,
+			ShortestCheck: 0.00390625, Ejected: true, Disabled: true, DisabledAt: 1700000007.5, ReentryAt: 1700000008.5, ChecksPassed: 2,
+			RoundingOffset: 0.375,
 		},
 		{
 			LoadThreshold: 13.5, LoweredAt: 1700000011.5, ReportedAt: 1700000012.25, DrainingAt: 1700000013.75, Load: 0.6875,
 			OverloadedAt: 1700000014.5, RejectedAt: 1700000015.5, Failures: 2.25, Successes: 91.5, EjectionTime: 5.5, NextCheckAt: 1700000016.5,
-			ShortestCheck: 0.0078125, Ejected: true, Disabled: true, DisabledAt: 1700000017.5, EnterFrom: 1700000018.5, ChecksPassed: 3,
-			RoundingDraw: 0.4375,
+			ShortestCheck: 0.0078125, Ejected: true, Disabled: true, DisabledAt: 1700000017.5, ReentryAt: 1700000018.5, ChecksPassed: 3,
+			RoundingOffset: 0.4375,
 		},
 	}
 }
--- a/placement/handover.go
+++ b/placement/handover.go
@@ -8,24 +8,24 @@
 // ServerState is the state of one server that a balancer hands over to its successor. Times are in seconds on the host's
 // clock. The JSON names are those of the versions in service, with which state is exchanged, and must not change.
 type ServerState struct {
-	LoadThreshold float64 `json:"Ceiling"` // 0 if there is none
-	LoweredAt     float64 `json:"CutAt"`   // when the threshold was last lowered
-	ReportedAt    float64 `json:"ToldAt"`  // when the last load report was received
-	DrainingAt    float64 `json:"DrainAt"` // when the server was first listed as draining
-	Load          float64 `json:"Load"`    // last reported load divided by capacity
-	OverloadedAt  float64 `json:"JamAt"`   // when the server was last observed to be overloaded
-	RejectedAt    float64 `json:"FullAt"`  // when the server last rejected an attempt
-	Failures      float64 `json:"Bad"`     // failed attempts, halved every evidenceHalfLife
-	Successes     float64 `json:"Good"`    // established attempts, halved every evidenceHalfLife
-	EjectionTime  float64 `json:"Hold"`    // duration in seconds of the next ejection until its first health check
-	NextCheckAt   float64 `json:"ProbeAt"` // earliest time of the next health check
-	ShortestCheck float64 `json:"Least"`   // shortest round trip of a health check, in seconds; 0 if there was none
-	Ejected       bool    `json:"Aside"`   // by outlier detection
-	Disabled      bool    `json:"ByHand"`  // by an operator
-	DisabledAt    float64 `json:"HandAt"`  // when the server was disabled, or, once enabled again, when it counts as started
-	EnterFrom     float64 `json:"Wanted"`  // when a first flow is sent to the server after it was enabled again; 0 if none is due
-	ChecksPassed  int     `json:"Answers"` // health checks passed in a row
-	RoundingDraw  float64 `json:"Round"`   // random; decides if this node exceeds a threshold of less than one connection
+	LoadThreshold  float64 `json:"Ceiling"` // 0 if there is none
+	LoweredAt      float64 `json:"CutAt"`   // when the threshold was last lowered
+	ReportedAt     float64 `json:"ToldAt"`  // when the last load report was received
+	DrainingAt     float64 `json:"DrainAt"` // when the server was first listed as draining
+	Load           float64 `json:"Load"`    // last reported load divided by capacity
+	OverloadedAt   float64 `json:"JamAt"`   // when the server was last observed to be overloaded
+	RejectedAt     float64 `json:"FullAt"`  // when the server last rejected an attempt
+	Failures       float64 `json:"Bad"`     // failed attempts, halved every evidenceHalfLife
+	Successes      float64 `json:"Good"`    // established attempts, halved every evidenceHalfLife
+	EjectionTime   float64 `json:"Hold"`    // duration in seconds of the next ejection until its first health check
+	NextCheckAt    float64 `json:"ProbeAt"` // earliest time of the next health check
+	ShortestCheck  float64 `json:"Least"`   // shortest round trip of a health check, in seconds; 0 if there was none
+	Ejected        bool    `json:"Aside"`   // by outlier detection
+	Disabled       bool    `json:"ByHand"`  // by an operator
+	DisabledAt     float64 `json:"HandAt"`  // when the server was disabled, or, once enabled again, when it counts as started
+	ReentryAt      float64 `json:"Wanted"`  // when a first flow is sent to the server after it was enabled again; 0 if none is due
+	ChecksPassed   int     `json:"Answers"` // health checks passed in a row
+	RoundingOffset float64 `json:"Round"`   // random; decides if this node exceeds a threshold of less than one connection
 }
 
 // HandoverState is the state that a balancer hands over to its successor in addition to the endpoint list. It contains
@@ -77,24 +77,24 @@
 
 func (s *server) handoverState() ServerState {
 	return ServerState{
-		LoadThreshold: zeroForInfinite(s.threshold.load),
-		LoweredAt:     s.threshold.loweredAt,
-		ReportedAt:    s.report.receivedAt,
-		DrainingAt:    s.drainingAt,
-		Load:          s.report.load,
-		OverloadedAt:  s.threshold.overloadedAt,
-		RejectedAt:    s.rejectedAt,
-		Failures:      s.outlier.failures,
-		Successes:     s.outlier.successes,
-		EjectionTime:  s.outlier.ejectionTime,
-		NextCheckAt:   s.check.nextAt,
-		ShortestCheck: s.check.shortestRoundTrip,
-		Ejected:       s.outlier.ejected,
-		Disabled:      s.admin.disabled,
-		DisabledAt:    s.admin.changedAt,
-		EnterFrom:     s.admin.reentryAt,
-		ChecksPassed:  s.check.passed,
-		RoundingDraw:  s.threshold.roundingOffset,
+		LoadThreshold:  zeroForInfinite(s.threshold.load),
+		LoweredAt:      s.threshold.loweredAt,
+		ReportedAt:     s.report.receivedAt,
+		DrainingAt:     s.drainingAt,
+		Load:           s.report.load,
+		OverloadedAt:   s.threshold.overloadedAt,
+		RejectedAt:     s.rejectedAt,
+		Failures:       s.outlier.failures,
+		Successes:      s.outlier.successes,
+		EjectionTime:   s.outlier.ejectionTime,
+		NextCheckAt:    s.check.nextAt,
+		ShortestCheck:  s.check.shortestRoundTrip,
+		Ejected:        s.outlier.ejected,
+		Disabled:       s.admin.disabled,
+		DisabledAt:     s.admin.changedAt,
+		ReentryAt:      s.admin.reentryAt,
+		ChecksPassed:   s.check.passed,
+		RoundingOffset: s.threshold.roundingOffset,
 	}
 }
 
@@ -102,7 +102,7 @@
 	s.threshold.load = infiniteForZero(state.LoadThreshold)
 	s.threshold.loweredAt = state.LoweredAt
 	s.threshold.overloadedAt = state.OverloadedAt
-	s.threshold.roundingOffset = state.RoundingDraw
+	s.threshold.roundingOffset = state.RoundingOffset
 	s.report.receivedAt = state.ReportedAt
 	s.report.load = state.Load
 	s.drainingAt = state.DrainingAt
@@ -116,7 +116,7 @@
 	s.check.passed = state.ChecksPassed
 	s.admin.disabled = state.Disabled
 	s.admin.changedAt = state.DisabledAt
-	s.admin.reentryAt = state.EnterFrom
+	s.admin.reentryAt = state.ReentryAt
 }
 
 // zeroForInfinite returns 0 for an infinite limit, because JSON cannot represent infinity.
