--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -204,7 +204,7 @@
 // setSlowStart configures a long slow start in which only a small share of a host's capacity is available.
 func setSlowStart(balancer *placement.Balancer) {
 	balancer.SlowStartTime = 100
-	balancer.SlowStartShare = 0.1
+	balancer.SlowStartFraction = 0.1
 	balancer.OverloadWindow = 1000
 	balancer.OverloadMultiple = 2
 }
--- a/internal/node/live_settings.go
+++ b/internal/node/live_settings.go
@@ -95,7 +95,7 @@
 
 // hasSlowStart reports whether all values of the slow start are set.
 func hasSlowStart(settings placement.LiveSettings) bool {
-	ramp := settings.SlowStartShare > 0 && settings.SlowStartTime > 0
+	ramp := settings.SlowStartFraction > 0 && settings.SlowStartTime > 0
 	return ramp && settings.OverloadMultiple > 0 && settings.OverloadWindow > 0
 }
 
@@ -142,7 +142,7 @@
 	if !n.listener.ListPushed {
 		override(&effective.PollInterval, settings.PollInterval)
 	}
-	override(&effective.SlowStartShare, settings.SlowStart.Share)
+	override(&effective.SlowStartFraction, settings.SlowStart.Share)
 	override(&effective.SlowStartTime, settings.SlowStart.Duration)
 	override(&effective.OverloadMultiple, settings.SlowStart.OverloadMultiple)
 	override(&effective.OverloadWindow, settings.SlowStart.OverloadWindow)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -82,21 +82,21 @@
 // balancerSettings returns the settings of the balancer.
 func (o *object) balancerSettings(seed uint64) placement.Settings {
 	s := placement.Settings{
-		Seed:             seed,
-		Nodes:            count(o.Nodes),
-		NodeNumber:       noNumber,
-		Tick:             seconds(o.Tick),
-		MaxAttempts:      count(o.Limits.MaxAttempts),
-		HealthChecks:     o.Limits.HealthChecks,
-		WatchEndpoints:   o.ListMode == listModeWatched,
-		PollInterval:     seconds(o.Invariants.PollInterval),
-		SlowStartShare:   o.Invariants.SlowStartShare,
-		SlowStartTime:    seconds(o.Invariants.SlowStartTime),
-		OverloadMultiple: o.Invariants.OverloadMultiple,
-		OverloadWindow:   seconds(o.Invariants.OverloadWindow),
-		LoadReports:      o.Reporting.Source == reportsWithHealthChecks,
-		LoadGossip:       o.Limits.LoadGossip,
-		Quotas:           o.Family.Quotas,
+		Seed:              seed,
+		Nodes:             count(o.Nodes),
+		NodeNumber:        noNumber,
+		Tick:              seconds(o.Tick),
+		MaxAttempts:       count(o.Limits.MaxAttempts),
+		HealthChecks:      o.Limits.HealthChecks,
+		WatchEndpoints:    o.ListMode == listModeWatched,
+		PollInterval:      seconds(o.Invariants.PollInterval),
+		SlowStartFraction: o.Invariants.SlowStartShare,
+		SlowStartTime:     seconds(o.Invariants.SlowStartTime),
+		OverloadMultiple:  o.Invariants.OverloadMultiple,
+		OverloadWindow:    seconds(o.Invariants.OverloadWindow),
+		LoadReports:       o.Reporting.Source == reportsWithHealthChecks,
+		LoadGossip:        o.Limits.LoadGossip,
+		Quotas:            o.Family.Quotas,
 	}
 	if o.NodeNumber != nil {
 		s.NodeNumber = count(*o.NodeNumber)
--- a/internal/settings/settings_golden_test.go
+++ b/internal/settings/settings_golden_test.go
@@ -70,7 +70,7 @@
 	}
 	wantSettings := placement.Settings{
 		Seed: 18446744073709551615, Nodes: 3, NodeNumber: 2, Tick: 0.0078125, MaxAttempts: 5, HealthChecks: true, MaxRetryAfter: 2,
-		WatchEndpoints: true, PollInterval: 10, LoadReports: true, LoadGossip: true, SlowStartShare: 0.375, SlowStartTime: 8, OverloadMultiple: 4.5,
+		WatchEndpoints: true, PollInterval: 10, LoadReports: true, LoadGossip: true, SlowStartFraction: 0.375, SlowStartTime: 8, OverloadMultiple: 4.5,
 		OverloadWindow: 1.5, Quotas: []float64{90, 60.5},
 		ServiceTypes: []placement.ServiceType{
 			{Idempotency: placement.Idempotent, KeyScope: placement.KeyScopeAll, KeyLifetime: 5, SetupObjective: 0.5, MessageObjective: 0.0625},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,7 +27,7 @@
 			"memory_span_us":5e6,"setup_target_us":5e5},{"name":"u"}],"siblings":3,"me":2,"zones":["z"],"new":1}`,
 			placement.Settings{Seed: 9, Nodes: 3, NodeNumber: 2, Tick: seconds(4000), MaxAttempts: 5, HealthChecks: true, LoadGossip: true, MaxRetryAfter: 2,
 				WatchEndpoints: true,
-				PollInterval:   10, LoadReports: true, SlowStartShare: 0.3, SlowStartTime: 8, OverloadMultiple: 4, OverloadWindow: 1, Quotas: []float64{90},
+				PollInterval:   10, LoadReports: true, SlowStartFraction: 0.3, SlowStartTime: 8, OverloadMultiple: 4, OverloadWindow: 1, Quotas: []float64{90},
 				ServiceTypes: []placement.ServiceType{{Idempotency: placement.IdempotentWithKey, KeyScope: placement.KeyScopeZone, KeyLifetime: 5,
 					SetupObjective: seconds(5e5), MessageObjective: seconds(50000)}, {Idempotency: placement.AtMostOnce}}},
 			ListenerSettings{ReportFields: []string{"x0"}, ServiceTypes: []string{"s", "u"}, Tenants: []string{"a"}, Zones: []string{"z"},
--- a/placement/balancer.go
+++ b/placement/balancer.go
@@ -24,7 +24,7 @@
 //   - The home of a group of flows is the server with the lowest rank for the hash of the group. Its second home
 //     has the second lowest rank, and so on. A flow of a group spills from home to home.
 //   - A server is in slow start for some time after its start. During that time its weight rises from the
-//     settings' SlowStartShare to 1, and all nodes together keep within a budget of attempts there.
+//     settings' SlowStartFraction to 1, and all nodes together keep within a budget of attempts there.
 //   - The uncertainty of a node is 1 if it has no connections, and close to 0 if it has many for each server. An
 //     uncertain node cannot tell from its own connections which servers have capacity.
 package placement
--- a/placement/helper_test.go
+++ b/placement/helper_test.go
@@ -20,17 +20,17 @@
 // minutes without overload and with many connections.
 func newTestBalancer(servers int, change func(*Settings)) *testBalancer {
 	settings := Settings{
-		Seed:             7,
-		Nodes:            2,
-		Tick:             0.002,
-		MaxAttempts:      3,
-		HealthChecks:     true,
-		MaxRetryAfter:    2,
-		SlowStartShare:   0.2,
-		SlowStartTime:    10,
-		OverloadMultiple: 3,
-		OverloadWindow:   2,
-		ServiceTypes:     []ServiceType{{Idempotency: Idempotent, SetupObjective: 0.3, MessageObjective: 0.1}},
+		Seed:              7,
+		Nodes:             2,
+		Tick:              0.002,
+		MaxAttempts:       3,
+		HealthChecks:      true,
+		MaxRetryAfter:     2,
+		SlowStartFraction: 0.2,
+		SlowStartTime:     10,
+		OverloadMultiple:  3,
+		OverloadWindow:    2,
+		ServiceTypes:      []ServiceType{{Idempotency: Idempotent, SetupObjective: 0.3, MessageObjective: 0.1}},
 	}
 	if change != nil {
 		change(&settings)
--- a/placement/polling_test.go
+++ b/placement/polling_test.go
@@ -56,7 +56,7 @@
 	if b.serverAt(0).outlier.ejected {
 		t.Error("a restarted server is still ejected")
 	}
-	if weight := b.slowStartWeight(b.now, b.serverAt(0)); weight != b.SlowStartShare {
+	if weight := b.slowStartWeight(b.now, b.serverAt(0)); weight != b.SlowStartFraction {
 		t.Errorf("a restarted server has a slow-start weight of %g", weight)
 	}
 	if len(b.base) != 2 {
--- a/placement/reentry_test.go
+++ b/placement/reentry_test.go
@@ -28,8 +28,8 @@
 	used, usedTwice, pastSlowStart := 0, 0, 0
 	for seed := range uint64(seeds) {
 		b := newEnabledBalancer(seed, servers)
-		if weight := b.slowStartWeight(b.now, b.serverAt(2)); weight != b.SlowStartShare {
-			t.Fatalf("slow-start weight %v, want %v", weight, b.SlowStartShare)
+		if weight := b.slowStartWeight(b.now, b.serverAt(2)); weight != b.SlowStartFraction {
+			t.Fatalf("slow-start weight %v, want %v", weight, b.SlowStartFraction)
 		}
 		received := 0
 		for i := range 6 { // one flow every 0.8 s; the server is the primary of none
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -40,26 +40,26 @@
 
 // Settings is the configuration of a balancer. Times are in seconds.
 type Settings struct {
-	Seed             uint64  // seed of all random numbers
-	Nodes            int     // nodes that share the servers, this one included
-	NodeNumber       int     // number of this node among them, the same after a restart
-	StartedAt        float64 // when this process started
-	Tick             float64 // shortest time between two rounds of inputs from the host
-	MaxAttempts      int     // maximum number of attempts for one flow
-	DialTimeout      float64 // longest time from a Connect decision until the request is written
-	HealthChecks     bool    // health checks are allowed
-	MaxRetryAfter    float64 // longest Retry-After that a client obeys; 0 if none is allowed
-	WatchEndpoints   bool    // the endpoint list has to be polled
-	PollInterval     float64 // longest time between two polls without a watch; 0 for defaultPollInterval
-	LoadReports      bool    // health checks return load reports
-	LoadGossip       bool    // nodes notify one another of the loads that were reported to them
-	TimeHealthChecks bool    // message delays are estimated from the round trips of health checks
-	SlowStartShare   float64 // fraction of its capacity, above 0 and up to 1, that a server has when it starts
-	SlowStartTime    float64 // time from the start of a server until it has its full capacity
-	OverloadMultiple float64 // multiple of its current capacity above which a server in slow start fails
-	OverloadWindow   float64 // for how long a server in slow start withstands a load above that multiple
-	ServiceTypes     []ServiceType
-	Quotas           []float64 // by tenant: maximum of open connections over all nodes; nil for no quotas
+	Seed              uint64  // seed of all random numbers
+	Nodes             int     // nodes that share the servers, this one included
+	NodeNumber        int     // number of this node among them, the same after a restart
+	StartedAt         float64 // when this process started
+	Tick              float64 // shortest time between two rounds of inputs from the host
+	MaxAttempts       int     // maximum number of attempts for one flow
+	DialTimeout       float64 // longest time from a Connect decision until the request is written
+	HealthChecks      bool    // health checks are allowed
+	MaxRetryAfter     float64 // longest Retry-After that a client obeys; 0 if none is allowed
+	WatchEndpoints    bool    // the endpoint list has to be polled
+	PollInterval      float64 // longest time between two polls without a watch; 0 for defaultPollInterval
+	LoadReports       bool    // health checks return load reports
+	LoadGossip        bool    // nodes notify one another of the loads that were reported to them
+	TimeHealthChecks  bool    // message delays are estimated from the round trips of health checks
+	SlowStartFraction float64 // fraction of its capacity, above 0 and up to 1, that a server has when it starts
+	SlowStartTime     float64 // time from the start of a server until it has its full capacity
+	OverloadMultiple  float64 // multiple of its current capacity above which a server in slow start fails
+	OverloadWindow    float64 // for how long a server in slow start withstands a load above that multiple
+	ServiceTypes      []ServiceType
+	Quotas            []float64 // by tenant: maximum of open connections over all nodes; nil for no quotas
 }
 
 // Objectives are the replaceable latency objectives of one service type, in seconds.
@@ -70,28 +70,28 @@
 
 // LiveSettings is the part of Settings that may be replaced while the balancer is in use. Times are in seconds.
 type LiveSettings struct {
-	MaxAttempts      int
-	MaxRetryAfter    float64
-	PollInterval     float64
-	SlowStartShare   float64
-	SlowStartTime    float64
-	OverloadMultiple float64
-	OverloadWindow   float64
-	Objectives       []Objectives // by service type
-	Quotas           []float64    // by tenant
+	MaxAttempts       int
+	MaxRetryAfter     float64
+	PollInterval      float64
+	SlowStartFraction float64
+	SlowStartTime     float64
+	OverloadMultiple  float64
+	OverloadWindow    float64
+	Objectives        []Objectives // by service type
+	Quotas            []float64    // by tenant
 }
 
 // Live returns the replaceable part of the settings. The result shares no memory with them.
 func (s Settings) Live() LiveSettings {
 	live := LiveSettings{
-		MaxAttempts:      s.MaxAttempts,
-		MaxRetryAfter:    s.MaxRetryAfter,
-		PollInterval:     s.PollInterval,
-		SlowStartShare:   s.SlowStartShare,
-		SlowStartTime:    s.SlowStartTime,
-		OverloadMultiple: s.OverloadMultiple,
-		OverloadWindow:   s.OverloadWindow,
-		Quotas:           slices.Clone(s.Quotas),
+		MaxAttempts:       s.MaxAttempts,
+		MaxRetryAfter:     s.MaxRetryAfter,
+		PollInterval:      s.PollInterval,
+		SlowStartFraction: s.SlowStartFraction,
+		SlowStartTime:     s.SlowStartTime,
+		OverloadMultiple:  s.OverloadMultiple,
+		OverloadWindow:    s.OverloadWindow,
+		Quotas:            slices.Clone(s.Quotas),
 	}
 	for _, serviceType := range s.ServiceTypes {
 		live.Objectives = append(live.Objectives,
@@ -107,7 +107,7 @@
 	b.MaxAttempts = live.MaxAttempts
 	b.MaxRetryAfter = live.MaxRetryAfter
 	b.PollInterval = pollInterval(live.PollInterval)
-	b.SlowStartShare = live.SlowStartShare
+	b.SlowStartFraction = live.SlowStartFraction
 	b.SlowStartTime = live.SlowStartTime
 	b.OverloadMultiple = live.OverloadMultiple
 	b.OverloadWindow = live.OverloadWindow
--- a/placement/slow_start.go
+++ b/placement/slow_start.go
@@ -15,14 +15,14 @@
 	startAt  float64 // when the window began
 }
 
-// slowStartWeight returns the fraction of its capacity that a server has at least. It rises from SlowStartShare to 1
+// slowStartWeight returns the fraction of its capacity that a server has at least. It rises from SlowStartFraction to 1
 // during the slow start.
 func (b *Balancer) slowStartWeight(now float64, s *server) float64 {
 	startedAt := max(s.StartedAt, s.admin.changedAt)
 	if startedAt <= 0 || b.SlowStartTime <= 0 || now-startedAt >= b.SlowStartTime {
 		return 1
 	}
-	return b.SlowStartShare + (1-b.SlowStartShare)*max(now-startedAt, 0)/b.SlowStartTime
+	return b.SlowStartFraction + (1-b.SlowStartFraction)*max(now-startedAt, 0)/b.SlowStartTime
 }
 
 // minAttemptChance returns the lower bound of this node's budget at a server in one overload window, as the chance of one
--- a/placement/slow_start_test.go
+++ b/placement/slow_start_test.go
@@ -100,8 +100,8 @@
 	for i := range b.servers {
 		connections += float64(b.servers[i].inFlight) / 5
 	}
-	perWindow := b.SlowStartShare * connections * b.OverloadMultiple / 2 * b.OverloadWindow / b.SlowStartTime
-	return max(b.SlowStartShare, 1/float64(nodes), perWindow)
+	perWindow := b.SlowStartFraction * connections * b.OverloadMultiple / 2 * b.OverloadWindow / b.SlowStartTime
+	return max(b.SlowStartFraction, 1/float64(nodes), perWindow)
 }
 
 // If each node rounded its budget independently, the sum of all nodes would deviate from the budget by about the square root of
@@ -158,7 +158,7 @@
 		if w.randomNumbers {
 			number = int(hash64(uint64(node+1000*window))) & math.MaxInt32
 		}
-		b := New(Settings{Nodes: w.nodes, NodeNumber: number, SlowStartShare: 0.4, SlowStartTime: 8,
+		b := New(Settings{Nodes: w.nodes, NodeNumber: number, SlowStartFraction: 0.4, SlowStartTime: 8,
 			OverloadMultiple: 4, OverloadWindow: windowSeconds})
 		now := 1000 + windowSeconds*(float64(window)+0.5)
 		if w.restarts && (node+window)%10 == 0 {
@@ -168,10 +168,10 @@
 		s.StartedAt = 999
 		s.idHash = 7
 		mean := 10.0 / float64(w.nodes) * (0.2 + 1.6*float64(node%2)) // some nodes have nine times the connections of others
-		perWindow := b.SlowStartShare * mean * b.OverloadMultiple / 2 * windowSeconds / b.SlowStartTime
+		perWindow := b.SlowStartFraction * mean * b.OverloadMultiple / 2 * windowSeconds / b.SlowStartTime
 		parts += max(1/float64(w.nodes), perWindow)
 		for range 20 {
-			if b.withinSlowStartBudget(now, s, b.SlowStartShare, mean, 0) {
+			if b.withinSlowStartBudget(now, s, b.SlowStartFraction, mean, 0) {
 				s.slowStart.attempts++
 				sent++
 			}
