--- a/internal/fleet/view/options.go
+++ b/internal/fleet/view/options.go
@@ -10,7 +10,7 @@
 )
 
 // Options are the parameters of a node's fleet membership that come from the node and not from the fleet file. The
-// functions may be nil. They are called from goroutines of the Part and must not call its methods.
+// functions may be nil. They are called from goroutines of the Membership and must not call its methods.
 type Options struct {
 	Name            string // name of the node, unique in the fleet
 	Build           string // revision of the program
@@ -26,8 +26,8 @@
 	// Install puts a revision of the live settings in force and returns after it is in force or has failed. It returns
 	// the keys that have no effect at this node. If Install is nil, the node does not follow control servers.
 	Install func(ctx context.Context, r live.Revision) (ignored []string, err error)
-	// InForce is the revision in force when the Part is created; the zero Revision for none.
+	// InForce is the revision in force when the Membership is created; the zero Revision for none.
 	InForce live.Revision
-	// Successor is true if another process of the node follows the control servers until Part.Follow is called.
+	// Successor is true if another process of the node follows the control servers until Membership.Follow is called.
 	Successor bool
 }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -11,8 +11,8 @@
 	"gorseledge/internal/peers"
 )
 
-// Part is the fleet membership of a node. Its methods may be called from several goroutines.
-type Part interface {
+// Membership is the fleet membership of a node. Its methods may be called from several goroutines.
+type Membership interface {
 	// Run runs the membership protocol until the context ends or the node has left the fleet.
 	Run(ctx context.Context) error
 	// SetReady announces whether the node accepts clients.
--- a/internal/sockets/config.go
+++ b/internal/sockets/config.go
@@ -100,7 +100,7 @@
 // membership is how a node takes part in its fleet, as the fleet file describes it. The zero value is for a node that
 // belongs to no fleet.
 type membership struct {
-	open           func(view.Options) view.Part
+	open           func(view.Options) view.Membership
 	followsControl bool // the node receives its live settings from control servers
 }
 
--- a/internal/sockets/fleet_file.go
+++ b/internal/sockets/fleet_file.go
@@ -21,6 +21,6 @@
 		return membership{}, fmt.Errorf("fleet: the name of a node that follows control servers must be at most %d bytes, got %d",
 			configfeed.MaxNameBytes, len(name))
 	}
-	open := func(options view.Options) view.Part { return fleet.New(config, options) }
+	open := func(options view.Options) view.Membership { return fleet.New(config, options) }
 	return membership{open: open, followsControl: follows}, nil
 }
--- a/internal/sockets/server.go
+++ b/internal/sockets/server.go
@@ -47,7 +47,7 @@
 	upgrade     upgrade
 	discovery   discoveryWatch
 	gossip      chan []peers.HostLoad // load gossip to be sent to the other nodes; nil if this node sends none
-	fleet       view.Part             // nil for a node that belongs to no fleet
+	fleet       view.Membership       // nil for a node that belongs to no fleet
 }
 
 // event is what a goroutine hands to the loop: an input for the core or, if the server's own state is involved, a step
