--- a/internal/fleet/introduce.go
+++ b/internal/fleet/introduce.go
@@ -25,24 +25,24 @@
 // errIntroductionTooLong is returned for an introduction that does not fit into a datagram.
 var errIntroductionTooLong = errors.New("the introduction does not fit into a datagram")
 
-// Introduce sends updates about all given members to the members at the addresses in to, with the same messages that
-// members use to exchange their state. The members of a large test fleet learn of each other in seconds this way, while
-// their own exchange needs many periods. Introduce sends one message per pause to each receiver, so that its socket buffer
-// does not overflow. The fleet's own exchange makes up for lost messages. Introduce uses only Fleet, Key and Address of the
-// config; it sends from Address.
-func Introduce(ctx context.Context, c Config, all []membership.Member, to []string, pause time.Duration) error {
+// SeedMembers lets the members at the addresses in to learn of all given members. It sends them introductions: updates in
+// the same messages that members use to exchange their state. The members of a large test fleet know each other in seconds
+// this way, while their own exchange needs many periods. SeedMembers sends one message per pause to each receiver, so that
+// its socket buffer does not overflow. The fleet's own exchange makes up for lost messages. SeedMembers uses only Fleet, Key
+// and Address of the config; it sends from Address.
+func SeedMembers(ctx context.Context, c Config, all []membership.Member, to []string, pause time.Duration) error {
 	key, err := hex.DecodeString(c.Key)
 	if err != nil {
-		return fmt.Errorf("introduce members: decode the fleet's key: %w", err)
+		return fmt.Errorf("seed members: decode the fleet's key: %w", err)
 	}
 	c.keys = [][]byte{key}
 	receivers, err := parseAddresses(to)
 	if err != nil {
-		return fmt.Errorf("introduce members: %w", err)
+		return fmt.Errorf("seed members: %w", err)
 	}
 	socket, err := peers.Open(ctx, c.Address)
 	if err != nil {
-		return fmt.Errorf("introduce members: %w", err)
+		return fmt.Errorf("seed members: %w", err)
 	}
 	defer socket.Close()
 	authenticator := newAuthenticator(c)
@@ -52,7 +52,7 @@
 			err = errIntroductionTooLong
 		}
 		if err != nil {
-			return fmt.Errorf("introduce members: %w", err)
+			return fmt.Errorf("seed members: %w", err)
 		}
 		next := time.Now().Add(pause)
 		for _, receiver := range receivers { // one call per receiver, because Send has one time limit for all its receivers
--- a/internal/fleet/introduce_test.go
+++ b/internal/fleet/introduce_test.go
@@ -15,7 +15,7 @@
 	const count = 50
 	all := testMembers(count)
 	c := Config{Fleet: "lima", Address: freeAddress(t), Key: fmt.Sprintf("%x", testKey)}
-	if err := Introduce(t.Context(), c, all, []string{first.Self().Address}, 0); err != nil {
+	if err := SeedMembers(t.Context(), c, all, []string{first.Self().Address}, 0); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the first node knows all members", func() bool { return len(first.View().Members) == count+2 })
@@ -26,7 +26,7 @@
 	first, _ := startPair(t, nil)
 	all := testMembers(50)
 	c := Config{Fleet: "lima", Address: freeAddress(t), Key: fmt.Sprintf("%x", "another key, as long")}
-	if err := Introduce(t.Context(), c, all, []string{first.Self().Address}, 0); err != nil {
+	if err := SeedMembers(t.Context(), c, all, []string{first.Self().Address}, 0); err != nil {
 		t.Fatal(err)
 	}
 	rejected := func() int {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -133,5 +133,5 @@
 
 // introduce tells the nodes at some addresses of all members that run.
 func (p *Plan) introduce(ctx context.Context, members []memberFacts, to []string) error {
-	return fleet.Introduce(ctx, fleet.Config{Fleet: p.ID, Key: p.Key, Address: p.own}, facts(members), to, introducePause)
+	return fleet.SeedMembers(ctx, fleet.Config{Fleet: p.ID, Key: p.Key, Address: p.own}, facts(members), to, introducePause)
 }
