--- a/internal/configfeed/feedhttp/calls.go
+++ b/internal/configfeed/feedhttp/calls.go
@@ -77,7 +77,7 @@
 	case <-r.Context().Done():
 		s.loop.post(func(now float64) []configfeed.ServerEffect {
 			delete(s.polls, request)
-			s.core.Closed(now, request)
+			s.core.PollClosed(now, request)
 			return nil
 		})
 		return encodedAnswer{}, errClientGone
--- a/internal/configfeed/polls.go
+++ b/internal/configfeed/polls.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Closed reports that the client of a held poll has disconnected. The poll is dropped without an answer.
-func (s *Server) Closed(_ float64, request uint64) {
+// PollClosed reports that the client of a held poll has disconnected. The poll is dropped without an answer.
+func (s *Server) PollClosed(_ float64, request uint64) {
 	if p := s.pending.byRequest[request]; p != nil {
 		s.pending.remove(p)
 	}
--- a/internal/configfeed/polls_test.go
+++ b/internal/configfeed/polls_test.go
@@ -17,7 +17,7 @@
 	assertEqual(t, updatesOf(s.Tick(5.4)), map[uint64]Update{})
 	assertEqual(t, updatesOf(s.Tick(5.5))[11].Kind, Unchanged)
 	s.Polled(6, 12, poll)
-	s.Closed(6, 12)
+	s.PollClosed(6, 12)
 	assertEqual(t, len(s.pending.byRequest)+len(s.pending.byFollower)+len(s.pending.queue), 0)
 }
 
