--- a/cmd/gorseledge-config/log_damage_test.go
+++ b/cmd/gorseledge-config/log_damage_test.go
@@ -38,7 +38,7 @@
 )
 
 // logOf returns the file of a server's log after a number of revisions, and the decoded content of the log.
-func logOf(t *testing.T, revisions int) ([]byte, configfeed.Stored) {
+func logOf(t *testing.T, revisions int) ([]byte, configfeed.StoredLog) {
 	t.Helper()
 	directory := t.TempDir()
 	store, stored, err := feedstore.Open(directory)
@@ -142,10 +142,10 @@
 // damageTrial changes single bytes of a log and checks the results.
 type damageTrial struct {
 	t       *testing.T
-	text    []byte            // content of the log's file
-	stored  configfeed.Stored // decoded content of the log
-	server  *server           // is started with some of the changed logs
-	refused int               // number of changed logs that the check refused
+	text    []byte               // content of the log's file
+	stored  configfeed.StoredLog // decoded content of the log
+	server  *server              // is started with some of the changed logs
+	refused int                  // number of changed logs that the check refused
 }
 
 // changedLog writes a copy of the log with one byte changed, and returns its directory.
--- a/cmd/gorseledge/control_server_test.go
+++ b/cmd/gorseledge/control_server_test.go
@@ -86,7 +86,7 @@
 	server := feedhttp.NewServer(feedhttp.ServerOptions{Fleet: controlFleet, Keys: [][]byte{c.key}, Log: zerolog.Nop(), Store: c.store,
 		Config: configfeed.ServerConfig{Name: "c1", Region: "west", Writer: "c1", Seed: 3,
 			Servers: []configfeed.ServerAddress{{Name: "c1", Address: c.address, Region: "west"}}},
-		Stored: configfeed.Stored{State: c.store.state}, Check: livesettings.Check})
+		Stored: configfeed.StoredLog{State: c.store.state}, Check: livesettings.Check})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx, listener) }()
--- a/internal/configfeed/feedhttp/exchanges_golden_test.go
+++ b/internal/configfeed/feedhttp/exchanges_golden_test.go
@@ -258,7 +258,7 @@
 	states := []configfeed.State{mustState(goldenVersion(2, 1), state.Entries[1:]...), state}
 	server := NewServer(ServerOptions{Fleet: goldenFleet, Keys: goldenKeys(), Config: config, Log: zerolog.Nop(),
 		Store:  &memoryStore{states: states, saveError: e.saveError, readError: e.readError},
-		Stored: configfeed.Stored{State: state, History: history},
+		Stored: configfeed.StoredLog{State: state, History: history},
 		Check: func(entries []configfeed.Entry) error {
 			if len(entries) > 0 && entries[0].Key == "listen" {
 				return errors.New("listen: needs a restart")
--- a/internal/configfeed/feedhttp/server.go
+++ b/internal/configfeed/feedhttp/server.go
@@ -42,7 +42,7 @@
 	Via    map[string]string       // maps another server's address to the one to dial instead; may be nil
 	Log    zerolog.Logger
 	Store  Store
-	Stored configfeed.Stored // content of the store when the server starts
+	Stored configfeed.StoredLog // content of the store when the server starts
 	// Check returns an error if proposed entries are not a valid configuration. If it is nil, all entries are accepted.
 	Check func([]configfeed.Entry) error
 }
--- a/internal/configfeed/feedstore/feedstore.go
+++ b/internal/configfeed/feedstore/feedstore.go
@@ -49,22 +49,22 @@
 // Open opens the log in a directory and returns its content. It creates the directory and the log if they do not exist.
 // For a truncated or damaged file it returns an error with the path, but it detects only the damage that can be found
 // without the risks of Check. The file is locked: Open fails while another process has the log open.
-func Open(directory string) (*Store, configfeed.Stored, error) {
+func Open(directory string) (*Store, configfeed.StoredLog, error) {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
-		return nil, configfeed.Stored{}, fmt.Errorf("creating the directory of the log: %w", err)
+		return nil, configfeed.StoredLog{}, fmt.Errorf("creating the directory of the log: %w", err)
 	}
 	path := filepath.Join(directory, fileName)
 	store := &Store{}
 	stored, err := store.open(path)
 	if err != nil {
-		return nil, configfeed.Stored{}, fmt.Errorf("%s: %w", path, err)
+		return nil, configfeed.StoredLog{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return store, stored, nil
 }
 
 // open opens a file, checks all records and loads them. After an error the file is closed. If pages are damaged, bbolt may
 // panic or read beyond the end of the file; open converts both into errors.
-func (s *Store) open(path string) (stored configfeed.Stored, err error) {
+func (s *Store) open(path string) (stored configfeed.StoredLog, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/configfeed/feedstore/feedstore_test.go
+++ b/internal/configfeed/feedstore/feedstore_test.go
@@ -35,7 +35,7 @@
 }
 
 // openStore opens a log and closes it at the end of the test.
-func openStore(t *testing.T, directory string) (*Store, configfeed.Stored) {
+func openStore(t *testing.T, directory string) (*Store, configfeed.StoredLog) {
 	t.Helper()
 	store, stored, err := Open(directory)
 	if err != nil {
@@ -187,7 +187,7 @@
 }
 
 // openBytes opens a log whose file has the given content. An error has to be one line that names the file.
-func openBytes(t *testing.T, text []byte) (configfeed.Stored, error) {
+func openBytes(t *testing.T, text []byte) (configfeed.StoredLog, error) {
 	t.Helper()
 	directory := t.TempDir()
 	path := filepath.Join(directory, fileName)
--- a/internal/configfeed/feedstore/log.go
+++ b/internal/configfeed/feedstore/log.go
@@ -91,8 +91,8 @@
 }
 
 // load returns the newest state of the log and the newest configfeed.HistoryRevisions revisions.
-func (s *Store) load() (configfeed.Stored, error) {
-	var stored configfeed.Stored
+func (s *Store) load() (configfeed.StoredLog, error) {
+	var stored configfeed.StoredLog
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketName)
 		var err error
--- a/internal/configfeed/feedstore/log_golden_test.go
+++ b/internal/configfeed/feedstore/log_golden_test.go
@@ -155,9 +155,9 @@
 
 // requireStored fails unless the content of a log has the encoded form in a golden file, and the file is the same after
 // it is decoded and encoded again.
-func requireStored(t *testing.T, name string, stored configfeed.Stored) {
+func requireStored(t *testing.T, name string, stored configfeed.StoredLog) {
 	t.Helper()
-	encode := func(stored configfeed.Stored) []byte {
+	encode := func(stored configfeed.StoredLog) []byte {
 		var text bytes.Buffer
 		encoder := json.NewEncoder(&text)
 		for _, value := range []any{stored.State, stored.History} {
@@ -169,7 +169,7 @@
 	}
 	requireGolden(t, name, encode(stored))
 
-	var decoded configfeed.Stored
+	var decoded configfeed.StoredLog
 	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, name)))
 	decoder.DisallowUnknownFields()
 	for _, into := range []any{&decoded.State, &decoded.History} {
--- a/internal/configfeed/helpers_test.go
+++ b/internal/configfeed/helpers_test.go
@@ -8,14 +8,14 @@
 // readyServer returns the writer of three servers, to which a second server has reported and which has saved one revision.
 func readyServer(t *testing.T) *Server {
 	t.Helper()
-	s := newTestServer(Stored{})
+	s := newTestServer(StoredLog{})
 	s.Polled(1, 100, Poll{Follower: "b", Server: true})
 	proposeAndSave(t, s, Proposal{ID: "first", Entries: []Entry{{"a", "1"}}})
 	return s
 }
 
 // newTestServer returns the writer of three servers, to which no other server has reported yet.
-func newTestServer(stored Stored) *Server {
+func newTestServer(stored StoredLog) *Server {
 	servers := []ServerAddress{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	return NewServer(0, ServerConfig{Name: "a", Servers: servers, Writer: "a"}, stored)
 }
--- a/internal/configfeed/polls_test.go
+++ b/internal/configfeed/polls_test.go
@@ -100,7 +100,7 @@
 
 // BenchmarkPoll measures a poll by one of 172 followers that is held until its deadline and then answered.
 func BenchmarkPoll(b *testing.B) {
-	s := newTestServer(Stored{})
+	s := newTestServer(StoredLog{})
 	s.peers = nil
 	for i := 0; b.Loop(); i++ {
 		now := float64(i) / 172 * 2
--- a/internal/configfeed/proposals_test.go
+++ b/internal/configfeed/proposals_test.go
@@ -47,7 +47,7 @@
 	s := readyServer(t)
 	v := proposeAndSave(t, s, Proposal{ID: "second", Entries: []Entry{{"a", "2"}}})
 	proposeAndSave(t, s, Proposal{ID: "third", Entries: []Entry{{"a", "3"}}})
-	s = newTestServer(Stored{State: s.State(), History: s.History()})
+	s = newTestServer(StoredLog{State: s.State(), History: s.History()})
 	effects := s.Propose(9, 7, Proposal{ID: "second", IfVersion: s.State().Version, Entries: []Entry{{"a", "2"}}})
 	assertEqual(t, effects, []ServerEffect{AnswerProposal{7, Outcome{Kind: Accepted, Version: v}}})
 }
@@ -77,7 +77,7 @@
 
 // Two servers that both accept proposals would create two histories.
 func TestOnlyWriterAcceptsProposals(t *testing.T) {
-	s := newTestServer(Stored{})
+	s := newTestServer(StoredLog{})
 	s.config.Writer = "b"
 	assertEqual(t, s.Propose(1, 2, Proposal{ID: "x"}), []ServerEffect{AnswerProposal{2, Outcome{Kind: NotWriter, Writer: "b"}}})
 }
@@ -106,7 +106,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestServer(Stored{State: stored})
+			s := newTestServer(StoredLog{State: stored})
 			for i, p := range c.polls {
 				s.Polled(1, uint64(i), p)
 			}
--- a/internal/configfeed/server.go
+++ b/internal/configfeed/server.go
@@ -15,8 +15,8 @@
 	Seed    uint64          // seed of the server's random choices
 }
 
-// Stored is the content of the disk at the start. The zero value is an empty disk.
-type Stored struct {
+// StoredLog is the content of the log on the disk at the start. The zero value is that of an empty log.
+type StoredLog struct {
 	State   State
 	History []Revision // oldest first
 }
@@ -70,9 +70,9 @@
 
 // NewServer returns a server that starts with the content of its disk. If the stored state does not match its digest, both
 // the state and the history are ignored.
-func NewServer(now float64, c ServerConfig, stored Stored) *Server {
+func NewServer(now float64, c ServerConfig, stored StoredLog) *Server {
 	if stored.State.Verify() != nil {
-		stored = Stored{}
+		stored = StoredLog{}
 	}
 	s := &Server{
 		config:    c,
--- a/internal/configfeed/sim_server_test.go
+++ b/internal/configfeed/sim_server_test.go
@@ -13,8 +13,8 @@
 	sim          *simulation
 	config       ServerConfig
 	core         *Server
-	disk         Stored
-	backup       Stored                   // a copy of the disk, to be restored later
+	disk         StoredLog
+	backup       StoredLog                // a copy of the disk, to be restored later
 	failSaves    bool                     // saves return an error
 	saveDuration float64                  // in seconds; zero selects one millisecond
 	requests     uint64                   // number of the latest request
@@ -38,7 +38,7 @@
 	n.markRunning()
 	n.pollers, n.callers = map[uint64]func(Update){}, map[uint64]func(Outcome){}
 	n.encoded, n.timer = map[encodedKey]int{}, 0
-	stored := Stored{State: n.disk.State, History: slices.Clone(n.disk.History)}
+	stored := StoredLog{State: n.disk.State, History: slices.Clone(n.disk.History)}
 	n.core = NewServer(n.sim.clock.Now, n.config, stored)
 	n.core.rules = n.sim.rules
 	for _, p := range n.core.peers {
@@ -49,19 +49,19 @@
 
 // backUpDisk copies the disk for a later restore.
 func (n *simServer) backUpDisk() {
-	n.backup = Stored{State: n.disk.State, History: slices.Clone(n.disk.History)}
+	n.backup = StoredLog{State: n.disk.State, History: slices.Clone(n.disk.History)}
 }
 
 // killAndRestoreDisk kills the server and restores the copy of its disk.
 func (n *simServer) killAndRestoreDisk() {
 	n.kill()
-	n.disk = Stored{State: n.backup.State, History: slices.Clone(n.backup.History)}
+	n.disk = StoredLog{State: n.backup.State, History: slices.Clone(n.backup.History)}
 	n.sim.dropLostProposals()
 }
 
 // killAndWipeDisk kills the server and empties its disk.
 func (n *simServer) killAndWipeDisk() {
-	n.backup = Stored{}
+	n.backup = StoredLog{}
 	n.killAndRestoreDisk()
 }
 
