--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -58,9 +58,9 @@
 	n.flows.markReleasable(f)
 }
 
-// clientGone handles a client that disconnected while some of its input is still unread. If its flow is not yet
+// clientDisconnected handles a client that disconnected while some of its input is still unread. If its flow is not yet
 // established, the flow gets no further attempt.
-func (n *Node) clientGone(c *connection) {
+func (n *Node) clientDisconnected(c *connection) {
 	if c.flow != nil && !c.flow.established && c.pendingClose == StreamOpen {
 		n.clientLeft(c.flow)
 	}
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -183,8 +183,8 @@
 }
 
 // A client may disconnect while bytes that it sent before are still unread, so that only the socket shows it. Without
-// ClientGone, the node would keep making attempts for this client. The attempt under way is canceled, no other follows,
-// and the descriptors are freed.
+// ClientDisconnected, the node would keep making attempts for this client. The attempt under way is canceled, no other
+// follows, and the descriptors are freed.
 func TestClientGoneEndsItsAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -198,13 +198,13 @@
 			client := harness.openFlow(chatRequest)
 			host := harness.flowDials[0]
 			c.before(harness, host)
-			harness.apply(ClientGone{client})
+			harness.apply(ClientDisconnected{client})
 			hostState, clientState := harness.connectionState[host], harness.connectionState[client]
 			if hostState != "closed" || clientState != "closed" || len(harness.flowDials) != 1 {
 				t.Errorf("the host's connection is %q, the client's %q, after %d dials", hostState, clientState,
 					len(harness.flowDials))
 			}
-			harness.apply(ClientGone{client}) // a second report is ignored
+			harness.apply(ClientDisconnected{client}) // a second report is ignored
 			harness.advance(5)
 			if got := harness.endReasons(); len(got) != 1 || got[0] != ClientLeft || len(harness.flowDials) != 1 {
 				t.Errorf("reasons %v after %d dials", got, len(harness.flowDials))
@@ -214,12 +214,12 @@
 	}
 }
 
-// An established client may send its last lines and disconnect at once. Its connections must stay open on ClientGone, or
-// these lines would be lost.
+// An established client may send its last lines and disconnect at once. Its connections must stay open on
+// ClientDisconnected, or these lines would be lost.
 func TestClientGoneLeavesEstablishedFlow(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 100)
 	client, host := harness.establish(chatRequest)
-	harness.apply(ClientGone{client})
+	harness.apply(ClientDisconnected{client})
 	if harness.connectionState[client] != "" || harness.connectionState[host] != "" {
 		t.Error("an established connection was closed")
 	}
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -5,7 +5,7 @@
 // dispatch passes an input to the method that handles it.
 func (n *Node) dispatch(input Input) {
 	switch input := input.(type) {
-	case Accepted, Dialed, ReadDone, WriteDone, ClientGone, Closed:
+	case Accepted, Dialed, ReadDone, WriteDone, ClientDisconnected, Closed:
 		n.dispatchConnection(input)
 	case HandoverReceived, PeerProcessChanged, ConnectionReceived, ConnectionSent, SuccessorGone, PredecessorGone:
 		n.dispatchUpgrade(input)
@@ -48,8 +48,8 @@
 		n.connections.with(input.Conn, func(c *connection) { n.readDone(c, input.Count, input.State) })
 	case WriteDone:
 		n.connections.with(input.Conn, func(c *connection) { n.writeDone(c, input.Count, input.Failed) })
-	case ClientGone:
-		n.connections.with(input.Conn, n.clientGone)
+	case ClientDisconnected:
+		n.connections.with(input.Conn, n.clientDisconnected)
 	}
 }
 
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -9,7 +9,8 @@
 // buffers until it has received the result.
 type (
 	// Dial opens a connection within Timeout seconds, answered by Dialed. For is the client's connection that the dial
-	// serves, 0 for none. If the owner finds that this client has disconnected, it does not dial but reports ClientGone.
+	// serves, 0 for none. If the owner finds that this client has disconnected, it does not dial but reports
+	// ClientDisconnected.
 	Dial struct {
 		Conn    ConnID
 		Address string
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -46,9 +46,9 @@
 		Count  int
 		Failed bool
 	}
-	// ClientGone says that a client has ended its sending or broken its connection, while input before that may still be
-	// unread.
-	ClientGone struct{ Conn ConnID }
+	// ClientDisconnected says that a client has ended its sending or broken its connection, while input that it sent before
+	// may still be unread.
+	ClientDisconnected struct{ Conn ConnID }
 	// Closed confirms a Close: the connection's descriptor is free again.
 	Closed struct{ Conn ConnID }
 )
@@ -116,7 +116,7 @@
 func (ReadDone) input()           {}
 func (WriteDone) input()          {}
 func (Closed) input()             {}
-func (ClientGone) input()         {}
+func (ClientDisconnected) input() {}
 func (ListReceived) input()       {}
 func (WatchAlive) input()         {}
 func (WatchFailed) input()        {}
--- a/internal/sockets/connection.go
+++ b/internal/sockets/connection.go
@@ -168,7 +168,7 @@
 	client := s.connections[e.For]
 	if client != nil && client.remoteEnded() {
 		cancel()
-		s.pending = append(s.pending, node.ClientGone{Conn: e.For})
+		s.pending = append(s.pending, node.ClientDisconnected{Conn: e.For})
 	}
 	s.group.Go(func() error {
 		defer cancel()
