--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -8,14 +8,14 @@
 // Effects on connections. A connection has at most one Read and one Write under way, and the node does not touch their
 // buffers until it has received the result.
 type (
-	// Dial opens a connection within Timeout seconds, answered by Dialed. For is the client's connection that the dial
+	// Dial opens a connection within Timeout seconds, answered by Dialed. Client is the client's connection that the dial
 	// serves, 0 for none. If the owner finds that this client has disconnected, it does not dial but reports
 	// ClientDisconnected.
 	Dial struct {
 		Conn    ConnID
 		Address string
 		Timeout float64
-		For     ConnID
+		Client  ConnID
 	}
 	// Read reads up to len(Into) bytes into Into, answered by ReadDone.
 	Read struct {
--- a/internal/sockets/connection.go
+++ b/internal/sockets/connection.go
@@ -160,15 +160,15 @@
 	return err == nil && ended
 }
 
-// dial connects to a host in a goroutine of its own. If the client that the connection is for has already gone, the dial
+// dial connects to a host in a goroutine of its own. If the client that the connection is for has disconnected, the dial
 // is canceled before anything is sent.
 func (s *server) dial(e node.Dial) {
 	ctx, cancel := context.WithTimeout(s.ctx, seconds(e.Timeout))
 	s.connections[e.Conn] = &connection{cancel: cancel}
-	client := s.connections[e.For]
+	client := s.connections[e.Client]
 	if client != nil && client.remoteEnded() {
 		cancel()
-		s.pending = append(s.pending, node.ClientDisconnected{Conn: e.For})
+		s.pending = append(s.pending, node.ClientDisconnected{Conn: e.Client})
 	}
 	s.group.Go(func() error {
 		defer cancel()
