--- a/internal/emulator/upgrade.go
+++ b/internal/emulator/upgrade.go
@@ -47,7 +47,7 @@
 		unboundHosts: map[node.ConnID]*connection{},
 	}
 	successor.cloneKnowledge(old)
-	start.NotListening = true
+	start.HasPredecessor = true
 	start.Handover = transferred(old.query(node.Query{Question: node.ClaimHandover}).Handover)
 	old.successor = successor
 	s.startCore(successor, start)
--- a/internal/node/handover_golden_test.go
+++ b/internal/node/handover_golden_test.go
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	return New(1700000100, Start{
-		Settings: settings, Listener: rest, MaxDescriptors: 900, DescriptorOverhead: 20, NotListening: true, Handover: state,
+		Settings: settings, Listener: rest, MaxDescriptors: 900, DescriptorOverhead: 20, HasPredecessor: true, Handover: state,
 	})
 }
 
--- a/internal/node/handover_harness_test.go
+++ b/internal/node/handover_harness_test.go
@@ -27,7 +27,7 @@
 		Listener:           listener,
 		MaxDescriptors:     harness.node.connections.configuredLimit,
 		DescriptorOverhead: 20,
-		NotListening:       true,
+		HasPredecessor:     true,
 		Handover:           exchangeJSON(harness, harness.query(ClaimHandover, "").Handover),
 	})
 	successor.apply(TimerFired{})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,11 +36,12 @@
 	MaxDescriptors     int
 	DescriptorOverhead int
 
-	// NotListening says that a predecessor still accepts the clients, so that the listener is not open yet. The node emits
-	// OpenListener once it can serve, and ListenerOpened confirms that.
-	NotListening bool
+	// HasPredecessor says that a predecessor still accepts the clients, so that this process may not open the listener yet.
+	// The node emits OpenListener once it can serve, and ListenerOpened confirms that.
+	HasPredecessor bool
 
-	// Handover is the state that a predecessor hands over, nil if there is no predecessor.
+	// Handover is the state that a predecessor hands over. It is nil if there is no predecessor, or if the predecessor does
+	// not support handover.
 	Handover *HandoverState
 
 	// AwaitSettings is for how many seconds at most the listener stays closed until a first revision of the live settings
--- a/internal/node/settings_handover_test.go
+++ b/internal/node/settings_handover_test.go
@@ -78,7 +78,7 @@
 	}
 	successor := newHarness(t, "pass", 0, 100)
 	successor.node = New(successor.now, Start{
-		Settings: balancer, Listener: listener, MaxDescriptors: 100, NotListening: true, Handover: state,
+		Settings: balancer, Listener: listener, MaxDescriptors: 100, HasPredecessor: true, Handover: state,
 	})
 	successor.apply(TimerFired{})
 	if !successor.node.Revision().IsZero() {
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -10,8 +10,8 @@
 // newStartup returns the state of a process before its first input.
 func newStartup(start Start) startup {
 	return startup{
-		listenerClosed: start.NotListening || start.AwaitSettings > 0,
-		hasPredecessor: start.NotListening,
+		listenerClosed: start.HasPredecessor || start.AwaitSettings > 0,
+		hasPredecessor: start.HasPredecessor,
 	}
 }
 
--- a/internal/sockets/run.go
+++ b/internal/sockets/run.go
@@ -74,12 +74,12 @@
 		return err
 	}
 	s.logStarted(start)
-	limitMemory(config.Limits.MemoryMB, start.NotListening)
+	limitMemory(config.Limits.MemoryMB, start.HasPredecessor)
 	if s.upgrade.predecessor != nil {
 		s.servePeerProcess(s.upgrade.predecessor)
 	}
 	s.openGossip(ctx)
-	s.listener.openPending = !start.NotListening && start.AwaitSettings == 0
+	s.listener.openPending = !start.HasPredecessor && start.AwaitSettings == 0
 	group.Go(func() error { return s.loop(signals.Shutdown) })
 	group.Go(func() error { return s.reloadOnSignal(signals.Reload) })
 	if err := group.Wait(); !errors.Is(err, errDone) {
@@ -111,7 +111,7 @@
 	if s.listener.socket != nil {
 		address = s.listener.socket.Addr().String()
 	}
-	s.log.Info().Str("listen", address).Int("sockets", start.MaxDescriptors).Bool("predecessor", start.NotListening).
+	s.log.Info().Str("listen", address).Int("sockets", start.MaxDescriptors).Bool("predecessor", start.HasPredecessor).
 		Msg("started")
 }
 
@@ -124,7 +124,7 @@
 // complete sets those start parameters of the core that depend on the predecessor or on the fleet file.
 func (o origin) complete(start *node.Start, member membership) {
 	start.Handover = o.upgrade.inherited
-	start.NotListening = o.upgrade.predecessor != nil || o.listener == nil
+	start.HasPredecessor = o.upgrade.predecessor != nil || o.listener == nil
 	if !member.followsControl {
 		return
 	}
