--- a/internal/fleet/server_watch.go
+++ b/internal/fleet/server_watch.go
@@ -42,7 +42,7 @@
 	version := f.state.Version
 	f.mu.Unlock()
 	event := f.options.Log.Info()
-	message := "a control server answers again"
+	message := "control servers answer again"
 	if silent {
 		event = f.options.Log.Warn()
 		message = "no control server answers; keeping the current configuration"
