--- a/internal/node/reasons_golden_test.go
+++ b/internal/node/reasons_golden_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Operators' tools search the log's "ended" lines for these codes, which docs/oncall.md lists. They stay as they were at
-// revision 5fa7498 and must never change.
+// Operators' tools search the log's "client connection ended" lines for these codes, which docs/oncall.md lists. They stay
+// as they were at revision 5fa7498 and must never change.
 func TestReasonCodesAreFixed(t *testing.T) {
 	for code, reason := range map[string]Reason{
 		"served":        Served,
