--- a/cmd/gorseledge/control_program_test.go
+++ b/cmd/gorseledge/control_program_test.go
@@ -162,7 +162,7 @@
 
 	c.apply("[limits]\nmax_connects = 64\n")
 	c.waitForStatus("a node that refused the revision", func(s serverStatus) bool {
-		return s.Current == 0 && strings.Contains(s.text, "limits.max_connects: 64 is over the start's 3")
+		return s.Current == 0 && strings.Contains(s.text, "limits.max_connects: must be at most 3, the value at the start, got 64")
 	})
 	v = c.apply(disablingDocument("s-00000065"))
 	followed := n.waitForRevision(v).Server
--- a/cmd/gorseledge/live_settings_test.go
+++ b/cmd/gorseledge/live_settings_test.go
@@ -107,10 +107,11 @@
 	refused := c.apply(disablingDocument("s-00000064", "s-00000065") + "[limits]\nmax_connects = 64\n")
 	page := n.waitForConfigPage("a refusal", func(c view.Config) bool { return c.Refused != nil })
 	if page.Revision != v.Revision || page.Refused.Revision != refused.Revision || page.Newest.Revision != refused.Revision ||
-		!strings.Contains(page.Refused.Reason, "limits.max_connects: 64 is over the start's 3") {
+		!strings.Contains(page.Refused.Reason, "limits.max_connects: must be at most 3, the value at the start, got 64") {
 		t.Errorf("after a refusal: page %+v, refused %+v", page, page.Refused)
 	}
-	n.waitForLog(`"message":"configuration revision processed"`, `"in_force":false`, "is over the start's 3")
+	n.waitForLog(`"message":"configuration revision processed"`, `"in_force":false`,
+		"must be at most 3, the value at the start, got 64")
 	if answers := n.countAnswers(60); answers["UP 0"] != 0 || answers["UP 1"] == 0 || answers["UP 2"] == 0 {
 		t.Errorf("after a refusal, clients were answered %v", answers)
 	}
--- a/internal/node/live_settings.go
+++ b/internal/node/live_settings.go
@@ -81,11 +81,13 @@
 		return errors.New("retry_advice_s: must be 0, as this node's clients do not follow retry times")
 	}
 	if settings.MaxAttempts != nil && *settings.MaxAttempts > start.MaxAttempts {
-		return fmt.Errorf("limits.max_connects: %d is over the start's %d", *settings.MaxAttempts, start.MaxAttempts)
+		return fmt.Errorf("limits.max_connects: must be at most %d, the value at the start, got %d",
+			start.MaxAttempts, *settings.MaxAttempts)
 	}
 	mostDescriptors := n.live.descriptors + n.live.descriptorOverhead
 	if settings.MaxDescriptors != nil && *settings.MaxDescriptors > mostDescriptors {
-		return fmt.Errorf("limits.sockets: %d is over the start's %d", *settings.MaxDescriptors, mostDescriptors)
+		return fmt.Errorf("limits.sockets: must be at most %d, the value at the start, got %d",
+			mostDescriptors, *settings.MaxDescriptors)
 	}
 	if settings.SlowStart != (live.SlowStart{}) && !hasSlowStart(n.settingsUnder(settings)) {
 		return errors.New("slow_start: all four values are needed, as this node was started without a slow start")
--- a/internal/node/live_settings_test.go
+++ b/internal/node/live_settings_test.go
@@ -113,8 +113,10 @@
 	}{
 		{"retry_advice_s = 1", withoutSlowStart(settingsWithQuotas),
 			"retry_advice_s: must be 0, as this node's clients do not follow retry times"},
-		{"limits.max_connects = 4", settingsWithQuotas, "limits.max_connects: 4 is over the start's 3"},
-		{"limits.sockets = 101", settingsWithQuotas, "limits.sockets: 101 is over the start's 100"},
+		{"limits.max_connects = 4", settingsWithQuotas,
+			"limits.max_connects: must be at most 3, the value at the start, got 4"},
+		{"limits.sockets = 101", settingsWithQuotas,
+			"limits.sockets: must be at most 100, the value at the start, got 101"},
 		{"slow_start.from = 0.5", withoutSlowStart(settingsWithQuotas),
 			"slow_start: all four values are needed, as this node was started without a slow start"},
 	} {
