--- a/internal/fleetkey/fleetkey.go
+++ b/internal/fleetkey/fleetkey.go
@@ -18,7 +18,7 @@
 
 // Error returns the name of the setting and the requirements for a key. It does not contain the value, which is a secret.
 func (e *Error) Error() string {
-	return fmt.Sprintf("%s: wanted at least %d bytes in hexadecimal", e.Setting, MinBytes)
+	return fmt.Sprintf("%s: must be at least %d bytes in hexadecimal", e.Setting, MinBytes)
 }
 
 // Decode decodes the hexadecimal values of the settings key and old_key. The first key that it returns is the one that
