--- a/internal/fleet/config_follower.go
+++ b/internal/fleet/config_follower.go
@@ -177,9 +177,8 @@
 	f.setInForce(r)
 }
 
-// setInForce records the revision in force. It ignores a revision without a valid state; if there was none before, a follower
-// then starts without a revision. The caller holds the lock, or is
-// the only one with access to f.
+// setInForce records the revision in force. It ignores a revision without a valid state, so that a follower that starts
+// later continues from the previous revision, or from none. The caller holds the lock, or is the only one with access to f.
 func (f *configFollower) setInForce(r live.Revision) {
 	state, ok := stateOf(r)
 	if !ok {
--- a/internal/fleet/server_watch.go
+++ b/internal/fleet/server_watch.go
@@ -9,7 +9,7 @@
 
 const (
 	serversSilentSeconds = 10.0        // time without an answer of any control server after which a warning is logged
-	serverWatchInterval  = time.Second // time between two checks for such silence
+	serverWatchInterval  = time.Second // time between two checks of the last answer
 )
 
 // watchServers logs when no control server has answered for serversSilentSeconds and when one answers again. It returns
--- a/internal/node/connection_table.go
+++ b/internal/node/connection_table.go
@@ -5,12 +5,12 @@
 
 // connectionTable holds the open connections and counts descriptors.
 //
-// A descriptor counts as taken from when its connection is accepted or dialed until Closed confirms its close, so
+// A descriptor counts as in use from when its connection is accepted or dialed until Closed confirms its close, so
 // closing <= descriptors always holds. A connection that is being closed is no longer in byID.
 type connectionTable struct {
 	byID        map[ConnID]*connection
 	lastDialed  ConnID // the highest id of a dialed connection
-	descriptors int    // descriptors taken by connections
+	descriptors int    // descriptors in use by connections
 	closing     int    // how many of descriptors belong to connections that are being closed
 
 	limit           int // how many descriptors may be used now
@@ -37,7 +37,7 @@
 	return t.add(t.lastDialed, as, now)
 }
 
-// remove takes out a connection that is being closed. Its descriptor stays counted until descriptorFreed.
+// remove removes a connection that is being closed from the table. Its descriptor stays counted until descriptorFreed.
 func (t *connectionTable) remove(c *connection) {
 	delete(t.byID, c.id)
 	t.closing++
@@ -49,8 +49,8 @@
 	t.closing--
 }
 
-// neverOpened accounts for a dial that failed. The dial left no descriptor, and the close that follows, which remove
-// counts, is not confirmed.
+// neverOpened accounts for a dial that failed and holds no descriptor. It undoes in advance what remove is about to count
+// for the connection, as no Closed will confirm its close.
 func (t *connectionTable) neverOpened() {
 	t.descriptors--
 	t.closing--
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -22,7 +22,7 @@
 		Conn ConnID
 		Into []byte
 	}
-	// StopReading ends the Read under way with whatever it has read, which may be nothing; ReadDone answers that Read.
+	// StopReading ends the Read under way. ReadDone answers that Read with the bytes read so far, possibly none.
 	StopReading struct{ Conn ConnID }
 	// Write sends all of Data, answered by WriteDone.
 	Write struct {
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -49,7 +49,7 @@
 
 // flowTable holds the flows by the balancer's index. An index is free again once the balancer has released it.
 type flowTable struct {
-	byIndex     []*flow // nil where the index is free
+	byIndex     []*flow // nil if the index is free
 	freeIndices []int
 	releasable  []int // indices that the balancer may be ready to release
 	ids         flowIDs
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	healthCheckTimeout = 1.0  // seconds; a host that takes longer is too slow for flows as well
+	healthCheckTimeout = 1.0  // seconds; a host that answers later is too slow for flows as well
 	loadReportField    = "x0" // name of the field with the load in the answer to a health check
 )
 
--- a/internal/node/host_lines.go
+++ b/internal/node/host_lines.go
@@ -41,8 +41,8 @@
 }
 
 // reportLoad passes to the balancer the value that a host reports for a connection. It is the connection's load or, if
-// the settings say that hosts also report delays, the time that the host takes for a message. Hosts send both under one
-// word, and a delay that was taken for a load would make an overloaded host look empty.
+// the settings say that hosts also report delays, the delay of its messages at the host. Hosts send both under one word,
+// and a delay that was mistaken for a load would make an overloaded host appear to be empty.
 func (n *Node) reportLoad(f *flow, value float64) {
 	if n.isDelay(f, value) {
 		n.balancer.ReportDelay(n.now, f.index, value*delayUnit)
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -36,15 +36,15 @@
 }
 
 // admit frees descriptors for a connection that was accepted, or rejects it. Idle connections are closed first: clients
-// that open hundreds of connections and send nothing must not take the descriptors of clients that send their first
-// line at once.
+// that open hundreds of connections and send nothing must not use up the descriptors that are needed for clients that
+// send their first line at once.
 func (n *Node) admit(c *connection) {
 	n.idle.add(c)
 	n.limitIdle()
 	if !n.freeDescriptors(firstLineGrace) {
 		n.answer(c, line.BusyLine(0), NoDescriptors)
 	}
-	if n.connections.used() > n.connections.limit && !c.closed { // no descriptor is left for the time that the answer takes
+	if n.connections.used() > n.connections.limit && !c.closed { // no descriptor is left until the answer is written
 		n.closeConnection(c, false)
 	}
 }
--- a/internal/node/inherited.go
+++ b/internal/node/inherited.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// inheritedTimeout is how many seconds after the predecessor's end its clients may take to connect again.
+// inheritedTimeout is for how many seconds after the predecessor's end its clients are expected to connect again.
 const inheritedTimeout = 10.0
 
 // InheritedConnection is an open connection of the predecessor, which counts towards its host's load in this process as
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -6,7 +6,7 @@
 	"gorseledge/internal/peers"
 )
 
-// ConnID identifies a connection. The owner of the node gives odd ids to accepted connections, and the node gives even
+// ConnID identifies a connection. The owner of the node assigns odd ids to accepted connections, and the node assigns even
 // ids to the connections that it dials. Zero stands for no connection.
 type ConnID uint64
 
--- a/internal/node/live/live.go
+++ b/internal/node/live/live.go
@@ -58,7 +58,7 @@
 // IsZero reports whether r stands for no revision.
 func (r Revision) IsZero() bool { return r.Epoch == 0 && r.Number == 0 }
 
-// NewerThan reports whether r replaces other. A revision of a later epoch is newer whatever its number.
+// NewerThan reports whether r replaces other. A revision of a later epoch is newer, regardless of its number.
 func (r Revision) NewerThan(other Revision) bool {
 	if r.Epoch != other.Epoch {
 		return r.Epoch > other.Epoch
--- a/internal/node/reasons.go
+++ b/internal/node/reasons.go
@@ -17,8 +17,8 @@
 	ClientProtocolError Reason = "client-odd"    // a line of the client was too long, or the client sent too much before its answer
 	Migrated            Reason = "moved"         // the balancer migrated the flow
 	MigratedAtShutdown  Reason = "moved-leaving" // the node migrated the flow at its shutdown
-	Rejected            Reason = "rejected"      // the balancer gave the flow up; a new request is harmless
-	Aborted             Reason = "aborted"       // the balancer gave the flow up; it may have run
+	Rejected            Reason = "rejected"      // the balancer rejected the flow; a new request is harmless
+	Aborted             Reason = "aborted"       // the balancer aborted the flow; it may have run
 	BadLine             Reason = "bad-line"      // the first line is not a valid opening line
 	NoTimeout           Reason = "no-timeout"    // the opening line has no connect timeout
 	DuplicateFlowID     Reason = "same-id"       // the flow id is that of another client's flow
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -14,7 +14,7 @@
 	maxHoldTime     = 30.0 // for established flows to end when packets pass through, unless the node is killed before
 )
 
-// shutdown is the state of a graceful shutdown. It never goes back to not started.
+// shutdown is the state of a graceful shutdown. Once begun, a shutdown is never canceled.
 type shutdown struct {
 	started        bool
 	startedAt      float64
@@ -50,7 +50,7 @@
 	return n.shutdown.started && !n.listener.PassThrough || n.tooLateForNewFlow()
 }
 
-// continueShutdown takes the next steps of a shutdown, until all connections are closed or it is time to exit.
+// continueShutdown carries out the next steps of a shutdown, until all connections are closed or it is time to exit.
 func (n *Node) continueShutdown() {
 	if !n.shutdown.started {
 		return
--- a/internal/node/silent_host.go
+++ b/internal/node/silent_host.go
@@ -11,7 +11,7 @@
 const (
 	suspectAfter          = 0.5 // after this time, the node checks whether the host is silent on all its connections
 	confirmTimeout        = 0.2 // extra time for the answer to a health check, and for input that this node handles late
-	connectionSilentAfter = 2.5 // after this time, the connection is given up even if its host sends on others
+	connectionSilentAfter = 2.5 // after this time, the flow is migrated even if its host still sends on other connections
 )
 
 // answerOverdue handles a connection whose host has not answered a line. If the host sends nothing on any connection,
--- a/internal/node/statistics.go
+++ b/internal/node/statistics.go
@@ -15,8 +15,8 @@
 	ClientLeft  int // the client disconnected before its answer
 }
 
-// Statistics holds counters since the start of the process, which are Types, Accepted and Dispatched, and current
-// numbers.
+// Statistics holds the statistics of a node. Types, Accepted and Dispatched count since the start of the process; the
+// other fields are current numbers.
 type Statistics struct {
 	Types       []FlowCounts // in the order of the service types in the settings
 	Accepted    int          // flows with a valid opening line
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -61,7 +61,7 @@
 	n.upgrade.transfers = remaining
 }
 
-// continueTransfer takes the next step of one transfer, and reports whether the transfer is still pending. Nothing is
+// continueTransfer carries out the next step of one transfer, and reports whether the transfer is still pending. Nothing is
 // read from a flow while it is transferring, so if its output is blocked, its end would never be seen: such a transfer
 // is canceled after transferFlushTimeout.
 func (n *Node) continueTransfer(f *flow) bool {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,9 +7,9 @@
 	"gorseledge/placement"
 )
 
-// A node must apply a change of the list within 6 s of when discovery has the change and can be reached, or it may send
-// flows to hosts that are no longer listed. Within that time the node has to detect that the watch is silent, and make a
-// new call, which discovery answers in its turn. Times are in seconds.
+// A node must apply a change of the list within 6 s after discovery has the change and can be reached, or it may send
+// flows to hosts that are no longer listed. Within that time the node has to detect that the watch is silent, make a new
+// call, and receive the answer, which may wait in discovery's queue. Times are in seconds.
 const (
 	watchSilenceTimeout = 2.5 // a watch sends something every two seconds
 	watchAnswerTimeout  = 4.0 // until an answer begins, as discovery handles calls one after the other
--- a/internal/sockets/listwatch.go
+++ b/internal/sockets/listwatch.go
@@ -66,7 +66,7 @@
 	return node.WatchAlive{MidLine: midLine}
 }
 
-// listReceived handles a list from a call. A list that a watch received before it was given up as silent is valid. A
+// listReceived handles a list from a call. A list that a watch received before it was ended as silent is valid. A
 // list from an overridden call is dropped, since it may be older than the list of the call that was answered first.
 func (w *discoveryWatch) listReceived(call context.Context, list endpoint.List) node.Input {
 	if errors.Is(context.Cause(call), errOverridden) {
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -165,7 +165,7 @@
 	return node.ConnectionReceived{Conn: s.lastConn, Transfer: m.Transfer}
 }
 
-// bindHostConnection adds the host's socket of the connection that the core is restoring, under the number that the core
+// bindHostConnection adds the host's socket of the connection that the core is restoring, under the id that the core
 // chose for it.
 func (s *server) bindHostConnection(conn node.ConnID) {
 	s.addConnection(conn, s.upgrade.hostSocket)
--- a/placement/attempts.go
+++ b/placement/attempts.go
@@ -85,7 +85,8 @@
 	return Decision{}, false
 }
 
-// decideFlow sends a flow to a server or gives it its final answer. It returns false if the flow needs neither.
+// decideFlow returns the decision that sends a flow to a server, or else the flow's final answer. It returns false if the
+// flow needs neither.
 func (b *Balancer) decideFlow(now float64, id int) (Decision, bool) {
 	f := &b.flows[id]
 	if !f.unanswered || f.inFlight {
--- a/placement/draining.go
+++ b/placement/draining.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// migrationCandidates returns the connections on servers that connections have to leave, the highest priority first.
+// migrationCandidates returns the connections that may be migrated, those with the highest priority first. They are at
+// servers for which mustMigrate returns true.
 func (b *Balancer) migrationCandidates(now float64) []int {
 	var candidates []int
 	for id := range b.flows {
--- a/placement/flow.go
+++ b/placement/flow.go
@@ -95,7 +95,7 @@
 	return f
 }
 
-// ClientLeft reports that the client of a flow is gone, so that the flow needs no final answer.
+// ClientLeft reports that the client of a flow has disconnected, so that the flow needs no final answer.
 func (b *Balancer) ClientLeft(id int) {
 	if b.isLive(id) {
 		b.flows[id].unanswered = false
--- a/placement/health_checks.go
+++ b/placement/health_checks.go
@@ -14,8 +14,8 @@
 	checkIntervalSpread    = 0.5
 	// roundTripNoise is the variation in seconds of a health check's round trip on a network without faults.
 	roundTripNoise = 4e-3
-	// roundTripSpread is the multiple of the shortest round trip at any server up to which the round trip of an unloaded
-	// server may be.
+	// roundTripSpread is the factor by which the round trip of an unloaded server may exceed the shortest one at any
+	// server.
 	roundTripSpread = 3.0
 	// delayPerRoundTrip converts the squared relative excess of a round trip to a message delay, in multiples of the
 	// message objective.
--- a/placement/load_reports.go
+++ b/placement/load_reports.go
@@ -30,8 +30,9 @@
 	return r.load > highLoad && now-r.receivedAt < reportValidity
 }
 
-// recordReport records the load from a health check of this node. As every gossip message costs each node work, the load
-// is passed on only if it is high and the others may not know it, or no longer high and they do not expect it.
+// recordReport records the load from a health check of this node. Every gossip message costs each node work, so the load is
+// gossiped only if it is high and no high load was reported within gossipInterval, or if it has fallen below coolingLoad
+// while the other nodes still count it as high.
 func (b *Balancer) recordReport(now float64, s *server, load float64) {
 	isHigh := load > highLoad
 	wasHigh := s.report.high(now)
--- a/placement/overload.go
+++ b/placement/overload.go
@@ -34,7 +34,7 @@
 
 // loadThreshold is the load up to which this node assumes that a server is not overloaded.
 type loadThreshold struct {
-	load           float64 // load of this node's attempts and connections at the server; infinite until overload is seen
+	load           float64 // load of this node's attempts and connections at the server; infinite until overload is observed
 	loweredAt      float64 // when the threshold was last lowered
 	overloadedAt   float64 // when the server was last observed to be overloaded
 	roundingOffset float64 // random number that decides whether this node exceeds a threshold of less than one connection
