--- a/internal/emulator/upgrade.go
+++ b/internal/emulator/upgrade.go
@@ -47,7 +47,7 @@
 		unboundHosts: map[node.ConnID]*connection{},
 	}
 	successor.copyHostRecords(old)
-	start.NotListening = true
+	start.HasPredecessor = true
 	start.Handover = jsonRoundTrip(old.query(node.Query{Question: node.ClaimHandover}).Handover)
 	old.successor = successor
 	s.startCore(successor, start)
--- a/internal/fleet/server_watch.go
+++ b/internal/fleet/server_watch.go
@@ -9,7 +9,7 @@
 
 const (
 	serversSilentSeconds = 10.0        // time without an answer of any control server after which a warning is logged
-	serverWatchInterval  = time.Second // time between two checks for such silence
+	serverWatchInterval  = time.Second // time between two checks of the last answer
 )
 
 // watchServers logs when no control server has answered for serversSilentSeconds and when one answers again. It returns
@@ -42,7 +42,7 @@
 	version := f.state.Version
 	f.mu.Unlock()
 	event := f.options.Log.Info()
-	message := "a control server answers again"
+	message := "control servers answer again"
 	if silent {
 		event = f.options.Log.Warn()
 		message = "no control server answers; keeping the current configuration"
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -8,20 +8,21 @@
 // Effects on connections. A connection has at most one Read and one Write under way, and the node does not touch their
 // buffers until it has received the result.
 type (
-	// Dial opens a connection within Timeout seconds, answered by Dialed. For is the client's connection that the dial
-	// serves, 0 for none. If the owner finds that this client has disconnected, it does not dial but reports ClientGone.
+	// Dial opens a connection within Timeout seconds, answered by Dialed. Client is the client's connection that the dial
+	// serves, 0 for none. If the owner finds that this client has disconnected, it does not dial but reports
+	// ClientDisconnected.
 	Dial struct {
 		Conn    ConnID
 		Address string
 		Timeout float64
-		For     ConnID
+		Client  ConnID
 	}
 	// Read reads up to len(Into) bytes into Into, answered by ReadDone.
 	Read struct {
 		Conn ConnID
 		Into []byte
 	}
-	// StopReading ends the Read under way with whatever it has read, which may be nothing; ReadDone answers that Read.
+	// StopReading ends the Read under way. ReadDone answers that Read with the bytes read so far, possibly none.
 	StopReading struct{ Conn ConnID }
 	// Write sends all of Data, answered by WriteDone.
 	Write struct {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -134,6 +134,6 @@
 
 // sendMembers sends the records of members to the nodes at the addresses in to.
 func (p *Plan) sendMembers(ctx context.Context, members []memberRecord, to []string) error {
-	return fleet.Introduce(ctx, fleet.Config{Fleet: p.ID, Key: p.Key, Address: p.ownAddress}, membersOf(members), to,
+	return fleet.SeedMembers(ctx, fleet.Config{Fleet: p.ID, Key: p.Key, Address: p.ownAddress}, membersOf(members), to,
 		memberMessageInterval)
 }
