--- a/internal/configfeed/effects.go
+++ b/internal/configfeed/effects.go
@@ -14,7 +14,7 @@
 		Request uint64
 		Server  ServerAddress
 		Poll    Poll
-		Timeout float64 // in seconds; the caller may abandon the poll after it
+		Timeout float64 // seconds after which the caller may cancel the poll
 	}
 	// CancelPoll asks the caller to cancel a poll whose answer is no longer needed. The caller need not report a result.
 	CancelPoll struct{ Request uint64 }
--- a/internal/configfeed/follower.go
+++ b/internal/configfeed/follower.go
@@ -21,7 +21,7 @@
 	have     Version
 	wait     float64 // seconds
 	sentAt   float64 // time at which the poll was sent
-	deadline float64 // time at which the poll is abandoned
+	deadline float64 // time at which the poll is canceled
 }
 
 // Follower keeps one state up to date from the control servers. It has at most one poll open, at one server. The first
@@ -135,7 +135,7 @@
 // awaits reports whether the open poll has the given request.
 func (f *Follower) awaits(request uint64) bool { return f.poll != nil && f.poll.request == request }
 
-// giveUpPoll abandons the open poll and switches to another server.
+// giveUpPoll drops the open poll, which failed or timed out, and switches to another server.
 func (f *Follower) giveUpPoll(now float64) {
 	f.poll = nil
 	f.unresponsive = true
@@ -145,7 +145,7 @@
 // switchServer selects another server for the next poll, with a backoff.
 func (f *Follower) switchServer(now float64) { f.servers.advance(now, f.rules.neverSwitchServer) }
 
-// Answered reports the answer to a poll. The answer to an abandoned poll is ignored.
+// Answered reports the answer to a poll. The answer to a canceled poll is ignored.
 func (f *Follower) Answered(now float64, request uint64, u Update) []FollowerEffect {
 	if !f.awaits(request) {
 		return f.Tick(now)
@@ -254,8 +254,8 @@
 	return f.Tick(now)
 }
 
-// abandon cancels an install without refusing the version. The next poll is sent after a backoff.
-func (f *Follower) abandon(now float64) {
+// cancelInstall cancels an install without refusing the version. The next poll is sent after a backoff.
+func (f *Follower) cancelInstall(now float64) {
 	f.installing = nil
 	f.servers.retry(now)
 }
--- a/internal/configfeed/peer.go
+++ b/internal/configfeed/peer.go
@@ -73,7 +73,7 @@
 		if u.Kind == Diverged {
 			p.divergedAt = s.state.Version
 		}
-		s.carryOut(now, p, p.follower.Answered(now, request, u))
+		s.handleFollowerEffects(now, p, p.follower.Answered(now, request, u))
 		s.checkIsolation()
 		s.startNextSave(now)
 	}
@@ -83,7 +83,7 @@
 // Failed reports that a poll of this server was not answered by the other server.
 func (s *Server) Failed(now float64, request uint64) []ServerEffect {
 	if p := s.peerOfPoll(request); p != nil {
-		s.carryOut(now, p, p.follower.Failed(now, request))
+		s.handleFollowerEffects(now, p, p.follower.Failed(now, request))
 		s.checkIsolation()
 	}
 	return s.takeEffects()
@@ -97,9 +97,9 @@
 	s.observeVersion(v)
 }
 
-// carryOut handles the effects of a peer's follower. Polls are passed on to the caller; a state to be installed becomes
-// the peer's offer, which is saved before it is used.
-func (s *Server) carryOut(now float64, p *peer, effects []FollowerEffect) {
+// handleFollowerEffects handles the effects of a peer's follower. Polls and their cancellations are passed on to the caller.
+// A state to be installed becomes the peer's offer, which is saved before it is put in force.
+func (s *Server) handleFollowerEffects(now float64, p *peer, effects []FollowerEffect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case SendPoll:
@@ -119,7 +119,7 @@
 	for _, p := range s.peers {
 		switch {
 		case p.offer == nil:
-		case s.hasWritten:
+		case s.acceptedSinceStart:
 			s.refuseOffer(now, p)
 		case !s.isUseful(p.offer):
 			s.dropOffer(now, p)
@@ -134,14 +134,14 @@
 func (s *Server) refuseOffer(now float64, p *peer) {
 	refusal := Refusal{Version: p.offer.State.Version, Reason: foreignRevisionReason}
 	p.offer = nil
-	s.carryOut(now, p, p.follower.Refuse(now, refusal))
+	s.handleFollowerEffects(now, p, p.follower.Refuse(now, refusal))
 }
 
 // dropOffer drops an offer that is not useful. The peer's follower continues with this server's state if that is newer
 // than the follower's own.
 func (s *Server) dropOffer(now float64, p *peer) {
 	p.offer = nil
-	p.follower.abandon(now)
+	p.follower.cancelInstall(now)
 	if s.state.Version.Compare(p.follower.state.Version) > 0 {
 		p.follower.adopt(now, s.state)
 	}
--- a/internal/configfeed/server.go
+++ b/internal/configfeed/server.go
@@ -60,10 +60,10 @@
 	updates   map[updateKey]Update // updates that lead to state, for reuse
 	isolated  bool                 // the server does not reach a majority of the servers
 
-	saving     *saveInProgress // nil if no save is in progress
-	lastSave   uint64          // ID of the latest save
-	queue      []*change       // changes that wait for the save in progress
-	hasWritten bool            // the server has accepted a proposal or an epoch since its start
+	saving             *saveInProgress // nil if no save is in progress
+	lastSave           uint64          // ID of the latest save
+	queue              []*change       // changes that wait for the save in progress
+	acceptedSinceStart bool            // a proposal or an epoch was accepted since the server started
 
 	effects []ServerEffect // effects of the call in progress
 }
@@ -113,7 +113,7 @@
 		s.answerPoll(first.request, s.unchangedUpdate())
 	}
 	for _, p := range s.peers {
-		s.carryOut(now, p, p.follower.Tick(now))
+		s.handleFollowerEffects(now, p, p.follower.Tick(now))
 	}
 	s.checkIsolation()
 	return s.takeEffects()
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -2,16 +2,16 @@
 
 import "gorseledge/internal/membership/wire"
 
-// probe is the probe that this node started in the current period.
+// probe is the state of the probe that this node started in the current period.
 type probe struct {
 	target           string  // name of the probed member
 	sequence         uint64  // sequence number of the ping
 	indirectAt       float64 // time at which other members are asked to probe the target, in seconds
 	indirectSent     bool    // whether other members were asked
 	answered         bool    // whether an answer arrived, directly or through another member
-	answeredDirectly bool
-	requests         int // number of members that were asked to probe the target
-	nacks            int // number of those members that reported that they got no answer either
+	answeredDirectly bool    // whether one of the answers came from the target itself
+	requests         int     // number of members that were asked to probe the target
+	nacks            int     // number of those members that reported that they got no answer either
 }
 
 // startProbe starts a probe of the next member, if there is one.
@@ -29,8 +29,8 @@
 	m.ping(peer, m.sequence)
 }
 
-// ping sends a ping to a member. If this node does not consider the member alive, the ping contains this node's view of
-// the member, which can then refute it (Lifeguard's buddy system).
+// ping sends a ping to a member. If this node considers the member suspect, dead or left, the ping reports that state, so
+// that the member can refute it (Lifeguard's buddy system).
 func (m *Members) ping(peer *member, sequence uint64) {
 	msg := &wire.Message{Kind: wire.Message_PING, Seq: sequence, About: peer.Name, At: m.self.Address}
 	if peer.State != Alive {
@@ -40,7 +40,7 @@
 }
 
 // nextProbeTarget returns the member to probe next: a suspect from the queue of priority probes, or else the next member
-// of the round that is not gone. It returns nil if there is none.
+// of the round that is neither dead nor left. It returns nil if there is no such member.
 func (m *Members) nextProbeTarget() *member {
 	if suspect := m.nextPriorityProbe(); suspect != nil {
 		return suspect
@@ -77,11 +77,11 @@
 	m.random.Shuffle(len(m.others), func(i, j int) { m.others[i], m.others[j] = m.others[j], m.others[i] })
 }
 
-// randomAlive returns up to count random members that are alive, without the member except. It never returns this node.
-func (m *Members) randomAlive(count int, except *member) (alive []*member) {
+// randomAlive returns up to count random members that are alive. It returns neither the excluded member nor this node.
+func (m *Members) randomAlive(count int, excluded *member) (alive []*member) {
 	for _, i := range m.random.Perm(len(m.others)) {
 		peer := m.others[i]
-		if peer == except || peer.State != Alive {
+		if peer == excluded || peer.State != Alive {
 			continue
 		}
 		alive = append(alive, peer)
@@ -92,12 +92,15 @@
 	return alive
 }
 
-// probeFailed handles a probe that got no direct or indirect answer. The target is suspected, unless this node is isolated.
-// The health score rises if the members that were asked for help did not answer either, or none could be asked.
+// probeFailed handles a probe that got no direct or indirect answer. It suspects the target, unless this node is isolated.
+//
+// The local health score (Lifeguard; higher is worse) rises by 1 if a member that was asked to probe the target sent no
+// nack, or if no member was asked although the fleet has a third one besides this node and the target. It rises by 1 more
+// if this node is isolated or does not know the target.
 func (m *Members) probeFailed(p *probe) {
 	peer := m.byName[p.target]
-	noHelp := p.requests == 0 && m.liveCount > 2
-	if noHelp || p.requests > p.nacks { // a missing nack means that this node's own links may be at fault
+	noHelperAsked := p.requests == 0 && m.liveCount > 2
+	if noHelperAsked || p.requests > p.nacks { // a missing nack means that this node's own links may be at fault
 		m.adjustHealth(1)
 	}
 	if peer == nil || m.isolated() {
@@ -108,13 +111,14 @@
 }
 
 // probeAnswered handles an answer to this node's own probe in progress, from the target itself (direct) or forwarded by
-// another member.
+// another member. The first answer lowers the local health score by 1. The link to the target counts as bad unless the
+// target itself answered.
 func (m *Members) probeAnswered(sequence uint64, direct bool) {
 	p := m.probe
 	if p == nil || p.sequence != sequence {
 		return
 	}
-	peer := m.byName[p.target]
+	peer := m.byName[p.target] // never nil: startProbe chose a known member, and members are not removed
 	if direct {
 		p.answeredDirectly = true
 	}
