--- a/internal/node/host_lines.go
+++ b/internal/node/host_lines.go
@@ -5,34 +5,39 @@
 )
 
 const (
-	maxTimedLines = 64 // unanswered lines whose answers are timed, per flow
+	// maxTimedLines is the maximum number of unanswered lines of a flow whose answers are timed. Further lines are forwarded
+	// but not timed.
+	maxTimedLines = 64
 
-	// minReportedLoad is the load, as a share of a core, below which a reported value may be a delay if hosts report both
-	// under one word. Delays are reported in thousandths, loads in millionths.
+	// minReportedLoad distinguishes loads from delays in deployments whose hosts report both under the same verb: loads in
+	// millionths of a core, delays in milliseconds. Both are parsed as loads, and a value below this share of a core may be
+	// a delay. It corresponds to a delay of 2 s.
 	minReportedLoad = 2e-3
 
-	delayUnit = 1e3 // factor from a value parsed as a load in millionths to a delay, reported in thousandths of a second
+	// delayUnit is the factor that converts a delay that was parsed as a load (divided by a million) from milliseconds to
+	// seconds.
+	delayUnit = 1e3
 )
 
 // handleHostLine handles a line of a flow's host and reports whether it is to be forwarded.
 func (n *Node) handleHostLine(c *connection, text []byte) bool {
 	f := c.flow
-	word, rest := line.Split(text)
+	verb, rest := line.Split(text)
 	if !f.established {
-		if word != line.Up {
-			n.attemptFailed(f, outcomeOf(word))
+		if verb != line.Up {
+			n.attemptFailed(f, outcomeOf(verb))
 			return false
 		}
 		n.establish(f)
 		return true
 	}
-	switch word {
+	switch verb {
 	case line.Load:
 		if load, ok := line.ParseLoad(rest); ok {
 			n.reportLoad(f, load)
 		}
 	case line.Bye, line.Move:
-		f.finalWord = word
+		f.finalWord = verb
 		n.setDeadline(c, lingerTimeout)
 	default:
 		n.measureDelay(f)
@@ -40,9 +45,9 @@
 	return true
 }
 
-// reportLoad passes to the balancer the value that a host reports for a connection. It is the connection's load or, if
-// the settings say that hosts also report delays, the time that the host takes for a message. Hosts send both under one
-// word, and a delay that was taken for a load would make an overloaded host look empty.
+// reportLoad passes a value that a host reported for a connection to the balancer: the connection's load or, if the
+// settings say that hosts report delays, the time that the host took for a message. Hosts send both under the same verb. A
+// delay read as a load would be close to zero, so that an overloaded host would seem idle.
 func (n *Node) reportLoad(f *flow, value float64) {
 	if n.isDelay(f, value) {
 		n.balancer.ReportDelay(n.now, f.index, value*delayUnit)
@@ -52,7 +57,9 @@
 	n.balancer.ReportLoad(f.index, value)
 }
 
-// isDelay reports whether a value that a host reports is a delay rather than a load.
+// isDelay reports whether a value that a host reported is a delay rather than a load. If hosts report both, a value below
+// half of minReportedLoad is a delay. A value from there to minReportedLoad is a delay only if it does not exceed the last
+// load that was reported for the connection.
 func (n *Node) isDelay(f *flow, value float64) bool {
 	if !n.listener.ReportsDelay {
 		return false
@@ -63,7 +70,8 @@
 	return value < minReportedLoad && f.reportedLoad >= value || value < minReportedLoad/2
 }
 
-// clientLineForwarded starts the wait for the host's answer to a line of the client.
+// clientLineForwarded records when a line of the client was forwarded to the host. If the host had answered all earlier
+// lines, it also sets the deadline for the answer to this line.
 func (n *Node) clientLineForwarded(f *flow) {
 	if len(f.unansweredSince) == 0 {
 		n.setDeadline(f.host, suspectAfter)
@@ -73,7 +81,9 @@
 	}
 }
 
-// measureDelay counts a line of the host as the answer to the oldest unanswered line, and reports how long it took.
+// measureDelay counts a line of the host as the answer to the oldest unanswered line. It reports the delay to the balancer,
+// unless this node's own lag makes it unknown. Unless the connection is about to end, it then stops suspecting the host
+// and sets the deadline for the next answer.
 func (n *Node) measureDelay(f *flow) {
 	if len(f.unansweredSince) == 0 {
 		return
@@ -83,7 +93,7 @@
 	}
 	f.unansweredSince = append(f.unansweredSince[:0], f.unansweredSince[1:]...)
 	if f.finalWord != line.Other || f.host.pendingClose != StreamOpen {
-		return
+		return // the deadline is now that for the end of the connection
 	}
 	f.host.clearDeadline()
 	f.host.suspected = false
--- a/placement/spill.go
+++ b/placement/spill.go
@@ -6,17 +6,19 @@
 )
 
 const (
-	// overQuotaFraction is the fraction of a server's load threshold that tenants over their quota may use.
+	// overQuotaFraction is the fraction of a server's load threshold up to which flows of tenants over their quota are
+	// attempted there. The load of all tenants counts. The rest of the threshold is left to tenants within their quota.
 	overQuotaFraction = 0.8
-	// highLoadPenalty puts a server with a high reported load behind all others, the least loaded first.
+	// highLoadPenalty is multiplied by a high reported load and added to the server's fallback score, so that servers with a
+	// high load rank behind the others, the least loaded first.
 	highLoadPenalty = 99
 )
 
 // path is the sequence of usable servers that are considered for one flow.
 type path struct {
 	flow              *flow
-	midFlow           bool    // this is the first attempt of a mid-flow connection, which stays at its server if possible
-	meanInFlight      float64 // mean number of connections and attempts of this node at a usable server
+	midFlow           bool    // first attempt of a mid-flow connection, which prefers the server at the start of the path
+	meanInFlight      float64 // mean number of this node's connections and attempts per usable server
 	position          int     // position of the current server among the usable servers
 	homeRank          float64 // rank of the last home visited
 	spillLimit        float64 // connections of this node above which a server is skipped
@@ -25,10 +27,11 @@
 	followHomes       bool    // the path visits the group's homes by rank instead of the servers by id
 }
 
-// candidate is the server that is used if no server on the path is below its limits.
-type candidate struct {
-	index  int
-	excess float64 // connections divided by the slow-start weight, plus the penalty for a high load
+// fallback is a server at which the flow may be attempted, but which belowSpillLimit did not choose. The one with the
+// lowest score is used if no server on the path is chosen.
+type fallback struct {
+	index int
+	score float64 // see fallbackScore
 }
 
 // selectServer returns the server where a flow is attempted next, or none.
@@ -47,13 +50,13 @@
 	if b.overQuota(f.tenant) {
 		p.thresholdFraction = overQuotaFraction
 	}
-	// If this node has few connections, a group's flows spill from home to home: each server with flows of the group does
-	// the work that they share, so the flows should be at few servers.
+	// The flows of a group share work that each server with such flows repeats, so they should be at few servers. The fewer
+	// connections this node has, the more often they spill from home to home; with at most one per server, always.
 	p.followHomes = f.groupHash != 0 && b.random() < 2*b.overload.uncertainty
 	return b.walk(now, p)
 }
 
-// meanInFlight returns the mean number of this node's connections and attempts at a usable server.
+// meanInFlight returns the mean number of this node's connections and attempts per usable server.
 func (b *Balancer) meanInFlight() float64 {
 	mean := 0.0
 	for _, i := range b.usable {
@@ -62,17 +65,18 @@
 	return mean
 }
 
-// walk visits the usable servers along a path. It has one step more than there are servers, so that it can come back to
-// the first one. It returns the first server that is below its limits, otherwise the best of those where the flow may be
-// attempted, or none.
+// walk visits the usable servers along a path and returns the first one that is below all limits. If there is none, it
+// returns the fallback with the lowest score, or none if there is no fallback either. The path has one step more than there
+// are servers, so that it can return to the first server.
 func (b *Balancer) walk(now float64, p *path) int {
-	best := candidate{index: none, excess: math.Inf(1)}
+	best := fallback{index: none, score: math.Inf(1)}
 	for step := range len(b.usable) + 1 {
 		b.advance(p, step)
 		index := b.usable[p.position]
 		s := &b.servers[index]
 		weight := b.slowStartWeight(now, s)
-		minChance := b.minAttemptChance(weight, step)
+		minChance := b.minAttemptChance(weight, step) // probability of one attempt, as the lower bound of the budget
+		// A mid-flow connection is most likely known to the server at the start of the path, so other limits do not apply.
 		if p.midFlow && step == 0 && b.withinSlowStartBudget(now, s, weight, p.meanInFlight, minChance) {
 			return index
 		}
@@ -85,14 +89,15 @@
 		if b.belowSpillLimit(now, p, s, weight) {
 			return index
 		}
-		if excess := s.excess(now, weight); excess < best.excess {
-			best = candidate{index: index, excess: excess}
+		if score := s.fallbackScore(now, weight); score < best.score {
+			best = fallback{index: index, score: score}
 		}
 	}
 	return best.index
 }
 
-// advance moves a path to its next server: the next home of a group, or the next server by id.
+// advance moves a path to its next server. The second step of a group's flow leads to a home of the group. The later steps
+// lead from home to home if followHomes is set. All other steps lead to the next server by id.
 func (b *Balancer) advance(p *path, step int) {
 	if step == 0 {
 		return
@@ -113,8 +118,10 @@
 	return !s.threshold.overloadedNow(now)
 }
 
-// belowSpillLimit reports whether a flow is sent to a server without looking further. A server in slow start is chosen with
-// a chance that is its weight, once the other servers have connections.
+// belowSpillLimit reports whether a server is chosen at once, without a comparison with the rest of the path. Its reported
+// load must not be high, and its connections and attempts must not exceed the spill limit times its slow-start weight. A
+// server in slow start is then chosen with its weight as the probability, but always if the mean is below one connection
+// or attempt per server.
 func (b *Balancer) belowSpillLimit(now float64, p *path, s *server, weight float64) bool {
 	if s.report.high(now) || float64(s.inFlight) > p.spillLimit*weight {
 		return false
@@ -122,11 +129,12 @@
 	return weight >= 1 || p.meanInFlight < 1 || b.random() < weight
 }
 
-// excess returns the value by which fallback candidates are compared. The server with the lowest value is used.
-func (s *server) excess(now, weight float64) float64 {
-	excess := float64(s.inFlight) / weight
+// fallbackScore returns the score by which fallbacks are compared: the connections and attempts of this node at the server,
+// divided by the slow-start weight, plus a penalty for a high reported load. The lowest score wins.
+func (s *server) fallbackScore(now, weight float64) float64 {
+	score := float64(s.inFlight) / weight
 	if s.report.high(now) {
-		excess += highLoadPenalty * s.report.load
+		score += highLoadPenalty * s.report.load
 	}
-	return excess
+	return score
 }
