--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,9 +17,12 @@
 )
 
 const (
-	maxListBytes     = 16 << 20               // maximum size of one list
-	initialLineBytes = 4096                   // initial size of the buffer for a list
-	minAliveInterval = 100 * time.Millisecond // between two calls of alive with the same argument
+	maxListBytes     = 16 << 20 // maximum size of one list; a larger one ends the watch
+	initialLineBytes = 4096     // initial size of the buffer for a list
+
+	// minActivityInterval is the minimum time between two calls of onActivity with the same argument, so that a burst of
+	// reads does not cause a call for each.
+	minActivityInterval = 100 * time.Millisecond
 )
 
 // DialFunc makes a connection, like the method DialContext of net.Dialer.
@@ -34,45 +37,46 @@
 // New returns a client for the discovery service at an address. It does not connect yet.
 func New(address string) *Client { return NewWithDialer(nil, address) }
 
-// NewWithDialer returns a client that connects with dial. If dial is nil, it connects over the network.
+// NewWithDialer returns a client that connects with dial. If dial is nil, it uses the default dialer.
 func NewWithDialer(dial DialFunc, address string) *Client {
+	// Without keep-alives, because each watch has its own connection.
 	transport := &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true}
 	return &Client{address: address, http: &http.Client{Transport: transport}}
 }
 
-// aliveReader calls alive when bytes are read. The argument is true if they end in the middle of a line, since a long
-// list may arrive in many pieces.
-type aliveReader struct {
+// activityReader calls onActivity when bytes are read. The argument is true if the bytes end in the middle of a line, as
+// when a long list arrives in pieces.
+type activityReader struct {
 	io.Reader
-	alive       func(midLine bool)
+	onActivity  func(midLine bool)
 	lastCall    time.Time
 	lastMidLine bool
 }
 
-// Read reads some bytes. It then calls alive if the argument differs from that of the last call, or if that call was at
-// least minAliveInterval ago.
-func (r *aliveReader) Read(p []byte) (int, error) {
+// Read reads some bytes. It then calls onActivity if the argument differs from that of the last call, or if that call was
+// at least minActivityInterval ago.
+func (r *activityReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n == 0 {
 		return n, err
 	}
 	midLine := p[n-1] != '\n'
-	if midLine != r.lastMidLine || time.Since(r.lastCall) >= minAliveInterval {
+	if midLine != r.lastMidLine || time.Since(r.lastCall) >= minActivityInterval {
 		r.lastCall = time.Now()
 		r.lastMidLine = midLine
-		r.alive(midLine)
+		r.onActivity(midLine)
 	}
 	return n, err
 }
 
-// Watch passes each list later than index to received, until the watch ends or ctx is done. The error is never nil and is
-// the reason for the end. Watch calls alive when the answer begins and as bytes of it arrive; the argument is true if the
-// bytes received so far end in the middle of a line.
-func (c *Client) Watch(ctx context.Context, index int64, alive func(midLine bool), received func(endpoint.List)) error {
+// Watch passes each list later than index to received, until the watch fails or ctx is done. It always returns a non-nil
+// error, which is the reason for the end. Watch calls onActivity when the answer begins and as bytes of it arrive; the
+// argument is true if the bytes received so far end in the middle of a line.
+func (c *Client) Watch(ctx context.Context, index int64, onActivity func(midLine bool), received func(endpoint.List)) error {
 	url := fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", c.address, index)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return err
+		return fmt.Errorf("create the request for the endpoint list: %w", err)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -82,12 +86,12 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d", response.StatusCode)
 	}
-	alive(false)
-	return readLists(&aliveReader{Reader: response.Body, alive: alive}, received)
+	onActivity(false)
+	return readLists(&activityReader{Reader: response.Body, onActivity: onActivity}, received)
 }
 
-// readLists reads lists, one per line, until the end of the stream or an error. The end of the stream is io.EOF. Empty
-// lines, which discovery sends as a keep-alive, are skipped.
+// readLists reads lists, one per line, until the end of the stream or an error. At the end of the stream it returns io.EOF.
+// It skips empty lines, which discovery sends as keep-alives.
 func readLists(r io.Reader, received func(endpoint.List)) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, initialLineBytes), maxListBytes)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -36,10 +36,10 @@
 type watchCase struct {
 	name                     string
 	answer                   http.HandlerFunc
-	lists                    string        // the lists received, in the form of describe
-	fails                    string        // part of the watch's error
+	wantLists                string        // the lists received, in the form of describe
+	wantError                string        // part of the watch's error
 	minDuration, maxDuration time.Duration // of the watch
-	aliveCalls               int
+	wantActivityCalls        int           // one when the answer begins, then at most one per read
 }
 
 var watchCases = []watchCase{
@@ -72,7 +72,7 @@
 			write(w, "\n")
 		}
 	}, "", "EOF", 0, time.Second, 2},
-	{"refused", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, "", "status 503", 0, time.Second, 0},
+	{"status 503", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, "", "status 503", 0, time.Second, 0},
 	{"aborted after a list", func(w http.ResponseWriter, _ *http.Request) {
 		write(w, completeList)
 		panic(http.ErrAbortHandler)
@@ -91,9 +91,9 @@
 	return text
 }
 
-// A watch that lost lists split into pieces, missed keep-alives or did not report its end would leave the node with an
-// old list, or make it give up a watch that works.
-func TestWatchNotifiesOfLists(t *testing.T) {
+// If a watch lost lists that arrive in pieces, or did not report its end, the node would keep an old list. If it missed
+// keep-alives, the node would end a watch that works.
+func TestWatch(t *testing.T) {
 	for _, c := range watchCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { checkWatch(t, c) })
@@ -103,35 +103,35 @@
 
 func checkWatch(t *testing.T, c watchCase) {
 	t.Helper()
-	asked := make(chan string, 1)
+	requestedURL := make(chan string, 1)
 	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.String()
+		requestedURL <- r.URL.String()
 		c.answer(w, r)
 	})
-	lists, aliveCalls, start := "", 0, time.Now()
-	err := client.Watch(t.Context(), 40, func(bool) { aliveCalls++ }, func(list endpoint.List) { lists += describe(list) })
+	lists, activityCalls, start := "", 0, time.Now()
+	err := client.Watch(t.Context(), 40, func(bool) { activityCalls++ }, func(list endpoint.List) { lists += describe(list) })
 	if took := time.Since(start); took < c.minDuration || took > c.maxDuration {
 		t.Errorf("the watch took %v, want %v to %v", took, c.minDuration, c.maxDuration)
 	}
-	if aliveCalls != c.aliveCalls {
-		t.Errorf("%d calls of alive, want %d", aliveCalls, c.aliveCalls)
+	if activityCalls != c.wantActivityCalls {
+		t.Errorf("%d calls of onActivity, want %d", activityCalls, c.wantActivityCalls)
 	}
-	if lists != c.lists || err == nil || !strings.Contains(err.Error(), c.fails) {
-		t.Errorf("received %q and failed with %v, want %q and an error with %q", lists, err, c.lists, c.fails)
+	if lists != c.wantLists || err == nil || !strings.Contains(err.Error(), c.wantError) {
+		t.Errorf("received %q and failed with %v, want %q and an error with %q", lists, err, c.wantLists, c.wantError)
 	}
-	if got := <-asked; got != "/discovery/hosts?stream=1&index=40" {
-		t.Errorf("requested %s", got)
+	if got := <-requestedURL; got != "/discovery/hosts?stream=1&index=40" {
+		t.Errorf("requested %s, want /discovery/hosts?stream=1&index=40", got)
 	}
 }
 
-// A watch that waited for discovery's answer after its context ended would keep its goroutine and connection.
+// A watch that continued to wait after the end of its context would leak its goroutine and connection.
 func TestWatchEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		client := newTestClient(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		time.AfterFunc(time.Second, cancel)
 		if err := client.Watch(ctx, 0, nil, nil); !errors.Is(err, context.Canceled) {
-			t.Fatalf("ended with %v, want %v", err, context.Canceled)
+			t.Fatalf("the watch ended with error %v, want %v", err, context.Canceled)
 		}
 	})
 }
--- a/internal/sockets/upgrade.go
+++ b/internal/sockets/upgrade.go
@@ -8,29 +8,31 @@
 	"gorseledge/internal/node"
 )
 
-// upgrade is the state of the handovers from the predecessor and to the successor. Only the loop uses it.
+// upgrade is the state of the handovers from the predecessor and to the successor. Only the goroutine of the event loop
+// accesses it.
 type upgrade struct {
-	path        string              // path of the Unix socket to which a successor connects; empty for none
-	successors  *net.UnixListener   // listener on that socket; nil while no successor can connect
-	predecessor *peerProcess        // nil if there is none
-	successor   *peerProcess        // nil if there is none
-	inherited   *node.HandoverState // state from the predecessor at the start; nil if there is none
-	handedOver  bool                // the successor accepts the clients
-	hostSocket  *net.TCPConn        // host's socket of the connection that the core is restoring
-	unsent      []node.ConnID       // connections that could not be queued for the successor
-}
-
-// inheritsRevision reports whether the predecessor has handed over a revision of the live settings. A predecessor
-// without one may not follow the control servers at all.
+	path              string              // path of the Unix socket to which a successor connects; empty for none
+	successorListener *net.UnixListener   // listener on that socket; nil while no successor can connect
+	predecessor       *peerProcess        // nil if there is none
+	successor         *peerProcess        // nil if there is none
+	inherited         *node.HandoverState // state from the predecessor at the start; nil if there is none
+	handedOver        bool                // the successor accepts the clients instead of this process
+	hostSocket        *net.TCPConn        // host's socket of the connection that the core is restoring
+	unsent            []node.ConnID       // connections that could not be queued for the successor
+}
+
+// inheritsRevision reports whether the predecessor has handed over a revision of the live settings. If it has not, it
+// possibly does not follow the control servers.
 func (u *upgrade) inheritsRevision() bool { return u.inherited != nil && u.inherited.Revision != nil }
 
-// inProgress reports whether another process of the node shares the memory granted to this one.
+// inProgress reports whether a handover is in progress, so that two processes share the memory granted to the node.
 func (u *upgrade) inProgress() bool { return u.predecessor != nil || u.successor != nil }
 
-// close closes the listener for successors and the link to the predecessor.
+// close closes the listener for successors and the link to the predecessor. The link to a successor is closed when the
+// server's context ends (servePeerProcess).
 func (u *upgrade) close() {
-	if u.successors != nil {
-		u.successors.Close()
+	if u.successorListener != nil {
+		u.successorListener.Close()
 		if !u.handedOver { // after a handover the path belongs to the successor
 			os.Remove(u.path)
 		}
@@ -41,7 +43,7 @@
 }
 
 // requestClients asks the predecessor to stop accepting clients. If it does not answer within claimTimeout, this process
-// begins accepting without the answer.
+// begins accepting without the answer. The timeout has no effect if this process accepts clients by then.
 func (s *server) requestClients() {
 	s.upgrade.predecessor.post(outgoingMessage{Message: handover.Message{Request: handover.RequestClients}})
 	s.group.Go(func() error {
@@ -52,29 +54,30 @@
 	})
 }
 
-// offerHandover listens for a successor. If that fails, a later version can still start beside this process, but without
-// a handover.
+// offerHandover listens for a successor, on a new listener if there is one already. If that fails, a new process can still
+// be started, but without a handover. offerHandover does nothing if there is no path to listen on.
 func (s *server) offerHandover() {
 	if s.upgrade.path == "" {
 		return
 	}
-	if s.upgrade.successors != nil {
-		s.upgrade.successors.Close()
-		s.upgrade.successors = nil
+	if s.upgrade.successorListener != nil {
+		s.upgrade.successorListener.Close()
+		s.upgrade.successorListener = nil
 	}
 	listener, err := handover.Listen(s.upgrade.path)
 	if err != nil {
 		s.log.Warn().Err(err).Msg("handover to a later version not available")
 		return
 	}
-	s.upgrade.successors = listener
+	s.upgrade.successorListener = listener
 	s.group.Go(func() error {
 		s.acceptSuccessors(listener)
 		return nil
 	})
 }
 
-// acceptSuccessors serves each process that connects, until the listener is closed.
+// acceptSuccessors starts to serve each process that connects, until the listener is closed. It ignores a process to which
+// no link can be set up.
 func (s *server) acceptSuccessors(listener *net.UnixListener) {
 	for {
 		conn, err := listener.AcceptUnix()
@@ -88,7 +91,8 @@
 	}
 }
 
-// handlePeerMessage handles a message of a peer process. Messages arrive in the order in which they were sent.
+// handlePeerMessage handles a message of a peer process. Messages arrive in the order in which they were sent. A message that
+// the process may not send in its role, or not any more, is ignored.
 func (s *server) handlePeerMessage(p *peerProcess, m incomingMessage) node.Input {
 	u := &s.upgrade
 	switch {
@@ -103,7 +107,7 @@
 		p.post(outgoingMessage{Message: handover.Message{Refusal: handover.RefusalBusy}})
 	case m.Request == handover.RequestState:
 		u.successor = p
-		limitMemory(s.config.Limits.MemoryMB, true)
+		limitMemory(s.config.Limits.MemoryMB, true) // shared with the successor
 		return node.Query{Question: node.ClaimHandover}
 	case m.Request == handover.RequestClients && p == u.successor:
 		s.handOverClients()
@@ -121,7 +125,7 @@
 	s.listener.suspend()
 }
 
-// reclaimClients resumes accepting after the successor ended while this process was still running.
+// reclaimClients resumes accepting after the end of a successor that had taken over the clients.
 func (s *server) reclaimClients() {
 	s.upgrade.handedOver = false
 	if s.fleet != nil {
@@ -131,8 +135,8 @@
 	s.offerHandover()
 }
 
-// postState sends the core's state to the successor. Until the clients are handed over, the clients' listener goes with
-// it.
+// postState sends the core's state to the successor. It also sends the listener for clients, unless the successor already
+// accepts them.
 func (s *server) postState(state *node.HandoverState) {
 	m := outgoingMessage{Message: handover.Message{State: state}}
 	if !s.upgrade.handedOver {
@@ -141,38 +145,40 @@
 	s.upgrade.successor.post(m)
 }
 
-// postUpdate sends an update of the core's state to the node's other processes.
+// postUpdate sends an update of the core's state to the predecessor and the successor, if there are any. If the update has
+// a revision of the live settings, postUpdate also records at the fleet that the revision is in force.
 func (s *server) postUpdate(update *node.HandoverUpdate) {
 	if update.Revision != nil && s.fleet != nil {
 		s.fleet.SetInForce(*update.Revision)
 	}
 	m := outgoingMessage{Message: handover.Message{Update: update}}
-	s.upgrade.predecessor.post(m)
+	s.upgrade.predecessor.post(m) // post does nothing for nil
 	s.upgrade.successor.post(m)
 }
 
-// inheritConnection adds an open connection that the predecessor transferred. It closes one that comes from any other
-// process.
+// inheritConnection adds the client's socket of a connection that the predecessor transferred, and keeps the host's socket
+// for bindHostConnection. If the sockets come from any other process, it closes them.
 func (s *server) inheritConnection(p *peerProcess, m incomingMessage) node.Input {
 	if p != s.upgrade.predecessor {
 		m.client.Close()
 		m.host.Close()
 		return nil
 	}
-	s.lastConn += 2
+	s.lastConn += 2 // connections from clients have odd IDs
 	s.addConnection(s.lastConn, m.client)
 	s.upgrade.hostSocket = m.host
 	return node.ConnectionReceived{Conn: s.lastConn, Transfer: m.Transfer}
 }
 
-// bindHostConnection adds the host's socket of the connection that the core is restoring, under the number that the core
-// chose for it.
+// bindHostConnection adds the host's socket of the connection that the core is restoring, under the ID that the core chose
+// for it.
 func (s *server) bindHostConnection(conn node.ConnID) {
 	s.addConnection(conn, s.upgrade.hostSocket)
 	s.upgrade.hostSocket = nil
 }
 
-// sendConnection transfers an open connection to the successor. One that cannot be queued is reported to the core later.
+// sendConnection queues an open connection for its transfer to the successor. If there is no successor or its queue is
+// full, applyDeferred later notifies the core that the transfer failed.
 func (s *server) sendConnection(e node.SendConnection) {
 	m := outgoingMessage{
 		Message: handover.Message{Transfer: e.Transfer},
@@ -187,6 +193,7 @@
 
 // peerProcessGone handles the end of the link to a peer process.
 func (s *server) peerProcessGone(p *peerProcess, reason error) node.Input {
+	// Deferred, because the functions below change inProgress.
 	defer func() { limitMemory(s.config.Limits.MemoryMB, s.upgrade.inProgress()) }()
 	switch p {
 	case s.upgrade.predecessor:
@@ -203,6 +210,7 @@
 		s.fleet.Follow()
 	}
 	s.log.Info().AnErr("why", reason).Msg("handover link to the predecessor closed")
+	// A core that is ready waited only for the predecessor's answer, which will not arrive.
 	s.listener.openPending = s.listener.coreReady && !s.listener.opened
 	return node.PredecessorGone{}
 }
@@ -210,7 +218,7 @@
 func (s *server) successorGone(reason error) node.Input {
 	successor := s.upgrade.successor
 	s.upgrade.successor = nil
-	for len(successor.outgoing) > 0 { // connections that were queued too late to be sent stay with this process
+	for len(successor.outgoing) > 0 { // connections that are still queued were not sent and stay with this process
 		m := <-successor.outgoing
 		if m.Transfer != nil {
 			s.upgrade.unsent = append(s.upgrade.unsent, m.conn)
