--- a/cmd/gorseledge-config/apply.go
+++ b/cmd/gorseledge-config/apply.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	if !revision.hasEpoch {
-		newest, err := s.newest(cmd)
+		newest, err := s.newestVersion(cmd)
 		if err != nil {
 			return err
 		}
--- a/cmd/gorseledge-config/epoch.go
+++ b/cmd/gorseledge-config/epoch.go
@@ -27,7 +27,7 @@
 
 // beginEpoch asks the writer to begin the epoch after the highest one that was reported to it.
 func (s *session) beginEpoch(cmd *cobra.Command, note string) error {
-	newest, err := s.newest(cmd)
+	newest, err := s.newestVersion(cmd)
 	if err != nil {
 		return err
 	}
@@ -36,5 +36,5 @@
 	if err != nil {
 		return callError(s.writer().Name, err)
 	}
-	return report(cmd, outcome)
+	return printOutcome(cmd, outcome)
 }
--- a/cmd/gorseledge-config/output_golden_test.go
+++ b/cmd/gorseledge-config/output_golden_test.go
@@ -239,7 +239,7 @@
 		command := rootCommand()
 		var out bytes.Buffer
 		command.SetOut(&out)
-		err := report(command, configfeed.Outcome{Kind: kind, Version: configfeed.Version{Epoch: 2, Revision: 17},
+		err := printOutcome(command, configfeed.Outcome{Kind: kind, Version: configfeed.Version{Epoch: 2, Revision: 17},
 			Writer: "c1", Detail: "a detail"})
 		fmt.Fprintf(&text, "%s: exit code %d, output %q\n", kind, codeOf(err), &out)
 	}
--- a/cmd/gorseledge-config/propose.go
+++ b/cmd/gorseledge-config/propose.go
@@ -11,7 +11,7 @@
 	"gorseledge/internal/configfeed/feedhttp"
 )
 
-// author returns the user and host that run the command, for the history.
+// author returns the user and host that run the command, as recorded in the history of revisions.
 func author() string {
 	name := "unknown"
 	if u, err := user.Current(); err == nil {
@@ -23,8 +23,8 @@
 	return name
 }
 
-// newest returns the newest version that the writer has.
-func (s *session) newest(cmd *cobra.Command) (configfeed.Version, error) {
+// newestVersion returns the newest version that the writer has.
+func (s *session) newestVersion(cmd *cobra.Command) (configfeed.Version, error) {
 	status, err := s.client.Status(cmd.Context(), s.writer().Address)
 	if err != nil {
 		return configfeed.Version{}, callError(s.writer().Name, err)
@@ -32,7 +32,8 @@
 	return status.Version, nil
 }
 
-// propose sends a proposal to the writer and reports the outcome.
+// propose sends a proposal to the writer, prints the outcome if the writer accepted the proposal or nothing changed, and
+// otherwise returns an error.
 func (s *session) propose(cmd *cobra.Command, p configfeed.Proposal) error {
 	p.ID = feedhttp.NewProposalID()
 	p.Author = author()
@@ -40,11 +41,12 @@
 	if err != nil {
 		return callError(s.writer().Name, err)
 	}
-	return report(cmd, outcome)
+	return printOutcome(cmd, outcome)
 }
 
-// report prints the outcome of a proposal or epoch request, or returns it as an error if the request was refused or failed.
-func report(cmd *cobra.Command, outcome configfeed.Outcome) error {
+// printOutcome prints the outcome of a proposal or epoch request, or returns it as an error if the request was refused or
+// failed.
+func printOutcome(cmd *cobra.Command, outcome configfeed.Outcome) error {
 	version := outcome.Version
 	switch outcome.Kind {
 	case configfeed.Accepted:
@@ -59,10 +61,10 @@
 		return refused("the server is not the writer: its control file names %s as the writer", outcome.Writer)
 	case configfeed.NotReady:
 		return refused("the writer is not ready: %s", outcome.Detail)
-	case configfeed.TooLarge, configfeed.Invalid:
+	case configfeed.TooLarge, configfeed.Invalid: // exit code exitBadInput, because the input is at fault
 		return fmt.Errorf("%s: %s", outcome.Kind, outcome.Detail)
 	case configfeed.Failed:
-		return refused("the writer failed to save the change, which may or may not be on its disk: %s", outcome.Detail)
+		return refused("the writer could not confirm that the change was saved; check its newest revision: %s", outcome.Detail)
 	}
 	return refused("the writer answered with an unknown outcome: %s", outcome.Kind)
 }
--- a/cmd/gorseledge-config/revert.go
+++ b/cmd/gorseledge-config/revert.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	newest, err := s.newest(cmd)
+	newest, err := s.newestVersion(cmd)
 	if err != nil {
 		return err
 	}
--- a/internal/lbwire/instance.go
+++ b/internal/lbwire/instance.go
@@ -5,18 +5,18 @@
 	"gorseledge/placement"
 )
 
-// instance is one simulated instance: a balancer, and the mapping from the protocol's ids of flows and hosts to the indices
-// that the balancer uses.
+// instance is one simulated load-balancer node: a balancer, and the mapping from the protocol's ids of flows and hosts to
+// the indices that the balancer uses. A batch is the events of one frame, which all have the same time.
 type instance struct {
 	balancer     *placement.Balancer
-	reportFields []string         // names of the figures of a load report, in order
+	reportFields []string         // names of the values in a load report, in order
 	flows        map[uint32]int   // flow index by flow id
 	flowIDs      []uint32         // flow id by flow index
 	freeFlows    []int            // released flow indices
-	touched      []int            // indices of flows that may have ended in this batch
+	touched      []int            // indices of flows that may have ended in the batch
 	hosts        map[uint32]int   // host index by host id
 	hostIDs      []uint32         // host id by host index
-	gossip       []peers.HostLoad // loads to send to the other instances at the end of this batch
+	gossip       []peers.HostLoad // loads to send to the other instances at the end of the batch
 }
 
 func newInstance(settings placement.Settings, reportFields []string) *instance {
@@ -67,7 +67,7 @@
 	return index
 }
 
-// releaseEndedFlows releases the indices of the flows that have ended in this batch.
+// releaseEndedFlows releases the indices of the flows that have ended in the batch.
 func (in *instance) releaseEndedFlows() {
 	for _, index := range in.touched {
 		if in.balancer.Release(index) {
--- a/internal/livesettings/rejection.go
+++ b/internal/livesettings/rejection.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// Reasons for the rejection of a key that a document cannot have.
+// Reasons for the rejection of a key that a live settings document cannot contain.
 const (
 	needsRestart = "needs a restart"
 	unknownKey   = "unknown key"
 )
 
-// restartKeys are the patterns of keys that exist only in the startup configuration of a node. Each also covers the keys
-// below it.
+// restartKeys are the patterns of keys that exist only in the startup configuration of a node. `*` stands for any name. A
+// pattern without it also covers the keys below the key.
 var restartKeys = []string{
 	"name", "listen", "admin_addr", "peer_addr", "peers", "seed", "fleet", "known", "settings",
 	"limits.cores", "limits.memory_mb", "limits.dial_timeout_us", "limits.peers", "limits.probes", "limits.retry_after",
@@ -18,7 +18,8 @@
 	"service_types.*.memory_span_us",
 }
 
-// renamedKeys are the patterns of keys that have another name in the startup configuration of a node than in the document.
+// renamedKeys are the patterns of keys that have another name in the startup configuration of a node than in a live
+// settings document.
 var renamedKeys = []struct{ pattern, liveKey string }{
 	{"siblings", "nodes"},
 	{"limits.max_retry_after_us", "retry_advice_s"},
@@ -30,24 +31,26 @@
 	{"service_types.*.setup_target_us", "service_types.*.setup_target_s"},
 }
 
-// isAtOrBelow reports whether a key matches a pattern or is below a key that equals the pattern.
-func isAtOrBelow(pattern, text string) bool {
-	if text == pattern || strings.HasPrefix(text, pattern+".") {
+// isAtOrBelow reports whether a dotted key matches a pattern or, for a pattern without a wildcard, is below that key.
+func isAtOrBelow(pattern, dotted string) bool {
+	if dotted == pattern || strings.HasPrefix(dotted, pattern+".") {
 		return true
 	}
-	_, ok := key{pattern: pattern}.match(text)
+	_, ok := key{pattern: pattern}.match(dotted)
 	return ok && strings.Contains(pattern, wildcard)
 }
 
-// rejectionReason returns the reason for the rejection of a key that is not a key of the document.
-func rejectionReason(text string) string {
+// rejectionReason returns the reason for the rejection of a dotted key that is not a live key. A key of the startup
+// configuration can be changed only with a restart; if a live key with another name has the same meaning, the reason names
+// it.
+func rejectionReason(dotted string) string {
 	for _, renamed := range renamedKeys {
-		if isAtOrBelow(renamed.pattern, text) {
+		if isAtOrBelow(renamed.pattern, dotted) {
 			return needsRestart + "; the live key is " + renamed.liveKey
 		}
 	}
 	for _, pattern := range restartKeys {
-		if isAtOrBelow(pattern, text) {
+		if isAtOrBelow(pattern, dotted) {
 			return needsRestart
 		}
 	}
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -15,17 +15,17 @@
 		ReportsLoad       bool      `json:"tells_load"`
 		Quotas            []float64 `json:"tenant_quota_connections"` // by tenant
 	} `json:"family_info"`
-	Tick       float64 `json:"granularity_us"`
+	Tick       float64 `json:"granularity_us"` // shortest time between two rounds of inputs
 	Invariants struct {
 		PollInterval     float64 `json:"ask_within_us"`
-		SlowStartShare   float64 `json:"cold_from"`
+		SlowStartShare   float64 `json:"cold_from"` // fraction of its capacity that a server has when it starts
 		SlowStartTime    float64 `json:"cold_us"`
-		OverloadMultiple float64 `json:"fall_multiple"`
-		OverloadWindow   float64 `json:"fall_us"`
+		OverloadMultiple float64 `json:"fall_multiple"` // multiple of its capacity above which a server in slow start fails
+		OverloadWindow   float64 `json:"fall_us"`       // how long the server withstands a load above that multiple
 	} `json:"invariants"`
 	Limits struct {
 		DialTimeout   float64 `json:"dial_timeout_us"`
-		MaxAttempts   float64 `json:"max_connects"`
+		MaxAttempts   float64 `json:"max_connects"` // converted to a whole number by count
 		MaxRetryAfter float64 `json:"max_retry_after_us"`
 		LoadGossip    bool    `json:"peers"`
 		HealthChecks  bool    `json:"probes"`
@@ -47,12 +47,12 @@
 		KeyLifetime       float64 `json:"memory_span_us"`
 		SetupObjective    float64 `json:"setup_target_us"`
 	} `json:"service_types"`
-	Nodes      float64  `json:"siblings"`
-	NodeNumber *float64 `json:"me"` // nil if it is missing
+	Nodes      float64  `json:"siblings"` // converted to a whole number by count, as is NodeNumber
+	NodeNumber *float64 `json:"me"`       // nil if it is missing
 	Zones      []string `json:"zones"`
 }
 
-// The values of the keys mode, membership_mode and source.
+// The values of the keys mode, membership_mode and source that have a meaning here. Any other value selects the default.
 const (
 	modePassThrough         = "pass"
 	listModeWatched         = "subscribe"
@@ -74,14 +74,14 @@
 	"cell": placement.KeyScopeCell,
 }
 
-// number is one numeric setting with its key, without the root key.
+// number is a numeric setting. Its key is the path below the root key.
 type number struct {
 	key   string
 	value float64
 }
 
-// check returns a *KeyError for the first unknown effect, or else for the first negative number. It replaces neither by a
-// valid value.
+// check returns a *KeyError for the first unknown effect or else for the first negative number. An invalid value is an error
+// and is never replaced by a default.
 func (o *object) check() error {
 	for i, t := range o.ServiceTypes {
 		if _, known := idempotencies[t.Effect]; !known && t.Effect != "" {
@@ -91,7 +91,7 @@
 			}
 		}
 	}
-	for _, n := range o.numbers() {
+	for _, n := range o.nonNegative() {
 		if n.value < 0 {
 			return &KeyError{Key: rootKey + "." + n.key, Reason: fmt.Sprintf("must not be negative, got %v", n.value)}
 		}
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// numbers returns the numbers that must not be negative.
-func (o *object) numbers() []number {
+// nonNegative returns the numbers that must not be negative.
+func (o *object) nonNegative() []number {
 	numbers := []number{
 		{"granularity_us", o.Tick},
 		{"siblings", o.Nodes},
@@ -123,9 +123,9 @@
 		numbers = append(numbers, number{fmt.Sprintf("family_info.tenant_quota_connections[%d]", i), quota})
 	}
 	for i, t := range o.ServiceTypes {
-		row := fmt.Sprintf("service_types[%d].", i)
-		numbers = append(numbers, number{row + "give_up_us", t.MaxConnectTimeout}, number{row + "memory_span_us", t.KeyLifetime},
-			number{row + "setup_target_us", t.SetupObjective})
+		prefix := fmt.Sprintf("service_types[%d].", i)
+		numbers = append(numbers, number{prefix + "give_up_us", t.MaxConnectTimeout}, number{prefix + "memory_span_us", t.KeyLifetime},
+			number{prefix + "setup_target_us", t.SetupObjective})
 	}
 	return numbers
 }
