--- a/internal/node/connection_end_test.go
+++ b/internal/node/connection_end_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"fmt"
 	"strings"
 	"testing"
 )
@@ -10,10 +9,10 @@
 type connectionEnd struct {
 	name        string
 	event       func(harness *testHarness, client, host ConnID)
-	toClient    string // what the client is sent after the receipt
+	toClient    string // what the client is sent after the UP line
 	toHost      string // what the host is sent after the opening line
-	clientState string // final state of each connection
-	hostState   string
+	clientState string // final state of the client's connection
+	hostState   string // final state of the host's connection
 	reason      Reason
 }
 
@@ -30,10 +29,10 @@
 	{"host resets", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, "M 2\r\nM", StreamBroken)
 	}, "M 2\r\n", "", "reset", "closed", HostReset},
-	{"host ends without announcing it", func(harness *testHarness, _, host ConnID) {
+	{"host closes without BYE", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, "", StreamEnded)
 	}, "", "", "write closed", "closed", HostEnded},
-	{"host announces its end but does not end", func(harness *testHarness, _, host ConnID) {
+	{"host sends BYE but does not close", func(harness *testHarness, _, host ConnID) {
 		harness.receive(host, "BYE\r\n", StreamOpen)
 		harness.advance(1.01)
 	}, "BYE\r\n", "", "write closed", "closed", Served},
@@ -53,15 +52,15 @@
 }
 
 var clientEnds = []connectionEnd{
-	{"client ends, host answers", func(harness *testHarness, client, host ConnID) {
+	{"client closes, host answers and closes", func(harness *testHarness, client, host ConnID) {
 		harness.receive(client, "M 1\r\n", StreamEnded)
 		if harness.connectionState[host] != "write closed" {
-			harness.Fatalf("the host's connection is %q", harness.connectionState[host])
+			harness.Fatalf("the host's connection is %q, want %q", harness.connectionState[host], "write closed")
 		}
 		harness.receive(host, "M 1\r\n", StreamOpen)
 		harness.receive(host, "BYE\r\n", StreamEnded)
 	}, "M 1\r\nBYE\r\n", "M 1\r\n", "closed", "closed", ClientEnded},
-	{"client ends, host does not", func(harness *testHarness, client, _ ConnID) {
+	{"client closes, host stays open", func(harness *testHarness, client, _ ConnID) {
 		harness.receive(client, "", StreamEnded)
 		harness.advance(hostEndTimeout + 0.1)
 	}, "", "", "closed", "closed", ClientEnded},
@@ -80,7 +79,7 @@
 }
 
 var forwardedBeforeEnd = []connectionEnd{
-	{"joined and partial lines", func(harness *testHarness, client, host ConnID) {
+	{"several lines in one read, one line in two reads", func(harness *testHarness, client, host ConnID) {
 		harness.receive(client, "A\r\nB\r\nC", StreamOpen)
 		harness.receive(client, "D\r\n", StreamOpen)
 		harness.receive(host, "LOAD 5\r\nX", StreamOpen)
@@ -95,8 +94,9 @@
 	}, strings.Repeat(longLine, 5) + "BYE\r\n", strings.Repeat(longLine, 5), "write closed", "closed", Served},
 }
 
-// If the end of one connection did not reach the other, a peer would wait on a dead flow; if it came too early, the last
-// lines would be lost. The end of one side ends the other in the same way, after the whole lines sent before it.
+// If the node did not end the other connection of a flow after one has ended, the other peer would wait on a dead flow. If
+// it ended the other connection too early, the last lines would be lost. The end of one side ends the other, after the
+// whole lines that were sent before the end.
 func TestEndOfOneSideReachesTheOther(t *testing.T) {
 	for _, cases := range [][]connectionEnd{hostEnds, clientEnds, forwardedBeforeEnd} {
 		for _, c := range cases {
@@ -112,34 +112,41 @@
 	first := harness.written[host]
 	c.event(harness, client, host)
 	if got := strings.TrimPrefix(harness.written[client], "UP 77\r\n"); got != c.toClient {
-		t.Errorf("the client was sent %.60q, wanted %.60q", got, c.toClient)
+		t.Errorf("the client was sent %.60q, want %.60q", got, c.toClient)
 	}
 	if got := strings.TrimPrefix(harness.written[host], first); got != c.toHost {
-		t.Errorf("the host was sent %.60q, wanted %.60q", got, c.toHost)
+		t.Errorf("the host was sent %.60q, want %.60q", got, c.toHost)
 	}
 	clientState, hostState := harness.connectionState[client], harness.connectionState[host]
 	if clientState != c.clientState || hostState != c.hostState {
-		t.Errorf("client's connection %q, host's connection %q, wanted %q and %q", clientState, hostState, c.clientState,
+		t.Errorf("client's connection %q, host's connection %q, want %q and %q", clientState, hostState, c.clientState,
 			c.hostState)
 	}
 	harness.checkReleased()
 	if got := harness.endReasons(); len(got) != 1 || got[0] != c.reason {
-		t.Errorf("reasons %v, wanted %s", got, c.reason)
+		t.Errorf("reasons %v, want %s", got, c.reason)
 	}
 }
 
-// A host that ends its flows in order would get no new ones if each end counted as an overload. Only a broken connection
-// keeps the balancer from sending the next flow to the host.
+// If an orderly close by a host counted as a sign of overload, the host would get no new flows after each one that it ends.
+// Only a reset counts, and keeps the balancer from sending the next flow to the host.
 func TestOnlyBrokenConnectionCountsAsOverload(t *testing.T) {
-	for end, usedAgain := range map[StreamState]bool{StreamEnded: true, StreamBroken: false} {
-		t.Run(fmt.Sprintf("end %d", end), func(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		end       StreamState
+		usedAgain bool
+	}{
+		{"orderly close", StreamEnded, true},
+		{"reset", StreamBroken, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
 			harness := newHarness(t, "proxy", 1, 100)
 			_, host := harness.establish(chatRequest)
-			harness.receive(host, "", end)
+			harness.receive(host, "", c.end)
 			harness.advance(0.1)
 			harness.openFlow(chatRequest)
-			if (len(harness.flowDials) == 2) != usedAgain {
-				t.Errorf("%d dials, wanted the host to be used again %v", len(harness.flowDials), usedAgain)
+			if (len(harness.flowDials) == 2) != c.usedAgain {
+				t.Errorf("%d dials, want 2 if and only if the host is to be used again: %v", len(harness.flowDials), c.usedAgain)
 			}
 		})
 	}
--- a/internal/node/idle_test.go
+++ b/internal/node/idle_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// An opening line may arrive just when the node closes the idle connection to free its descriptor. Without an answer the
-// request would be lost, so the client is rejected and may connect again.
+// A client may send its opening line just when the node closes its idle connection to free the descriptor. If the node
+// closed the connection without a reply, that request would be lost. The node therefore sends BUSY first, so that the client
+// may connect again.
 func TestIdleClientIsRejectedBeforeItMakesRoom(t *testing.T) {
 	harness := newHarness(t, "proxy", 3, 60)
 	var idle []ConnID
@@ -23,16 +24,16 @@
 		}
 		closed++
 		if harness.written[client] != "BUSY\r\n" {
-			t.Errorf("an idle client was closed after it was sent %q", harness.written[client])
+			t.Errorf("an idle client was closed after it was sent %q, want %q", harness.written[client], "BUSY\r\n")
 		}
 	}
 	if closed < 30 {
-		t.Errorf("%d of 60 idle connections were closed, wanted at least 30", closed)
+		t.Errorf("%d of 60 idle connections were closed, want at least 30", closed)
 	}
 }
 
-// A client that connects late in a shutdown would see its connection end without an answer. A client that is still idle
-// just before the exit is rejected.
+// If the node exited while a client that connected late in the shutdown is still idle, the connection would end without an
+// answer. The node rejects such a client just before it exits.
 func TestIdleClientIsRejectedBeforeTheExit(t *testing.T) {
 	harness := newHarness(t, "pass", 3, 60)
 	harness.establish(chatRequest) // stays in flight, so that the node does not exit
@@ -41,14 +42,14 @@
 	client := harness.accept()
 	harness.advance(0.6)
 	if harness.written[client] != "BUSY\r\n" || harness.connectionState[client] != "write closed" {
-		t.Errorf("the client was sent %q, and its connection is %q", harness.written[client],
-			harness.connectionState[client])
+		t.Errorf("the client was sent %q and its connection is %q, want %q and %q", harness.written[client],
+			harness.connectionState[client], "BUSY\r\n", "write closed")
 	}
 }
 
-// A client that does not read its answer could hold its descriptor for ever. Its connection is closed in time, also if
-// the write fails.
-func TestBlockedClientIsClosedInTime(t *testing.T) {
+// A client that does not read its answer could hold its descriptor for ever. Its connection is closed within the timeouts
+// for the opening line and for the client's end, also if the write fails.
+func TestBlockedClientIsClosedWithinItsTimeouts(t *testing.T) {
 	for _, failed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("write failed %v", failed), func(t *testing.T) {
 			harness := newHarness(t, "proxy", 3, 60)
@@ -56,12 +57,12 @@
 			harness.blocked[client] = true
 			harness.receive(client, "PING\r\n", StreamOpen)
 			if failed {
-				harness.advance(1.95)
+				harness.advance(1.95) // seconds, just before firstLineTimeout
 				harness.apply(WriteDone{client, 0, true})
 			}
 			harness.advance(firstLineTimeout + lingerTimeout + 0.1)
 			if harness.connectionState[client] != "closed" {
-				t.Errorf("the client's connection is %q, wanted it closed", harness.connectionState[client])
+				t.Errorf("the client's connection is %q, want \"closed\"", harness.connectionState[client])
 			}
 			harness.checkReleased()
 		})
@@ -80,19 +81,19 @@
 		harness.establish(chatRequest)
 	}
 	if harness.node.connections.descriptors > 240-descriptorReserve {
-		t.Fatalf("%d descriptors", harness.node.connections.descriptors)
+		t.Fatalf("%d descriptors in use, want at most %d", harness.node.connections.descriptors, 240-descriptorReserve)
 	}
 }
 
-// Beyond its limit, the process would fail to accept or dial anything. Clients for which no descriptor is left are
-// rejected, and the number of descriptors never exceeds the limit.
+// A process at its descriptor limit can neither accept nor dial. Clients for which no descriptor is left are rejected, and
+// the number of descriptors in use never exceeds the limit.
 func TestDescriptorsNeverExceedTheLimit(t *testing.T) {
 	const limit = 60
 	harness := newHarness(t, "proxy", 3, limit)
 	checkLimit := func() {
 		t.Helper()
 		if harness.node.connections.descriptors > limit {
-			t.Fatalf("%d descriptors", harness.node.connections.descriptors)
+			t.Fatalf("%d descriptors in use, want at most %d", harness.node.connections.descriptors, limit)
 		}
 	}
 	established, rejected := 0, 0
@@ -106,7 +107,7 @@
 		}
 		rejected++
 		if !strings.HasPrefix(harness.written[client], "BUSY") {
-			t.Fatalf("sent %q", harness.written[client])
+			t.Fatalf("the rejected client was sent %q, want a reply that begins with BUSY", harness.written[client])
 		}
 		if harness.node.connections.byID[client] != nil {
 			harness.receive(client, "", StreamEnded)
@@ -114,7 +115,8 @@
 		checkLimit()
 	}
 	if established < 14 || rejected == 0 || !slices.Contains(harness.endReasons(), NoDescriptors) {
-		t.Fatalf("%d established, %d rejected: %v", established, rejected, harness.endReasons())
+		t.Fatalf("%d established, %d rejected, reasons %v; want at least 14 established, at least one rejected, and reason %v",
+			established, rejected, harness.endReasons(), NoDescriptors)
 	}
 	for range 300 { // more clients than descriptors
 		harness.now += 1e-4
@@ -129,8 +131,8 @@
 	harness.checkReleased()
 }
 
-// A wrong count of idle connections would close too many or too few of them. A connection counts once, and only clients'
-// connections count.
+// If the queue counted its idle connections wrongly, the node would close too many or too few of them. The queue counts
+// each connection once, and counts only connections of clients.
 func TestIdleConnectionCountsOnce(t *testing.T) {
 	var queue idleQueue
 	client := &connection{id: 1, role: clientRole}
@@ -138,11 +140,11 @@
 	queue.add(client)
 	queue.add(&connection{id: 2, role: hostRole})
 	if queue.count != 1 || len(queue.queue) != 1 {
-		t.Errorf("%d idle, %d in the queue", queue.count, len(queue.queue))
+		t.Errorf("%d idle, %d in the queue, want 1 and 1", queue.count, len(queue.queue))
 	}
 	queue.remove(client)
 	queue.remove(client)
 	if queue.count != 0 {
-		t.Errorf("%d idle after the only one was removed", queue.count)
+		t.Errorf("%d idle after the only one was removed, want 0", queue.count)
 	}
 }
