--- a/internal/fleet/fleet_golden_test.go
+++ b/internal/fleet/fleet_golden_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func goldenBytes(t *testing.T, text string) []byte {
+func decodeHex(t *testing.T, text string) []byte {
 	t.Helper()
 	out, err := hex.DecodeString(text)
 	if err != nil {
@@ -98,20 +98,20 @@
 	return []peers.HostLoad{{Host: 0x01020304, Load: 0.5}, {Host: 0xdeadbeef, Load: 0.51}, {Host: 7, Load: 9}}
 }
 
-func loadMessage() *wire.Message {
+func goldenLoadMessage() *wire.Message {
 	return &wire.Message{Kind: wire.Message_WORDS, From: "node-a", Start: 1700000000000001, Words: peers.Append(nil, goldenLoads())}
 }
 
 // Guards against changes to the format of datagrams: a version byte and a sealed message. The files contain the first and
-// the second datagram of one sender, because the message's count is part of the datagram.
+// the second datagram of one sender, because each datagram contains the sender's count of its datagrams.
 func TestGoldenDatagrams(t *testing.T) {
-	current, old := goldenBytes(t, goldenKey), goldenBytes(t, goldenOldKey)
+	current, old := decodeHex(t, goldenKey), decodeHex(t, goldenOldKey)
 	sender := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{current, old}})
 	receiver := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{old, current}})
 	for _, c := range []struct {
 		name    string
 		message *wire.Message
-	}{{"datagram-1-ping.bin", goldenMessage()}, {"datagram-2-load.bin", loadMessage()}} {
+	}{{"datagram-1-ping.bin", goldenMessage()}, {"datagram-2-load.bin", goldenLoadMessage()}} {
 		t.Run(c.name, func(t *testing.T) {
 			text, err := sender.sign(c.message)
 			if err != nil {
@@ -123,7 +123,7 @@
 				t.Errorf("verified message %v (%q), want %v", got, reason, c.message)
 			}
 			if _, reason := receiver.verify(readGolden(t, c.name)); reason != replayed {
-				t.Errorf("same datagram again: %q, want %q", reason, replayed)
+				t.Errorf("same datagram again: rejection reason %q, want %q", reason, replayed)
 			}
 		})
 	}
@@ -134,12 +134,13 @@
 	want := []string{"", "garbage", "another version", "another fleet", "no right MAC", "seen before", "too many senders"}
 	for i, got := range []rejection{accepted, malformed, unknownVersion, otherFleet, invalidMAC, replayed, tooManySenders} {
 		if string(got) != want[i] {
-			t.Errorf("%q, want %q", got, want[i])
+			t.Errorf("rejection reason %q, want %q", got, want[i])
 		}
 	}
 }
 
-// Guards against load gossip of nodes of version 5fa7498 that is rejected, read differently or not counted.
+// Load gossip that is sent by version 5fa7498 must be accepted, decoded to the same loads and counted. Loads are sent in steps
+// of 1/64, up to 255/64.
 func TestGoldenLoadGossipIsReceived(t *testing.T) {
 	file, err := Parse("fleet.toml", readGolden(t, "fleet.toml"))
 	if err != nil {
@@ -170,11 +171,12 @@
 		got = append(got, c.Kind)
 	}
 	if want := []string{"none", "ping", "ack", "ping_req", "nack", "state", "join", "words"}; !reflect.DeepEqual(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("message kinds %v, want %v", got, want)
 	}
 }
 
-// Guards against changes to introductions, which contain as many members in each message as fit.
+// Guards against changes to introductions: the messages that together contain an update about each member. Each message
+// contains as many updates as fit.
 func TestGoldenIntroductions(t *testing.T) {
 	var all []membership.Member
 	for i := range 5 {
@@ -182,7 +184,7 @@
 			Incarnation: uint32(1 + i), State: membership.Suspect, Address: fmt.Sprintf("127.0.0.%d:7000", 1+i),
 			Zone: fmt.Sprintf("zone-%c", 'a'+i), Build: "5fa7498", Ready: true})
 	}
-	sender := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{goldenBytes(t, goldenKey)}})
+	sender := newAuthenticator(Config{Fleet: "lima", keys: [][]byte{decodeHex(t, goldenKey)}})
 	var out bytes.Buffer
 	for _, message := range introductions(all, 1700000000000009) {
 		text, err := sender.sign(message)
@@ -202,11 +204,11 @@
 		Region: "west",
 		Control: []ControlServer{{Name: "c1", Address: "127.0.1.1:7100", Region: "west"},
 			{Name: "c2", Address: "127.0.1.2:7100", Region: "east"}},
-		keys: [][]byte{goldenBytes(t, goldenKey), goldenBytes(t, goldenOldKey)}}
+		keys: [][]byte{decodeHex(t, goldenKey), decodeHex(t, goldenOldKey)}}
 }
 
-// Guards against keys of a fleet file that are lost or renamed: a file with every key must decode to these values, and the
-// values must encode to the same bytes.
+// Guards against settings of a fleet file that are lost or renamed: a file with every setting must decode to these values,
+// and the values must encode to the same bytes.
 func TestGoldenFleetFile(t *testing.T) {
 	want := goldenConfig(t)
 	written, err := toml.Marshal(want)
@@ -233,19 +235,20 @@
 	}
 }
 
-// Guards against a change of the default period.
+// Guards against a change of the default period, for a fleet file that does not set it.
 func TestGoldenFleetFileDefaults(t *testing.T) {
 	got, err := Parse("fleet.toml", []byte("fleet = \"lima\"\naddress = \"127.0.0.1:7000\"\njoin = [\"127.0.0.2:7000\"]\nkey = \""+
 		goldenKey+"\"\n"))
 	want := Config{Fleet: "lima", Address: "127.0.0.1:7000", Join: []string{"127.0.0.2:7000"}, Key: goldenKey, Period: 1,
-		keys: [][]byte{goldenBytes(t, goldenKey)}}
+		keys: [][]byte{decodeHex(t, goldenKey)}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read\n%+v\nwant\n%+v\n(%v)", got, want, err)
 	}
 }
 
 // Guards against a successor process that loses the revision in force: a process of version 5fa7498 may hand the revision
-// over in this form, and the successor must continue from it.
+// over in the JSON form of the golden file, and the successor must continue from it. It must not follow the control servers
+// yet, because its predecessor still does.
 func TestGoldenRevisionOfAPredecessor(t *testing.T) {
 	entries := []configfeed.Entry{{Key: "limits.sockets", Value: "900"}, {Key: "nodes", Value: "30"}}
 	state := configfeed.State{Version: configfeed.Version{Epoch: 2, Revision: 41}, Entries: entries, Digest: 0xf6014f494c73b015}
@@ -265,7 +268,7 @@
 	now := func() float64 { return 1700000000.5 }
 	follower := newConfigFollower(goldenConfig(t), view.Options{Successor: true, InForce: inherited}, now)
 	if !reflect.DeepEqual(follower.state, state) || follower.inForceSince != 1700000000.5 || follower.shouldFollow() {
-		t.Errorf("state %+v, want %+v; since %v, follows %v", follower.state, state, follower.inForceSince,
-			follower.shouldFollow())
+		t.Errorf("state %+v, in force since %v, follows %v; want %+v, 1700000000.5, false", follower.state,
+			follower.inForceSince, follower.shouldFollow(), state)
 	}
 }
