--- a/internal/configfeed/follower.go
+++ b/internal/configfeed/follower.go
@@ -77,7 +77,7 @@
 	return f.servers.pollAt
 }
 
-// Tick carries out what is due: it cancels a poll whose deadline has passed, and sends the next poll.
+// Tick does what is due: it cancels a poll whose deadline has passed, and sends the next poll.
 func (f *Follower) Tick(now float64) []FollowerEffect {
 	var effects []FollowerEffect
 	if f.poll != nil && now >= f.poll.deadline {
--- a/internal/lbwire/instance.go
+++ b/internal/lbwire/instance.go
@@ -57,7 +57,7 @@
 	return index, true
 }
 
-// flowIndex returns the index of a flow for which an event arrived, or -1 if the flow is unknown.
+// flowIndex returns the index of a flow for which an event arrived, or -1, which the balancer ignores, if the flow is unknown.
 func (in *instance) flowIndex(id uint32) int {
 	index, known := in.flows[id]
 	if !known {
