--- a/internal/configfeed/changes.go
+++ b/internal/configfeed/changes.go
@@ -28,10 +28,12 @@
 // Propose handles a proposal. An AnswerProposal effect, of this or a later call, carries the outcome. A proposal with the
 // ID of one that is being saved or queued shares its outcome.
 //
-// The outcome is NotReady in three cases: until a majority of the servers has reported its versions since the writer's
-// start, because only then the writer can detect that its disk was restored from an older backup; while a server or
-// follower has reported a newer version than the writer's; and while another server has different entries under the
-// writer's version.
+// The outcome is NotWriter if this server is not the writer, and NotReady in these cases:
+//   - Too many changes are waiting already (maxQueuedChanges).
+//   - Less than a majority of the servers has reported its versions since the writer's start. Only a majority lets the writer
+//     detect that its disk was restored from an older backup.
+//   - A server or follower has reported a newer version than the writer's.
+//   - Another server has different entries under the writer's version.
 func (s *Server) Propose(now float64, request uint64, p Proposal) []ServerEffect {
 	if same := s.findChange(p.ID); same != nil {
 		same.requests = append(same.requests, request)
--- a/internal/configfeed/follower.go
+++ b/internal/configfeed/follower.go
@@ -18,8 +18,8 @@
 // openPoll is a poll that has not been answered yet.
 type openPoll struct {
 	request  uint64
-	have     Version
-	wait     float64 // seconds
+	have     Version // version in the poll
+	wait     float64 // seconds for which the server may hold the poll
 	sentAt   float64 // time at which the poll was sent
 	deadline float64 // time at which the poll is canceled
 }
@@ -114,7 +114,7 @@
 	return SendPoll{Request: f.poll.request, Server: f.servers.current(), Poll: p, Timeout: timeout}
 }
 
-// usesFullTimeout reports whether the first poll at a server has the timeout of a held poll. It has if the answer may be
+// usesFullTimeout reports whether the first poll at a server has the timeout of a held poll. It does if the answer may be
 // large, because a complete state is needed. While all servers fail, the choice is random, because a server that needs
 // longer to answer cannot be distinguished from one that cannot be reached.
 func (f *Follower) usesFullTimeout() bool {
@@ -135,7 +135,7 @@
 // awaits reports whether the open poll has the given request.
 func (f *Follower) awaits(request uint64) bool { return f.poll != nil && f.poll.request == request }
 
-// giveUpPoll drops the open poll, which failed or timed out, and switches to another server.
+// giveUpPoll drops the open poll, which failed or timed out, and switches to another server for the next poll.
 func (f *Follower) giveUpPoll(now float64) {
 	f.poll = nil
 	f.unresponsive = true
@@ -173,8 +173,9 @@
 	return f.Tick(now)
 }
 
-// acceptUpdate returns the state to be put in force after an update, or nil if there is none. It also sets the server and
-// time of the next poll.
+// acceptUpdate returns the state to be put in force after an update, or nil if there is none. It also selects the server and
+// the time of the next poll: after a delta that cannot be applied, the same server after a backoff, with a request for a
+// snapshot; after an update that is not valid, not newer or refused, another server; otherwise the same server at once.
 func (f *Follower) acceptUpdate(now float64, poll *openPoll, u Update) *Install {
 	if poll.have != f.state.Version { // another state was adopted after the poll was sent
 		f.servers.keep(now)
--- a/internal/configfeed/peer.go
+++ b/internal/configfeed/peer.go
@@ -158,8 +158,8 @@
 // majority returns the smallest number of servers, this one included, that is more than half of them.
 func (s *Server) majority() int { return (len(s.peers)+1)/2 + 1 }
 
-// checkIsolation determines whether this server reaches a majority of the servers. When it becomes isolated, it answers
-// its followers immediately, so that they switch to another server.
+// checkIsolation determines whether this server reaches a majority of the servers. When the server becomes isolated, it
+// answers all held polls immediately, so that its followers switch to another server.
 func (s *Server) checkIsolation() {
 	reached := 1 // this server itself
 	for _, p := range s.peers {
--- a/internal/configfeed/pending.go
+++ b/internal/configfeed/pending.go
@@ -9,8 +9,8 @@
 type pendingPoll struct {
 	request  uint64
 	poll     Poll
-	deadline float64
-	index    int // in deadlineQueue
+	deadline float64 // time at which the poll is answered in any case, in seconds
+	index    int     // position in the deadlineQueue
 }
 
 // pendingPolls is the set of held polls, indexed by request, by follower and by deadline. At most one poll is held per
--- a/internal/membership/expiry.go
+++ b/internal/membership/expiry.go
@@ -1,6 +1,7 @@
 package membership
 
-// expireSuspicions declares members dead or left whose suspicion has expired. It runs once per period.
+// expireSuspicions handles the members whose suspicion has expired: it first schedules a final probe of a member that needs
+// one, and declares the others dead or left. It runs once per period.
 func (m *Members) expireSuspicions() {
 	elapsed := m.now - m.lastExpiryAt
 	m.lastExpiryAt = m.now
@@ -29,8 +30,8 @@
 }
 
 // scheduleFinalProbe queues one more probe of a suspect and extends the suspicion by the time that its answer may need.
-// Without it, a live member would be declared dead that is reached only through other members, or whose refutation was
-// not gossiped in time because too many updates were pending.
+// Without the final probe, this node would declare two kinds of live members dead: one that it reaches only through other
+// members, and one whose refutation was not gossiped in time because too many updates were pending.
 func (m *Members) scheduleFinalProbe(peer *member) {
 	s := peer.suspicion
 	s.finalProbe = true
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -12,9 +12,9 @@
 // timeoutFactor returns the factor by which this node's timeouts are multiplied. It grows with the local health score.
 func (m *Members) timeoutFactor() float64 { return float64(1 + m.healthScore) }
 
-// isolated reports whether failed probes may be this node's own fault: it has received no message for isolatedPeriods, so
-// that it may be unable to receive, or it learned within suspectedPeriods that others suspect it, so that it may be unable
-// to send.
+// isolated reports whether failed probes may be this node's own fault. That is so in two cases: this node has received no
+// message for isolatedPeriods, so it may be unable to receive; or it learned within suspectedPeriods that others suspect
+// it, so it may be unable to send.
 func (m *Members) isolated() bool {
 	if m.config.WithoutLifeguard || m.liveCount <= 1 {
 		return false
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -13,10 +13,10 @@
 
 // The states of a member. A suspect member still counts as a member, because it has time to refute the suspicion.
 const (
-	Alive   State = iota // it answers probes
-	Suspect              // it failed a probe, or another member reports that it did
-	Dead                 // it did not refute a suspicion in time
-	Left                 // it announced that it leaves the fleet
+	Alive   State = iota // the member answers probes
+	Suspect              // the member failed a probe, or another member reports that it did
+	Dead                 // the member did not refute a suspicion in time
+	Left                 // the member announced that it leaves the fleet
 )
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -241,7 +241,7 @@
 				t.Errorf("replaced %v, want %v", replaced, c.replaced)
 			}
 			if !c.replaced && m.Self().Start <= testNodeStart {
-				t.Errorf("start %d does not follow the reported one", m.Self().Start)
+				t.Errorf("start %d, want more than %d, the start before the report", m.Self().Start, uint64(testNodeStart))
 			}
 		})
 	}
