--- a/internal/configfeed/follower.go
+++ b/internal/configfeed/follower.go
@@ -18,10 +18,10 @@
 // openPoll is a poll that has not been answered yet.
 type openPoll struct {
 	request  uint64
-	have     Version
-	wait     float64 // seconds
+	have     Version // version in the poll
+	wait     float64 // seconds for which the server may hold the poll
 	sentAt   float64 // time at which the poll was sent
-	deadline float64 // time at which the poll is abandoned
+	deadline float64 // time at which the poll is canceled
 }
 
 // Follower keeps one state up to date from the control servers. It has at most one poll open, at one server. The first
@@ -77,7 +77,7 @@
 	return f.servers.pollAt
 }
 
-// Tick carries out what is due: it cancels a poll whose deadline has passed, and sends the next poll.
+// Tick does what is due: it cancels a poll whose deadline has passed, and sends the next poll.
 func (f *Follower) Tick(now float64) []FollowerEffect {
 	var effects []FollowerEffect
 	if f.poll != nil && now >= f.poll.deadline {
@@ -114,7 +114,7 @@
 	return SendPoll{Request: f.poll.request, Server: f.servers.current(), Poll: p, Timeout: timeout}
 }
 
-// usesFullTimeout reports whether the first poll at a server has the timeout of a held poll. It has if the answer may be
+// usesFullTimeout reports whether the first poll at a server has the timeout of a held poll. It does if the answer may be
 // large, because a complete state is needed. While all servers fail, the choice is random, because a server that needs
 // longer to answer cannot be distinguished from one that cannot be reached.
 func (f *Follower) usesFullTimeout() bool {
@@ -135,7 +135,7 @@
 // awaits reports whether the open poll has the given request.
 func (f *Follower) awaits(request uint64) bool { return f.poll != nil && f.poll.request == request }
 
-// giveUpPoll abandons the open poll and switches to another server.
+// giveUpPoll drops the open poll, which failed or timed out, and switches to another server for the next poll.
 func (f *Follower) giveUpPoll(now float64) {
 	f.poll = nil
 	f.unresponsive = true
@@ -145,7 +145,7 @@
 // switchServer selects another server for the next poll, with a backoff.
 func (f *Follower) switchServer(now float64) { f.servers.advance(now, f.rules.neverSwitchServer) }
 
-// Answered reports the answer to a poll. The answer to an abandoned poll is ignored.
+// Answered reports the answer to a poll. The answer to a canceled poll is ignored.
 func (f *Follower) Answered(now float64, request uint64, u Update) []FollowerEffect {
 	if !f.awaits(request) {
 		return f.Tick(now)
@@ -173,8 +173,9 @@
 	return f.Tick(now)
 }
 
-// acceptUpdate returns the state to be put in force after an update, or nil if there is none. It also sets the server and
-// time of the next poll.
+// acceptUpdate returns the state to be put in force after an update, or nil if there is none. It also selects the server and
+// the time of the next poll: after a delta that cannot be applied, the same server after a backoff, with a request for a
+// snapshot; after an update that is not valid, not newer or refused, another server; otherwise the same server at once.
 func (f *Follower) acceptUpdate(now float64, poll *openPoll, u Update) *Install {
 	if poll.have != f.state.Version { // another state was adopted after the poll was sent
 		f.servers.keep(now)
@@ -254,8 +255,8 @@
 	return f.Tick(now)
 }
 
-// abandon cancels an install without refusing the version. The next poll is sent after a backoff.
-func (f *Follower) abandon(now float64) {
+// cancelInstall cancels an install without refusing the version. The next poll is sent after a backoff.
+func (f *Follower) cancelInstall(now float64) {
 	f.installing = nil
 	f.servers.retry(now)
 }
