--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -21,7 +21,7 @@
 	DisturbanceNone        Disturbance = ""
 	DisturbanceRestart     Disturbance = "restart"      // a fraction of the nodes leaves and is restarted at once
 	DisturbanceServerFault Disturbance = "server-fault" // a control server is killed and another one is suspended by SIGSTOP
-	DisturbanceServerStart Disturbance = "server-start" // all control servers are restarted just before the change
+	DisturbanceServerStart Disturbance = "server-start" // all control servers are restarted before the change
 	DisturbanceRegionCut   Disturbance = "region-cut"   // a region is cut off from all others
 )
 
@@ -38,7 +38,9 @@
 	after        func() error // undoes the disturbance once the change has been measured
 }
 
-// change applies a new revision and measures when each node has it in force, and what that costs.
+// change carries out the i-th event, a configuration change: it applies a new revision during the action's disturbance,
+// measures when each node has the revision in force and what the phase costs, ends the disturbance and waits until the
+// fleet converges.
 func (r *run) change(ctx context.Context, i int, a Action) error {
 	if err := sleep(ctx, r.script.EventDelay); err != nil {
 		return err
@@ -83,8 +85,8 @@
 
 // planChange returns the steps of the i-th event, a configuration change with its disturbance.
 func (r *run) planChange(ctx context.Context, i int, a Action) changeSteps {
-	nothing := func() error { return nil }
-	d := changeSteps{phase: string(Change), reachable: r.plan.Nodes, before: nothing, concurrently: nothing, after: nothing}
+	noop := func() error { return nil }
+	d := changeSteps{phase: string(Change), reachable: r.plan.Nodes, before: noop, concurrently: noop, after: noop}
 	if a.Disturbance != DisturbanceNone {
 		d.phase = fmt.Sprintf("%s-%s", Change, a.Disturbance)
 	}
@@ -127,8 +129,8 @@
 	return d
 }
 
-// measureChange applies a change and the concurrent disturbance, and records the 50th and 99th percentile and the maximum
-// of the time until the reachable nodes had it in force.
+// measureChange applies a change at the same time as the concurrent disturbance, waits until all reachable nodes
+// have the change in force or the window is over, and records the percentiles of their delays.
 func (r *run) measureChange(ctx context.Context, d changeSteps, window float64) error {
 	previous := r.version
 	if err := r.beginChange(previous); err != nil {
@@ -143,32 +145,34 @@
 	if err := both.Wait(); err != nil {
 		return err
 	}
-	times, err := r.awaitInForce(ctx, d.reachable, window)
+	delays, err := r.awaitInForce(ctx, d.reachable, window)
 	if err != nil {
 		return err
 	}
-	r.recordInForce(d.phase, times, len(d.reachable))
+	r.recordInForce(d.phase, delays, len(d.reachable))
 	return nil
 }
 
-// beginChange has every node without a version newer than previous note the time at which it puts one in force.
+// beginChange starts recording, for hollow and real nodes, when each puts in force a version newer than previous.
 func (r *run) beginChange(previous configfeed.Version) error {
 	r.previousVersion = previous
 	r.reals.inForce.begin(previous)
-	_, err := r.hollows.requestAll(request{Kind: requestChange, Version: previous})
+	_, err := r.hollows.requestAll(request{Kind: requestWatchInForce, Version: previous})
 	return err
 }
 
-// awaitInForce waits until all reachable nodes have the change in force or the window is over, and returns the times.
+// awaitInForce waits until all reachable nodes have the change in force or the window is over, and returns the delays in
+// milliseconds of the nodes that have it. The window counts the pauses between polls, not the polls themselves. The real
+// nodes are polled only when enough hollow nodes have the change or the window is over.
 func (r *run) awaitInForce(ctx context.Context, reachable []NodePlan, window float64) (*hdrhistogram.Histogram, error) {
 	for waited := 0.0; ; waited += inForcePollInterval {
 		report, err := r.hollows.report()
 		if err != nil {
 			return nil, err
 		}
-		if report.inForce.TotalCount() >= int64(countHollow(reachable)) || waited > window { // real nodes are asked last
+		if report.inForce.TotalCount() >= int64(countHollow(reachable)) || waited > window {
 			r.reals.configs(ctx)
-			report.inForce.Merge(hdrhistogram.Import(r.reals.inForce.times()))
+			report.inForce.Merge(hdrhistogram.Import(r.reals.inForce.snapshot()))
 			if report.inForce.TotalCount() >= int64(len(reachable)) || waited > window {
 				return report.inForce, ctx.Err()
 			}
@@ -179,12 +183,13 @@
 	}
 }
 
-// recordInForce adds rows for the times, and a violation if a reachable node was late or never had the change.
-func (r *run) recordInForce(name string, times *hdrhistogram.Histogram, reachable int) {
+// recordInForce adds rows for the delays, in milliseconds, and a violation if the last node exceeded the bound or a
+// reachable node never had the change in force.
+func (r *run) recordInForce(name string, delays *hdrhistogram.Histogram, reachable int) {
 	bound := r.script.InForceBound
-	fraction := float64(times.TotalCount()) / float64(reachable)
-	at := func(percent float64) float64 { return float64(times.ValueAtQuantile(percent)) / 1e3 }
-	last := float64(times.Max()) / 1e3
+	fraction := float64(delays.TotalCount()) / float64(reachable)
+	at := func(percent float64) float64 { return float64(delays.ValueAtQuantile(percent)) / 1e3 }
+	last := float64(delays.Max()) / 1e3
 	add := func(cost, unit string, value float64) {
 		r.addRow(Row{Kind: Fleet, NodesOfKind: reachable, Phase: name, Cost: cost, Unit: unit, Value: value})
 	}
@@ -196,11 +201,12 @@
 		at(50), at(99), last)
 	if fraction < 1 || last > bound {
 		r.addViolation(RuleInForce, "%s: in force at %d of %d reachable nodes, at the last one after %.2f s; the bound is %g s", name,
-			times.TotalCount(), reachable, last, bound)
+			delays.TotalCount(), reachable, last, bound)
 	}
 }
 
-// reconnectRegion ends a region's cut after the stated time, and measures when its nodes have the change in force.
+// reconnectRegion ends a region's cut after the action's failure duration, and measures how soon after that the region's
+// nodes have the change in force.
 func (r *run) reconnectRegion(ctx context.Context, d changeSteps, a Action) error {
 	if err := sleep(ctx, a.FailureDuration); err != nil {
 		return err
@@ -211,10 +217,10 @@
 	if err := r.cutRegions(nil); err != nil {
 		return err
 	}
-	times, err := r.awaitInForce(ctx, d.disturbed, a.Window)
+	delays, err := r.awaitInForce(ctx, d.disturbed, a.Window)
 	if err != nil {
 		return err
 	}
-	r.recordInForce(d.phase+"-back", times, len(d.disturbed))
+	r.recordInForce(d.phase+"-back", delays, len(d.disturbed))
 	return nil
 }
--- a/internal/scale/chart.go
+++ b/internal/scale/chart.go
@@ -13,7 +13,7 @@
 	"gorseledge/internal/chart"
 )
 
-// Series is one cost of one kind in one phase, over the size of the fleet.
+// Series holds the values of one cost of one kind in one phase, by fleet size: Value[i] was measured with Nodes[i] nodes.
 type Series struct {
 	Kind  Kind
 	Phase string
@@ -67,7 +67,7 @@
 	return chart.SVG(8*vg.Inch, 4.5*vg.Inch, p)
 }
 
-// drawSeries adds a series with its fitted line and residuals.
+// drawSeries adds the points of a series and, if there are at least 3 points, its fitted line and residuals.
 func drawSeries(p *plot.Plot, s Series) error {
 	points := make(plotter.XYs, len(s.Nodes))
 	for i := range points {
@@ -91,14 +91,14 @@
 	}
 	line.Color, line.Width = kindColors[s.Kind], vg.Points(1)
 	p.Add(line)
-	for _, at := range points {
-		stroke, err := plotter.NewLine(plotter.XYs{at, {X: at.X, Y: f.At(at.X)}})
+	for _, point := range points {
+		stroke, err := plotter.NewLine(plotter.XYs{point, {X: point.X, Y: f.At(point.X)}})
 		if err != nil {
 			return err
 		}
 		stroke.Color, stroke.Width = kindColors[s.Kind], vg.Points(0.5)
 		p.Add(stroke)
 	}
-	p.Legend.Add(fmt.Sprintf("%s: %.3g + %.3g n, left over %.2g", s.Kind, f.Base, f.Slope, f.ResidualRMS), scatter, line)
+	p.Legend.Add(fmt.Sprintf("%s: %.3g + %.3g n, residual %.2g", s.Kind, f.Base, f.Slope, f.ResidualRMS), scatter, line)
 	return nil
 }
--- a/internal/scale/checks.go
+++ b/internal/scale/checks.go
@@ -11,20 +11,22 @@
 	"gorseledge/internal/membership/wire"
 )
 
-// checkRest compares the costs of a hollow node at rest with those of a real one, and with the script's bounds.
+// checkRest adds violations if the traffic of a hollow node at rest differs from that of a real one, or if the hollow
+// node's CPU, memory or bandwidth exceeds the script's bound.
 func (r *run) checkRest(hollow, real costs) {
-	h, k := hollow.total(), real.total()
-	r.checkRatio(RuleHollowMatchesReal, "hollow over real, messages sent", h.sentMessages, k.sentMessages)
-	r.checkRatio(RuleHollowMatchesReal, "hollow over real, bytes sent", h.sentBytes, k.sentBytes)
-	r.checkRatio(RuleHollowMatchesReal, "hollow over real, messages received", h.receivedMessages, k.receivedMessages)
-	r.checkRatio(RuleHollowMatchesReal, "hollow over real, bytes received", h.receivedBytes, k.receivedBytes)
+	hollowTotal, realTotal := hollow.total(), real.total()
+	r.checkRatio(RuleHollowMatchesReal, "hollow over real, messages sent", hollowTotal.sentMessages, realTotal.sentMessages)
+	r.checkRatio(RuleHollowMatchesReal, "hollow over real, bytes sent", hollowTotal.sentBytes, realTotal.sentBytes)
+	r.checkRatio(RuleHollowMatchesReal, "hollow over real, messages received", hollowTotal.receivedMessages,
+		realTotal.receivedMessages)
+	r.checkRatio(RuleHollowMatchesReal, "hollow over real, bytes received", hollowTotal.receivedBytes, realTotal.receivedBytes)
 	if hollow.cpu > r.script.CPU {
 		r.addViolation(RuleCPU, "%.4f of a core; the bound is %.4f", hollow.cpu, r.script.CPU)
 	}
 	if hollow.slope > r.script.Memory*1e6 {
 		r.addViolation(RuleMemory, "%.1f MB; the bound is %g MB", hollow.slope/1e6, r.script.Memory)
 	}
-	if bytes := h.sentBytes + h.receivedBytes; bytes > r.script.Bandwidth*1e3 {
+	if bytes := hollowTotal.sentBytes + hollowTotal.receivedBytes; bytes > r.script.Bandwidth*1e3 {
 		r.addViolation(RuleBandwidth, "%.1f kB/s; the bound is %g kB/s", bytes/1e3, r.script.Bandwidth)
 	}
 }
@@ -38,14 +40,15 @@
 	}
 }
 
-// virtualRest is the cost at rest of members on the virtual clock, or why it could not be measured.
+// virtualRest is the cost at rest of members on the virtual clock, or the error with which its measurement failed.
 type virtualRest struct {
 	members.IdleCost
 	err error
 }
 
-// runVirtual measures, while the run goes on, members of the same membership core on the virtual clock. Their messages
-// have the run's names and addresses, and are counted with the size that they would have as datagrams.
+// runVirtual measures the cost at rest of members on the virtual clock, which use the same membership core as nodes,
+// concurrently with the run, and sends the result to the returned channel. The messages of these members have the run's
+// names and addresses, and are counted with the size that they would have as datagrams.
 func (r *run) runVirtual(ctx context.Context) <-chan virtualRest {
 	done := make(chan virtualRest, 1)
 	go func() {
@@ -63,7 +66,8 @@
 		r.script.RestDuration/r.script.Period)
 }
 
-// checkVirtual compares the costs of nodes at rest with those of members on the virtual clock.
+// checkVirtual waits for the cost at rest of members on the virtual clock, adds it as rows, and adds violations if it
+// differs from that of hollow or real nodes.
 func (r *run) checkVirtual(ctx context.Context, hollow, real costs) error {
 	var rest virtualRest
 	select {
@@ -79,10 +83,10 @@
 	r.reportProgress("rest, virtual: sent %.2f messages and %.0f bytes a second", rest.Messages, rest.Bytes)
 	r.reportProgress("suspicions at rest, from late answers: %.2f per hollow node and minute; none on the virtual clock",
 		60*hollow.suspicions)
-	h, k := hollow.memberTraffic(), real.memberTraffic()
-	r.checkRatio(RuleVirtualMatches, "virtual over hollow, messages sent", rest.Messages, h.sentMessages)
-	r.checkRatio(RuleVirtualMatches, "virtual over hollow, bytes sent", rest.Bytes, h.sentBytes)
-	r.checkRatio(RuleVirtualMatches, "virtual over real, messages sent", rest.Messages, k.sentMessages)
-	r.checkRatio(RuleVirtualMatches, "virtual over real, bytes sent", rest.Bytes, k.sentBytes)
+	hollowTraffic, realTraffic := hollow.memberTraffic(), real.memberTraffic()
+	r.checkRatio(RuleVirtualMatches, "virtual over hollow, messages sent", rest.Messages, hollowTraffic.sentMessages)
+	r.checkRatio(RuleVirtualMatches, "virtual over hollow, bytes sent", rest.Bytes, hollowTraffic.sentBytes)
+	r.checkRatio(RuleVirtualMatches, "virtual over real, messages sent", rest.Messages, realTraffic.sentMessages)
+	r.checkRatio(RuleVirtualMatches, "virtual over real, bytes sent", rest.Bytes, realTraffic.sentBytes)
 	return nil
 }
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -25,8 +25,8 @@
 	readyPollInterval   = 50 * time.Millisecond
 )
 
-// controlServers are the control servers of a run, which are processes of the built program. Each region reaches each
-// server through a relay of its own, so that the region can be cut off.
+// controlServers are the control servers of a run, which are processes of the built program. For each pair of a region and
+// a server there is a relay through which the region reaches the server, so that a region can be cut off.
 type controlServers struct {
 	plan    *Plan
 	dir     string
@@ -45,15 +45,16 @@
 	name    string
 	address string
 	region  int
-	file    string // its control file
-	log     string
+	file    string // path of the control file
+	log     string // path of the log file
 	mu      sync.Mutex
-	cmd     *exec.Cmd // nil while it does not run
+	cmd     *exec.Cmd // nil while the server is not running
 }
 
 func regionName(region int) string { return fmt.Sprintf("r%d", region) }
 
-// startControls starts the number of control servers that the script gives for each region. The first one is the writer.
+// startControls starts as many control servers in each region as the script states, and waits until they are ready. The
+// first server is the writer. If startControls fails, none of the servers is left running.
 func startControls(ctx context.Context, s *Script, p *Plan, program, dir string, seed uint64) (c *controlServers, err error) {
 	c = &controlServers{plan: p, dir: dir, program: program, relays: map[relayKey]*rig.Relay{},
 		client: http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -97,7 +98,7 @@
 	return out
 }
 
-// writeControlFile writes a server's control file.
+// writeControlFile writes the control file of the i-th server.
 func (c *controlServers) writeControlFile(i int) error {
 	own := c.servers[i]
 	file := controlfile.Config{Fleet: c.plan.ID, Name: own.name, Key: c.plan.Key, Directory: filepath.Join(c.dir, own.name),
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// start starts the server unless it is running; its log is appended to a file.
+// start starts the server unless it is running. The server appends its log to the log file.
 func (s *controlServer) start(program string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,7 +192,7 @@
 	return out
 }
 
-// ready waits until every running server answers that it is ready.
+// ready waits until every running server reports that it is ready, or returns an error after controlReadyTimeout.
 func (c *controlServers) ready(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, controlReadyTimeout)
 	defer stop()
@@ -224,11 +225,11 @@
 	return lines[len(lines)-1]
 }
 
-// apply applies a new document with the operator's command and returns the version of its revision.
+// apply applies a new document with the apply command that operators use, and returns the version of the resulting revision.
 func (c *controlServers) apply(ctx context.Context, previous configfeed.Version) (v configfeed.Version, err error) {
 	c.changes++
 	document := filepath.Join(c.dir, fmt.Sprintf("live-%d.toml", c.changes))
-	// Each document differs from the one before, in a setting that affects no flow of a run.
+	// Each document differs from the previous one, in a setting that affects no flow of a run.
 	text := fmt.Sprintf("retry_advice_s = %d.5\n", 1+c.changes%9)
 	if err := os.WriteFile(document, []byte(text), 0o644); err != nil {
 		return v, err
@@ -245,7 +246,7 @@
 	return v, nil
 }
 
-// cut cuts the relays that the network blocks and restores all others.
+// cut cuts each relay between two regions that the network separates, and restores all others.
 func (c *controlServers) cut(network *cutNetwork) {
 	if c == nil {
 		return
--- a/internal/scale/convergence.go
+++ b/internal/scale/convergence.go
@@ -16,9 +16,10 @@
 	convergencePollInterval = time.Second           // between two reads of the nodes' views
 )
 
-// awaitStartConvergence waits until every node knows every other one, and returns how long that took or -1 after the
-// start time-out. If the script has the run send the member list, it is sent again until all nodes know all, because a
-// message may be lost on a busy machine.
+// awaitStartConvergence waits until every node knows every other one. It returns a negative number if that does not happen
+// within the start time-out. If the script asks for it, the run first sends the member list to all nodes, and sends it
+// again after every memberResendInterval without convergence, because a message may be lost on a busy machine; took then
+// counts from the last sending.
 func (r *run) awaitStartConvergence(ctx context.Context) (took float64, err error) {
 	if !r.script.SendMembers {
 		return r.awaitConvergence(ctx, r.script.StartTimeout)
@@ -37,8 +38,8 @@
 	}
 }
 
-// startConvergenceError returns the error that ends a run whose nodes did not all learn of each other, as such a fleet cannot
-// be measured. It names the first disagreement.
+// startConvergenceError returns the error that ends a run in which not every node learned of every other one, as such a
+// fleet cannot be measured. The error states the number of disagreements and the first one.
 func (r *run) startConvergenceError(ctx context.Context) error {
 	wrong, first, err := r.countDisagreements(ctx)
 	if err != nil {
@@ -47,8 +48,9 @@
 	return fmt.Errorf("%s (%g s): %d disagreements, first: %s", RuleStartConvergence, r.script.StartTimeout, wrong, first)
 }
 
-// awaitQuiescence waits until all nodes hold the same view and have few updates left to gossip. On a machine that is too busy
-// for the nodes' time-outs this may never happen: each late answer raises a suspicion, which is gossiped to all nodes.
+// awaitQuiescence waits, if the script asks for it, until all hollow nodes hold the same view and have few updates left to
+// gossip, and adds a violation after the quiescence time-out. On a machine that is too busy for the nodes' time-outs the
+// fleet may never become quiescent: each late answer raises a suspicion, which is gossiped to all nodes.
 func (r *run) awaitQuiescence(ctx context.Context) error {
 	for began := time.Now(); r.script.AwaitQuiescence; {
 		report, err := r.hollows.requestReports(request{Kind: requestReport, Digests: true})
@@ -70,9 +72,9 @@
 	return nil
 }
 
-// sendMembers sends the records of members to the nodes in to.
+// sendMembers sends the current records of members to the nodes in to.
 func (r *run) sendMembers(ctx context.Context, members, to []NodePlan) error {
-	facts, err := r.memberRecords(ctx, members)
+	records, err := r.memberRecords(ctx, members)
 	if err != nil {
 		return err
 	}
@@ -80,12 +82,12 @@
 	for _, n := range to {
 		addresses = append(addresses, n.Address)
 	}
-	return r.plan.sendMembers(ctx, facts, addresses)
+	return r.plan.sendMembers(ctx, records, addresses)
 }
 
-// memberRecords returns the current records of nodes, as they report themselves.
+// memberRecords returns the current records of nodes, each as the node itself reports it.
 func (r *run) memberRecords(ctx context.Context, nodes []NodePlan) ([]memberRecord, error) {
-	facts, err := r.reals.memberRecords(ctx, nodes)
+	records, err := r.reals.memberRecords(ctx, nodes)
 	if err != nil {
 		return nil, err
 	}
@@ -100,15 +102,15 @@
 	for _, a := range replies {
 		for _, m := range a.Members {
 			if wanted[m.Name] {
-				facts = append(facts, m)
+				records = append(records, m)
 			}
 		}
 	}
-	return facts, nil
+	return records, nil
 }
 
-// awaitConvergence waits until the fleet has converged and returns the seconds that this took, or -1 if it took longer than
-// within seconds.
+// awaitConvergence waits until the fleet has converged and returns the seconds that passed, or -1 if the fleet has not
+// converged after within seconds.
 func (r *run) awaitConvergence(ctx context.Context, within float64) (took float64, err error) {
 	for began := time.Now(); ; {
 		converged, err := r.converged(ctx)
@@ -127,7 +129,7 @@
 	}
 }
 
-// converged reports whether every node counts as many live members as there are nodes and has seen every awaited return.
+// converged reports whether every node counts as many live members as there are nodes and all expected returns have been seen.
 func (r *run) converged(ctx context.Context) (bool, error) {
 	report, err := r.hollows.report()
 	if err != nil {
@@ -149,7 +151,8 @@
 	return len(views) == r.script.Real && returned >= r.expectedReturns, ctx.Err()
 }
 
-// countDisagreements counts the pairs of a node and a member whose state the node has wrong, while all nodes run.
+// countDisagreements counts the pairs of a node and a member that the node does not see as live, and describes the first
+// one. It expects that all nodes are running and no region is cut off.
 func (r *run) countDisagreements(ctx context.Context) (wrong int, first string, err error) {
 	all := map[string]bool{}
 	e := expectation{}
@@ -166,16 +169,16 @@
 	if err != nil {
 		return 0, "", err
 	}
-	note := func(n int, why string) {
+	add := func(n int, why string) {
 		if wrong += n; first == "" {
 			first = why
 		}
 	}
 	for _, a := range replies {
-		note(a.Wrong, a.First)
+		add(a.Disagreements, a.FirstDisagreement)
 	}
 	for _, v := range r.reals.views(ctx) {
-		note(disagreement(v, all))
+		add(disagreement(v, all))
 	}
 	return wrong, first, nil
 }
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -9,7 +9,8 @@
 	"slices"
 )
 
-// event carries out an action, and measures what it costs and when the nodes detect it.
+// event carries out the i-th event, which is not a configuration change: it injects and ends the failure, records the costs
+// and the detection times, and waits until the fleet converges.
 func (r *run) event(ctx context.Context, i int, a Action) error {
 	if err := sleep(ctx, r.script.EventDelay); err != nil {
 		return err
@@ -66,7 +67,7 @@
 	return r.ensureConvergence(ctx, name, a, victims)
 }
 
-// injectFailure kills the victims or cuts off their region, and waits for the stated time.
+// injectFailure kills the victims or cuts off their region, and waits for the action's failure duration.
 func (r *run) injectFailure(ctx context.Context, a Action, victims []NodePlan) error {
 	if a.Kind == CutRegion {
 		if err := r.cutRegions([]int{victims[0].Region}); err != nil {
@@ -78,7 +79,8 @@
 	return sleep(ctx, a.FailureDuration)
 }
 
-// endFailure restarts the victims or reconnects their region, and waits until the fleet converges or the window is over.
+// endFailure restarts the victims or reconnects their region, and waits until the fleet converges or the window is over. It
+// returns the seconds until convergence, or -1. If the action is a restart, endFailure first has the victims leave.
 func (r *run) endFailure(ctx context.Context, a Action, victims []NodePlan) (took float64, err error) {
 	switch a.Kind {
 	case CutRegion:
@@ -101,8 +103,11 @@
 	return r.awaitConvergence(ctx, a.Window)
 }
 
-// ensureConvergence waits until the fleet converges before the next event. Restarted nodes may take minutes to learn of a
-// large fleet by the members' state exchange. That is measured within the window; after it the run sends them the member list.
+// ensureConvergence is called when the fleet has not converged within the window of an event, and waits until it converges,
+// so that the next event starts with a converged fleet. Restarted nodes may take minutes to learn of a large fleet by state
+// exchange. The window measures that exchange; after it, if the script asks for member lists and the event is not a region
+// cut, the run sends the victims the member list and sends all nodes the victims' records. If the fleet still has not
+// converged after the reconvergence time-out, ensureConvergence adds a violation if the views disagree.
 func (r *run) ensureConvergence(ctx context.Context, name string, a Action, victims []NodePlan) error {
 	r.reportProgress("%s: not converged within %g s", name, a.Window)
 	if a.Kind != CutRegion && r.script.SendMembers {
@@ -125,7 +130,8 @@
 	return err
 }
 
-// chooseVictims draws at random the nodes that an action affects.
+// chooseVictims selects the nodes that the i-th event affects. For one script, the choice depends only on the seed, the
+// fleet size, i and a.
 func (r *run) chooseVictims(i int, a Action) (out []NodePlan) {
 	nodes := r.plan.Nodes
 	random := rand.New(rand.NewPCG(r.Seed, uint64(1000*len(nodes)+i)))
@@ -141,7 +147,7 @@
 			out = append(out, nodes[at])
 		}
 		return out
-	case KillRack: // the first rack of its zone, which is full if any is
+	case KillRack: // the first rack of the zone, which is full if any rack of the zone is
 		return pick(func(n NodePlan) bool { return n.Zone == one.Zone && n.Rack == 0 })
 	case KillZone:
 		return pick(func(n NodePlan) bool { return n.Zone == one.Zone })
@@ -150,7 +156,7 @@
 	}
 }
 
-// watchMembers has every node note when it learns that the victims are dead or have left.
+// watchMembers starts recording when each node sees the victims as dead or left, and forgets earlier records.
 func (r *run) watchMembers(victims []NodePlan) error {
 	var names []string
 	for _, n := range victims {
@@ -158,11 +164,11 @@
 	}
 	r.expectedReturns = 0
 	r.reals.watch.reset(names)
-	_, err := r.hollows.requestAll(request{Kind: requestWatch, Names: names})
+	_, err := r.hollows.requestAll(request{Kind: requestWatchDepartures, Names: names})
 	return err
 }
 
-// expectReturns has every node note when it learns that the victims are back.
+// expectReturns starts recording when each other node sees the members, which are the watched ones, as live again.
 func (r *run) expectReturns(members []memberRecord) error {
 	starts := map[string]uint64{}
 	for _, m := range members {
@@ -170,18 +176,18 @@
 	}
 	r.expectedReturns = int64(len(members) * (len(r.plan.Nodes) - len(members)))
 	r.reals.watch.expect(starts)
-	_, err := r.hollows.requestAll(request{Kind: requestReturn, Members: members})
+	_, err := r.hollows.requestAll(request{Kind: requestWatchReturns, Members: members})
 	return err
 }
 
-// endNodes kills real and hollow nodes or has them leave, as kind says.
+// endNodes stops real and hollow nodes: abruptly if kind is requestKill, gracefully if it is requestLeave.
 func (r *run) endNodes(victims []NodePlan, kind requestKind) error {
 	r.reals.end(victims, kind)
 	r.running.add(-countHollow(victims))
 	return r.hollows.end(victims, kind)
 }
 
-// restartNodes starts nodes that had ended.
+// restartNodes starts nodes that have ended, and starts recording when the other nodes see them as live again.
 func (r *run) restartNodes(ctx context.Context, victims []NodePlan) error {
 	if err := r.reals.start(victims); err != nil {
 		return err
@@ -219,7 +225,8 @@
 	return err
 }
 
-// recordDetection adds rows for how many of the other nodes learned that the victims are gone or back, and how soon.
+// recordDetection adds rows for the fraction of pairs of another node and a victim in which the node saw that the victim
+// was gone or back, as what states, and for the times until it did.
 func (r *run) recordDetection(phase, what string, victims []NodePlan) error {
 	report, err := r.hollows.report()
 	if err != nil {
@@ -250,4 +257,4 @@
 	return nil
 }
 
-func sortedKeys[V any](of map[string]V) []string { return slices.Sorted(maps.Keys(of)) }
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -14,7 +14,7 @@
 	Points      int
 }
 
-// fitLine fits y = base + slope x. Slope is NaN if all x are the same.
+// fitLine fits y = base + slope x. Slope and base are NaN for fewer than 2 points; slope is NaN if all x are the same.
 func fitLine(x, y []float64) Fit {
 	f := Fit{Points: len(x), Slope: math.NaN(), Base: math.NaN()}
 	if len(x) < 2 {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -25,40 +25,41 @@
 	"gorseledge/internal/node/live"
 )
 
-const returnPollInterval = 250 * time.Millisecond // between two checks of whether members are back
+const returnPollInterval = 250 * time.Millisecond // between two checks for returned members
 
-// hollowProcess hosts hollow nodes: each is a fleet.Fleet with its socket and timers, as a real node runs it,
-// without the part that serves clients. Its log lines are formatted and discarded.
+// hollowProcess hosts hollow nodes. Each hollow node is a fleet.Fleet with its socket and timers, as a real node runs it,
+// without the part that serves clients. The log lines of hollow nodes are formatted and discarded.
 type hollowProcess struct {
 	ctx          context.Context
-	change       func(*hollowNode)
+	change       func(*hollowNode) // applied to every node before it starts
 	watch        *watch
-	inForce      *inForceTimes
+	inForce      *inForceDelays
 	cut          atomic.Pointer[cutNetwork]
-	regions      map[netip.AddrPort]int
-	mu           sync.Mutex // guards nodes
+	regions      map[netip.AddrPort]int // region of each node address
+	mu           sync.Mutex             // guards changes to nodes, and reads outside of the goroutine that serves requests
 	nodes        map[string]*hostedNode
 	endedTraffic []view.Traffic // traffic of nodes that have ended
 	group        sync.WaitGroup
 }
 
-// hostedNode is a hollow node that a process hosts.
+// hostedNode is a running hollow node.
 type hostedNode struct {
 	plan hollowNode
 	node *fleet.Fleet
 	stop context.CancelFunc
-	done chan struct{}
+	done chan struct{} // closed when the node has ended
 }
 
 // cutNetwork is the set of regions that are cut off from all others.
 type cutNetwork struct{ regions map[int]bool }
 
-// blocks reports whether no message passes between two regions.
+// blocks reports whether the cut prevents messages between regions a and b.
 func (c *cutNetwork) blocks(a, b int) bool {
 	return c != nil && a != b && (c.regions[a] || c.regions[b])
 }
 
-// ServeHollow serves requests until the input or the context ends. When it returns, nothing is running.
+// ServeHollow runs a hollow process: it reads requests from in and writes replies to out until the input or the context
+// ends. When it returns, all its nodes and goroutines have ended.
 func ServeHollow(ctx context.Context, in io.Reader, out io.Writer) error {
 	return serveHollow(ctx, in, out, func(*hollowNode) {})
 }
@@ -66,7 +67,7 @@
 // serveHollow is ServeHollow with a change that is applied to every node before it starts, so that tests can run faulty nodes.
 func serveHollow(ctx context.Context, in io.Reader, out io.Writer, change func(*hollowNode)) error {
 	ctx, stop := context.WithCancel(ctx)
-	p := &hollowProcess{ctx: ctx, change: change, watch: newWatch(), inForce: newInForceTimes(), nodes: map[string]*hostedNode{}}
+	p := &hollowProcess{ctx: ctx, change: change, watch: newWatch(), inForce: newInForceDelays(), nodes: map[string]*hostedNode{}}
 	defer p.group.Wait()
 	defer stop()
 	if c, ok := in.(io.Closer); ok { // a pending read must not outlive the context
@@ -92,10 +93,10 @@
 	return nil
 }
 
-// serve carries out one request.
+// serve carries out one request and returns the reply.
 func (p *hollowProcess) serve(r request) (a reply, err error) {
 	switch r.Kind {
-	case requestPlan:
+	case requestSetRegions:
 		p.regions = map[netip.AddrPort]int{}
 		for address, region := range r.Regions {
 			at, err := netip.ParseAddrPort(address)
@@ -120,31 +121,32 @@
 			c.regions[region] = true
 		}
 		p.cut.Store(c)
-	case requestWatch:
+	case requestWatchDepartures:
 		p.watch.reset(r.Names)
 	case requestMembers:
 		for _, h := range p.nodes {
-			a.Members = append(a.Members, recordOf(h.node.Self()))
+			a.Members = append(a.Members, newMemberRecord(h.node.Self()))
 		}
-	case requestReturn:
+	case requestWatchReturns:
 		starts := map[string]uint64{}
 		for _, m := range r.Members {
 			starts[m.Name] = m.Start
 		}
 		p.watch.expect(starts)
-	case requestChange:
+	case requestWatchInForce:
 		p.inForce.begin(r.Version)
 	case requestReport:
 		a.Report = p.report(r.Digests)
 	case requestCheck:
-		a.Wrong, a.First = p.check(r.Expected)
+		a.Disagreements, a.FirstDisagreement = p.check(r.Expected)
 	default:
 		return a, fmt.Errorf("unknown request kind %q", r.Kind)
 	}
 	return a, nil
 }
 
-// pollReturns checks periodically whether the nodes know that awaited members are back.
+// pollReturns checks periodically, while the watch expects returns, which of the expected members each node sees as live
+// again.
 func (p *hollowProcess) pollReturns() {
 	for sleep(p.ctx, returnPollInterval.Seconds()) == nil {
 		if !p.watch.expectsReturns() {
@@ -159,7 +161,8 @@
 	}
 }
 
-// start starts a node. Its fleet file is encoded and parsed, as a real node parses it.
+// start starts a node and returns its membership record. The node's fleet file is encoded and parsed, because a real node
+// parses its file.
 func (p *hollowProcess) start(n hollowNode) (memberRecord, error) {
 	if p.nodes[n.Name] != nil {
 		return memberRecord{}, fmt.Errorf("node %s is already running", n.Name)
@@ -194,10 +197,11 @@
 		defer close(h.done)
 		node.Run(ctx)
 	})
-	return recordOf(node.Self()), nil
+	return newMemberRecord(node.Self()), nil
 }
 
-// install notes that a node has a revision in force at once. A real node would put it in force between two inputs of its core.
+// install marks a revision as in force at a node at once, and records the time. A real node would put the revision in force
+// between two inputs of its core.
 func (p *hollowProcess) install(name string, r live.Revision) {
 	p.mu.Lock()
 	h := p.nodes[name]
@@ -209,12 +213,13 @@
 	p.inForce.recordInstalled(name, configfeed.Version{Epoch: r.Epoch, Revision: r.Number}, time.Now())
 }
 
-// traffic returns what the node sent and received, including its follower's polls.
+// traffic returns the node's traffic since its start, including the requests of its follower to control servers.
 func (h *hostedNode) traffic() []view.Traffic {
 	return addTraffic(h.node.Traffic(), controlTraffic(h.node.Config()))
 }
 
-// end ends nodes and waits until they have ended. A node that does not leave sends no last message.
+// end stops nodes one by one and waits until each has ended. If leave is set, each node first announces that it leaves;
+// otherwise it sends nothing.
 func (p *hollowProcess) end(names []string, leave bool) error {
 	for _, name := range names {
 		h := p.nodes[name]
@@ -234,7 +239,7 @@
 	return nil
 }
 
-// report returns the sums of what the nodes have sent and know.
+// report returns the report of this process, with the digests of the nodes' views if digests is set.
 func (p *hollowProcess) report(digests bool) *report {
 	r := &report{Nodes: len(p.nodes), Traffic: slices.Clone(p.endedTraffic), LiveCounts: map[int]countRange{},
 		Digests: map[uint64]int{}}
@@ -246,11 +251,12 @@
 		}
 		r.LiveCounts[h.plan.Region] = r.LiveCounts[h.plan.Region].include(h.node.LiveCount())
 	}
-	r.Watch, r.InForce = p.watch.report(), p.inForce.times()
+	r.Detections, r.InForceDelays = p.watch.report(), p.inForce.snapshot()
 	return r
 }
 
-// check counts, over all nodes, the members whose state differs from what is expected, and describes the first one.
+// check counts the disagreements of all nodes' views with the members that are expected to be live in each node's region,
+// and describes the first one.
 func (p *hollowProcess) check(expected []expectation) (wrong int, first string) {
 	byRegion := map[int]map[string]bool{}
 	for _, e := range expected {
@@ -268,8 +274,8 @@
 	return wrong, first
 }
 
-// disagreement counts the members that a view has in the wrong state or lacks, and describes the first one. Alive and
-// suspect members count as live.
+// disagreement counts the members that a view lacks, sees as live though they are not in running, or sees as not live
+// though they are, and describes the first one. Alive and suspect members count as live.
 func disagreement(v view.View, running map[string]bool) (wrong int, first string) {
 	known := 0
 	for _, m := range v.Members {
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -56,7 +56,7 @@
 		p.Nodes[i].Real = false
 		regions[p.Nodes[i].Address] = p.Nodes[i].Region
 	}
-	process.request(request{Kind: requestPlan, Regions: regions})
+	process.request(request{Kind: requestSetRegions, Regions: regions})
 	return process
 }
 
@@ -86,7 +86,7 @@
 	return a.Members
 }
 
-// eventually waits until holds is true of a report.
+// eventually waits until holds returns true for a report of the process, and returns that report.
 func (p *testProcess) eventually(what string, holds func(*report) bool) *report {
 	p.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -120,17 +120,17 @@
 	process.start(process.plan.Nodes...)
 	process.awaitConvergence(nodes)
 	victim := process.plan.Nodes[nodes-1]
-	process.request(request{Kind: requestWatch, Names: []string{victim.Name}})
+	process.request(request{Kind: requestWatchDepartures, Names: []string{victim.Name}})
 	process.request(request{Kind: requestKill, Names: []string{victim.Name}})
-	k := hollowReport{departed: newTimes(), returned: newTimes()}
+	k := hollowReport{departed: newDelayHistogram(), returned: newDelayHistogram()}
 	r := process.eventually("all nodes know that the killed node is gone", func(r *report) bool {
 		k.departed.Reset()
 		k.returned.Reset()
-		k.addWatch(r.Watch)
+		k.addWatch(r.Detections)
 		return k.departed.TotalCount() == nodes-1
 	})
 	if r.Nodes != nodes-1 || k.returned.TotalCount() != 0 || k.departed.Min() < 50 {
-		t.Errorf("%d nodes run, %d noticed a return, the first death was noticed after %d ms", r.Nodes,
+		t.Errorf("%d nodes run, %d saw a return, the first death was seen after %d ms", r.Nodes,
 			k.returned.TotalCount(), k.departed.Min())
 	}
 	expected := expectation{Region: victim.Region}
@@ -142,18 +142,18 @@
 		expected.Region = region
 		all = append(all, expected)
 	}
-	if a := process.request(request{Kind: requestCheck, Expected: all}); a.Wrong != 0 {
-		t.Errorf("%d disagreements, first: %s", a.Wrong, a.First)
+	if a := process.request(request{Kind: requestCheck, Expected: all}); a.Disagreements != 0 {
+		t.Errorf("%d disagreements, first: %s", a.Disagreements, a.FirstDisagreement)
 	}
 	all[0].Names = append(all[0].Names[:len(all[0].Names):len(all[0].Names)], victim.Name)
-	if a := process.request(request{Kind: requestCheck, Expected: all}); a.Wrong == 0 || a.First == "" {
+	if a := process.request(request{Kind: requestCheck, Expected: all}); a.Disagreements == 0 || a.FirstDisagreement == "" {
 		t.Error("a dead member that is expected to be live is not reported")
 	}
-	process.request(request{Kind: requestReturn, Members: process.start(victim)})
+	process.request(request{Kind: requestWatchReturns, Members: process.start(victim)})
 	process.eventually("all nodes know that the restarted node is back", func(r *report) bool {
 		k.departed.Reset()
 		k.returned.Reset()
-		k.addWatch(r.Watch)
+		k.addWatch(r.Detections)
 		return k.returned.TotalCount() == nodes-1
 	})
 	process.awaitConvergence(nodes)
@@ -184,14 +184,14 @@
 	process.awaitConvergence(nodes - 1)
 }
 
-// Guards against an invalid request that is carried out in silence or ends the process: the reply holds an error, and the
+// Guards against an invalid request that returns no error or ends the process: the reply holds an error, and the
 // next request is served.
 func TestHollowProcessReportsInvalidRequests(t *testing.T) {
 	process := openHollow(t, 4)
 	bad := process.plan.fleetFile(process.script, process.plan.Nodes[0])
 	bad.Key = "00"
 	for _, r := range []request{{Kind: "unknown"}, {Kind: requestKill, Names: []string{"n99"}},
-		{Kind: requestPlan, Regions: map[string]int{"not-an-address": 1}},
+		{Kind: requestSetRegions, Regions: map[string]int{"not-an-address": 1}},
 		{Kind: requestStart, Nodes: []hollowNode{{Name: "n0", Fleet: bad}}},
 		{Kind: requestStart, Nodes: []hollowNode{{Name: "n0", Fleet: fleet.Config{}}}}} {
 		if a := process.request(r); a.Error == "" {
@@ -219,7 +219,7 @@
 	w.expect(starts)
 	w.checkReturned("n", member) // the member before its restart
 	counts := func() [3]int64 {
-		k := hollowReport{departed: newTimes(), returned: newTimes()}
+		k := hollowReport{departed: newDelayHistogram(), returned: newDelayHistogram()}
 		k.addWatch(w.report())
 		return [3]int64{k.departed.TotalCount(), k.returned.TotalCount(), int64(k.suspicions)}
 	}
--- a/internal/scale/hollows.go
+++ b/internal/scale/hollows.go
@@ -17,14 +17,14 @@
 	"gorseledge/internal/fleet/view"
 )
 
-const exitTimeout = 5 * time.Second // time for a process to exit after it was asked to
+const exitTimeout = 5 * time.Second // time for a process to exit after it was asked to; then it is killed
 
 // hollowHosts are the hollow processes of a run.
 type hollowHosts struct {
 	hosts []*hollowHost
 }
 
-// hollowHost is the run's end of one hollow process.
+// hollowHost is the run's client of one hollow process.
 type hollowHost struct {
 	cmd      *exec.Cmd
 	mu       sync.Mutex // one request at a time
@@ -33,8 +33,8 @@
 	replies  *json.Decoder
 }
 
-// startHollows starts hollow processes and sends them the region of every address. The command has to run ServeHollow on its
-// standard input and output.
+// startHollows starts hollow processes and sends each the region of every node address. The command must run ServeHollow on
+// its standard input and output.
 func startHollows(command []string, processes int, regions map[string]int) (*hollowHosts, error) {
 	h := &hollowHosts{}
 	for range processes {
@@ -45,7 +45,7 @@
 		}
 		h.hosts = append(h.hosts, host)
 	}
-	if _, err := h.requestAll(request{Kind: requestPlan, Regions: regions}); err != nil {
+	if _, err := h.requestAll(request{Kind: requestSetRegions, Regions: regions}); err != nil {
 		h.close()
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 	return h, nil
 }
 
-// call sends the process a request and waits for the reply.
+// call sends the process a request, waits for the reply, and returns an error if the reply holds one.
 func (h *hollowHost) call(r request) (a reply, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -102,7 +102,7 @@
 	all.Wait()
 }
 
-// kill kills all processes, so that a pending call returns.
+// kill kills all processes, so that pending calls return with an error.
 func (h *hollowHosts) kill() {
 	for _, host := range h.hosts {
 		host.cmd.Process.Kill()
@@ -116,17 +116,18 @@
 	return out
 }
 
-// requestAll sends the same request to every process.
+// requestAll sends the same request to every process and returns the replies by process.
 func (h *hollowHosts) requestAll(r request) ([]reply, error) {
 	return h.requestEach(func(int) request { return r })
 }
 
-// requestEach sends every process a request of its own, all at the same time.
-func (h *hollowHosts) requestEach(of func(process int) request) ([]reply, error) {
+// requestEach sends each process the request that requestFor returns for its index, to all processes at the same time, and
+// returns the replies by process or the first error in that order.
+func (h *hollowHosts) requestEach(requestFor func(process int) request) ([]reply, error) {
 	replies, errs := make([]reply, len(h.hosts)), make([]error, len(h.hosts))
 	var all sync.WaitGroup
 	for i, host := range h.hosts {
-		all.Go(func() { replies[i], errs[i] = host.call(of(i)) })
+		all.Go(func() { replies[i], errs[i] = host.call(requestFor(i)) })
 	}
 	all.Wait()
 	for _, err := range errs {
@@ -154,7 +155,7 @@
 	return out, err
 }
 
-// end ends the hollow nodes among plans: killed, or asked to leave, as kind says.
+// end stops the hollow nodes among plans: abruptly if kind is requestKill, gracefully if it is requestLeave.
 func (h *hollowHosts) end(plans []NodePlan, kind requestKind) error {
 	_, err := h.requestEach(func(process int) request {
 		r := request{Kind: kind}
@@ -174,50 +175,51 @@
 	liveCounts     map[int]countRange
 	nodes          int
 	pendingUpdates int
-	digests        map[uint64]int // number of nodes with each digest
-	suspicions     int
-	inForce        *hdrhistogram.Histogram
-	departed       *hdrhistogram.Histogram
-	returned       *hdrhistogram.Histogram
+	digests        map[uint64]int          // number of nodes with each digest
+	suspicions     int                     // suspicions of any member since the processes started
+	inForce        *hdrhistogram.Histogram // milliseconds, at most one value per node
+	departed       *hdrhistogram.Histogram // milliseconds, at most one value per pair of observer and member
+	returned       *hdrhistogram.Histogram // milliseconds, at most one value per pair of observer and member
 }
 
-// addWatch adds the times and counts of a watch.
-func (k *hollowReport) addWatch(s watchReport) {
-	k.departed.Merge(hdrhistogram.Import(s.Departed))
-	k.returned.Merge(hdrhistogram.Import(s.Returned))
-	k.suspicions += s.Suspicions
+// addWatch adds the times and the number of suspicions of a watch.
+func (sum *hollowReport) addWatch(s watchReport) {
+	sum.departed.Merge(hdrhistogram.Import(s.Departed))
+	sum.returned.Merge(hdrhistogram.Import(s.Returned))
+	sum.suspicions += s.Suspicions
 }
 
 // report returns the sum of the reports of all processes, without digests.
-func (h *hollowHosts) report() (k hollowReport, err error) {
+func (h *hollowHosts) report() (sum hollowReport, err error) {
 	return h.requestReports(request{Kind: requestReport})
 }
 
 // requestReports sends a report request to all processes and returns the sum of their reports.
-func (h *hollowHosts) requestReports(r request) (k hollowReport, err error) {
+func (h *hollowHosts) requestReports(r request) (sum hollowReport, err error) {
 	replies, err := h.requestAll(r)
 	if err != nil {
-		return k, err
+		return sum, err
 	}
-	k = hollowReport{liveCounts: map[int]countRange{}, digests: map[uint64]int{}, inForce: newTimes(),
-		departed: newTimes(), returned: newTimes()}
+	sum = hollowReport{liveCounts: map[int]countRange{}, digests: map[uint64]int{}, inForce: newDelayHistogram(),
+		departed: newDelayHistogram(), returned: newDelayHistogram()}
 	for _, a := range replies {
-		k.traffic = addTraffic(k.traffic, a.Report.Traffic)
+		sum.traffic = addTraffic(sum.traffic, a.Report.Traffic)
 		for region, s := range a.Report.LiveCounts {
-			k.liveCounts[region] = k.liveCounts[region].merge(s)
+			sum.liveCounts[region] = sum.liveCounts[region].merge(s)
 		}
-		k.nodes, k.pendingUpdates = k.nodes+a.Report.Nodes, k.pendingUpdates+a.Report.PendingUpdates
+		sum.nodes, sum.pendingUpdates = sum.nodes+a.Report.Nodes, sum.pendingUpdates+a.Report.PendingUpdates
 		for digest, nodes := range a.Report.Digests {
-			k.digests[digest] += nodes
+			sum.digests[digest] += nodes
 		}
-		k.addWatch(a.Report.Watch)
-		k.inForce.Merge(hdrhistogram.Import(a.Report.InForce))
+		sum.addWatch(a.Report.Detections)
+		sum.inForce.Merge(hdrhistogram.Import(a.Report.InForceDelays))
 	}
-	k.traffic = slices.Clip(k.traffic)
-	return k, nil
+	sum.traffic = slices.Clip(sum.traffic)
+	return sum, nil
 }
 
-// killOnCancel kills the hollow processes when the context ends, so that no call outlives it.
+// killOnCancel kills the hollow processes when the context ends, so that no call outlives the context. The returned
+// function revokes that.
 func (h *hollowHosts) killOnCancel(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, h.kill)
 }
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -14,15 +14,16 @@
 	usageReportInterval = 15 * time.Second
 )
 
-// enforceLimits ends the run before it exceeds its limits of time, memory and processes, and reports the memory in use from
-// time to time.
+// enforceLimits checks the time, the memory and the number of processes every limitCheckInterval until the context ends, and
+// ends the run when the time or the memory exceeds limitMargin of its limit or the number of processes reaches maxProcesses.
+// It reports the memory in use every usageReportInterval.
 func (r *run) enforceLimits(ctx context.Context, end context.CancelCauseFunc) {
 	minutes, lastReport := r.script.TotalMinutes, time.Now()
 	for sleep(ctx, limitCheckInterval.Seconds()) == nil {
 		processes := slices.Concat(r.reals.pids(), r.hollows.pids(), r.controls.pids(), []int{os.Getpid()})
 		var memory float64
 		for _, pid := range processes {
-			if u, err := usageOf(pid); err == nil { // the process may have ended since it was listed
+			if u, err := usageOf(pid); err == nil { // skip a process that ended since it was listed
 				memory += u.memory / 1e6
 			}
 		}
--- a/internal/scale/phase.go
+++ b/internal/scale/phase.go
@@ -1,7 +1,7 @@
 package scale
 
-// recordPhase adds rows for the costs between two samples of hollow and real nodes and of control servers, and returns those of
-// the nodes.
+// recordPhase adds rows for the costs of hollow nodes, real nodes and control servers between two samples, and returns the
+// costs of the hollow and the real nodes.
 func (r *run) recordPhase(name string, before, after sample) (hollow, real costs) {
 	hollow, real = hollowCosts(before, after), realCosts(before, after)
 	for _, of := range []struct {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/hex"
-	"errors"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -15,11 +14,11 @@
 const (
 	port       = 7000 // port of every member's address
 	joinPoints = 5    // join addresses in every node's fleet file
-	// Concurrent runs on one machine each use a network of their own: 127.NETWORK.0.0/16.
+	// Each concurrent run on a machine uses its own network 127.NETWORK.0.0/16, with firstNetwork <= NETWORK < lastNetwork.
 	firstNetwork, lastNetwork = 100, 250
 )
 
-// NodePlan is the planned identity and place of one node.
+// NodePlan is the planned identity and location of one node.
 type NodePlan struct {
 	Name    string
 	Address string
@@ -39,10 +38,11 @@
 	ownAddress  string                // address from which the run sends member lists
 	network     int                   // second byte of all addresses
 	control     []fleet.ControlServer // control servers that nodes follow; empty if they follow none
-	via         []map[string]string   // by region: relay address of each control server
+	via         []map[string]string   // by region and server address: address of the relay to the control server
 }
 
-// newPlan plans a fleet. Nodes are assigned to the zones in turn, the real ones first, so that every zone has some of them.
+// newPlan plans a fleet and reserves its network. Nodes are assigned to the zones in turn, the real ones first, so that the
+// real nodes are spread over the zones.
 func newPlan(s *Script, size int, seed uint64) (*Plan, error) {
 	network, reservation, err := reserveNetwork()
 	if err != nil {
@@ -62,7 +62,7 @@
 	for i := range size {
 		zone := i % zones
 		p.Nodes = append(p.Nodes, NodePlan{Name: fmt.Sprintf("n%04d", i), Zone: string(rune('a' + zone)), Region: regionOf[zone],
-			// All addresses have the same length, so that it does not affect the size of messages.
+			// All addresses have the same length, so that the size of messages does not depend on the node.
 			Address: fmt.Sprintf("127.%d.%d.%d:%d", network, 100+i/100, 100+i%100, port), Rack: i / zones / s.Rack, Real: i < s.Real})
 	}
 	processes := nodesPerProcess(size-s.Real, s.PerProcess)
@@ -76,8 +76,8 @@
 	return p, nil
 }
 
-// nodesPerProcess returns how many nodes each hollow process hosts. The numbers differ, so that a line fitted through the
-// processes' memory separates the cost of a process from that of a node.
+// nodesPerProcess returns how many nodes each hollow process hosts, about mean on average. The numbers differ, so that a
+// line fitted through the processes' memory separates the memory of a process from that of a node.
 func nodesPerProcess(nodes, mean int) (out []int) {
 	n := max(nodes/mean, min(3, nodes))
 	rest := nodes
@@ -93,7 +93,8 @@
 	return out
 }
 
-// reserveNetwork reserves a network of loopback addresses that no other run on this machine uses.
+// reserveNetwork reserves a network of loopback addresses that no other run on this machine uses, by listening at the
+// address from which the run sends member lists. The first network to try is random.
 func reserveNetwork() (int, net.Listener, error) {
 	first := firstNetwork + rand.IntN(lastNetwork-firstNetwork)
 	for i := range lastNetwork - firstNetwork {
@@ -102,12 +103,13 @@
 			return network, listener, nil
 		}
 	}
-	return 0, nil, errors.New("no free network of loopback addresses")
+	return 0, nil, fmt.Errorf("reserving a network of loopback addresses: none is free from 127.%d.0.0/16 to 127.%d.0.0/16",
+		firstNetwork, lastNetwork-1)
 }
 
 func (p *Plan) close() { p.reservation.Close() }
 
-// fleetFile returns the fleet file of a node.
+// fleetFile returns the fleet file of a node. Every node has the same join addresses, evenly spaced among the nodes.
 func (p *Plan) fleetFile(s *Script, n NodePlan) fleet.Config {
 	c := fleet.Config{Fleet: p.ID, Address: n.Address, Key: p.Key, Zone: n.Zone, Period: s.Period}
 	if len(p.control) > 0 {
@@ -120,7 +122,7 @@
 	return c
 }
 
-// followControlServers sets the control servers that all nodes follow.
+// followControlServers sets the control servers that all nodes follow, and the relays through which each region reaches them.
 func (p *Plan) followControlServers(c *controlServers) {
 	for _, server := range c.servers {
 		p.control = append(p.control, fleet.ControlServer{Name: server.name, Address: server.address, Region: regionName(server.region)})
@@ -134,6 +136,6 @@
 
 // sendMembers sends the records of members to the nodes at the addresses in to.
 func (p *Plan) sendMembers(ctx context.Context, members []memberRecord, to []string) error {
-	return fleet.Introduce(ctx, fleet.Config{Fleet: p.ID, Key: p.Key, Address: p.ownAddress}, membersOf(members), to,
+	return fleet.Introduce(ctx, fleet.Config{Fleet: p.ID, Key: p.Key, Address: p.ownAddress}, toMembers(members), to,
 		memberMessageInterval)
 }
--- a/internal/scale/protocol.go
+++ b/internal/scale/protocol.go
@@ -9,27 +9,28 @@
 	"gorseledge/internal/membership"
 )
 
-// The run and a hollow process exchange JSON objects, one per line: requests on the process's standard input, replies on its
-// standard output. The process exits when its input ends.
+// The process that executes the run and each hollow process exchange JSON objects, one per line: the run writes requests to
+// the hollow process's standard input, and the hollow process writes one reply to each request, in order, to its standard
+// output. The hollow process exits when its input ends. A JSON key that differs from its field's name is part of this format.
 
-// requestKind is what a hollow process is asked to do.
+// requestKind is the operation that a request asks of a hollow process.
 type requestKind string
 
 const (
-	requestPlan    requestKind = "plan"    // Regions is the region of every address
-	requestStart   requestKind = "start"   // starts Nodes
-	requestKill    requestKind = "kill"    // kills Names: their sockets are closed without a last message
-	requestLeave   requestKind = "leave"   // has Names leave, which they announce
-	requestCut     requestKind = "cut"     // cuts off each of CutRegions; without any, ends all cuts
-	requestWatch   requestKind = "watch"   // from now on, notes when each node learns that Names are gone
-	requestMembers requestKind = "members" // returns the records of the running nodes
-	requestReturn  requestKind = "return"  // from now on, notes when each node learns that Members, which were watched, are back
-	requestChange  requestKind = "change"  // from now on, notes when nodes put a version newer than Version in force
-	requestReport  requestKind = "report"  // returns what the nodes have sent and know
-	requestCheck   requestKind = "check"   // compares the nodes' views with Expected
+	requestSetRegions      requestKind = "plan"    // sets Regions, the region of each node address
+	requestStart           requestKind = "start"   // starts Nodes
+	requestKill            requestKind = "kill"    // stops Names abruptly: their sockets are closed without an announcement
+	requestLeave           requestKind = "leave"   // stops Names gracefully: each announces that it leaves
+	requestCut             requestKind = "cut"     // cuts each of CutRegions off from all others; an empty list ends all cuts
+	requestWatchDepartures requestKind = "watch"   // starts recording when each node sees Names as dead or left
+	requestMembers         requestKind = "members" // returns the membership records of the running nodes
+	requestWatchReturns    requestKind = "return"  // starts recording when each node sees Members of the watch as live again
+	requestWatchInForce    requestKind = "change"  // starts recording when each node puts in force a version above Version
+	requestReport          requestKind = "report"  // returns the nodes' traffic, statistics of their views and recorded times
+	requestCheck           requestKind = "check"   // counts the disagreements of the nodes' views with Expected
 )
 
-// request is one line to a hollow process.
+// request is one line to a hollow process. Which fields it uses depends on Kind.
 type request struct {
 	Kind       requestKind        `json:"kind"`
 	Nodes      []hollowNode       `json:"nodes,omitempty"`
@@ -48,7 +49,7 @@
 	Region          int          `json:"region"`
 	Seed            uint64       `json:"seed"`
 	Build           string       `json:"build"`
-	ConfiguredNodes int          `json:"settled"` // number of nodes in its settings
+	ConfiguredNodes int          `json:"settled"` // number of nodes in the node's settings; Fleet has no such field
 	Fleet           fleet.Config `json:"fleet"`
 }
 
@@ -61,13 +62,15 @@
 // reply is one line from a hollow process.
 type reply struct {
 	Error   string         `json:"error,omitempty"`
-	Members []memberRecord `json:"members,omitempty"` // start, members: the nodes' own records
+	Members []memberRecord `json:"members,omitempty"` // start: records of the started nodes; members: of the running nodes
 	Report  *report        `json:"report,omitempty"`
-	Wrong   int            `json:"wrong,omitempty"` // check: pairs of a node and a member whose state it has wrong
-	First   string         `json:"first,omitempty"` // check: the first of these pairs
+	// Disagreements is the reply to check: the number of pairs of a node and a member whose state in the node's view differs
+	// from the expected state.
+	Disagreements     int    `json:"wrong,omitempty"`
+	FirstDisagreement string `json:"first,omitempty"` // check: text that describes the first such pair
 }
 
-// memberRecord is what a node reports of itself.
+// memberRecord is the membership record that a node publishes about itself.
 type memberRecord struct {
 	Name        string `json:"name"`
 	Start       uint64 `json:"start"`
@@ -78,46 +81,50 @@
 	Ready       bool   `json:"ready"`
 }
 
-func recordOf(m membership.Member) memberRecord {
+func newMemberRecord(m membership.Member) memberRecord {
 	return memberRecord{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Address: m.Address, Zone: m.Zone, Build: m.Build,
 		Ready: m.Ready}
 }
 
-func membersOf(of []memberRecord) (out []membership.Member) {
-	for _, m := range of {
+func toMembers(records []memberRecord) (out []membership.Member) {
+	for _, m := range records {
 		out = append(out, membership.Member{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Address: m.Address, Zone: m.Zone,
 			Build: m.Build, Ready: m.Ready})
 	}
 	return out
 }
 
-// report is what the nodes of a hollow process have sent and received since its start, and what they know.
+// report holds the traffic of a hollow process's nodes since the process started, including nodes that have ended,
+// statistics of the running nodes' views, and the recorded times.
 type report struct {
 	Nodes          int                    `json:"nodes"` // running nodes
 	Traffic        []view.Traffic         `json:"traffic"`
-	LiveCounts     map[int]countRange     `json:"living"`            // by region: number of live members in its nodes' views
-	PendingUpdates int                    `json:"news"`              // membership updates left to gossip, summed over the nodes
-	Digests        map[uint64]int         `json:"digests,omitempty"` // number of nodes with each digest
-	Watch          watchReport            `json:"seen"`
-	InForce        *hdrhistogram.Snapshot `json:"in_force"` // milliseconds from the change, one value per node
+	LiveCounts     map[int]countRange     `json:"living"`            // by region: range of its nodes' live member counts
+	PendingUpdates int                    `json:"news"`              // total of updates still to gossip; low at quiescence
+	Digests        map[uint64]int         `json:"digests,omitempty"` // number of nodes by view digest; one digest at quiescence
+	Detections     watchReport            `json:"seen"`
+	InForceDelays  *hdrhistogram.Snapshot `json:"in_force"` // milliseconds from the change, at most one value per node
 }
 
-// countRange is the smallest and the largest of several counts. The zero value is an empty range.
+// countRange is the smallest and the largest of several live member counts. The zero value is an empty range: a node counts
+// itself as live, so no count is 0.
 type countRange struct {
 	Min int `json:"least"`
 	Max int `json:"most"`
 }
 
-func (s countRange) include(x int) countRange {
-	if s.Max == 0 {
-		return countRange{x, x}
+// include returns the range extended to include count.
+func (r countRange) include(count int) countRange {
+	if r.Max == 0 {
+		return countRange{count, count}
 	}
-	return countRange{min(s.Min, x), max(s.Max, x)}
+	return countRange{min(r.Min, count), max(r.Max, count)}
 }
 
-func (s countRange) merge(other countRange) countRange {
+// merge returns the smallest range that includes both ranges.
+func (r countRange) merge(other countRange) countRange {
 	if other.Max == 0 {
-		return s
+		return r
 	}
-	return s.include(other.Min).include(other.Max)
+	return r.include(other.Min).include(other.Max)
 }
--- a/internal/scale/reals.go
+++ b/internal/scale/reals.go
@@ -20,10 +20,10 @@
 	nodes    []*realNode
 	relays   map[[2]int]*rig.Relay
 	watch    *watch
-	inForce  *inForceTimes
+	inForce  *inForceDelays
 	mu       sync.Mutex
-	exits    []string // processes that exited on their own
-	stopped  map[int]bool
+	exits    []string     // descriptions of processes that exited without being stopped by the run
+	stopped  map[int]bool // by index in nodes: whether the run has stopped the node
 }
 
 // realNode is one real node.
@@ -32,11 +32,11 @@
 	node *rig.Node
 }
 
-const nodeReadyTimeout = 30 * time.Second
+const nodeReadyTimeout = 30 * time.Second // time for real nodes to become ready
 
 // startReals starts the plan's real nodes. If it returns an error, none of them is left running.
 func startReals(s *Script, p *Plan, program, dir string, seed uint64) (r *realNodes, err error) {
-	r = &realNodes{relays: map[[2]int]*rig.Relay{}, watch: newWatch(), inForce: newInForceTimes(), stopped: map[int]bool{}}
+	r = &realNodes{relays: map[[2]int]*rig.Relay{}, watch: newWatch(), inForce: newInForceDelays(), stopped: map[int]bool{}}
 	r.rigNodes, err = rig.NewNodes(rig.NodesOptions{Program: program, Dir: dir, Seed: seed, Hosts: s.Hosts,
 		Flows: s.FlowRate, Observe: r.handleEvent})
 	if err != nil {
@@ -70,7 +70,8 @@
 	return r, nil
 }
 
-// connect puts a relay between each pair of real nodes of different regions. Relays cut what hollow nodes filter.
+// connect puts a relay in each direction between each pair of real nodes of different regions. Cutting these relays has the
+// effect that filtering messages has at hollow nodes.
 func (r *realNodes) connect(seed uint64) error {
 	for i, from := range r.nodes {
 		if from.node.File.Via == nil {
@@ -91,7 +92,8 @@
 	return nil
 }
 
-// handleEvent handles a state change in a node's log, or the exit of a node.
+// handleEvent passes a member's state change in a node's log to the watch, and records the exit of a node that the run has
+// not stopped.
 func (r *realNodes) handleEvent(e rig.Event) {
 	switch e.Kind {
 	case "member":
@@ -109,14 +111,14 @@
 	}
 }
 
-// unexpectedExits returns the processes that exited on their own.
+// unexpectedExits describes the processes that exited without being stopped by the run.
 func (r *realNodes) unexpectedExits() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.exits)
 }
 
-// cut cuts the relays that the network blocks and restores all others.
+// cut cuts each relay between two regions that the network separates, and restores all others.
 func (r *realNodes) cut(c *cutNetwork) {
 	for pair, relay := range r.relays {
 		cut := c.blocks(r.nodes[pair[0]].plan.Region, r.nodes[pair[1]].plan.Region)
@@ -124,7 +126,7 @@
 	}
 }
 
-// end ends the real nodes among plans: killed, or asked to leave, as kind says.
+// end stops the real nodes among plans: gracefully if kind is requestLeave, abruptly otherwise.
 func (r *realNodes) end(plans []NodePlan, kind requestKind) {
 	var all sync.WaitGroup
 	for i, one := range r.nodes {
@@ -196,7 +198,7 @@
 	return memberRecord{}, false
 }
 
-// views returns the views of the running nodes, by index.
+// views returns, by index in nodes, the views of the running nodes that answer, and checks each view for expected returns.
 func (r *realNodes) views(ctx context.Context) map[int]view.View {
 	out := map[int]view.View{}
 	var mu sync.Mutex
@@ -220,7 +222,8 @@
 	return out
 }
 
-// configs returns the configuration that each running node has in force, by index.
+// configs returns, by index in nodes, the configuration that each running node with control servers reports, if it answers,
+// and records when the node put it in force.
 func (r *realNodes) configs(ctx context.Context) map[int]view.Config {
 	out := map[int]view.Config{}
 	var mu sync.Mutex
@@ -234,7 +237,7 @@
 			if err != nil {
 				return
 			}
-			r.inForce.recordConfig(one.plan.Name, c)
+			r.inForce.recordReportedConfig(one.plan.Name, c)
 			mu.Lock()
 			defer mu.Unlock()
 			out[i] = c
@@ -244,7 +247,7 @@
 	return out
 }
 
-// checkReturned notes in the watch which members a node knows to be back.
+// checkReturned records in the watch which expected members a view holds as live again.
 func (r *realNodes) checkReturned(v view.View) {
 	if !r.watch.expectsReturns() {
 		return
@@ -270,7 +273,7 @@
 	return out
 }
 
-// close ends all nodes and relays. It may be called while nodes are being started.
+// close ends all nodes and relays. startReals calls it also when only some of the nodes have been started.
 func (r *realNodes) close() {
 	r.mu.Lock()
 	for i := range r.nodes {
@@ -283,7 +286,7 @@
 	}
 }
 
-// flows returns the number of clients' flows by answer, on one line.
+// flows returns the number of the clients' flows by answer as one line of text.
 func (r *realNodes) flows() string {
 	var out []string
 	for answer, n := range r.rigNodes.Flows() {
--- a/internal/scale/row.go
+++ b/internal/scale/row.go
@@ -14,7 +14,7 @@
 
 // The kinds of a Row.
 const (
-	Real    Kind = "real"    // a process of the built program; mean over those that ran throughout the phase
+	Real    Kind = "real"    // a real node; mean over those that ran throughout the phase
 	Hollow  Kind = "hollow"  // a hollow node; mean over all
 	Virtual Kind = "virtual" // a member on the virtual clock; mean over all
 	Server  Kind = "server"  // a control server; mean over those that ran throughout the phase
@@ -34,7 +34,7 @@
 
 var csvHeader = []string{"nodes", "kind", "nodes_of_kind", "phase", "cost", "unit", "value"}
 
-// CSV returns rows as a CSV table, after comment lines with their provenance.
+// CSV returns rows as a CSV table that is preceded by provenance as comment lines.
 func CSV(provenance []string, rows []Row) []byte {
 	var out bytes.Buffer
 	for _, line := range provenance {
@@ -50,7 +50,7 @@
 	return out.Bytes()
 }
 
-// ReadCSV reads a table that CSV wrote, with its comment lines.
+// ReadCSV reads a table that CSV wrote, and returns its comment lines as provenance.
 func ReadCSV(in io.Reader) (provenance []string, rows []Row, err error) {
 	text, err := io.ReadAll(in)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return provenance, rows, nil
 }
 
-// findValue returns the value of a row, and false if there is no such row.
+// findValue returns the value of the first row with the given size, kind, phase and cost, and false if there is no such row.
 func findValue(rows []Row, nodes int, kind Kind, phase, cost string) (float64, bool) {
 	for _, r := range rows {
 		if r.Nodes == nodes && r.Kind == kind && r.Phase == phase && r.Cost == cost {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -11,17 +11,17 @@
 	"gorseledge/internal/configfeed"
 )
 
-// Options say how a script is run.
+// Options are the programs, the seed and the directory with which a script is run.
 type Options struct {
-	Program  string   // the built node
-	Control  string   // the built control server; needed if the script asks for control servers
+	Program  string   // path of the built node program
+	Control  string   // path of the built control server program; required if the script asks for control servers
 	Hollow   []string // command that runs ServeHollow on its standard input and output
 	Seed     uint64
-	Dir      string            // for the real nodes' directories
+	Dir      string            // parent of the directories of real nodes and control servers
 	Progress func(line string) // receives progress lines; may be nil
 }
 
-// Violation is a rule of a run that did not hold, with what was measured.
+// Violation is a rule of a run that did not hold, and a text that states the measured values.
 type Violation struct {
 	Rule string
 	Text string
@@ -44,7 +44,7 @@
 	RuleNoUnexpectedExit  = "no process exits on its own"
 )
 
-// Result is what was measured of a fleet of one size.
+// Result holds the measurements and violations of a fleet of one size.
 type Result struct {
 	Size       int
 	Real       int
@@ -59,20 +59,21 @@
 	script          *Script
 	plan            *Plan
 	controls        *controlServers    // nil if the script asks for none
-	version         configfeed.Version // version in force
-	previousVersion configfeed.Version // version in force before the last change
+	version         configfeed.Version // version that was applied last
+	previousVersion configfeed.Version // version that was in force before the last change
 	reals           *realNodes
 	hollows         *hollowHosts
 	running         running
-	expectedReturns int64 // pairs of a node and a returned member that it has to learn of
+	expectedReturns int64 // number of pairs of a node and a returned member that the node must see as live
 	virtual         <-chan virtualRest
 	build           string
 	result          *Result
 	began           time.Time
 }
 
-// Run runs a script with a fleet of one size. When it returns, also with an error, nothing that it started is running.
-// The result that it returns with an error holds what was measured before it, or is nil.
+// Run runs a script with a fleet of one size. When Run returns, with or without an error, no process that it started is
+// running. A result that is returned with an error holds what was measured before the error; it is nil if the
+// network, the files or the processes of the run could not be set up.
 func Run(ctx context.Context, s *Script, size int, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -118,7 +119,8 @@
 	return r.result, nil
 }
 
-// runScript starts the fleet, measures it at rest and carries out the events.
+// runScript starts the fleet, starts the clients' flows, measures the fleet at rest and carries out the events. At the end
+// it adds a violation for each process that exited unexpectedly.
 func (r *run) runScript(ctx context.Context) error {
 	if err := r.start(ctx); err != nil {
 		return err
@@ -145,7 +147,8 @@
 	return nil
 }
 
-// start starts all nodes and waits until they all know each other.
+// start waits until the real nodes are ready, starts the hollow nodes, waits until all nodes know each other, and records
+// the costs of the phase.
 func (r *run) start(ctx context.Context) error {
 	plans := r.plan.Nodes
 	real, err := r.reals.memberRecords(ctx, plans)
@@ -183,7 +186,8 @@
 	return nil
 }
 
-// measureRest measures the fleet while no event disturbs it.
+// measureRest records the costs of the fleet while no event disturbs it, and compares them with each other and with the
+// bounds.
 func (r *run) measureRest(ctx context.Context) error {
 	if err := r.awaitQuiescence(ctx); err != nil {
 		return err
@@ -236,7 +240,7 @@
 	}
 }
 
-// sleep waits for seconds, or until the context ends.
+// sleep waits for seconds. If the context ends first, sleep returns the context's cause.
 func sleep(ctx context.Context, seconds float64) error {
 	select {
 	case <-time.After(time.Duration(seconds * 1e9)):
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -8,14 +8,14 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// sample is what all processes have used and sent up to one moment.
+// sample holds the usage and the traffic of all processes up to one time.
 type sample struct {
 	at            time.Time
-	hollowSeconds float64 // running time, summed over all hollow nodes
+	hollowSeconds float64 // running time in seconds, summed over all hollow nodes
 	hollowNodes   int
 	hollow        []hollowSample
 	hollowTraffic []view.Traffic
-	suspicions    int                // suspicions in hollow nodes' views, counted once per change to suspect
+	suspicions    int                // number of changes to suspect in hollow nodes' views
 	real          map[int]realSample // by process ID
 	servers       map[int]usage      // usage of control servers, by process ID
 }
@@ -30,7 +30,8 @@
 	traffic []view.Traffic
 }
 
-// sample reads the usage and the traffic of all processes.
+// sample reads the usage and the traffic of all processes. It omits control servers that have ended, and real nodes
+// that have ended or do not answer.
 func (r *run) sample(ctx context.Context) (s sample, err error) {
 	replies, err := r.hollows.requestAll(request{Kind: requestReport})
 	if err != nil {
@@ -44,7 +45,7 @@
 		}
 		s.hollow = append(s.hollow, hollowSample{u, replies[i].Report.Nodes})
 		s.hollowNodes += replies[i].Report.Nodes
-		s.suspicions += replies[i].Report.Watch.Suspicions
+		s.suspicions += replies[i].Report.Detections.Suspicions
 		s.hollowTraffic = addTraffic(s.hollowTraffic, replies[i].Report.Traffic)
 	}
 	s.at, s.hollowSeconds = time.Now(), r.running.seconds(time.Now())
@@ -70,11 +71,11 @@
 // running sums the running time of hollow nodes.
 type running struct {
 	nodes int
-	since time.Time
-	sum   float64
+	since time.Time // time of the last change of nodes
+	sum   float64   // seconds up to since
 }
 
-// add adds a number of running nodes, which is negative when nodes end.
+// add changes the number of running nodes; nodes is negative when nodes end.
 func (r *running) add(nodes int) {
 	now := time.Now()
 	r.sum, r.since = r.seconds(now), now
@@ -107,7 +108,7 @@
 		a.receivedBytes + b.receivedBytes}
 }
 
-// total returns the sum over all kinds.
+// total returns the sum over all kinds of traffic.
 func (c costs) total() (sum rate) {
 	for _, x := range c.traffic {
 		sum = sum.plus(x)
@@ -115,7 +116,7 @@
 	return sum
 }
 
-// memberTraffic returns the sum over the kinds of messages among members.
+// memberTraffic returns the sum over the kinds of traffic between members, which are all but control traffic.
 func (c costs) memberTraffic() (sum rate) {
 	for kind, x := range c.traffic {
 		if kind != controlKind {
@@ -125,7 +126,7 @@
 	return sum
 }
 
-// addRates adds the rates of the traffic between two samples, divided by seconds, to the rates in to.
+// addRates adds, to the rates in to, the traffic between two samples divided by seconds.
 func addRates(to map[string]rate, before, after []view.Traffic, seconds float64) {
 	for _, t := range after {
 		for _, was := range before {
@@ -161,7 +162,7 @@
 	return c
 }
 
-// realCosts returns the mean cost of a real node between two samples, over those that ran throughout.
+// realCosts returns the mean cost of a real node between two samples. It includes only processes that occur in both samples.
 func realCosts(before, after sample) costs {
 	c := costs{traffic: map[string]rate{}}
 	for pid := range after.real {
@@ -180,8 +181,8 @@
 	return c
 }
 
-// serverCosts returns the mean cost of a control server between two samples, over those that ran throughout. Its traffic is
-// derived from what the followers count, so the traffic among servers is left out.
+// serverCosts returns the mean cost of a control server between two samples. It includes only processes that occur in both
+// samples. The traffic is derived from the counts of the nodes' followers, so it does not include the traffic between servers.
 func serverCosts(before, after sample, hollow, real costs) costs {
 	c := costs{traffic: map[string]rate{}}
 	for pid := range after.servers {
--- a/internal/scale/scale_golden_test.go
+++ b/internal/scale/scale_golden_test.go
@@ -18,8 +18,8 @@
 	"gorseledge/internal/fleet/view"
 )
 
-// The files under testdata were written by the version in service (5fa7498) and are never rewritten, because committed figures
-// and scripts use their names. A failure here means that an external name or format has changed.
+// The files under testdata were written by the version in service (5fa7498) and are never rewritten, because committed
+// figures and scripts use their names. A failure here means that an external name or format has changed.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -78,6 +78,7 @@
 	return rows
 }
 
+// Guards against a change of the CSV or the printed format of a table, and against a field of a row that is no longer read.
 func TestGoldenTables(t *testing.T) {
 	provenance := []string{"command: gorselab scale test, seed 1", "beside it: nothing"}
 	rows := goldenRows()
@@ -126,9 +127,9 @@
 			[]ActionKind{"kill", "restart", "rack", "zone", "change", "region"}},
 		{[]Disturbance{DisturbanceNone, DisturbanceRestart, DisturbanceServerFault, DisturbanceServerStart, DisturbanceRegionCut},
 			[]Disturbance{"", "restart", "server-fault", "server-start", "region-cut"}},
-		{[]requestKind{requestPlan, requestStart, requestKill, requestLeave, requestCut, requestWatch, requestMembers, requestReturn,
-			requestChange, requestReport, requestCheck}, []requestKind{"plan", "start", "kill", "leave", "cut", "watch", "members", "return",
-			"change", "report", "check"}},
+		{[]requestKind{requestSetRegions, requestStart, requestKill, requestLeave, requestCut, requestWatchDepartures, requestMembers,
+			requestWatchReturns, requestWatchInForce, requestReport, requestCheck},
+			[]requestKind{"plan", "start", "kill", "leave", "cut", "watch", "members", "return", "change", "report", "check"}},
 	} {
 		if !reflect.DeepEqual(c.got, c.want) {
 			t.Errorf("%v, want %v", c.got, c.want)
@@ -151,6 +152,7 @@
 			{Kind: Change, Disturbance: DisturbanceRegionCut, FailureDuration: 14, Window: 29}}}
 }
 
+// Guards against a change of the keys of a script, and against a key that is no longer read.
 func TestGoldenScript(t *testing.T) {
 	want := goldenScript()
 	written, err := toml.Marshal(want)
@@ -203,10 +205,11 @@
 func goldenReply() reply {
 	times := hdrhistogram.New(1, 1000, 1)
 	times.RecordValue(5)
-	return reply{Error: "n1 runs already", Members: []memberRecord{goldenRecord()}, Wrong: 4, First: "n1 of n2", Report: &report{Nodes: 3,
-		Traffic:    []view.Traffic{{Kind: "ping", SentMessages: 7, SentBytes: 630, ReceivedMessages: 8, ReceivedBytes: 720}},
-		LiveCounts: map[int]countRange{1: {Min: 2, Max: 3}}, PendingUpdates: 6, Digests: map[uint64]int{0x0123456789abcdef: 9},
-		Watch: watchReport{Departed: times.Export(), Returned: times.Export(), Suspicions: 11}, InForce: times.Export()}}
+	return reply{Error: "n1 runs already", Members: []memberRecord{goldenRecord()}, Disagreements: 4, FirstDisagreement: "n1 of n2",
+		Report: &report{Nodes: 3,
+			Traffic:    []view.Traffic{{Kind: "ping", SentMessages: 7, SentBytes: 630, ReceivedMessages: 8, ReceivedBytes: 720}},
+			LiveCounts: map[int]countRange{1: {Min: 2, Max: 3}}, PendingUpdates: 6, Digests: map[uint64]int{0x0123456789abcdef: 9},
+			Detections: watchReport{Departed: times.Export(), Returned: times.Export(), Suspicions: 11}, InForceDelays: times.Export()}}
 }
 
 // checkLine checks that a value encodes to a file, and that the file decodes to the value and encodes to itself.
@@ -237,13 +240,14 @@
 func TestGoldenProtocol(t *testing.T) {
 	checkNoZero(t, "request", reflect.ValueOf(checkLine(t, "request.json", goldenRequest())))
 	got := checkLine(t, "reply.json", goldenReply())
-	got.Report.InForce, got.Report.Watch.Departed, got.Report.Watch.Returned = nil, nil, nil // a histogram has many zero counts
-	facts, seen := got.Report, got.Report.Watch
-	if facts.Nodes == 0 || facts.PendingUpdates == 0 || seen.Suspicions == 0 {
-		t.Errorf("a zero field in %+v", facts)
-	}
-	checkNoZero(t, "traffic", reflect.ValueOf(facts.Traffic))
-	checkNoZero(t, "living", reflect.ValueOf(facts.LiveCounts))
-	checkNoZero(t, "digests", reflect.ValueOf(facts.Digests))
+	// The histograms are removed, because a histogram has many zero counts.
+	got.Report.InForceDelays, got.Report.Detections.Departed, got.Report.Detections.Returned = nil, nil, nil
+	report, seen := got.Report, got.Report.Detections
+	if report.Nodes == 0 || report.PendingUpdates == 0 || seen.Suspicions == 0 {
+		t.Errorf("a zero field in %+v", report)
+	}
+	checkNoZero(t, "traffic", reflect.ValueOf(report.Traffic))
+	checkNoZero(t, "living", reflect.ValueOf(report.LiveCounts))
+	checkNoZero(t, "digests", reflect.ValueOf(report.Digests))
 	checkNoZero(t, "members", reflect.ValueOf(got.Members))
 }
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -1,8 +1,8 @@
-// Package scale measures what the control side of a fleet costs at several sizes. A run has real nodes, which are
-// processes of the built program with emulated hosts and clients, and hollow nodes, which run the same control side
-// (internal/fleet and what it uses) without serving clients, hundreds to a process, on loopback sockets of their own. It
-// measures the fleet at rest and during a script's events, compares hollow nodes with real ones and with members on the
-// virtual clock, and checks the script's bounds.
+// Package scale measures the costs of the control side of a fleet at several fleet sizes. A run has real nodes, which are
+// processes of the built program with emulated hosts and clients, and hollow nodes. A hollow node runs the same control
+// side (internal/fleet and the packages it uses) without serving clients; one process hosts up to hundreds of hollow nodes,
+// each with its own loopback socket. A run measures the fleet at rest and during a script's events, compares hollow nodes
+// with real ones and with members on the virtual clock, and checks the script's bounds.
 package scale
 
 import (
@@ -14,7 +14,8 @@
 	"gorseledge/internal/strict"
 )
 
-// Script describes the fleets that are started and what happens to them. All times are in seconds.
+// Script describes the fleets that are started, the events that they go through, and the bounds on their costs. Times are
+// in seconds unless the key names another unit.
 type Script struct {
 	Name                 string   `toml:"name"`
 	Sizes                []int    `toml:"sizes"`           // nodes in each fleet, including the real ones
@@ -37,15 +38,15 @@
 	FlowRate             float64  `toml:"flows_per_s"`     // rate of new flows over all real nodes
 	Tolerance            float64  `toml:"tolerance"`       // allowed difference from 1 of the hollow to real ratio at rest
 	CPU                  float64  `toml:"cpu_cores"`       // bound on the CPU of a hollow node at rest, as a fraction of a core
-	Memory               float64  `toml:"memory_mb"`       // bound on the memory of a hollow node
-	Bandwidth            float64  `toml:"bandwidth_kB_s"`  // bound on the bytes that a hollow node sends and receives at rest
-	TotalMemory          float64  `toml:"total_memory_mb"` // limit on the memory of all processes
-	TotalMinutes         float64  `toml:"minutes"`         // limit on the time for one size
-	Virtual              bool     `toml:"virtual"`         // also compare with members on the virtual clock
+	Memory               float64  `toml:"memory_mb"`       // bound in MB on the memory of a hollow node at rest
+	Bandwidth            float64  `toml:"bandwidth_kB_s"`  // bound in kB/s on the traffic of a hollow node at rest, both directions
+	TotalMemory          float64  `toml:"total_memory_mb"` // limit in MB on the memory of all processes
+	TotalMinutes         float64  `toml:"minutes"`         // limit in minutes on the time for one size
+	Virtual              bool     `toml:"virtual"`         // whether to compare also with members on the virtual clock
 	Events               []Action `toml:"event"`
 }
 
-// ActionKind is what an event does to the fleet.
+// ActionKind is the kind of an event.
 type ActionKind string
 
 // The kinds of an Action.
@@ -55,15 +56,15 @@
 	KillRack    ActionKind = "rack"    // the nodes of one rack are killed
 	KillZone    ActionKind = "zone"    // the nodes of one zone are killed
 	Change      ActionKind = "change"  // the configuration changes during a disturbance
-	CutRegion   ActionKind = "region"  // one region exchanges no messages with the others
+	CutRegion   ActionKind = "region"  // one region is cut off from all others
 )
 
 // Action is one event of a script. Before the next event begins, the affected nodes are back and the fleet has converged.
 type Action struct {
 	Kind            ActionKind  `toml:"kind"`
-	Disturbance     Disturbance `toml:"during"`   // change: what happens to the fleet meanwhile
-	Fraction        float64     `toml:"part"`     // restart: fraction of all nodes; other events have none
-	FailureDuration float64     `toml:"for_s"`    // time until the failure ends
+	Disturbance     Disturbance `toml:"during"`   // change: what happens to the fleet while the change is applied
+	Fraction        float64     `toml:"part"`     // fraction of all nodes that is restarted; 0 for events without a restart
+	FailureDuration float64     `toml:"for_s"`    // time until the failure ends; 0 for events without a failure of stated length
 	Window          float64     `toml:"window_s"` // time after the failure ends in which its detection and convergence are measured
 }
 
@@ -133,7 +134,7 @@
 	}
 	if n := sum(s.ControlServers); len(s.ControlServers) > 0 &&
 		(len(s.ControlServers) != len(s.ZonesPerRegion) || n%2 == 0 || n < 3 || n > 9) {
-		return top("control"), errors.New("control: must give a number for each region, with an odd sum from 3 to 9")
+		return top("control"), errors.New("control: must list a number of servers for each region, with an odd sum between 3 and 9")
 	}
 	for i, a := range s.Events {
 		at := func(key string) strict.Place { return strict.Place{Table: "event", Index: i, Key: key} }
@@ -165,7 +166,7 @@
 	return a.Kind == RestartSome || a.Disturbance == DisturbanceRestart
 }
 
-// hasFailureDuration reports whether something fails for a stated time.
+// hasFailureDuration reports whether the event has a failure that ends after FailureDuration.
 func (a Action) hasFailureDuration() bool {
 	return a.Disturbance == DisturbanceRegionCut || a.Kind != RestartSome && a.Kind != Change
 }
@@ -173,8 +174,8 @@
 // zoneCount returns the number of zones in all regions.
 func (s *Script) zoneCount() int { return sum(s.ZonesPerRegion) }
 
-func sum(of []int) (n int) {
-	for _, x := range of {
+func sum(numbers []int) (n int) {
+	for _, x := range numbers {
 		n += x
 	}
 	return n
--- a/internal/scale/table.go
+++ b/internal/scale/table.go
@@ -21,7 +21,8 @@
 	{"known by, %", "back_known_by", 0.01}, {"all agree, s", "all_agree", 1},
 	{"in force: 50th, s", "in_force_50th", 1}, {"99th", "in_force_99th", 1}, {"last", "in_force_last", 1}, {"in force by, %", "in_force_by", 0.01}}
 
-// WriteTable writes a table of nodes' costs in each phase, and one of detection, convergence and in-force times.
+// WriteTable writes a table of the costs of a node, member or control server in each phase, and a table of the fleet's
+// detection, convergence and in-force times. A value without a row is written as a dash.
 func WriteTable(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	writeColumns(t, rows, nodeColumns, func(k Kind) bool { return k != Fleet })
@@ -37,7 +38,8 @@
 	phase string
 }
 
-func writeColumns(w io.Writer, rows []Row, columns []column, of func(Kind) bool) {
+// writeColumns writes a header and one line for each size, kind and phase of the rows whose kind is included.
+func writeColumns(w io.Writer, rows []Row, columns []column, included func(Kind) bool) {
 	fmt.Fprint(w, "nodes\tkind\tphase")
 	for _, c := range columns {
 		fmt.Fprint(w, "\t", c.title)
@@ -46,7 +48,7 @@
 	written := map[rowKey]bool{}
 	for _, r := range rows {
 		key := rowKey{r.Nodes, r.Kind, r.Phase}
-		if !of(r.Kind) || written[key] {
+		if !included(r.Kind) || written[key] {
 			continue
 		}
 		written[key] = true
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// usage is the CPU time and memory that a process has used.
+// usage is the CPU time that a process has used and its current memory.
 type usage struct {
 	cpu    float64 // seconds of CPU time since its start
 	memory float64 // resident bytes
 }
 
-// usageOf reads a process's usage from /proc.
+// usageOf reads a process's usage from /proc. CPU time of threads that have ended is not included.
 func usageOf(pid int) (u usage, err error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(threads) == 0 {
@@ -38,7 +38,7 @@
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) < 2 {
-		return u, fmt.Errorf("/proc/%d/statm: no resident size", pid)
+		return u, fmt.Errorf("/proc/%d/statm: got %d fields, want at least 2 with the resident size", pid, len(fields))
 	}
 	pages, err := strconv.ParseFloat(fields[1], 64)
 	u.memory = pages * float64(os.Getpagesize())
