--- a/internal/rig/check.go
+++ b/internal/rig/check.go
@@ -37,7 +37,7 @@
 	out = append(out, checkBudgets(r.Events)...)
 	out = append(out, checkControl(s, r.Events)...)
 	if disagreement != "" {
-		out = append(out, Violation{RuleAgreement, endOf(r.Events), disagreement})
+		out = append(out, Violation{RuleAgreement, lastEventTime(r.Events), disagreement})
 	}
 	slices.SortStableFunc(out, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return out
--- a/internal/rig/check_rules.go
+++ b/internal/rig/check_rules.go
@@ -27,7 +27,7 @@
 // process fault is exempt, but must not get more than one answer either.
 func checkAnswers(events []Event) (out []Violation) {
 	faulty := map[int][]interval{}
-	for _, e := range episodes(events) {
+	for _, e := range activeFaults(events) {
 		if faultKinds[e.Kind].onLink {
 			continue
 		}
@@ -75,7 +75,7 @@
 // that have no fault of their own.
 func checkKnownDeaths(s *Script, events []Event) (out []Violation) {
 	for _, f := range events {
-		if !requiresDetection(s, f) || endOf(events) < f.At+s.DetectionTimeout {
+		if !requiresDetection(s, f) || lastEventTime(events) < f.At+s.DetectionTimeout {
 			continue
 		}
 		for _, dead := range f.Fault.Nodes {
--- a/internal/rig/control_check.go
+++ b/internal/rig/control_check.go
@@ -111,20 +111,21 @@
 	return out
 }
 
-// controlEpisode is a fault of control servers with the interval in which it was active.
-type controlEpisode struct {
+// activeControlFault is a fault of control servers with the interval in which it was active.
+type activeControlFault struct {
 	ControlFault
 	interval
 }
 
-// controlEpisodes pairs the start of each fault of control servers with its end.
-func controlEpisodes(events []Event) (out []controlEpisode) {
+// activeControlFaults returns the faults of control servers, each with the interval from its start event to its end event. The
+// interval ends at forever if the events contain no end.
+func activeControlFaults(events []Event) (out []activeControlFault) {
 	open := map[string]int{}
 	for _, e := range events {
 		switch e.Kind {
 		case eventControlFaultStart:
 			open[fmt.Sprint(*e.Control.Fault)] = len(out)
-			out = append(out, controlEpisode{*e.Control.Fault, interval{e.At, forever}})
+			out = append(out, activeControlFault{*e.Control.Fault, interval{e.At, forever}})
 		case eventControlFaultEnd:
 			out[open[fmt.Sprint(*e.Control.Fault)]].to = e.At
 		}
@@ -139,7 +140,7 @@
 	if at < 0 {
 		return nil
 	}
-	faults := controlEpisodes(events)
+	faults := activeControlFaults(events)
 	for _, e := range events {
 		if e.Kind != eventProposal || e.Control.Outcome != string(configfeed.Accepted) ||
 			slices.Contains(events[at].Control.ProposalIDs, e.Control.ID) || mayBeLost(e.At, faults) {
@@ -154,7 +155,7 @@
 // mayBeLost reports whether a change that was accepted at a time may be lost at the end of the run. It may be if the writer's
 // directory was lost before the change was replicated, together with other directories, or near another fault of control
 // servers, which may have prevented the replication or the recovery.
-func mayBeLost(accepted float64, faults []controlEpisode) bool {
+func mayBeLost(accepted float64, faults []activeControlFault) bool {
 	for _, lost := range faults {
 		if !changesDirectory(lost.ControlFault) || !slices.Contains(lost.Servers, 0) || lost.to < accepted {
 			continue
@@ -208,9 +209,9 @@
 // measuredChanges returns the accepted changes that no fault of control servers may have delayed: see mayDelayChange. Nodes
 // with a process fault around the change are not considered.
 func measuredChanges(s *Script, events []Event) (out []measuredChange) {
-	faults := controlEpisodes(events)
-	nodeFaults := episodes(events)
-	end := endOf(events)
+	faults := activeControlFaults(events)
+	nodeFaults := activeFaults(events)
+	end := lastEventTime(events)
 	for _, e := range events {
 		if e.Kind != eventProposal || e.Control.Outcome != string(configfeed.Accepted) {
 			continue
@@ -238,7 +239,7 @@
 // mayDelayChange reports whether faults of control servers in a window may keep a change from nodes for longer than the
 // in_force time. That holds for a fault of the writer's process, a region that is cut off, a fault of several servers, and
 // for more than one fault in the window.
-func mayDelayChange(faults []controlEpisode, window interval) bool {
+func mayDelayChange(faults []activeControlFault, window interval) bool {
 	active := 0
 	for _, f := range faults {
 		if f.from > window.to || f.to < window.from {
@@ -254,8 +255,8 @@
 }
 
 // hasProcessFault reports whether a fault of a node's process was active within a window.
-func hasProcessFault(faults []episode, node int, window interval) bool {
-	return slices.ContainsFunc(faults, func(f episode) bool {
+func hasProcessFault(faults []activeFault, node int, window interval) bool {
+	return slices.ContainsFunc(faults, func(f activeFault) bool {
 		return !faultKinds[f.Kind].onLink && slices.Contains(f.Nodes, node) && f.from <= window.to && f.to >= window.from
 	})
 }
--- a/internal/rig/control_run.go
+++ b/internal/rig/control_run.go
@@ -232,7 +232,7 @@
 
 // config reads the configuration that a node has in force.
 func (c *control) config(ctx context.Context, n *node) (v view.Config, err error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.admin+"/-/config", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.adminAddress+"/-/config", nil)
 	if err != nil {
 		return v, err
 	}
--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -97,7 +97,7 @@
 		return 0, err
 	}
 	defer hosts.Close()
-	n, err := StartStandaloneNode(ctx, program, dir, hosts, smallNode)
+	n, err := StartStandaloneNode(ctx, program, dir, hosts, nodeLimits)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/rig/detection.go
+++ b/internal/rig/detection.go
@@ -11,7 +11,7 @@
 // Deaths returns the deaths of processes that were killed and stayed down for at least a third of the run. Other faults
 // during that time make no difference.
 func Deaths(s *Script, events []Event) (out []Death) {
-	for _, f := range episodes(events) {
+	for _, f := range activeFaults(events) {
 		if !faultKinds[f.Kind].staysDown || f.Duration > 0 && f.Duration < s.Duration/3 {
 			continue
 		}
--- a/internal/rig/exemptions.go
+++ b/internal/rig/exemptions.go
@@ -8,35 +8,40 @@
 	"strings"
 )
 
-// exemptionPeriods is the number of probe periods after a fault during which other nodes may still declare the affected
-// member dead: the longest suspicion timeout, extended by a node's local health score.
+// exemptionPeriods is the number of probe periods after the end of a fault within which other nodes may declare the affected
+// member dead. It covers the longest suspicion timeout, including the extension by a node's local health score.
 const exemptionPeriods = 120.0
 
-// tolerablePeriods is the number of probe periods for which a process may be stopped, or cut off from all others, and must
-// still not be declared dead: the shortest suspicion timeout.
-const tolerablePeriods = 4.0
+// maxToleratedFaultPeriods bounds the stops and cuts that a member must survive: if one lasts for fewer probe periods, the
+// member must not be declared dead. It is the shortest suspicion timeout of a fleet of up to ten nodes.
+const maxToleratedFaultPeriods = 4.0
 
-// tolerableLoss is the share of lost datagrams up to which a member must not be declared dead.
-const tolerableLoss = 0.2
+// maxToleratedLoss is the highest share of lost datagrams, 0 to 1, at which no member may be declared dead.
+const maxToleratedLoss = 0.2
 
-// sameFaultTime is the time in seconds after the start of a fault in which events of faults are considered to belong to
-// this fault, not to a further one.
+// toleratedDelayDivisor is the divisor of the probe period that yields the highest delay of a delay fault at which no member may
+// be declared dead. Such a fault adds as much jitter as delay, so that a higher delay can exceed the timeout of a direct probe,
+// a fifth of the period.
+const toleratedDelayDivisor = 10
+
+// sameFaultTime is a time in seconds. Fault events of a node within this time after the start of a fault are attributed to
+// that fault and not counted as another one.
 const sameFaultTime = 0.01
 
-// interval is a span of time, in seconds from the start of the rig. Both ends belong to it.
+// interval is a closed interval of time, in seconds since the start of the rig.
 type interval struct{ from, to float64 }
 
-// endOf returns the time of the last event, or 0 if there are no events.
-func endOf(events []Event) float64 {
+// lastEventTime returns the time of the last event, or 0 if there are no events.
+func lastEventTime(events []Event) float64 {
 	if len(events) == 0 {
 		return 0
 	}
 	return events[len(events)-1].At
 }
 
-// episode is a fault with the interval in which it was active. The interval is without end if the fault had not ended when
-// the run did, or if it leaves the process down for the rest of the run.
-type episode struct {
+// activeFault is a fault with the interval in which it was active. The interval ends at forever if the fault was still active
+// at the end of the run or left the process down for the rest of the run.
+type activeFault struct {
 	Fault
 	interval
 }
@@ -44,8 +49,9 @@
 // forever is the end of an interval that does not end within the run.
 var forever = math.Inf(1)
 
-// episodes pairs the start of each fault of nodes or links with its end.
-func episodes(events []Event) (out []episode) {
+// activeFaults returns the faults of nodes and links that the events contain, each with the interval from its start event to
+// its end event.
+func activeFaults(events []Event) (out []activeFault) {
 	open := map[string]int{}
 	for _, e := range events {
 		if e.Fault == nil {
@@ -54,7 +60,7 @@
 		key := fmt.Sprintf("%v", *e.Fault)
 		if e.Kind == eventFaultStart {
 			open[key] = len(out)
-			out = append(out, episode{*e.Fault, interval{e.At, forever}})
+			out = append(out, activeFault{*e.Fault, interval{e.At, forever}})
 			continue
 		}
 		i, begun := open[key]
@@ -67,12 +73,18 @@
 	return out
 }
 
-// exemptIntervals returns, by node, the intervals in which other nodes may declare it dead, because it was down, stopped for
-// long, cut off from all others, behind links with more loss or delay than the rules cover, or in a cut that leaves no
-// path through another node.
+// exemptIntervals returns, by node, the intervals in which other nodes may declare it dead. These are the intervals in which
+//   - a fault ended its process,
+//   - it was stopped for maxToleratedFaultPeriods or longer, or together with other nodes,
+//   - it was cut off, for maxToleratedFaultPeriods or longer, from all other nodes, or by a cut that leaves no path through
+//     an unaffected node,
+//   - its links to all other nodes had a loss above maxToleratedLoss or a delay above a tenth of the probe period.
+//
+// If a cut isolates several nodes from all others, the intervals of every node contain it. Loss and delay on links to selected
+// nodes do not exempt any node.
 func exemptIntervals(s *Script, events []Event) map[int][]interval {
 	out := map[int][]interval{}
-	for _, e := range episodes(events) {
+	for _, e := range activeFaults(events) {
 		addExemptions(s, out, e.Fault, e.interval)
 	}
 	return out
@@ -80,7 +92,7 @@
 
 // addExemptions adds the interval of a fault to out for each node that others may declare dead because of the fault.
 func addExemptions(s *Script, out map[int][]interval, f Fault, active interval) {
-	long := active.to-active.from >= tolerablePeriods*s.ProbePeriod
+	exceedsTolerance := active.to-active.from >= maxToleratedFaultPeriods*s.ProbePeriod
 	add := func(nodes []int) {
 		for _, n := range nodes {
 			out[n] = append(out[n], active)
@@ -91,16 +103,16 @@
 	}
 	switch f.Kind {
 	case faultStop:
-		if long || len(f.Nodes) > 1 {
+		if exceedsTolerance || len(f.Nodes) > 1 {
 			add(f.Nodes)
 		}
 	case faultCut:
-		if !long {
+		if !exceedsTolerance {
 			return
 		}
-		if len(f.To) == 0 { // no other node receives datagrams from it
+		if len(f.To) == 0 { // no other node receives datagrams from the nodes of the fault
 			add(f.Nodes)
-			if len(f.Nodes) > 1 { // the remaining nodes may have no path to each other either
+			if len(f.Nodes) > 1 { // the cut may leave no path between the remaining nodes either
 				for n := range s.Nodes {
 					add([]int{n})
 				}
@@ -113,11 +125,11 @@
 		add(f.Nodes)
 		add(f.To)
 	case faultLoss:
-		if f.Amount > tolerableLoss && len(f.To) == 0 {
+		if f.Amount > maxToleratedLoss && len(f.To) == 0 {
 			add(f.Nodes)
 		}
-	case faultDelay: // a delay above a tenth of the period is longer than the timeout of a probe
-		if f.Amount > s.ProbePeriod/10 && len(f.To) == 0 {
+	case faultDelay:
+		if f.Amount > s.ProbePeriod/toleratedDelayDivisor && len(f.To) == 0 {
 			add(f.Nodes)
 		}
 	}
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -165,7 +165,7 @@
 // sendGarbage sends datagrams of random bytes to a node. About half of them begin with the version byte of members'
 // messages, so that the node's decoder reads past it.
 func (r *Rig) sendGarbage(n *node) error {
-	c, err := net.Dial("udp", n.fleet)
+	c, err := net.Dial("udp", n.fleetAddress)
 	if err != nil {
 		return err
 	}
--- a/internal/rig/nodes.go
+++ b/internal/rig/nodes.go
@@ -63,8 +63,8 @@
 // it.
 func (n *Nodes) Add(name string, file fleet.Config) (*Node, error) {
 	i := len(n.rig.nodes)
-	added := &node{rig: n.rig, index: i, label: name, dir: filepath.Join(n.rig.Dir, name), fleet: file.Address}
-	for _, address := range []*string{&added.client, &added.admin, &added.fleet} {
+	added := &node{rig: n.rig, index: i, label: name, dir: filepath.Join(n.rig.Dir, name), fleetAddress: file.Address}
+	for _, address := range []*string{&added.clientAddress, &added.adminAddress, &added.fleetAddress} {
 		if *address != "" {
 			continue
 		}
@@ -73,7 +73,7 @@
 			return nil, err
 		}
 	}
-	file.Address = added.fleet
+	file.Address = added.fleetAddress
 	n.rig.nodes = append(n.rig.nodes, added)
 	result := &Node{node: added, File: file}
 	n.nodes = append(n.nodes, result)
@@ -106,7 +106,7 @@
 	if err := os.MkdirAll(n.node.dir, 0o755); err != nil {
 		return err
 	}
-	return n.node.rig.writeFiles(n.node, n.File, nodeCount)
+	return n.node.rig.writeConfigAndFleetFile(n.node, n.File, nodeCount)
 }
 
 // Start starts the node unless it is running.
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -42,13 +42,13 @@
 
 // node is a node of the rig: its addresses, its directory and its process, or the two processes of an upgrade.
 type node struct {
-	rig    *Rig
-	index  int
-	label  string // its name; if empty, the name is made of its index
-	dir    string
-	client string // address that clients connect to
-	admin  string // admin address
-	fleet  string // address for members' messages
+	rig           *Rig
+	index         int
+	label         string // its name; if empty, the name is made of its index
+	dir           string
+	clientAddress string // address that clients connect to
+	adminAddress  string // admin address
+	fleetAddress  string // address for members' messages
 
 	mu          sync.Mutex // protects the fields below
 	current     *process   // the process that serves
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -10,19 +10,19 @@
 
 // LinkConditions are the faults of a link between two processes. The zero value describes a link without faults.
 type LinkConditions struct {
-	Cut            bool    // no datagram passes, and streams are broken
+	Cut            bool    // all datagrams are dropped, and streams are closed
 	Loss           float64 // share of the datagrams that is dropped, 0 to 1
 	Delay          float64 // seconds by which datagrams and streams are delayed
 	Jitter         float64 // upper bound of a random further delay of datagrams, in seconds; it reorders them
 	Repeat         float64 // share of the datagrams that is forwarded twice, 0 to 1
-	Replay         float64 // number of recorded datagrams sent again per second
-	BreakAfter     int64   // bytes after which one direction of a stream breaks the stream; 0 for never
+	Replay         float64 // number of recorded datagrams resent per second
+	BreakAfter     int64   // bytes in one direction after which the relay closes the stream; 0 for never
 	SecondsPerByte float64 // time that a byte of a stream takes, in seconds
 }
 
 const (
 	relayRandomStream    = 5        // separates the random numbers of relays from others of the same seed
-	relayPortAttempts    = 20       // further attempts to find a port that is free for both TCP and UDP
+	relayPortAttempts    = 20       // further attempts, after the first, to find a port that is free for both TCP and UDP
 	maxDatagramBytes     = 64 << 10 // size of the buffer for a received datagram
 	streamBufferBytes    = 16 << 10 // size of the buffer for one direction of a stream
 	streamDialTimeout    = time.Second
@@ -44,8 +44,9 @@
 	conditions  LinkConditions
 	rand        *rand.Rand
 	connections map[net.Conn]bool // both ends of each open stream
-	recorded    [][]byte          // a random sample of the datagrams, for replay
-	passed      int               // number of datagrams received so far
+	recorded    [][]byte          // a random sample of the received datagrams, for replay
+	// receivedCount is the number of datagrams received so far, including those that were dropped.
+	receivedCount int
 }
 
 // NewRelay opens a relay to an address. The relay accepts datagrams and streams on one loopback port.
@@ -90,7 +91,7 @@
 // Address returns the address on which the relay accepts datagrams and streams.
 func (r *Relay) Address() string { return r.in.LocalAddr().String() }
 
-// Set calls a function that changes the conditions. If the link is cut afterwards, its open streams are broken.
+// Set calls a function that changes the conditions. If the changed conditions cut the link, its open streams are closed.
 func (r *Relay) Set(change func(*LinkConditions)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rig/relay_datagrams.go
+++ b/internal/rig/relay_datagrams.go
@@ -7,7 +7,9 @@
 	"time"
 )
 
-// forwardDatagrams forwards datagrams until the relay is closed, and then waits until the delayed ones are sent.
+// forwardDatagrams forwards datagrams and replays recorded ones until the relay is closed. It returns after all delayed
+// datagrams have been sent. If the receiver's address is invalid or no socket can be opened, it returns at once, and the relay
+// forwards no datagrams.
 func (r *Relay) forwardDatagrams() {
 	to, err := net.ResolveUDPAddr("udp", r.to)
 	if err != nil {
@@ -31,26 +33,27 @@
 			continue
 		}
 		datagram := buffer[:size]
-		for _, delay := range r.receive(datagram) {
-			sendAfter(&pending, delay, datagram, func(text []byte) { out.WriteToUDP(text, to) })
+		for _, delay := range r.scheduleCopies(datagram) {
+			sendAfter(&pending, delay, datagram, func(payload []byte) { out.WriteToUDP(payload, to) })
 		}
 	}
 }
 
-// receive records a datagram and returns the delays of the copies to forward. It returns none if the datagram is dropped.
-func (r *Relay) receive(datagram []byte) (delays []time.Duration) {
+// scheduleCopies records a received datagram and returns the delay of each copy to forward, or none if the datagram is
+// dropped. Dropped datagrams are recorded too, so that replay may send them later.
+func (r *Relay) scheduleCopies(datagram []byte) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recordDatagram(datagram)
-	for range r.copies() {
+	for range r.copyCount() {
 		seconds := r.conditions.Delay + r.conditions.Jitter*r.rand.Float64()
 		delays = append(delays, time.Duration(seconds*1e9))
 	}
 	return delays
 }
 
-// copies returns how many copies of the next datagram to forward. The caller holds mu.
-func (r *Relay) copies() int {
+// copyCount returns how many copies of the next datagram to forward, using up to two random numbers. The caller holds mu.
+func (r *Relay) copyCount() int {
 	if r.conditions.Cut || r.rand.Float64() < r.conditions.Loss {
 		return 0
 	}
@@ -67,31 +70,31 @@
 		send(datagram)
 		return
 	}
-	text := slices.Clone(datagram)
+	payload := slices.Clone(datagram)
 	pending.Add(1)
 	time.AfterFunc(delay, func() {
 		defer pending.Done()
-		send(text)
+		send(payload)
 	})
 }
 
 // recordDatagram adds a datagram to the sample for replay (reservoir sampling: each datagram so far is in the sample
 // with the same probability). The caller holds mu.
 func (r *Relay) recordDatagram(datagram []byte) {
-	r.passed++
+	r.receivedCount++
 	if len(r.recorded) < maxRecordedDatagrams {
 		r.recorded = append(r.recorded, slices.Clone(datagram))
 		return
 	}
-	i := r.rand.IntN(r.passed)
+	i := r.rand.IntN(r.receivedCount)
 	if i < maxRecordedDatagrams {
 		r.recorded[i] = slices.Clone(datagram)
 	}
 }
 
-// replay sends recorded datagrams again at the rate of the conditions, until the relay is closed.
+// replay resends randomly chosen recorded datagrams, conditions.Replay per second, until the relay is closed.
 func (r *Relay) replay(out *net.UDPConn, to *net.UDPAddr) {
-	due := 0.0 // datagrams to send, with the fraction left from earlier batches
+	due := 0.0 // number of datagrams to resend; the fraction carries over to the next batch
 	for {
 		select {
 		case <-time.After(replayInterval):
@@ -106,9 +109,10 @@
 	}
 }
 
-// replayBatch selects the datagrams to send again after one interval, at random. due is the number of datagrams left from
-// earlier intervals, and left is the one for the next interval. While the link is cut, due datagrams are dropped.
-func (r *Relay) replayBatch(due float64) (batch [][]byte, left float64) {
+// replayBatch picks random recorded datagrams to resend for one interval. due is the fraction of a datagram carried over from
+// earlier intervals, and remainder is the fraction for the next interval. While the link is cut or nothing is recorded yet, the
+// due datagrams are skipped.
+func (r *Relay) replayBatch(due float64) (batch [][]byte, remainder float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	due += r.conditions.Replay * replayInterval.Seconds()
--- a/internal/rig/rig_golden_test.go
+++ b/internal/rig/rig_golden_test.go
@@ -250,7 +250,7 @@
 
 // A node of an earlier version must be able to read the config file that the rig writes for it.
 func TestGoldenNodeConfig(t *testing.T) {
-	n := &node{index: 3, client: "127.0.1.4:7001", admin: "127.0.1.4:7002", fleet: "127.0.1.4:7003"}
+	n := &node{index: 3, clientAddress: "127.0.1.4:7001", adminAddress: "127.0.1.4:7002", fleetAddress: "127.0.1.4:7003"}
 	written, err := json.Marshal(config(n, "127.0.0.1:7004", "fleet.toml", 0x0123456789abcdef, 5))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rig/setup.go
+++ b/internal/rig/setup.go
@@ -18,13 +18,14 @@
 // portAttempts is the number of ports that are tried to find one that is free for both TCP and UDP.
 const portAttempts = 50
 
-// fleetKey authenticates the messages within the rig's fleet.
+// fleetKey is the test-only secret key that authenticates the messages within the rig's fleet.
 const fleetKey = "a key of the rig, for its own nodes"
 
-// joinNodes is the number of nodes, counted from the first, whose addresses every node is configured to join through.
+// joinNodes is the number of nodes that every fleet file lists as addresses to join at. They are the first nodes of the rig.
 const joinNodes = 3
 
-// start starts the stand-ins, the relays and the nodes.
+// start starts the simulated hosts, the simulated discovery service, the relays, the control servers if the script has any, and
+// then the nodes.
 func (r *Rig) start() (err error) {
 	if r.hosts, err = standin.StartHosts(r.script.Hosts); err != nil {
 		return err
@@ -33,7 +34,7 @@
 	r.discovery.Publish(r.hosts.EndpointList(1))
 	for i := range r.script.Nodes {
 		n := &node{rig: r, index: i, dir: filepath.Join(r.Dir, fmt.Sprintf("n%d", i))}
-		for _, address := range []*string{&n.client, &n.admin, &n.fleet} {
+		for _, address := range []*string{&n.clientAddress, &n.adminAddress, &n.fleetAddress} {
 			if *address, err = freeAddress(i); err != nil {
 				return err
 			}
@@ -59,14 +60,15 @@
 	return nil
 }
 
-// startRelays opens a relay for the link from each node to each other node.
+// startRelays starts one relay for each ordered pair of nodes. The seeds of its
+// relays differ in a rig of up to 100 nodes.
 func (r *Rig) startRelays() error {
 	for from := range r.nodes {
 		for to := range r.nodes {
 			if from == to {
 				continue
 			}
-			relay, err := NewRelay(r.nodes[to].fleet, r.Seed*1000+uint64(from*100+to))
+			relay, err := NewRelay(r.nodes[to].fleetAddress, r.Seed*1000+uint64(from*100+to))
 			if err != nil {
 				return err
 			}
@@ -76,7 +78,8 @@
 	return nil
 }
 
-// freeAddress returns a loopback address for the process with index i, with a port that is free for both TCP and UDP.
+// freeAddress returns an address for the process with index i, with a port that is free for both TCP and UDP. Its IP address is
+// the loopback address 127.0.x.y of that process: 200 processes share one x.
 func freeAddress(i int) (string, error) {
 	host := fmt.Sprintf("127.0.%d.%d", 1+i/200, 1+i%200)
 	for range portAttempts {
@@ -95,32 +98,34 @@
 	return "", fmt.Errorf("no port of %s is free for TCP and UDP after %d attempts", host, portAttempts)
 }
 
-// writeNodeFiles creates a node's directory with its config file and its fleet file.
+// writeNodeFiles generates the content of a node's fleet file and creates the node's directory with its config and fleet files.
+// The fleet file routes messages to each other node through the relay of that link.
 func (r *Rig) writeNodeFiles(n *node) error {
 	if err := os.MkdirAll(n.dir, 0o755); err != nil {
 		return err
 	}
-	file := fleet.Config{Fleet: r.fleetName(), Address: n.fleet, Period: r.script.ProbePeriod,
+	file := fleet.Config{Fleet: r.fleetName(), Address: n.fleetAddress, Period: r.script.ProbePeriod,
 		Key: hex.EncodeToString([]byte(fleetKey)), Via: map[string]string{}}
 	if r.script.Zones > 0 {
 		file.Zone = string(rune('a' + n.index%r.script.Zones))
 	}
 	for k, other := range r.nodes {
 		if k < joinNodes {
-			file.Join = append(file.Join, other.fleet)
+			file.Join = append(file.Join, other.fleetAddress)
 		}
 		if k != n.index {
-			file.Via[other.fleet] = r.relays[nodeLink{from: n.index, to: k}].Address()
+			file.Via[other.fleetAddress] = r.relays[nodeLink{from: n.index, to: k}].Address()
 		}
 	}
 	if r.control != nil {
 		r.control.addToFleetFile(&file, n.index)
 	}
-	return r.writeFiles(n, file, len(r.nodes))
+	return r.writeConfigAndFleetFile(n, file, len(r.nodes))
 }
 
-// writeFiles writes a node's fleet file and its config file. nodeCount is the number of nodes in its settings.
-func (r *Rig) writeFiles(n *node, file fleet.Config, nodeCount int) error {
+// writeConfigAndFleetFile writes a node's fleet file and a config file that refers to it. nodeCount is the fleet size in the
+// config file's settings.
+func (r *Rig) writeConfigAndFleetFile(n *node, file fleet.Config, nodeCount int) error {
 	text, err := toml.Marshal(file)
 	if err != nil {
 		return err
@@ -145,30 +150,32 @@
 	Fleet     string         `json:"fleet,omitempty"` // path of the fleet file
 	Seed      string         `json:"seed"`            // hexadecimal
 	Limits    NodeLimits     `json:"limits"`
-	Known     *endpoint.List `json:"known"` // hosts that the node knew before its start, so that they do not count as new
+	Known     *endpoint.List `json:"known"` // used until discovery answers; its hosts do not count as new
 	Settings  nodeSettings   `json:"settings"`
 }
 
-// NodeLimits are the resources that a node is configured to use.
+// NodeLimits are the resource limits in a node's config file.
 type NodeLimits struct {
 	Cores    int `json:"cores"`
-	MemoryMB int `json:"memory_mb"`
-	Sockets  int `json:"sockets"`
+	MemoryMB int `json:"memory_mb"` // MiB
+	Sockets  int `json:"sockets"`   // file descriptors
 }
 
-// smallNode holds the limits of the rig's nodes.
-var smallNode = NodeLimits{Cores: 1, MemoryMB: 128, Sockets: 512}
+// nodeLimits are the resource limits of the rig's nodes.
+var nodeLimits = NodeLimits{Cores: 1, MemoryMB: 128, Sockets: 512}
 
-// nodeSettings are the settings for a node's decisions. Times are in microseconds.
+// nodeSettings is the settings section of a node's config file: balancing mode, limits and service types. Times are in
+// microseconds.
 type nodeSettings struct {
 	Family       familyInfo     `json:"family_info"`
-	Granularity  int            `json:"granularity_us"`
-	Siblings     int            `json:"siblings"` // number of nodes in the fleet
+	Tick         int            `json:"granularity_us"`
+	FleetSize    int            `json:"siblings"` // number of nodes, including this one
 	Zones        []string       `json:"zones"`
 	Limits       settingsLimits `json:"limits"`
 	ServiceTypes []serviceType  `json:"service_types"`
 }
 
+// familyInfo contains the balancing mode.
 type familyInfo struct {
 	Mode string `json:"mode"`
 }
@@ -181,9 +188,9 @@
 }
 
 type serviceType struct {
-	Name   string `json:"name"`
-	Effect string `json:"effect"`
-	GiveUp int    `json:"give_up_us"`
+	Name              string `json:"name"`
+	Idempotency       string `json:"effect"` // repeatable: repeated attempts are harmless
+	MaxConnectTimeout int    `json:"give_up_us"`
 }
 
 // config returns the content of a node's config file. nodes is the number of nodes in the fleet. fleetFile is the path of the
@@ -191,24 +198,24 @@
 func config(n *node, discovery, fleetFile string, seed uint64, nodes int) nodeConfig {
 	return nodeConfig{
 		Name:      n.name(),
-		Listen:    n.client,
+		Listen:    n.clientAddress,
 		Discovery: discovery,
-		Admin:     n.admin,
+		Admin:     n.adminAddress,
 		Fleet:     fleetFile,
 		Seed:      fmt.Sprintf("%016x", seed),
-		Limits:    smallNode,
+		Limits:    nodeLimits,
 		Settings: nodeSettings{
-			Family:      familyInfo{Mode: "proxy"},
-			Granularity: 4000,
-			Siblings:    nodes,
-			Zones:       []string{"a"},
+			Family:    familyInfo{Mode: "proxy"},
+			Tick:      4000,
+			FleetSize: nodes,
+			Zones:     []string{"a"}, // the zone of all simulated hosts
 			Limits: settingsLimits{
 				DialTimeout:   1000000,
 				MaxConnects:   3,
 				MaxRetryAfter: 2000000,
 				RetryAfter:    true,
 			},
-			ServiceTypes: []serviceType{{Name: "chat", Effect: "repeatable", GiveUp: 2000000}},
+			ServiceTypes: []serviceType{{Name: "chat", Idempotency: "repeatable", MaxConnectTimeout: 2000000}},
 		},
 	}
 }
--- a/internal/rig/single.go
+++ b/internal/rig/single.go
@@ -25,10 +25,10 @@
 ) (*StandaloneNode, error) {
 	n := &node{}
 	var err error
-	if n.client, err = freeAddress(0); err != nil {
+	if n.clientAddress, err = freeAddress(0); err != nil {
 		return nil, err
 	}
-	s := &StandaloneNode{Client: n.client, discovery: standin.StartDiscovery()}
+	s := &StandaloneNode{Client: n.clientAddress, discovery: standin.StartDiscovery()}
 	s.discovery.Publish(hosts.EndpointList(1))
 	c := config(n, s.discovery.Address(), "", 1, 1)
 	known := hosts.EndpointList(1)
--- a/internal/rig/timeline.go
+++ b/internal/rig/timeline.go
@@ -42,8 +42,8 @@
 		p.Add(line)
 		return nil
 	}
-	end := endOf(r.Events)
-	for _, e := range episodes(r.Events) {
+	end := lastEventTime(r.Events)
+	for _, e := range activeFaults(r.Events) {
 		e.to = min(e.to, end) // a fault that has not ended is drawn to the end of the run
 		c, offset := color.Color(grey), 0.0
 		if faultKinds[e.Kind].onLink {
--- a/internal/rig/traffic.go
+++ b/internal/rig/traffic.go
@@ -42,7 +42,7 @@
 		r.flows.Go(func() {
 			began := r.history.now()
 			f := standin.RunFlow(runContext, standin.FlowRequest{
-				Address: n.client,
+				Address: n.clientAddress,
 				ID:      fmt.Sprintf("%08x", id),
 				Key:     key,
 				Timeout: flowTimeout,
--- a/internal/rig/views.go
+++ b/internal/rig/views.go
@@ -22,7 +22,7 @@
 
 // fetch sends a GET request to a node's admin address and decodes the JSON response into v.
 func (r *Rig) fetch(ctx context.Context, n *node, path string, v any) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.admin+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.adminAddress+path, nil)
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("GET %s%s: status %s", n.admin, path, res.Status)
+		return fmt.Errorf("GET %s%s: status %s", n.adminAddress, path, res.Status)
 	}
 	return json.NewDecoder(io.LimitReader(res.Body, 1<<20)).Decode(v)
 }
