--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -112,16 +112,15 @@
 	return fmt.Appendf(nil, "OPEN %s %016x c=%s,t=all,d=%d,g=%x%s\r\n", c.flow.id, c.key, c.traffic.Name, timeout, c.group, attributes)
 }
 
-// scheduleDeparture schedules the client to leave before it is answered, if it is drawn as one of the clients that are
-// impatient at present.
+// scheduleDeparture schedules the client to leave before it is answered, with the probability earlyDepartureShare.
 func (c *client) scheduleDeparture() {
 	sim := c.sim
-	if sim.impatientShare <= 0 || c.random.Float64() >= sim.impatientShare {
+	if sim.earlyDepartureShare <= 0 || c.random.Float64() >= sim.earlyDepartureShare {
 		return
 	}
 	generation, f := c.generation, c.flow
-	patience := c.random.Float64() * min(c.traffic.ConnectTimeout, 4*c.traffic.SetupObjective)
-	sim.After(patience, func() {
+	timeToDeparture := c.random.Float64() * min(c.traffic.ConnectTimeout, 4*c.traffic.SetupObjective)
+	sim.After(timeToDeparture, func() {
 		if c.awaitsAnswer(generation, f) {
 			c.disconnect(c.random.Float64() < 0.5)
 			f.clientLeftAt = sim.Now
--- a/internal/emulator/fault_generate.go
+++ b/internal/emulator/fault_generate.go
@@ -13,9 +13,9 @@
 		return nil
 	}
 	random := newRandom(s.seed, "faults", 0)
-	// The fault of clients that leave is appended after the others, so that a seed generates the same other faults as it did
+	// The early departure is appended after the other faults, so that a seed generates the same other faults as it did
 	// before this kind was added.
-	kinds := slices.DeleteFunc(FaultKinds(), func(kind FaultKind) bool { return kind == faultClientsLeave })
+	kinds := slices.DeleteFunc(FaultKinds(), func(kind FaultKind) bool { return kind == faultEarlyDeparture })
 	fleet := s.script.Fleet
 	var faults []Fault
 	for range s.script.GeneratedFaults {
@@ -26,7 +26,7 @@
 	}
 	return append(faults, Fault{
 		At:       random.Float64() * s.script.Duration,
-		Kind:     faultClientsLeave,
+		Kind:     faultEarlyDeparture,
 		Amount:   random.Float64(),
 		Duration: randomFaultDuration(random),
 	})
@@ -45,11 +45,11 @@
 		Count:    1 + random.IntN(max(fleet.Hosts/2, 1)),
 	}
 	switch f.Kind {
-	case faultDialLate:
+	case faultConnectDelay:
 		f.Amount = random.Float64()
-	case faultListSlow:
+	case faultListCallRateLimit:
 		f.Amount = float64(fleet.Nodes) * (0.1 + random.Float64()) // answers one call of each node within 0.9 to 10 seconds
-	case faultDropClients, faultHostErrors, faultListSilent, faultListReset:
+	case faultDropClients, faultHostErrors, faultWatchSilence, faultWatchReset:
 		f.Amount = 0.2 + 0.5*random.Float64()
 	case faultStoreSlow:
 		f.Amount = 1 + 20*random.Float64()
--- a/internal/emulator/fault_inject.go
+++ b/internal/emulator/fault_inject.go
@@ -7,39 +7,44 @@
 )
 
 const (
-	removalDelay = 6.0 // seconds from the start of a host's drain to its removal
-	restartDelay = 4.0 // seconds from the start of a node's graceful shutdown to its end
+	drainTime            = 6.0 // seconds from the start of a host's drain to its removal, in faults that remove several hosts
+	gracefulShutdownTime = 4.0 // seconds that a node has for a graceful shutdown until its process is killed
 )
 
 // injectors maps each kind of fault to the function that injects it.
+//
+// Overlapping faults of one kind add up if they are delays. The other faults that set a value for a time do not: a later one
+// replaces the value of an earlier one, and the first to end resets the value for both. A limit of the list's call rate or of
+// the session store restores the value that it found: if the earlier of two overlapping faults ends first, its limit stays in
+// force after both have ended.
 var injectors = map[FaultKind]func(*simulation, Fault){
-	faultGrow:         injectGrow,
-	faultShrink:       injectRemovals,
-	faultRelease:      injectRemovals,
-	faultZoneLoss:     injectZoneLoss,
-	faultListLate:     injectListLate,
-	faultListDown:     func(s *simulation, f Fault) { s.discovery.interrupt(f.Duration) },
-	faultListSlow:     injectListSlow,
-	faultListSilent:   func(s *simulation, f Fault) { s.discovery.silenceWatches(f.Amount) },
-	faultListReset:    func(s *simulation, f Fault) { s.discovery.resetWatches(f.Amount) },
-	faultListMove:     func(s *simulation, f Fault) { s.discovery.relocate(f.Duration) },
-	faultDialLate:     injectDialLate,
-	faultClientsLeave: injectClientsLeave,
-	faultDropClients:  injectDropClients,
-	faultHostSlow:     injectHostSlow,
-	faultHostErrors:   injectHostErrors,
-	faultHostCrash:    injectHostCrash,
-	faultHostVanish:   func(s *simulation, f Fault) { s.vanish(s.faultHost(f), f.Duration) },
-	faultHostDrain:    injectHostDrain,
-	faultHostStall:    injectHostStall,
-	faultStoreSlow:    injectStoreSlow,
-	faultHostDisabled: func(s *simulation, f Fault) { s.disableForMaintenance(s.faultHost(f), f.Duration) },
-	faultNodeUpgrade:  func(s *simulation, f Fault) { s.upgrade(f.Node) },
-	faultNodeKill:     func(s *simulation, f Fault) { s.kill(s.nodes[f.Node], f.Duration) },
-	faultNodeRestart:  injectNodeRestart,
-}
-
-// inject injects a fault now.
+	faultGrow:                injectGrow,
+	faultShrink:              injectRemovals,
+	faultRollingRelease:      injectRemovals,
+	faultZoneLoss:            injectZoneLoss,
+	faultListDelay:           injectListDelay,
+	faultDiscoveryOutage:     func(s *simulation, f Fault) { s.discovery.interrupt(f.Duration) },
+	faultListCallRateLimit:   injectListCallRateLimit,
+	faultWatchSilence:        func(s *simulation, f Fault) { s.discovery.silenceWatches(f.Amount) },
+	faultWatchReset:          func(s *simulation, f Fault) { s.discovery.resetWatches(f.Amount) },
+	faultDiscoveryRelocation: func(s *simulation, f Fault) { s.discovery.relocate(f.Duration) },
+	faultConnectDelay:        injectConnectDelay,
+	faultEarlyDeparture:      injectEarlyDeparture,
+	faultDropClients:         injectDropClients,
+	faultHostSlow:            injectHostSlow,
+	faultHostErrors:          injectHostErrors,
+	faultHostCrash:           injectHostCrash,
+	faultHostVanish:          func(s *simulation, f Fault) { s.vanish(s.faultHost(f), f.Duration) },
+	faultHostDrain:           injectHostDrain,
+	faultHostStall:           injectHostStall,
+	faultStoreSlow:           injectStoreSlow,
+	faultHostDisabled:        func(s *simulation, f Fault) { s.disableForMaintenance(s.faultHost(f), f.Duration) },
+	faultNodeUpgrade:         func(s *simulation, f Fault) { s.upgrade(f.Node) },
+	faultNodeKill:            func(s *simulation, f Fault) { s.kill(s.nodes[f.Node], f.Duration) },
+	faultNodeRestart:         injectNodeRestart,
+}
+
+// inject writes a fault to the trace and injects it.
 func (s *simulation) inject(f Fault) {
 	s.trace("fault %s host %d node %d zone %d count %d for %g by %g", f.Kind, f.Host, f.Node, f.Zone, f.Count, f.Duration, f.Amount)
 	if injector, known := injectors[f.Kind]; known {
@@ -47,7 +52,8 @@
 	}
 }
 
-// faultHost returns the host of a fault whose kind requires one.
+// faultHost returns the host of a fault whose kind requires one. The index wraps around, because a generated fleet may have
+// fewer hosts than the fleet of the script, against which the index was checked.
 func (s *simulation) faultHost(f Fault) *host { return s.hosts[f.Host%max(len(s.hosts), 1)] }
 
 func injectGrow(s *simulation, f Fault) {
@@ -56,7 +62,8 @@
 	}
 }
 
-// injectRemovals drains and removes hosts one after another. A release adds a new host for each of them.
+// injectRemovals drains and removes f.Count hosts one after another, with starts spread evenly over f.Duration. A rolling release
+// also adds a new host at the start of each drain.
 func injectRemovals(s *simulation, f Fault) {
 	for i := range f.Count {
 		s.After(f.Duration*float64(i)/float64(f.Count), func() {
@@ -65,13 +72,14 @@
 				return
 			}
 			s.drainAndRemove(h)
-			if f.Kind == faultRelease {
+			if f.Kind == faultRollingRelease {
 				s.addHost(s.Now)
 			}
 		})
 	}
 }
 
+// injectZoneLoss takes all hosts of a zone off the network, including draining ones.
 func injectZoneLoss(s *simulation, f Fault) {
 	for _, h := range s.hosts {
 		if h.zone == f.Zone && h.state != removed {
@@ -80,25 +88,26 @@
 	}
 }
 
-func injectListLate(s *simulation, f Fault) {
+func injectListDelay(s *simulation, f Fault) {
 	s.discovery.extraDelay += f.Amount
 	s.After(f.Duration, func() { s.discovery.extraDelay -= f.Amount })
 }
 
-func injectListSlow(s *simulation, f Fault) {
+func injectListCallRateLimit(s *simulation, f Fault) {
 	previous := s.discovery.callRate
 	s.discovery.callRate = max(f.Amount, minListCallRate)
 	s.After(f.Duration, func() { s.discovery.callRate = previous })
 }
 
-func injectDialLate(s *simulation, f Fault) {
+func injectConnectDelay(s *simulation, f Fault) {
 	s.network.connectDelay += f.Amount
 	s.After(f.Duration, func() { s.network.connectDelay -= f.Amount })
 }
 
-func injectClientsLeave(s *simulation, f Fault) {
-	s.impatientShare = min(f.Amount, 1)
-	s.After(f.Duration, func() { s.impatientShare = 0 })
+// injectEarlyDeparture makes a share of the new clients leave before they are answered: see scheduleDeparture.
+func injectEarlyDeparture(s *simulation, f Fault) {
+	s.earlyDepartureShare = min(f.Amount, 1)
+	s.After(f.Duration, func() { s.earlyDepartureShare = 0 })
 }
 
 func injectDropClients(s *simulation, f Fault) {
@@ -129,9 +138,10 @@
 		return
 	}
 	h.crash()
-	s.After(f.Duration, func() { s.revive(h) })
+	s.After(f.Duration, func() { s.restartHost(h) })
 }
 
+// injectHostDrain drains a host for the duration of the fault and then removes it.
 func injectHostDrain(s *simulation, f Fault) {
 	h := s.faultHost(f)
 	if h.state != serving {
@@ -154,6 +164,7 @@
 	s.After(f.Duration, func() { s.store.callLimit = previous })
 }
 
+// injectNodeRestart asks a node to shut down, kills its process after gracefulShutdownTime and restarts it f.Duration later.
 func injectNodeRestart(s *simulation, f Fault) {
 	n := s.nodes[f.Node]
 	if !n.running {
@@ -161,10 +172,11 @@
 	}
 	n.shuttingDown = true
 	n.deliver(node.Shutdown{})
-	s.After(restartDelay, func() { s.kill(n, f.Duration) })
+	s.After(gracefulShutdownTime, func() { s.kill(n, f.Duration) })
 }
 
-// oldestServingHost returns the first host that serves and runs, or nil.
+// oldestServingHost returns the host that was added first among those that are serving, running and on the network, or nil if
+// there is none.
 func (s *simulation) oldestServingHost() *host {
 	i := slices.IndexFunc(s.hosts, func(h *host) bool { return h.state == serving && h.running && !h.vanished })
 	if i < 0 {
@@ -173,11 +185,11 @@
 	return s.hosts[i]
 }
 
-// drainAndRemove starts to drain a host and removes it after the removal delay.
+// drainAndRemove starts to drain a host and removes it after drainTime.
 func (s *simulation) drainAndRemove(h *host) {
 	h.state = draining
 	s.discovery.announce(h, statusDraining)
-	s.After(removalDelay, func() { s.remove(h) })
+	s.After(drainTime, func() { s.remove(h) })
 }
 
 // remove deletes a host from the endpoint list and ends its process. It has no effect on a removed host.
@@ -192,8 +204,8 @@
 	}
 }
 
-// vanish takes a host's machine off the network for the given seconds, without resetting its connections. The host then
-// restarts.
+// vanish takes a host's machine off the network for duration seconds without resetting its connections, as a power failure
+// does: data to and from the host are lost. Then the process crashes, which resets the old connections, and restarts.
 func (s *simulation) vanish(h *host, duration float64) {
 	if h.vanished || h.state == removed {
 		return
@@ -202,12 +214,12 @@
 	s.After(duration, func() {
 		h.vanished = false
 		h.crash()
-		s.revive(h)
+		s.restartHost(h)
 	})
 }
 
-// revive restarts a host unless it is removed, and announces its new start time in the endpoint list.
-func (s *simulation) revive(h *host) {
+// restartHost restarts a host unless it is removed, and announces its new start time in the endpoint list.
+func (s *simulation) restartHost(h *host) {
 	if h.state == removed {
 		return
 	}
@@ -215,8 +227,9 @@
 	s.discovery.announce(h, statusServing)
 }
 
-// kill ends a node's process without a shutdown and restarts it after the given seconds. If its predecessor in an upgrade
-// still runs and is not shutting down, the predecessor listens again instead, and no process is started.
+// kill ends a node's process without a graceful shutdown. If the process is the successor in an upgrade and the predecessor is
+// still running and not shutting down, the predecessor becomes the node's listening process again. Otherwise the node starts a
+// new process after restartAfter seconds, unless another process has replaced the killed one by then.
 func (s *simulation) kill(n *nodeProcess, restartAfter float64) {
 	if n.running {
 		n.stop()
--- a/internal/emulator/maintenance.go
+++ b/internal/emulator/maintenance.go
@@ -32,7 +32,7 @@
 	s.After(duration/2, func() {
 		if h.state == serving && h.running {
 			h.crash()
-			s.revive(h)
+			s.restartHost(h)
 		}
 	})
 	s.After(duration, func() { s.setHostDisabled(h, false) })
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -29,25 +29,25 @@
 // simulation is one run of a script.
 type simulation struct {
 	*network
-	script         Scenario
-	options        Options
-	seed           uint64
-	startTime      float64 // Unix time in seconds at time 0 of the clock
-	hosts          []*host // all hosts of the run, including removed ones
-	hostsByName    map[string]*host
-	nodes          []*nodeProcess // the listening process of each node
-	clients        []*client
-	flowsByID      map[string]*flow
-	flowCount      int
-	discovery      *discovery
-	impatientShare float64 // share of the new clients that do not wait for an answer
-	store          *sessionStore
-	checker        *checker
-	result         *Result
-	random         *rand.Rand
-	settings       []byte // settings document of every node
-	recentTrace    []string
-	hash           hash.Hash64
+	script              Scenario
+	options             Options
+	seed                uint64
+	startTime           float64 // Unix time in seconds at time 0 of the clock
+	hosts               []*host // all hosts of the run, including removed ones
+	hostsByName         map[string]*host
+	nodes               []*nodeProcess // the listening process of each node
+	clients             []*client
+	flowsByID           map[string]*flow
+	flowCount           int
+	discovery           *discovery
+	earlyDepartureShare float64 // share of the new clients that leave before they are answered
+	store               *sessionStore
+	checker             *checker
+	result              *Result
+	random              *rand.Rand
+	settings            []byte // settings document of every node
+	recentTrace         []string
+	hash                hash.Hash64
 }
 
 func zoneName(zone int) string { return fmt.Sprintf("z%d", zone) }
