--- a/cmd/gorseledge-lab/members.go
+++ b/cmd/gorseledge-lab/members.go
@@ -46,7 +46,7 @@
 	c.Flags().IntSliceVar(&o.nodes, "nodes", []int{30, 300}, "sizes of the fleets")
 	c.Flags().StringVar(&o.charts, "charts", "", "directory for a chart of each size")
 	c.Flags().BoolVar(&o.idle, "rest", false, "measure fleets without faults instead: CPU, memory and messages, one row per seed")
-	o.table.flags(c)
+	o.table.addFlags(c)
 	c.Flags().IntVar(&o.seeds, "seeds", 20, "number of fleets of each size")
 	c.Flags().Float64Var(&o.fleet.Loss, "loss", 0, "fraction of the messages that are lost")
 	c.Flags().Float64Var(&o.stalls.Fraction, "stalls", 0.1, "fraction of the nodes that stall")
--- a/cmd/gorseledge-lab/serving.go
+++ b/cmd/gorseledge-lab/serving.go
@@ -54,7 +54,7 @@
 	f := c.Flags()
 	f.StringVar(&out, "out", "", "directory for serving.csv")
 	f.StringVar(&machine, "machine", "what else ran on it was not noted",
-		"description of the machine and its other load, for the provenance in the table")
+		"description of the machine and its other load during the run, recorded in the table")
 	f.StringVar(&o.Program, "node", "", "path of the node program; built from this checkout by default")
 	f.IntVar(&o.Cores, "cores", 1, "number of CPU cores that the node may use at once")
 	f.IntVar(&o.Repeats, "repeats", 3, "number of runs of all steps, each with new nodes")
--- a/cmd/gorseledge-lab/table_test.go
+++ b/cmd/gorseledge-lab/table_test.go
@@ -13,8 +13,8 @@
 		{[]string{"serving", "--out", "/tmp/x", "--node", "/opt/bin/gorseledge"}, []string{"serving", "--node", "gorseledge"}},
 		{[]string{"serving", "--out"}, []string{"serving"}},
 	} {
-		if got := withoutPaths(c.arguments); !slices.Equal(got, c.want) {
-			t.Errorf("withoutPaths(%v) returned %v, want %v", c.arguments, got, c.want)
+		if got := reproducibleArgs(c.arguments); !slices.Equal(got, c.want) {
+			t.Errorf("reproducibleArgs(%v) returned %v, want %v", c.arguments, got, c.want)
 		}
 	}
 }
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	minCommonSeeds    = 2   // fewest seeds for which a difference has a standard error
-	significantErrors = 2.0 // standard errors above which a difference is significant
+	minCommonSeeds    = 2   // minimum number of common seeds; fewer give no standard error of the difference
+	significantErrors = 2.0 // number of standard errors above which a difference is significant
 )
 
 // table is a table of results, parsed from CSV.
 type table struct {
 	seeds []string                      // in the order of the rows
-	rows  map[string]map[string]float64 // figures by seed and column
+	rows  map[string]map[string]float64 // values by seed and column
 }
 
 // comparison compares one column of two tables over the seeds that both contain.
 type comparison struct {
-	before, after float64 // means over the common seeds
+	before, after float64 // means over the common seeds, from before and from after the change
 	difference    float64 // mean of after less before
 	standardError float64 // standard error of the difference
 }
@@ -46,8 +46,8 @@
 		if err != nil {
 			return "", fmt.Errorf("comparing column %q: %w", column.name, err)
 		}
-		fmt.Fprintf(&out, "| %s | %s | %s | %s | %s | %s |\n", column.name, formatFigure(c.before), formatFigure(c.after),
-			formatFigure(c.difference), formatFigure(c.standardError), c.significance())
+		fmt.Fprintf(&out, "| %s | %s | %s | %s | %s | %s |\n", column.name, formatValue(c.before), formatValue(c.after),
+			formatValue(c.difference), formatValue(c.standardError), c.significance())
 	}
 	return out.String(), nil
 }
@@ -60,7 +60,7 @@
 	return "within the noise"
 }
 
-// compareColumn compares one column of two tables. A missing figure counts as 0.
+// compareColumn compares one column of two tables. A missing value counts as 0.
 func compareColumn(a, b table, column string) (comparison, error) {
 	var differences []float64
 	sumBefore, sumAfter := 0.0, 0.0
@@ -87,8 +87,8 @@
 	}, nil
 }
 
-// readTable parses a CSV table. Of several rows with the same seed the last one is used. Cells that are not numbers are
-// skipped.
+// readTable parses a CSV table with a header row. If several rows have the same seed, the last one is used. An empty text
+// is an empty table.
 func readTable(text []byte) (table, error) {
 	records, err := csv.NewReader(bytes.NewReader(text)).ReadAll()
 	if err != nil {
@@ -104,19 +104,19 @@
 		if _, known := t.rows[seed]; !known {
 			t.seeds = append(t.seeds, seed)
 		}
-		t.rows[seed] = readFigures(head, record)
+		t.rows[seed] = readValues(head, record)
 	}
 	return t, nil
 }
 
-// readFigures returns the figures of one record by column name.
-func readFigures(head, record []string) map[string]float64 {
-	figures := map[string]float64{}
+// readValues returns the values of one record by column name. It skips cells that are not numbers.
+func readValues(head, record []string) map[string]float64 {
+	values := map[string]float64{}
 	for i := len(leadingColumns); i < len(record); i++ {
-		figure, err := strconv.ParseFloat(record[i], 64)
+		value, err := strconv.ParseFloat(record[i], 64)
 		if err == nil {
-			figures[head[i]] = figure
+			values[head[i]] = value
 		}
 	}
-	return figures
+	return values
 }
--- a/internal/lab/compare_test.go
+++ b/internal/lab/compare_test.go
@@ -13,18 +13,18 @@
 	t.Run("same build", func(t *testing.T) {
 		compared, err := Compare(before, sweptTable(t, "5", seeds, 4))
 		if err != nil || strings.Contains(compared, "differs") {
-			t.Errorf("same build: got error %v, want a table without differences:\n%s", err, compared)
+			t.Errorf("got error %v, want no error and a table without differences:\n%s", err, compared)
 		}
 	})
 	t.Run("three times the traffic", func(t *testing.T) {
 		compared, err := Compare(before, sweptTable(t, "15", seeds, 2))
 		if err != nil || !strings.Contains(compared, "| asked |") || !strings.Contains(compared, "differs") {
-			t.Errorf("three times the traffic: got error %v, want a table with a difference:\n%s", err, compared)
+			t.Errorf("got error %v, want no error and a table with a row \"asked\" and a difference:\n%s", err, compared)
 		}
 	})
 	t.Run("one seed in common", func(t *testing.T) {
 		if _, err := Compare(before, sweptTable(t, "15", seeds[:1], 2)); err == nil {
-			t.Error("got no error for tables with one seed in common")
+			t.Error("got no error for tables with one seed in common, want one")
 		}
 	})
 }
--- a/internal/lab/lab_golden_test.go
+++ b/internal/lab/lab_golden_test.go
@@ -9,9 +9,9 @@
 	"gorseledge/internal/emulator"
 )
 
-// The files under testdata were written by the deployed version (revision 5fa7498). Tables that are kept from earlier versions
-// are compared with new ones, so the files are never regenerated: a test that fails here means that a column or the form of a
-// table has changed.
+// The files under testdata were written by revision 5fa7498. Stored tables of earlier versions are compared with new ones, so
+// the files are never regenerated. A failing test means that a column or the format of a table has changed, or that the
+// emulator's set-up times have: see goldenResults.
 
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -29,13 +29,13 @@
 	}
 }
 
-// goldenResults returns results with a figure in each column. Their set-up times are those of a run, because only the
-// emulator can set them.
+// goldenResults returns results with a value other than 0 in every column. The set-up times are those of an emulator run,
+// because their field is not exported. They are the only values in the golden files that depend on the emulator's behaviour.
 func goldenResults(t *testing.T) []*emulator.Result {
 	t.Helper()
 	base := emulator.Run(smallScenario(t, "5"), 1, emulator.Options{})
 	if base.SetupQuantile(0.5) <= 0 {
-		t.Fatal("the run recorded no set-up time")
+		t.Fatalf("the median set-up time of the emulator run is %v s, want it above 0", base.SetupQuantile(0.5))
 	}
 	var results []*emulator.Result
 	for i := range 3 {
@@ -50,7 +50,8 @@
 	return results
 }
 
-// Guards against changed columns or formats, with which tables of earlier versions could no longer be compared.
+// Guards against a change of columns or formats, after which tables of earlier versions could no longer be compared with new
+// ones.
 func TestGoldenTables(t *testing.T) {
 	results := goldenResults(t)
 	checkGolden(t, "plays.csv", CSV(results))
--- a/internal/lab/sweep_test.go
+++ b/internal/lab/sweep_test.go
@@ -21,7 +21,7 @@
 func TestSweepResultsDoNotDependOnParallelism(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4}
 	if string(sweptTable(t, "5", seeds, 1)) != string(sweptTable(t, "5", seeds, 4)) {
-		t.Error("the tables of sequential and of parallel runs differ")
+		t.Error("the tables of 1 and of 4 runs at a time differ, want equal tables")
 	}
 }
 
@@ -30,6 +30,6 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := Sweep(ctx, smallScenario(t, "5"), []uint64{1, 2}, 1, emulator.Options{}); err == nil {
-		t.Error("got no error after the context was cancelled")
+		t.Error("got no error after the context was cancelled, want one")
 	}
 }
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -10,22 +10,23 @@
 	"gorseledge/internal/emulator"
 )
 
-// figureScale is the inverse of the step to which figures are rounded: four digits after the decimal point.
-const figureScale = 1e4
+// valueScale sets the precision of a table: values are rounded to multiples of 1/valueScale, that is, to four decimal places.
+const valueScale = 1e4
 
-// column is one column of a table. Its name is part of tables that are kept, and must not change.
+// column is one column of a table. The name is in the header of stored tables, so it must not change, even if it differs from
+// the name of the field of emulator.Result that the column contains.
 type column struct {
-	name   string
-	figure func(r *emulator.Result) float64
+	name  string
+	value func(r *emulator.Result) float64
 }
 
-// leadingColumns are the names of the columns before the figures.
+// leadingColumns are the names of the columns that precede the values and identify a result.
 var leadingColumns = []string{"scenario", "seed", "trace"}
 
 // seedColumn is the index of the seed in leadingColumns.
 const seedColumn = 1
 
-// columns are the columns with figures, in the order of the table.
+// columns are the columns that contain values, in the order of the table.
 var columns = []column{
 	{"service", func(r *emulator.Result) float64 { return r.ServedShare }},
 	{"asked", func(r *emulator.Result) float64 { return float64(r.Requested) }},
@@ -45,9 +46,9 @@
 	{"rules broken", func(r *emulator.Result) float64 { return float64(len(r.Violations)) }},
 }
 
-// formatFigure returns a figure rounded to four digits after the decimal point, without trailing zeros.
-func formatFigure(figure float64) string {
-	return strconv.FormatFloat(math.Round(figure*figureScale)/figureScale, 'f', -1, 64)
+// formatValue returns a value rounded to four decimal places, without trailing zeros.
+func formatValue(value float64) string {
+	return strconv.FormatFloat(math.Round(value*valueScale)/valueScale, 'f', -1, 64)
 }
 
 // CSV returns a CSV table with a header row and one row for each result.
@@ -62,7 +63,7 @@
 	for _, r := range results {
 		row := []string{r.Scenario, strconv.FormatUint(r.Seed, 10), strconv.FormatUint(r.TraceHash, 16)}
 		for _, c := range columns {
-			row = append(row, formatFigure(c.figure(r)))
+			row = append(row, formatValue(c.value(r)))
 		}
 		writeRow(w, row)
 	}
@@ -70,46 +71,46 @@
 	return buffer.Bytes()
 }
 
-// writeRow writes a row to a CSV writer whose output is a buffer, so that writing cannot fail.
+// writeRow writes one row. It panics on an error, which does not occur because the writer's output is an in-memory buffer.
 func writeRow(w *csv.Writer, row []string) {
 	if err := w.Write(row); err != nil {
 		panic(err)
 	}
 }
 
-// Markdown returns a Markdown table with the mean of each figure over the results and the standard error of the mean, which
-// is infinite for fewer than two results.
+// Markdown returns a Markdown table with the mean of each value over the results and the standard error of the mean. The
+// standard error is infinite for fewer than two results.
 func Markdown(results []*emulator.Result) []byte {
 	var buffer bytes.Buffer
 	fmt.Fprintf(&buffer, "| figure (simulated) | mean of %d seeds | error of the mean |\n|---|---|---|\n", len(results))
 	for _, c := range columns {
-		figures := make([]float64, 0, len(results))
+		values := make([]float64, 0, len(results))
 		for _, r := range results {
-			figures = append(figures, c.figure(r))
+			values = append(values, c.value(r))
 		}
-		mean := meanOf(figures)
-		fmt.Fprintf(&buffer, "| %s | %s | %s |\n", c.name, formatFigure(mean), formatFigure(standardError(figures, mean)))
+		mean := meanOf(values)
+		fmt.Fprintf(&buffer, "| %s | %s | %s |\n", c.name, formatValue(mean), formatValue(standardError(values, mean)))
 	}
 	return buffer.Bytes()
 }
 
-// meanOf returns the mean of the figures, or 0 if there are none.
-func meanOf(figures []float64) float64 {
+// meanOf returns the mean of the values, or 0 if there are none.
+func meanOf(values []float64) float64 {
 	sum := 0.0
-	for _, x := range figures {
+	for _, x := range values {
 		sum += x
 	}
-	return sum / max(float64(len(figures)), 1)
+	return sum / max(float64(len(values)), 1)
 }
 
-// standardError returns the standard error of the given mean of the figures. It is infinite for fewer than two figures.
-func standardError(figures []float64, mean float64) float64 {
-	count := float64(len(figures))
+// standardError returns the standard error of the given mean of the values. It is infinite for fewer than two values.
+func standardError(values []float64, mean float64) float64 {
+	count := float64(len(values))
 	if count < 2 {
 		return math.Inf(1)
 	}
 	squares := 0.0
-	for _, x := range figures {
+	for _, x := range values {
 		squares += (x - mean) * (x - mean)
 	}
 	return math.Sqrt(squares / (count - 1) / count)
