--- a/internal/serving/bench.go
+++ b/internal/serving/bench.go
@@ -16,7 +16,7 @@
 	microsecondsInSecond = 1e6
 )
 
-// bench is one node process with its stand-in hosts and clients. The caller of startBench must call close.
+// bench is one node process with its simulated hosts and clients. The caller of startBench must call close.
 type bench struct {
 	node    *rig.StandaloneNode
 	hosts   *standin.Hosts
@@ -54,7 +54,7 @@
 	b.hosts.Close()
 }
 
-// processorTime runs the given function and returns the CPU time that the node uses in that time, in microseconds.
+// processorTime runs the given function and returns the CPU time that the node uses while the function runs, in microseconds.
 func (b *bench) processorTime(run func() error) (float64, error) {
 	before, err := readUsage(b.node.PID())
 	if err != nil {
@@ -64,5 +64,5 @@
 		return 0, err
 	}
 	after, err := readUsage(b.node.PID())
-	return microsecondsInSecond * (after.processorTime - before.processorTime), err
+	return microsecondsInSecond * (after.cpuSeconds - before.cpuSeconds), err
 }
--- a/internal/serving/bursts.go
+++ b/internal/serving/bursts.go
@@ -77,8 +77,8 @@
 	r.record(m, "burst.last_p50", seconds, measured.last.percentile(median))
 	r.record(m, "burst.last_p99", seconds, measured.last.percentile(percentile99))
 	r.report("repeat %d: %s to %d clients, latency of the last delivery: median %.2f ms, 99th percentile %.2f ms",
-		m.repeat, m.phase, m.size, millisecondsInSecond*measured.last.percentile(median),
-		millisecondsInSecond*measured.last.percentile(percentile99))
+		m.repeat, m.phase, m.size, millisecondsPerSecond*measured.last.percentile(median),
+		millisecondsPerSecond*measured.last.percentile(percentile99))
 	return nil
 }
 
@@ -90,7 +90,7 @@
 	var progress burstProgress
 	c.observe(func(written, read time.Duration) {
 		if written != began {
-			return // a delivery of the load that runs during the bursts
+			return // a delivery that belongs to the load during the bursts
 		}
 		latency := read - written
 		measured.each.add(latency)
@@ -115,7 +115,7 @@
 	}
 }
 
-// writeToAll makes the hosts write a line to the receivers. All hosts write at the same time, each to one of its receivers
+// writeToAll makes the hosts write a line to the receivers. All hosts write at the same time; each writes to its receivers one
 // after the other.
 func writeToAll(receivers []*client, line []byte) error {
 	byHost := map[string][]*client{}
--- a/internal/serving/bursts_test.go
+++ b/internal/serving/bursts_test.go
@@ -13,7 +13,7 @@
 	progress.add(5 * time.Millisecond)
 	readers, longest := progress.add(3 * time.Millisecond)
 	if readers != 3 || longest != 5*time.Millisecond {
-		t.Errorf("%d readers with a longest latency of %v, want 3 readers and 5ms", readers, longest)
+		t.Errorf("got %d readers with a longest latency of %v, want 3 readers and 5ms", readers, longest)
 	}
 	if progress.count() != 3 {
 		t.Errorf("counted %d readers, want 3", progress.count())
--- a/internal/serving/clients.go
+++ b/internal/serving/clients.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// attempt makes one attempt to open a client.
+// attempt makes one attempt to open a client: it connects to the node, sends the opening line, waits for the answer and starts a
+// goroutine that reads the client's deliveries.
 func (c *clients) attempt(ctx context.Context, number int) (*client, error) {
 	dialer := net.Dialer{LocalAddr: sourceAddress(number)}
 	socket, err := dialer.DialContext(ctx, "tcp", c.node)
@@ -155,8 +156,9 @@
 	return &net.TCPAddr{IP: net.IPv4(127, 100, byte(index>>8), byte(1+index&0xff))}
 }
 
-// read passes a client's deliveries to the observer until its connection ends. A line longer than maxLineBytes ends it as
-// well; no host sends one.
+// read passes a client's deliveries to the observer until its connection ends. It skips lines that are not deliveries. A line
+// longer than maxLineBytes, which no host sends, ends the loop too. A connection that the client did not close itself counts as
+// lost.
 func (c *clients) read(from *client, in *bufio.Reader) {
 	for {
 		line, err := in.ReadSlice('\n')
--- a/internal/serving/connections.go
+++ b/internal/serving/connections.go
@@ -52,11 +52,11 @@
 		return err
 	}
 	m := measurement{repeat: repeat, dimension: byConnections, size: size, phase: idlePhase}
-	r.record(m, "node.memory", bytes, u.memory)
-	r.record(m, "node.descriptors", count, u.descriptors)
+	r.record(m, "node.memory", bytes, u.residentBytes)
+	r.record(m, "node.descriptors", count, u.openDescriptors)
 	r.record(m, "node.cpu", microsecondsPerSecond, spent/r.Window.Seconds())
 	r.report("repeat %d: %d idle connections: %.1f MB, %.0f descriptors, %.0f us/s (%d retries)", repeat, size,
-		u.memory/megabyte, u.descriptors, spent/r.Window.Seconds(), b.clients.retries.Load())
+		u.residentBytes/megabyte, u.openDescriptors, spent/r.Window.Seconds(), b.clients.retries.Load())
 	return nil
 }
 
@@ -84,7 +84,7 @@
 		if err != nil {
 			return 0, err
 		}
-		total += u.memory * float64(size) / float64(present)
+		total += u.residentBytes * float64(size) / float64(present)
 	}
 	return total, nil
 }
--- a/internal/serving/connections_test.go
+++ b/internal/serving/connections_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Guards against steps above the number of connections that the descriptor limit allows, and against repeated steps.
 func TestConnectionStepsEndAtTheCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -18,7 +19,7 @@
 			r := &run{Options: Options{Connections: c.requested}, capacity: 2500}
 			got := r.connectionSteps()
 			if !slices.Equal(got, c.want) {
-				t.Errorf("%v: %v, want %v", c.requested, got, c.want)
+				t.Errorf("steps for %v requested connections with capacity 2500: got %v, want %v", c.requested, got, c.want)
 			}
 		})
 	}
--- a/internal/serving/helpers_test.go
+++ b/internal/serving/helpers_test.go
@@ -11,25 +11,25 @@
 	"gorseledge/internal/figures"
 )
 
-// program is the path of the node that TestMain builds.
-var program string
+// nodeBinary is the path of the node binary built by TestMain.
+var nodeBinary string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
-// buildAndRun builds the node, runs the tests and returns the exit code.
+// buildAndRun builds the node binary, runs the tests and returns the exit code.
 func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "serving")
 	if err != nil {
 		panic(err)
 	}
 	defer os.RemoveAll(dir)
-	program = filepath.Join(dir, "gorseledge")
-	build := exec.Command("go", "build", "-o", program, "gorseledge/cmd/gorseledge")
+	nodeBinary = filepath.Join(dir, "gorseledge")
+	build := exec.Command("go", "build", "-o", nodeBinary, "gorseledge/cmd/gorseledge")
 	out, err := build.CombinedOutput()
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "building the node: %v\n%s", err, out)
 		return 1
 	}
 	return m.Run()
@@ -39,7 +39,7 @@
 func smallOptions(t *testing.T) Options {
 	t.Helper()
 	return Options{
-		Program:     program,
+		Program:     nodeBinary,
 		Dir:         t.TempDir(),
 		Cores:       1,
 		Repeats:     1,
@@ -53,18 +53,18 @@
 		Bursts:      3,
 		Loaded:      8,
 		Load:        500,
-		Stall:       time.Hour,
+		Stall:       time.Hour, // longer than any test, so that no measurement is discarded
 	}
 }
 
-// newRun returns a run with smallOptions and an empty table.
+// newRun returns a run with smallOptions, an empty table and a capacity of 100 connections.
 func newRun(t *testing.T) *run {
 	t.Helper()
 	return &run{Options: smallOptions(t), table: &figures.Table{}, capacity: 100}
 }
 
-// figure returns the value of a size, phase and cost. It fails the test unless the table has exactly one.
-func figure(t *testing.T, table *figures.Table, size float64, phase, cost string) float64 {
+// valueOf returns the value of the row with the given size, phase and cost. It fails the test unless exactly one row matches.
+func valueOf(t *testing.T, table *figures.Table, size float64, phase, cost string) float64 {
 	t.Helper()
 	var found []float64
 	for _, row := range table.Rows {
@@ -73,7 +73,7 @@
 		}
 	}
 	if len(found) != 1 {
-		t.Fatalf("%s of phase %s at size %v has the figures %v, want exactly one", cost, phase, size, found)
+		t.Fatalf("got values %v for cost %s of phase %s at size %v, want exactly one row", found, cost, phase, size)
 	}
 	return found[0]
 }
--- a/internal/serving/latencies.go
+++ b/internal/serving/latencies.go
@@ -43,5 +43,5 @@
 func (l *latencies) percentile(percent float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return float64(l.histogram.ValueAtQuantile(percent)) / nanosecondsInSecond
+	return float64(l.histogram.ValueAtQuantile(percent)) / nanosecondsPerSecond
 }
--- a/internal/serving/measurement.go
+++ b/internal/serving/measurement.go
@@ -8,7 +8,7 @@
 // phase is the table's name of the activity during a measurement.
 type phase string
 
-// unit is a unit of figures in the table.
+// unit is the table's name of a unit of values.
 type unit string
 
 const (
@@ -35,11 +35,11 @@
 type measurement struct {
 	repeat    int
 	dimension dimension
-	size      int // amount of the dimension
+	size      int // value of the dimension
 	phase     phase
 }
 
-// record adds a figure of a measurement to the table.
+// record adds a value of a measurement to the table as one row.
 func (r *run) record(m measurement, cost string, in unit, value float64) {
 	r.table.Add(figures.Row{
 		Run:       m.repeat,
--- a/internal/serving/options_test.go
+++ b/internal/serving/options_test.go
@@ -28,7 +28,7 @@
 			o := smallOptions(t)
 			c.change(&o)
 			if err := Measure(t.Context(), o, &figures.Table{}); err == nil {
-				t.Errorf("%s: invalid options were accepted", c.name)
+				t.Error("Measure accepted invalid options, want an error")
 			}
 		})
 	}
--- a/internal/serving/rate.go
+++ b/internal/serving/rate.go
@@ -9,8 +9,8 @@
 const (
 	// deliveryInterval is the time between two groups of deliveries that are written together.
 	deliveryInterval = time.Millisecond
-	// millisecondsInSecond converts seconds to milliseconds for progress lines.
-	millisecondsInSecond = 1e3
+	// millisecondsPerSecond converts seconds to milliseconds for progress lines.
+	millisecondsPerSecond = 1e3
 )
 
 // delivered is the number of lines that were sent at a rate, and the time that sending them took.
@@ -19,7 +19,8 @@
 	lasted time.Duration // without the wait until the last client has read its line
 }
 
-// measureRate measures deliveries at a rate, written to one client after the other.
+// measureRate measures deliveries that the hosts write at a rate, to one client after the other: CPU time of the node, actual
+// rate, and latency.
 func (r *run) measureRate(ctx context.Context, b *bench, repeat, rate int) error {
 	measured := newLatencies()
 	from := time.Since(b.clients.began)
@@ -49,8 +50,8 @@
 	r.record(m, "delivery.p50", seconds, measured.percentile(median))
 	r.record(m, "delivery.p99", seconds, measured.percentile(percentile99))
 	r.report("repeat %d: %d deliveries a second: %.1f us each, latency: median %.2f ms, 99th percentile %.2f ms", repeat, rate,
-		spent/float64(sent.lines), millisecondsInSecond*measured.percentile(median),
-		millisecondsInSecond*measured.percentile(percentile99))
+		spent/float64(sent.lines), millisecondsPerSecond*measured.percentile(median),
+		millisecondsPerSecond*measured.percentile(percentile99))
 	return nil
 }
 
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -2,8 +2,8 @@
 // CPU time per flow and per delivery (a line from a host to a client), and the latency of deliveries.
 //
 // The package starts the node as a separate process on loopback and ends it. Clients and hosts are stand-ins in the
-// measuring process, whose costs are not counted. The package adds its figures to the caller's table and writes files only
-// below Options.Dir.
+// measuring process, whose costs are not counted. The package adds its measurements to the caller's table and writes files
+// only below Options.Dir.
 package serving
 
 import (
@@ -37,7 +37,7 @@
 // step measures one part of a repeat with a newly started node.
 type step func(ctx context.Context, b *bench, repeat int) error
 
-// Measure runs all steps and adds their figures to the table. It returns an error if the options are invalid, a step
+// Measure runs all steps and adds their values to the table. It returns an error if the options are invalid, a step
 // fails or the context ends; the table then keeps the rows of the complete measurements. When Measure returns, it has ended
 // every process, closed every connection and removed every file that it created.
 func Measure(ctx context.Context, o Options, table *figures.Table) error {
@@ -55,7 +55,7 @@
 			return fmt.Errorf("repeat %d: %w", repeat, err)
 		}
 	}
-	// Committed tables contain this text, so its form is fixed.
+	// Stored tables contain this text, so it must not change. It counts the discarded measurements.
 	r.table.Machine += fmt.Sprintf("; %d measures void, as the machine stood still for over %v", r.discarded, o.Stall)
 	return nil
 }
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// connectionCapacity returns the number of flows of which this process can hold both ends. The soft descriptor limit is
-// what counts: the Go runtime has already raised it to the hard limit.
+// connectionCapacity returns the number of flows of which this process can hold both ends. The soft descriptor limit
+// applies: the Go runtime has already raised it to the hard limit.
 func connectionCapacity() (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -80,15 +80,15 @@
 	return int(min(limit.Cur, maxOpenFiles)-spareDescriptors) / descriptorsPerFlow, nil
 }
 
-// report passes a line of text to Options.Progress unless that is nil.
+// report formats a line of text and passes it to Options.Progress, unless Progress is nil.
 func (r *run) report(format string, args ...any) {
 	if r.Progress != nil {
 		r.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// withNode runs a step with a new node. It returns an error if a connection ended before its client closed it, because the
-// step then measured fewer connections than its figures state.
+// withNode runs a step with a new node, whose directory it removes afterwards. It returns an error if a connection ended before
+// its client closed it, because the step then measured fewer connections than its rows state.
 func (r *run) withNode(ctx context.Context, repeat int, measure step) error {
 	dir, err := os.MkdirTemp(r.Dir, "serving")
 	if err != nil {
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -14,7 +14,8 @@
 	"gorseledge/internal/figures"
 )
 
-// A step that leaves out a cost or leaves files behind would go unnoticed until the capacity page is built.
+// Guards against a step that leaves out a cost, which would go unnoticed until the capacity page is built, and against files
+// that stay in the directory.
 func TestEachStepAddsItsFigures(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	table := &figures.Table{}
@@ -22,8 +23,8 @@
 	if err := Measure(t.Context(), o, table); err != nil {
 		t.Fatal(err)
 	}
-	few := figure(t, table, 10, "held", "node.descriptors")
-	many := figure(t, table, 30, "held", "node.descriptors")
+	few := valueOf(t, table, 10, "held", "node.descriptors")
+	many := valueOf(t, table, 30, "held", "node.descriptors")
 	if many-few != 20*descriptorsPerFlow {
 		t.Errorf("20 more connections used %v descriptors, want %d", many-few, 20*descriptorsPerFlow)
 	}
@@ -40,20 +41,20 @@
 		{8, "burst_with_load", "burst.each_p50"},
 	} {
 		t.Run(c.phase+"/"+c.cost, func(t *testing.T) {
-			value := figure(t, table, c.size, c.phase, c.cost)
+			value := valueOf(t, table, c.size, c.phase, c.cost)
 			if value <= 0 {
 				t.Errorf("%s of phase %s at size %v is %v, want more than 0", c.cost, c.phase, c.size, value)
 			}
 		})
 	}
-	each := figure(t, table, 8, "burst", "burst.each_p99")
-	last := figure(t, table, 8, "burst", "burst.last_p99")
+	each := valueOf(t, table, 8, "burst", "burst.each_p99")
+	last := valueOf(t, table, 8, "burst", "burst.last_p99")
 	if each > last {
-		t.Errorf("99th percentile of all deliveries is %v s, above that of the last deliveries, %v s", each, last)
+		t.Errorf("the 99th percentile of all deliveries is %v s, want at most that of the last deliveries, %v s", each, last)
 	}
 	left, err := os.ReadDir(o.Dir)
 	if err != nil || len(left) > 0 {
-		t.Errorf("the directory still contains %v (%v)", left, err)
+		t.Errorf("the directory contains %v (error %v), want it empty", left, err)
 	}
 }
 
@@ -82,7 +83,7 @@
 	}
 }
 
-// If the node dies during a step, its figures are those of fewer connections and must not be kept.
+// If the node ends during a step, the step's values are those of fewer connections. The step must return an error.
 func TestNodeThatEndsDuringAStepIsAnError(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	r := newRun(t)
@@ -94,6 +95,6 @@
 		return await(ctx, func() bool { return b.clients.lost.Load() == 10 })
 	})
 	if err == nil || !strings.Contains(err.Error(), "10 connections ended") {
-		t.Errorf("withNode returned %v, want 10 ended connections", err)
+		t.Errorf("withNode returned %v, want an error that contains \"10 connections ended\"", err)
 	}
 }
--- a/internal/serving/stalls_test.go
+++ b/internal/serving/stalls_test.go
@@ -7,7 +7,7 @@
 	"gorseledge/internal/figures"
 )
 
-// Rows of a measurement during which the machine stalled would enter the table as costs of the node.
+// Guards against rows of a measurement during which the machine stalled: they would enter the table as costs of the node.
 func TestMeasurementDuringAStallIsDiscardedAndRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -41,16 +41,17 @@
 			}
 			failed := err != nil
 			if failed != c.fails || attempts != c.attempts || r.discarded != c.discarded || len(r.table.Rows) != rows {
-				t.Errorf("error %v after %d attempts, %d discarded, rows %v", err, attempts, r.discarded, r.table.Rows)
+				t.Errorf("got error %v, %d attempts, %d discarded and rows %v; want an error: %v, %d attempts, %d discarded and %d rows",
+					err, attempts, r.discarded, r.table.Rows, c.fails, c.attempts, c.discarded, rows)
 			}
 			if !c.fails && r.table.Rows[1].Value != float64(c.attempts) {
-				t.Errorf("the table has the row %v, want that of the last attempt", r.table.Rows[1])
+				t.Errorf("the table has the row %v, want the row of the last attempt, with value %d", r.table.Rows[1], c.attempts)
 			}
 		})
 	}
 }
 
-// A later, shorter delay must not replace the longest one.
+// Guards against a later, shorter delay that replaces the longest one.
 func TestLongestStallIsKept(t *testing.T) {
 	began := time.Unix(1000, 0)
 	s := stalls{last: began}
--- a/internal/serving/usage_test.go
+++ b/internal/serving/usage_test.go
@@ -20,9 +20,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if before.memory <= 0 || before.processorTime <= 0 || after.processorTime < before.processorTime ||
-		after.descriptors != before.descriptors+1 {
-		t.Errorf("usage before %+v, after opening one more descriptor %+v", before, after)
+	if before.residentBytes <= 0 || before.cpuSeconds <= 0 || after.cpuSeconds < before.cpuSeconds ||
+		after.openDescriptors != before.openDescriptors+1 {
+		t.Errorf("usage before is %+v and after opening one more descriptor %+v; want memory and CPU time above 0, "+
+			"no less CPU time and exactly one more descriptor", before, after)
 	}
 	if _, err := readUsage(1 << 30); err == nil {
 		t.Error("readUsage returned no error for a process that does not exist")
--- a/internal/serving/wait.go
+++ b/internal/serving/wait.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	settleTime      = time.Second // pause between opening connections and measuring
-	deliveryTimeout = 10 * time.Second
+	settleTime      = time.Second      // pause between opening connections and measuring
+	deliveryTimeout = 10 * time.Second // time limit for reading a burst, and for the condition of await
 	pollInterval    = time.Millisecond
 )
 
@@ -22,7 +22,7 @@
 	}
 }
 
-// await polls a condition until it is true. It returns an error after deliveryTimeout.
+// await polls a condition until it is true. It returns an error if the context ends or after deliveryTimeout.
 func await(ctx context.Context, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
