--- a/internal/rig/check_test.go
+++ b/internal/rig/check_test.go
@@ -91,7 +91,7 @@
 	}
 	slices.SortFunc(events, func(a, b Event) int { return int(a.At - b.At) })
 	if got := Deaths(s, events); !slices.Equal(got, []Death{{1, 3, 6, 3}}) {
-		t.Errorf("process down for the rest of the run: got %v", got)
+		t.Errorf("process down for the rest of the run: got %v, want %v", got, []Death{{1, 3, 6, 3}})
 	}
 	killed.Duration = 1
 	if got := Deaths(s, append(events, Event{At: 2, Kind: "over", Fault: killed})); len(got) != 0 {
--- a/internal/rig/control_run.go
+++ b/internal/rig/control_run.go
@@ -22,7 +22,7 @@
 	applyTimeout       = 5 * time.Second       // time limit of one request to the writer
 	firstApplyTimeout  = 20 * time.Second      // time limit for a newly started writer to accept a change
 
-	// proposalKeyPrefix and markSuffix enclose the ID of a proposal in the key of the entry that identifies the proposal.
+	// proposalKeyPrefix and proposalKeySuffix enclose the ID of a proposal in the key of the entry that identifies the proposal.
 	proposalKeyPrefix = "tenants.mark-"
 	proposalKeySuffix = ".connections"
 )
@@ -115,7 +115,7 @@
 	return c.settle(ctx)
 }
 
-// awaitFirstChange makes proposals until the writer accepts one.
+// awaitFirstChange makes proposals until the writer accepts one. It returns an error after firstApplyTimeout.
 func (c *control) awaitFirstChange(ctx context.Context) error {
 	outcome := ""
 	for end := time.Now().Add(firstApplyTimeout); time.Now().Before(end); {
@@ -129,7 +129,7 @@
 	return fmt.Errorf("the writer accepted no change within %v of its start, last outcome: %s", firstApplyTimeout, outcome)
 }
 
-// sleep waits for a duration. If the context ends first, it returns its error.
+// sleep waits for a duration. If the context ends first, sleep returns the context's error.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -214,7 +214,8 @@
 	return 1
 }
 
-// watch records each configuration that a node has in force, until the context ends.
+// watch polls a node for the configuration that it has in force and records each change of it, until the context ends. Failed
+// requests are skipped: the node may be down.
 func (c *control) watch(ctx context.Context, n *node) {
 	var last ControlEvent
 	for sleep(ctx, configPollInterval) == nil {
--- a/internal/rig/control_run_test.go
+++ b/internal/rig/control_run_test.go
@@ -160,7 +160,7 @@
 		t.Parallel()
 		r := runWithOptions(t, Options{Program: singleServerProgram, Control: serverProgram, Seed: 1}, onlyServerStopped)
 		if !slices.ContainsFunc(r.Violations, isLateChange) {
-			t.Errorf("no violation of %q, got %v", RuleInForce, r.Violations)
+			t.Errorf("got violations %v, want at least one of %q", r.Violations, RuleInForce)
 		}
 	})
 }
--- a/internal/rig/control_script.go
+++ b/internal/rig/control_script.go
@@ -142,5 +142,5 @@
 	return disabled <= maxServersDisabled || disabled == len(f.Servers)
 }
 
-// changesDirectory reports whether a fault deletes or replaces the directory of a server.
+// changesDirectory reports whether a fault empties or replaces the data directory of a server.
 func changesDirectory(f ControlFault) bool { return f.Kind == faultWipe || f.Kind == faultRollback }
--- a/internal/rig/control_server.go
+++ b/internal/rig/control_server.go
@@ -33,10 +33,11 @@
 func (s *controlServer) name() string   { return fmt.Sprintf("c%d", s.index) }
 func (s *controlServer) region() string { return serverRegions[s.index] }
 
-// dataDir returns the server's dataDir directory, which the faults wipe and rollback delete or replace.
+// dataDir returns the server's data directory. The fault wipe empties it, and the fault rollback replaces it.
 func (s *controlServer) dataDir() string { return filepath.Join(s.dir, "data") }
 
-// startControl opens the relays to the control servers and starts them.
+// startControl opens the relays between the control servers and from the nodes to them, and then starts the control servers. It
+// returns the control also with an error, so that the caller can close what was opened.
 func startControl(r *Rig) (*control, error) {
 	c := newControl(r)
 	for i := range r.script.ControlServers {
@@ -174,10 +175,10 @@
 	s.current.cmd.Process.Signal(signal)
 }
 
-// copyData copies the server's data directory to one beside it.
+// copyData copies the server's data directory to another one next to it, for restoreData.
 func (s *controlServer) copyData() error { return copyFiles(s.dataDir(), s.dataDir()+".old") }
 
-// restoreData replaces the data directory by the copy of copyData.
+// restoreData replaces the data directory by the copy that copyData made.
 func (s *controlServer) restoreData() error {
 	if err := os.RemoveAll(s.dataDir()); err != nil {
 		return err
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// endFault ends a fault of the server's process: it continues a stopped process and starts an ended one again.
+// endFault ends a fault of the server's process. It continues the process if the fault stopped it, otherwise it starts a new one.
 func (s *controlServer) endFault(f ControlFault) error {
 	if f.Kind == faultStop {
 		s.setStopped(false)
--- a/internal/rig/control_settle.go
+++ b/internal/rig/control_settle.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// awaitReady waits until the writer is ready for proposals, or returns an error after the in_force time.
+// awaitReady waits until the writer is ready for proposals. It returns an error after the in_force time or if the context ends.
 func (c *control) awaitReady(ctx context.Context) error {
 	reason := ""
 	for end := time.Now().Add(c.inForceTimeout()); time.Now().Before(end); {
@@ -70,8 +70,8 @@
 	return outcome, err
 }
 
-// awaitInForce waits until all running nodes have the writer's version in force, at most for the in_force time, and records
-// whether they had.
+// awaitInForce waits until all running nodes have the writer's version in force, for at most the in_force time. It records the
+// outcome as eventInForce or eventNotInForce, and returns an error only if the context ends.
 func (c *control) awaitInForce(ctx context.Context) error {
 	c.record(eventAwaitInForce, ControlEvent{})
 	behind := "reading the state of the writer failed"
--- a/internal/rig/generate_test.go
+++ b/internal/rig/generate_test.go
@@ -15,7 +15,8 @@
 		}
 		for i, f := range s.GenerateFaults(seed) {
 			if f.String() != faults[i].String() || f.At != faults[i].At {
-				t.Fatalf("seed %d generates different faults", seed)
+				t.Fatalf("seed %d: fault %d is %s at %v s the first time and %s at %v s the second time, want equal faults", seed, i,
+					faults[i], faults[i].At, f, f.At)
 			}
 		}
 		for at := 0.0; at < 60; at += 0.1 {
--- a/internal/rig/history_test.go
+++ b/internal/rig/history_test.go
@@ -19,7 +19,7 @@
 		}
 		left, _ := filepath.Glob(filepath.Join(dir, "*"))
 		if complete != (len(left) == 1) {
-			t.Errorf("complete %v: files left: %v", complete, left)
+			t.Errorf("complete %v: got files %v, want one file if complete and none otherwise", complete, left)
 		}
 	}
 }
--- a/internal/rig/relay_test.go
+++ b/internal/rig/relay_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A stream that the relay accepted just before a cut and registers only after it would stay open during the cut.
+// Guards against a stream that stays open during a cut because the relay accepted it just before the cut and registered it only
+// afterwards.
 func TestStreamAcceptedBeforeCutIsBroken(t *testing.T) {
 	to, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,15 +28,15 @@
 	}()
 	near.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := near.Read(make([]byte, 1)); err == nil {
-		t.Error("received data through a cut link")
+		t.Error("read data through a cut link, want an error")
 	} else if e, ok := err.(net.Error); ok && e.Timeout() {
-		t.Fatal("the stream is still open after 10 s")
+		t.Fatal("the stream is still open after 10 s, want it closed by the cut")
 	}
 	<-done
 }
 
-// The relay must send recorded datagrams again while replay is set, and stop when it is reset, or the fault would affect the
-// rest of the run.
+// Guards against a replay fault that has no effect, or that continues after its end and so affects the rest of the run: the relay
+// must resend recorded datagrams only while Replay is above 0.
 func TestRelayReplaysDatagramsOnlyWhileSet(t *testing.T) {
 	to, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/rig/script_test.go
+++ b/internal/rig/script_test.go
@@ -30,11 +30,11 @@
 		_, err := ReadFile(path)
 		if c.line == "" {
 			if err != nil {
-				t.Errorf("a correct script: %v", err)
+				t.Errorf("got error %v for a correct script, want none", err)
 			}
 		} else if err == nil || !strings.Contains(err.Error(), path+c.line) || !strings.Contains(err.Error(), c.message) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: got error %v, want %s and %q", c.to, err, c.line, c.message)
+			t.Errorf("%q replaced by %q: got error %v, want one line with %s and %q", c.from, c.to, err, path+c.line, c.message)
 		}
 	}
 }
--- a/internal/rig/timeline_test.go
+++ b/internal/rig/timeline_test.go
@@ -15,6 +15,6 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), "<svg") || !strings.Contains(string(text), "suspect") {
-		t.Errorf("not an SVG chart with the state suspect: %.200s", text)
+		t.Errorf("got a timeline that begins with %.200q, want an SVG chart that contains the state suspect", text)
 	}
 }
