--- a/internal/emulator/notification_test.go
+++ b/internal/emulator/notification_test.go
@@ -58,7 +58,7 @@
 				}
 			}
 			if found == 0 {
-				t.Errorf("%s: the faulty node was not reported", c.name)
+				t.Errorf("%s: got no violation of %q by the faulty node, want at least one", c.name, RuleNoFlowToWithdrawnHost)
 			}
 		})
 	}
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -34,7 +34,7 @@
 	setups       *hdrhistogram.Histogram // microseconds
 }
 
-// newResult returns a result whose figures are all zero.
+// newResult returns a result without recorded values.
 func newResult(scenario string, seed uint64) *Result {
 	return &Result{Scenario: scenario, Seed: seed, setups: hdrhistogram.New(1, maxSetupMicroseconds, setupDigits)}
 }
--- a/internal/emulator/scenario_test.go
+++ b/internal/emulator/scenario_test.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// Guards against scripts that make Read panic.
 func FuzzReadScript(f *testing.F) {
 	f.Add([]byte(faultlessScenario))
 	f.Add([]byte("[[fault]]\nkind = \"crash\"\n"))
--- a/internal/emulator/service_test.go
+++ b/internal/emulator/service_test.go
@@ -80,7 +80,8 @@
 				}
 			}
 			if len(restarted) != killed || (soon < len(restarted)*9/10) != c.late {
-				t.Errorf("polls late: %v: %d of %d restarted nodes received a list within ten seconds", c.late, soon, len(restarted))
+				t.Errorf("polls late: %v: %d of %d restarted nodes received a list within ten seconds, want %d restarted nodes and "+
+					"a list at 90%% of them unless they poll late", c.late, soon, len(restarted), killed)
 			}
 		})
 	}
@@ -123,7 +124,8 @@
 			s := parseScenario(t, faultlessScenario+faults)
 			least := leastServedShare(s, Options{AdjustSettings: c.adjust})
 			if (least >= 0.5) != c.served {
-				t.Errorf("%s: the lowest served share of a service type in a third of the run is %.2f", c.name, least)
+				t.Errorf("%s: the lowest served share of a service type in a third of the run is %.2f, want at least 0.5: %v", c.name, least,
+					c.served)
 			}
 		})
 	}
--- a/internal/emulator/simulation_test.go
+++ b/internal/emulator/simulation_test.go
@@ -10,7 +10,8 @@
 func TestFaultlessFleetServesNearlyAllWithoutViolations(t *testing.T) {
 	r := Run(parseScenario(t, faultlessScenario), 1, Options{})
 	if r.Established < 200 || r.ServedShare < 0.97 || len(r.Violations) > 0 || r.Unanswered > 0 {
-		t.Errorf("%d of %d established, served share %.3f, %d unanswered, violations %v", r.Established, r.Requested, r.ServedShare,
+		t.Errorf("got %d of %d established, served share %.3f, %d unanswered and violations %v; want at least 200 established, a "+
+			"served share of at least 0.97, none unanswered and no violation", r.Established, r.Requested, r.ServedShare,
 			r.Unanswered, r.Violations)
 	}
 }
@@ -29,12 +30,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			first := traceWithProcessors(t, s, c.permute, 1)
 			if !bytes.Equal(first, traceWithProcessors(t, s, c.permute, 4)) {
-				t.Errorf("permuted %v: two runs with the same seed have different traces", c.permute)
+				t.Errorf("permuted %v: runs of one seed with 1 and with 4 processors have different traces, want equal ones", c.permute)
 			}
 		})
 	}
 	if Run(s, 5, Options{}).TraceHash == Run(s, 6, Options{}).TraceHash {
-		t.Error("two seeds have the same trace")
+		t.Error("seeds 5 and 6 have the same trace, want different ones")
 	}
 }
 
--- a/internal/emulator/upgrade_test.go
+++ b/internal/emulator/upgrade_test.go
@@ -12,8 +12,8 @@
 	for seed := range uint64(4) {
 		r := Run(s, seed, Options{Permute: seed%2 == 1})
 		if r.Disconnected > 0 || r.Migrated > 0 || r.ServedShare < 0.97 || len(r.Violations) > 0 || r.Unanswered > 0 {
-			t.Errorf("seed %d: %d disconnected, %d migrated, %d unanswered, served share %.3f, violations %v", seed, r.Disconnected,
-				r.Migrated, r.Unanswered, r.ServedShare, r.Violations)
+			t.Errorf("seed %d: got %d disconnected, %d migrated, %d unanswered, served share %.3f and violations %v; want none of "+
+				"these and a served share of at least 0.97", seed, r.Disconnected, r.Migrated, r.Unanswered, r.ServedShare, r.Violations)
 		}
 	}
 }
@@ -28,7 +28,7 @@
 			t.Errorf("seed %d: %v", seed, v)
 		}
 		if seed == 3 && r.TraceHash != Run(s, seed, Options{Permute: true}).TraceHash {
-			t.Error("two runs with the same seed have different traces")
+			t.Errorf("two runs with seed %d have different traces, want equal ones", seed)
 		}
 	}
 }
