--- a/deploy/sites/lay.sh
+++ b/deploy/sites/lay.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Lays beside our variants what the bench wants there, from the operators' kit: KIT is its folder.
+# Copies the files that the operators' test bench expects next to the site variants in this directory. The variable KIT is
+# the directory of the operators' kit from which they are copied.
 set -euo pipefail
 cd "$(dirname "$0")"
 kit=${KIT:-../../../given/kit}
